--- /dev/null
+++ b/tests/coordination/test_golden_storage.py
@@ -0,0 +1,132 @@
+"""Folders that the program before the renaming stored are read whole, and what is stored now has the same bytes."""
+
+import shutil
+
+import msgspec
+import pytest
+
+from lab.tier.world import World
+from lynxscale.coordination.epochs import Witness
+from lynxscale.coordination.register import REGISTER_FILE
+from lynxscale.coordination.sealed import SECOND_COPY, unseal
+from lynxscale.coordination.store import Store
+from lynxscale.coordination.versions import VersionFiles
+from lynxscale.runtime.files import ASIDE, DurableFiles
+from tests import golden
+
+FOLDERS = golden.expected("folders.json")
+REGISTERS = golden.expected("registers.json")
+LEASE_S = 1.5
+TORN = {"cut-off-batch", "cut-off-whole", "whole-not-swept"}
+DAMAGED = {"torn-batch", "missing-batch", "missing-newest"}
+
+
+@pytest.fixture
+def copied(tmp_path):
+    """Copies a golden folder, as a store may change it."""
+    return lambda name: shutil.copytree(golden.DATA / name, tmp_path / "copy")
+
+
+# Versions --------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("name", FOLDERS)
+def test_a_golden_folder_holds_every_key_and_value(name, copied):
+    store = Store(DurableFiles(str(copied(f"folders/{name}"))))
+    assert golden.told(store) == FOLDERS[name]
+
+
+def test_the_golden_folders_hold_what_they_are_meant_to():
+    """Whole versions hold the same as the batches; what is cut off in writing costs nothing but itself."""
+    whole, batches = FOLDERS["whole"], FOLDERS["batches"]
+    assert whole == batches == FOLDERS["whole-in-frames"] == FOLDERS["cut-off-whole"]
+    kinds = {key.partition("/")[0] for key in batches["entries"]}
+    assert kinds == {"program", "turn", "config", "order", "orders", "retire"}
+    assert all(not FOLDERS[name]["damage"] for name in TORN) and all(FOLDERS[name]["damage"] for name in DAMAGED)
+    assert FOLDERS["cut-off-batch"]["position"] == [2, batches["position"][1] - 1]
+
+
+@pytest.mark.parametrize("name", ["cut-off-whole", "cut-off-batch"])
+def test_the_rest_of_a_file_that_was_cut_off_goes(name, copied):
+    folder = copied(f"folders/{name}")
+    assert any(folder.glob(f"*{ASIDE}"))
+    assert Store(DurableFiles(str(folder))).intact
+    assert not any(folder.glob(f"*{ASIDE}"))
+
+
+def test_batches_are_stored_with_the_golden_bytes(tmp_path):
+    stored = golden.files_of(golden.DATA / "folders" / "batches")
+    versions = VersionFiles(DurableFiles(str(tmp_path)))
+    batches = {name: content for name, content in stored.items() if name.startswith("batch-")}
+    for name, content in batches.items():
+        versions.save(msgspec.json.decode(unseal(name, content), type=golden.STRUCTS["batch"]))
+    assert golden.files_of(tmp_path) == batches
+
+
+def test_a_whole_version_is_stored_with_the_golden_bytes(copied):
+    """The golden folder before the fold is what its batches alone lead to."""
+    folder = copied("folders/whole-not-swept")
+    for path in folder.glob("state-*"):
+        path.unlink()
+    golden.fold(folder)
+    assert golden.files_of(folder) == golden.files_of(golden.DATA / "folders" / "whole-not-swept")
+
+
+def test_the_position_is_marked_with_the_golden_bytes(copied):
+    folder = copied("folders/batches")
+    for path in folder.glob("mark*"):
+        path.unlink()
+    Store(DurableFiles(str(folder))).mark()
+    assert golden.files_of(folder) == golden.files_of(golden.DATA / "folders" / "batches")
+
+
+# The register ----------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize("name", REGISTERS)
+@pytest.mark.parametrize("spoilt", ["", REGISTER_FILE, REGISTER_FILE + SECOND_COPY])
+@pytest.mark.parametrize("how", ["damaged", "torn", "missing"])
+def test_a_golden_register_is_read_with_either_file_spoilt(name, spoilt, how, copied):
+    folder = copied(f"registers/{name}")
+    if spoilt:
+        spoil(folder / spoilt, how)
+    address, bootstrap, fields = REGISTERS[name]
+    register = golden.open_register(folder, address, bootstrap)
+    assert register.restored
+    assert golden.positional(register.state) == golden.tuples(fields)
+    assert golden.files_of(folder) == golden.files_of(golden.DATA / "registers" / name)
+
+
+def spoil(path, how: str) -> None:
+    content = path.read_bytes()
+    if how == "missing":
+        path.unlink()
+    else:
+        path.write_bytes(
+            content[: len(content) // 2] + (b"" if how == "torn" else b"?" + content[len(content) // 2 + 1 :])
+        )
+
+
+@pytest.mark.parametrize("name", REGISTERS)
+def test_a_register_is_stored_with_the_golden_bytes(name, tmp_path):
+    address, bootstrap, fields = REGISTERS[name]
+    register = golden.open_register(tmp_path, address, bootstrap)
+    register.save(golden.build(type(register.state), fields))
+    assert golden.files_of(tmp_path) == golden.files_of(golden.DATA / "registers" / name)
+
+
+@pytest.mark.parametrize("name", ["founder", "newcomer"])
+def test_a_first_register_is_the_golden_one(name, tmp_path):
+    address, bootstrap, _ = REGISTERS[name]
+    golden.open_register(tmp_path, address, bootstrap)
+    assert golden.files_of(tmp_path) == golden.files_of(golden.DATA / "registers" / name)
+
+
+def test_who_has_a_golden_register_is_bound_by_its_promise_and_lease(copied):
+    """No grant is stored: a restored voter counts with one to the primary of the record that it accepted."""
+    register = golden.open_register(copied("registers/promised"))
+    member, record, promised, candidate = REGISTERS["promised"][2]
+    voter = Witness(register, World(golden.SEED).machine(golden.SEEDS[0]).clock(), LEASE_S)
+    assert voter.member == member and golden.positional(voter.record) == golden.tuples(record)
+    assert (voter.lease_left, voter.bound_for(record[1]), voter.bound_for(candidate)) == (LEASE_S, 0.0, LEASE_S)
+    assert golden.positional(voter.state)[2:] == (promised, candidate)
