--- a/.ci/deployment_names.py
+++ b/.ci/deployment_names.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-PROGRAM = ("gannetshift", "lynxscale")
+PROGRAM = ("lynxscale",)
 
 
 def listed(root: Path) -> set[str]:
--- a/lab/bench_cluster.py
+++ b/lab/bench_cluster.py
@@ -23,7 +23,7 @@
 from lab.cluster.simulate import SECOND, World
 from lab.demo import DESTINATIONS
 from lab.traffic import fresh_folder, usage
-from lynxscale.cluster.sight import State
+from lynxscale.relay.cluster.membership_table import State
 
 PARTS = ("sim", "false", "kills", "rest", "loss", "core", "cost")
 HEARTBEAT_S, TIMEOUT_S, HEARTBEAT_BYTES = 0.5, 2.0, 40
--- a/lab/bench_journal.py
+++ b/lab/bench_journal.py
@@ -10,9 +10,9 @@
 import click
 
 from lab.traffic import fresh_folder
-from lynxscale.journal import Entry, Journal, JournalFull
-from lynxscale.journal.plan import blocks
-from lynxscale.journal.port import Folder
+from lynxscale.relay.journal import Entry, Journal, JournalFull
+from lynxscale.relay.journal.plan import blocks
+from lynxscale.relay.journal.port import Folder
 
 BODY = bytes(200)
 
--- a/lab/bench_lists.py
+++ b/lab/bench_lists.py
@@ -9,15 +9,15 @@
 
 import click
 
-from gannetshift.interface import Lifecycle
 from lab import traffic
 from lab.clients import Desk
 from lab.demo import CONF, Own
 from lab.partner import Mood, Partner
 from lab.traffic import fresh_folder
-from lynxscale.upstream import files
-from lynxscale.upstream.model import Entry
-from lynxscale.upstream.state import Lists
+from lynxscale.relay.upstream import files
+from lynxscale.relay.upstream.model import Entry
+from lynxscale.relay.upstream.state import Lists
+from lynxscale.scheduling.interface import Lifecycle
 
 PATIENCE = 60.0
 RATE = 250.0  # messages a second under which effects are timed
--- a/lab/cluster/check.py
+++ b/lab/cluster/check.py
@@ -22,9 +22,8 @@
 
 from lab.cluster.mistakes import Spoilt, spoil
 from lab.explorer import Breach, search
-from lynxscale.cluster.sight import Identity, Sight
-from lynxscale.cluster.views import Order, Persist, Say, Terms, Views
-from lynxscale.cluster.words import (
+from lynxscale.relay.cluster.membership_table import Identity, Sight
+from lynxscale.relay.cluster.messages import (
     Accept,
     Accepted,
     Decided,
@@ -37,6 +36,7 @@
     Step,
     View,
 )
+from lynxscale.relay.cluster.view_change import Order, Persist, Say, Terms, Views
 
 # What of a Views counts in what it does by the events used here; the rest are times of looks and of rests.
 COUNTS = (
--- a/lab/cluster/explore.py
+++ b/lab/cluster/explore.py
@@ -16,9 +16,9 @@
 from dataclasses import dataclass, field
 
 from lab.explorer import Breach
-from lynxscale.cluster.sight import Identity, Rumour, Sight, State
-from lynxscale.cluster.views import Persist, Say, Terms, Views
-from lynxscale.cluster.words import Kept, Step, View
+from lynxscale.relay.cluster.membership_table import Identity, Rumour, Sight, State
+from lynxscale.relay.cluster.messages import Kept, Step, View
+from lynxscale.relay.cluster.view_change import Persist, Say, Terms, Views
 
 LEASES, VOTES = Terms(), Terms(lease=1)  # half of the walks leave leases aside, so that votes come thick and fast
 JUMP = LEASES.lease // 3
--- a/lab/cluster/faults.py
+++ b/lab/cluster/faults.py
@@ -13,7 +13,7 @@
 from lab.cluster.links import Weather
 from lab.cluster.nodes import Cluster, Node
 from lab.partner import Mood
-from lynxscale.cluster import frame
+from lynxscale.relay.cluster import frame
 
 
 @dataclass(frozen=True, slots=True)
--- a/lab/cluster/mistakes.py
+++ b/lab/cluster/mistakes.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from lynxscale.cluster.views import Order, Persist, Say, Views
-from lynxscale.cluster.words import NONE, Kept, LeaseAsk, Promise, Word
+from lynxscale.relay.cluster.messages import NONE, Kept, LeaseAsk, Promise, Word
+from lynxscale.relay.cluster.view_change import Order, Persist, Say, Views
 
 
 class Spoilt(Views):
--- a/lab/cluster/simulate.py
+++ b/lab/cluster/simulate.py
@@ -14,14 +14,14 @@
 from time import process_time
 
 from lab.explorer import Breach
-from lynxscale.cluster import frame
-from lynxscale.cluster.core import Core
-from lynxscale.cluster.detector import Renew, Send, Swap, Timing
-from lynxscale.cluster.frame import Message, views_of
-from lynxscale.cluster.sight import Identity, State
-from lynxscale.cluster.stable import Pending
-from lynxscale.cluster.views import Fetch, Outvoted, Persist, Say, Terms
-from lynxscale.cluster.words import Kept, View
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.core import Core
+from lynxscale.relay.cluster.durable_state import Pending
+from lynxscale.relay.cluster.failure_detector import Renew, Send, Swap, Timing
+from lynxscale.relay.cluster.frame import Message, views_of
+from lynxscale.relay.cluster.membership_table import Identity, State
+from lynxscale.relay.cluster.messages import Kept, View
+from lynxscale.relay.cluster.view_change import Fetch, Outvoted, Persist, Say, Terms
 
 SECOND = 1_000_000
 FORM, CALM = 20, 25  # seconds until the first view; after the last fault, for all to be one view again
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -13,13 +13,13 @@
 
 import orjson
 
-from gannetshift.interface import Lifecycle
 from lab.clients import Desk
 from lab.partner import Mood, Partner
 from lab.rules import Judged, judge
 from lab.standins import hold_port, port_of
-from lynxscale.upstream import files
-from lynxscale.upstream.model import Entry
+from lynxscale.relay.upstream import files
+from lynxscale.relay.upstream.model import Entry
+from lynxscale.scheduling.interface import Lifecycle
 
 ROOT = Path(__file__).parent.parent
 CONF = ROOT / "deploy" / "lynxscale.conf"
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -14,9 +14,9 @@
 from math import inf as INF
 from random import Random
 
-from gannetshift import interface as api
-from gannetshift.brain import Sender
-from gannetshift.interface import Result
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.interface import Result
+from lynxscale.scheduling.scheduler import Sender
 
 NET_MS, DIAL_MS = 20.0, 40.0  # one way; a connect that fails
 REPORT_EVERY_MS, REPORT_LATE_MS = 400.0, 150.0  # reports are refreshed and arrive so seldom and late
--- a/lynxscale/__main__.py
+++ b/lynxscale/__main__.py
@@ -14,7 +14,7 @@
     # Guards the start against collections of what imports make and never goes: many relays may start together.
     gc.disable()
     # Guards against imports that the daemon doesn't need: its memory may be as little as 32 MB.
-    from lynxscale.daemon import main as daemon
+    from lynxscale.relay.daemon import main as daemon
 
     sys.exit(daemon(begun=begun))
 
--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -11,8 +11,8 @@
 
 from lynxscale.cli import FAILED, Failed, Misused, example
 from lynxscale.cli.common import write_json, write_table
-from lynxscale.conf.lexer import Fault
-from lynxscale.conf.table import Conf
+from lynxscale.relay.conf.lexer import Fault
+from lynxscale.relay.conf.table import Conf
 
 ANSWER_WITHIN = 3.0
 COLUMNS = ("node", "at", "zone", "state", "for_s", "life", "in_view", "answered_ms", "others say", "slow", "differs")
@@ -42,8 +42,8 @@
 
 def _of_file(conf: str) -> dict:
     """The status that a relay last wrote into its folder."""
-    from lynxscale.cluster.part import STATUS
-    from lynxscale.cluster.stable import FOLDER
+    from lynxscale.relay.cluster.component import STATUS
+    from lynxscale.relay.cluster.durable_state import FOLDER
 
     own = _read(conf)
     if own.cluster.name is None:
@@ -58,7 +58,7 @@
 
 
 def _read(path: str) -> Conf:
-    from lynxscale.conf.reader import ConfFaults, read
+    from lynxscale.relay.conf.reader import ConfFaults, read
 
     try:
         return read(path)
@@ -190,7 +190,7 @@
 
 def _differing(files: list[tuple[str, Conf]]) -> list[Fault]:
     """What one file says otherwise than the first, or of another node than that node's own file does."""
-    from lynxscale.cluster import settings
+    from lynxscale.relay.cluster import settings
 
     found = []
     first, one = files[0]
@@ -239,7 +239,7 @@
     """The first line of a file, or of those that it includes, whose directive begins so; 0 where it is not told."""
     import os
 
-    from lynxscale.conf.lexer import Lexer
+    from lynxscale.relay.conf.lexer import Lexer
 
     wanted = word.split()
     return next(
--- a/lynxscale/cli/conf.py
+++ b/lynxscale/cli/conf.py
@@ -9,9 +9,9 @@
 import orjson
 
 from lynxscale.cli import USAGE, Misused, example
-from lynxscale.conf import reader
-from lynxscale.conf.directive import field_of
-from lynxscale.conf.table import SECTIONS, Conf
+from lynxscale.relay.conf import reader
+from lynxscale.relay.conf.directive import field_of
+from lynxscale.relay.conf.table import SECTIONS, Conf
 
 
 def _path(given: str | None) -> str | None:
--- a/lynxscale/cli/fleet.py
+++ b/lynxscale/cli/fleet.py
@@ -12,7 +12,7 @@
 from lynxscale.cli.common import write_json, write_table
 
 if TYPE_CHECKING:
-    from lynxscale.fleet.lines import Line, Unread
+    from lynxscale.relay.fleet.lines import Line, Unread
 
 TRAFFIC = (
     "from_s",
@@ -58,7 +58,7 @@
 
 def _lines(names: tuple[str, ...], unread: Unread) -> Iterator[Line]:
     """All relays' lines in order of time; a relay's own clock may lag at its start, so each file is sorted first."""
-    from lynxscale.fleet.lines import files, read
+    from lynxscale.relay.fleet.lines import files, read
 
     try:
         paths = files(names)
@@ -85,9 +85,9 @@
 def count(paths: tuple[str, ...], every: str, as_json: bool) -> None:
     """Add up the logs in PATHS, a file each relay or folders of *.log: calls by result against each limit, by span and
     destination; what relays hold; and how much later than the first each relay learned of something."""
-    from lynxscale.conf.directive import TIMES, amount
-    from lynxscale.fleet.count import Count
-    from lynxscale.fleet.lines import Unread
+    from lynxscale.relay.conf.directive import TIMES, amount
+    from lynxscale.relay.fleet.count import Count
+    from lynxscale.relay.fleet.lines import Unread
 
     try:
         span = amount(every, TIMES) / 1e6
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -20,16 +20,16 @@
 from lynxscale.cli.common import write_json, write_table
 
 if TYPE_CHECKING:
-    from lynxscale.journal import Entry, Journal
-    from lynxscale.journal.format import Manifest
-    from lynxscale.journal.recover import Recovered
+    from lynxscale.relay.journal import Entry, Journal
+    from lynxscale.relay.journal.format import Manifest
+    from lynxscale.relay.journal.recover import Recovered
 
 json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
 
 def _folder(state: str) -> Path:
     """The newest of the journals: after an upgrade half way there are two."""
-    from lynxscale.upgrade.folders import folder_of, generations
+    from lynxscale.relay.upgrade.folders import folder_of, generations
 
     there = generations(Path(state)) if Path(state).is_dir() else []
     return folder_of(Path(state), there[-1] if there else 0)
@@ -37,10 +37,10 @@
 
 def _recovered(state: str) -> tuple[Manifest, Recovered, dict[int, int]]:
     """The manifest, what a start would find, and the sizes of the segments."""
-    from lynxscale.journal.format import Manifest, Refused
-    from lynxscale.journal.log import manifest_of, segment_name
-    from lynxscale.journal.port import Folder
-    from lynxscale.journal.recover import Recovered, recover
+    from lynxscale.relay.journal.format import Manifest, Refused
+    from lynxscale.relay.journal.log import manifest_of, segment_name
+    from lynxscale.relay.journal.port import Folder
+    from lynxscale.relay.journal.recover import Recovered, recover
 
     folder = _folder(state)
     if not folder.is_dir():
@@ -141,8 +141,8 @@
 @json_option
 def stats(state: str, as_json: bool) -> None:
     """Count what lies where: records by kind, live bytes, messages, for each segment."""
-    from lynxscale.journal import format as f
-    from lynxscale.journal.plan import Plan
+    from lynxscale.relay.journal import format as f
+    from lynxscale.relay.journal.plan import Plan
 
     manifest, found, sizes = _recovered(state)
     plan, kinds = Plan(sum(sizes.values()) + (1 << 20)), {}
@@ -174,10 +174,10 @@
 
 def _open(state: str, disk: str, older: list[Entry]) -> Journal:
     """The journal of a stopped relay, with these messages taken over."""
-    from lynxscale.conf.directive import SIZES, amount
-    from lynxscale.journal import Journal, JournalFull
-    from lynxscale.journal.format import Refused
-    from lynxscale.journal.port import Folder
+    from lynxscale.relay.conf.directive import SIZES, amount
+    from lynxscale.relay.journal import Journal, JournalFull
+    from lynxscale.relay.journal.format import Refused
+    from lynxscale.relay.journal.port import Folder
 
     try:
         budget = amount(disk, SIZES)
@@ -221,7 +221,7 @@
 
 
 def _imported(path: str, source: BinaryIO) -> list[Entry]:
-    from lynxscale.journal import Entry
+    from lynxscale.relay.journal import Entry
 
     found, kinds = (
         [],
@@ -315,7 +315,7 @@
 @disk_option
 def compact(state: str, disk: str) -> None:
     """Carry what is live in the journal of a stopped relay into new segments, and remove the others."""
-    from lynxscale.journal import JournalFull
+    from lynxscale.relay.journal import JournalFull
 
     _manifest, _found, before = _recovered(state)
     journal = _open(state, disk, [])
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -14,10 +14,10 @@
 from lynxscale.cli.common import write_json, write_table
 
 if TYPE_CHECKING:
-    from lynxscale.conf.table import Conf
-    from lynxscale.upstream.files import Reading, Rules
-    from lynxscale.upstream.model import Candidate, Entry
-    from lynxscale.upstream.state import Lists
+    from lynxscale.relay.conf.table import Conf
+    from lynxscale.relay.upstream.files import Reading, Rules
+    from lynxscale.relay.upstream.model import Candidate, Entry
+    from lynxscale.relay.upstream.state import Lists
 
 conf_option = click.option(
     "--conf",
@@ -29,7 +29,7 @@
 
 
 def _conf(path: str | None) -> Conf:
-    from lynxscale.conf import reader
+    from lynxscale.relay.conf import reader
 
     try:
         return reader.from_environment(path=path)
@@ -38,8 +38,9 @@
 
 
 def _read(path: str, conf: Conf) -> Reading:
-    from lynxscale.upstream import files, sight
-    from lynxscale.upstream.model import finish
+    from lynxscale.relay.upstream import files
+    from lynxscale.relay.upstream import freshness as sight
+    from lynxscale.relay.upstream.model import finish
 
     seen = sight.look(path)
     if seen.what != sight.BYTES:
@@ -48,7 +49,7 @@
 
 
 def _rules(conf: Conf) -> Rules:
-    from lynxscale.upstream.rules import rules_of
+    from lynxscale.relay.upstream.rules import rules_of
 
     return rules_of(conf.members, (row["name"] for row in conf.names.kind), (row["name"] for row in conf.names.zone))
 
@@ -64,7 +65,7 @@
 
 
 def _lists(conf: Conf, state: str | None) -> Lists:
-    from lynxscale.upstream.state import Lists
+    from lynxscale.relay.upstream.state import Lists
 
     folder = Path(state or conf.relay.state)
     if not folder.is_dir():
@@ -89,9 +90,9 @@
 @click.pass_context
 def check(ctx: click.Context, files: tuple[str, ...], conf_path: str | None, as_json: bool) -> None:
     """Check FILES by themselves and against each other, as the relay would; exit code 1 with every fault."""
-    from lynxscale.conf.lexer import Fault
-    from lynxscale.upstream.decide import Owners, conflicts
-    from lynxscale.upstream.model import finish
+    from lynxscale.relay.conf.lexer import Fault
+    from lynxscale.relay.upstream.decide import Owners, conflicts
+    from lynxscale.relay.upstream.model import finish
 
     conf, owners, faults, rows = _conf(conf_path), Owners(), [], []
     for path in files:
@@ -135,7 +136,7 @@
 
 
 def _row(entry: Entry) -> dict[str, Any]:
-    from gannetshift.interface import Lifecycle
+    from lynxscale.scheduling.interface import Lifecycle
 
     return {
         "endpoint": entry.id,
@@ -194,9 +195,9 @@
 
 
 def _kept(lists: Lists, conf: Conf) -> list[tuple[str, Candidate]]:
-    from lynxscale.upstream import files
-    from lynxscale.upstream.model import finish
-    from lynxscale.upstream.state import Spoilt
+    from lynxscale.relay.upstream import files
+    from lynxscale.relay.upstream.model import finish
+    from lynxscale.relay.upstream.state import Spoilt
 
     rules = _rules(conf)
     found = []
@@ -221,9 +222,9 @@
 @json_option
 def diff(old: str, new: str, conf_path: str | None, as_json: bool) -> None:
     """What NEW would change where OLD is in force, and which guard of the configuration would ask."""
-    from lynxscale.upstream.decide import compare, guarded
-    from lynxscale.upstream.model import finish
-    from lynxscale.upstream.rules import guards_of
+    from lynxscale.relay.upstream.decide import compare, guarded
+    from lynxscale.relay.upstream.model import finish
+    from lynxscale.relay.upstream.rules import guards_of
 
     conf = _conf(conf_path)
     before, after = _candidate(old, conf), _candidate(new, conf)
@@ -330,9 +331,9 @@
     conf_path: str | None,
 ) -> None:
     """Write a list, with its checksum, from another one and changes; it is checked before it is written."""
-    from gannetshift.interface import Lifecycle
-    from lynxscale.upstream import files
-    from lynxscale.upstream.model import Destination, finish
+    from lynxscale.relay.upstream import files
+    from lynxscale.relay.upstream.model import Destination, finish
+    from lynxscale.scheduling.interface import Lifecycle
 
     conf = _conf(conf_path)
     entries: dict[str, Entry] = {}
--- a/lynxscale/cli/run.py
+++ b/lynxscale/cli/run.py
@@ -12,6 +12,6 @@
 @click.option("--conf", type=click.Path(dir_okay=False), help="The configuration file (else LYNXSCALE_CONF).")
 def command(conf: str | None) -> None:
     """Run one relay until SIGTERM; what it is told by variables stands in the README."""
-    from lynxscale.daemon import main
+    from lynxscale.relay.daemon import main
 
     sys.exit(main(conf))
--- a/lynxscale/cli/trace/replay.py
+++ b/lynxscale/cli/trace/replay.py
@@ -30,7 +30,7 @@
     Every action is compared; the first difference is shown with what led to it, and ends with exit code 1. With
     --module another version is stepped, and what it decided otherwise is counted.
     """
-    from gannetshift.brain import Sender
+    from lynxscale.scheduling.scheduler import Sender
     from lynxscale.trace.recorder import policy_hash
     from lynxscale.trace.replay import NotReplayable
     from lynxscale.trace.replay import replay as play
--- a/lynxscale/cli/trace/show.py
+++ b/lynxscale/cli/trace/show.py
@@ -166,7 +166,7 @@
 @to_json
 def summarise(files: tuple[str, ...], by: str, window: str, plot: str | None, as_json: bool, **words: Any) -> None:
     """Count messages, ends, tries and worth, with percentiles of latency (ms), by class, tenant and destination."""
-    from lynxscale.conf.directive import TIMES, amount
+    from lynxscale.relay.conf.directive import TIMES, amount
     from lynxscale.trace.summary import BY, Summariser, TooManyRows
 
     columns = tuple(name for name in by.split(",") if name)
--- a/lynxscale/dataplane/endpoints.py
+++ b/lynxscale/dataplane/endpoints.py
@@ -4,9 +4,9 @@
 
 import math
 
-from gannetshift.restart import INF, TrySample
 from lynxscale.coordination.ports import Clock
 from lynxscale.runtime.http_client import ClientConnection, Dial
+from lynxscale.scheduling.restart_timeout import INF, TrySample
 from lynxscale.topics import Endpoint
 
 WINDOW_SHARE = 0.75  # of the slots, at most (design)
--- a/lynxscale/cluster/part.py
+++ b/lynxscale/relay/cluster/component.py
@@ -12,18 +12,18 @@
 from twisted.internet.threads import deferToThread
 from twisted.python.failure import Failure
 
-from lynxscale.cluster import settings
-from lynxscale.cluster.core import Core
-from lynxscale.cluster.detector import LIVING, SLOW_DISK, Renew, Timing, Told, slow_words
-from lynxscale.cluster.driver import INBOUND_MOST, OUTBOUND_MOST, Clock, Driver
-from lynxscale.cluster.sight import Identity
-from lynxscale.cluster.stable import FOLDER, Foreign, Pending, Store
-from lynxscale.cluster.views import Note, Outvoted, Standing, Terms
-from lynxscale.cluster.words import Kept, committee_of
-from lynxscale.conf import platform
-from lynxscale.conf.platform import Address, Config
-from lynxscale.conf.table import ClusterConf, Conf
-from lynxscale.parts import Host, Part
+from lynxscale.relay.cluster import settings
+from lynxscale.relay.cluster.core import Core
+from lynxscale.relay.cluster.driver import INBOUND_MOST, OUTBOUND_MOST, Clock, Driver
+from lynxscale.relay.cluster.durable_state import FOLDER, Foreign, Pending, Store
+from lynxscale.relay.cluster.failure_detector import LIVING, SLOW_DISK, Renew, Timing, Told, slow_words
+from lynxscale.relay.cluster.membership_table import Identity
+from lynxscale.relay.cluster.messages import Kept, committee_of
+from lynxscale.relay.cluster.view_change import Note, Outvoted, Standing, Terms
+from lynxscale.relay.components import Host, Part
+from lynxscale.relay.conf import platform
+from lynxscale.relay.conf.platform import Address, Config
+from lynxscale.relay.conf.table import ClusterConf, Conf
 
 log = structlog.get_logger()
 
--- a/lynxscale/cluster/core.py
+++ b/lynxscale/relay/cluster/core.py
@@ -11,12 +11,12 @@
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
-from lynxscale.cluster import frame
-from lynxscale.cluster.detector import Action, Detector, Timing, Told
-from lynxscale.cluster.frame import BadFrame, Exchange, Message, Window
-from lynxscale.cluster.sight import Identity, Rumour
-from lynxscale.cluster.views import Note, Order, Terms, Views
-from lynxscale.cluster.words import Kept, View, Word
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.failure_detector import Action, Detector, Timing, Told
+from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, Window
+from lynxscale.relay.cluster.membership_table import Identity, Rumour
+from lynxscale.relay.cluster.messages import Kept, View, Word
+from lynxscale.relay.cluster.view_change import Note, Order, Terms, Views
 
 BOOTS_KEPT = 4  # processes of one node whose frames are told from one another: those of its last lives, or of twins
 
--- a/lynxscale/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -11,15 +11,15 @@
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory, Protocol
 from twisted.python.failure import Failure
 
-from lynxscale.cluster import frame
-from lynxscale.cluster.core import Core
-from lynxscale.cluster.detector import SLOW_TURN, Action, Renew, Send, Swap, Told
-from lynxscale.cluster.frame import BadFrame, Exchange, Message, views_of
-from lynxscale.cluster.views import Fetch, Note, Order, Outvoted, Persist, Say
-from lynxscale.cluster.words import Kept
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadline, Deadlines
-from lynxscale.net import link
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.core import Core
+from lynxscale.relay.cluster.failure_detector import SLOW_TURN, Action, Renew, Send, Swap, Told
+from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, views_of
+from lynxscale.relay.cluster.messages import Kept
+from lynxscale.relay.cluster.view_change import Fetch, Note, Order, Outvoted, Persist, Say
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.net import connection as link
 
 log = structlog.get_logger()
 
--- a/lynxscale/cluster/stable.py
+++ b/lynxscale/relay/cluster/durable_state.py
@@ -20,7 +20,7 @@
 import msgspec
 from crc32c import crc32c
 
-from lynxscale.cluster.words import Kept
+from lynxscale.relay.cluster.messages import Kept
 
 MAGIC, MAGIC_1 = b"LXNODE\x02", b"LXNODE\x01"
 CHECK, HEAD = struct.Struct(">I"), struct.Struct(">QI")
--- a/lynxscale/cluster/detector.py
+++ b/lynxscale/relay/cluster/failure_detector.py
@@ -26,9 +26,9 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from lynxscale.cluster import frame
-from lynxscale.cluster.frame import Ack, Ask, Message, Nack, Ping, Tell
-from lynxscale.cluster.sight import Change, Identity, Known, Rumour, Sight, State
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.frame import Ack, Ask, Message, Nack, Ping, Tell
+from lynxscale.relay.cluster.membership_table import Change, Identity, Known, Rumour, Sight, State
 
 LIVING = (State.ALIVE, State.SUSPECT)
 
--- a/lynxscale/cluster/frame.py
+++ b/lynxscale/relay/cluster/frame.py
@@ -22,8 +22,8 @@
 import msgspec
 from crc32c import crc32c
 
-from lynxscale.cluster.sight import Name, NoName, Number, Rumour
-from lynxscale.cluster.words import (
+from lynxscale.relay.cluster.membership_table import Name, NoName, Number, Rumour
+from lynxscale.relay.cluster.messages import (
     Accept,
     Accepted,
     Decided,
--- a/lynxscale/cluster/words.py
+++ b/lynxscale/relay/cluster/messages.py
@@ -11,7 +11,7 @@
 
 from msgspec import Meta
 
-from lynxscale.cluster.sight import Identity, Name, NoName, Number
+from lynxscale.relay.cluster.membership_table import Identity, Name, NoName, Number
 
 
 class View(NamedTuple):
--- a/lynxscale/cluster/views.py
+++ b/lynxscale/relay/cluster/view_change.py
@@ -33,8 +33,8 @@
 from enum import Enum
 from typing import NamedTuple
 
-from lynxscale.cluster.sight import Identity, Sight, State
-from lynxscale.cluster.words import (
+from lynxscale.relay.cluster.membership_table import Identity, Sight, State
+from lynxscale.relay.cluster.messages import (
     NONE,
     Accept,
     Accepted,
--- a/lynxscale/parts.py
+++ b/lynxscale/relay/components.py
@@ -13,16 +13,16 @@
 
 import structlog
 
-from lynxscale.conf.platform import Config
-from lynxscale.conf.table import Conf
+from lynxscale.relay.conf.platform import Config
+from lynxscale.relay.conf.table import Conf
 
 if TYPE_CHECKING:
-    from lynxscale.counters import Counters
-    from lynxscale.deadlines import Deadlines, Loop
-    from lynxscale.lifecycle import Lifecycle
-    from lynxscale.relay import Relay
-    from lynxscale.upstream.group import Group
-    from lynxscale.upstream.verdicts import Teller
+    from lynxscale.relay.core import Relay
+    from lynxscale.relay.counters import Counters
+    from lynxscale.relay.deadlines import Deadlines, Loop
+    from lynxscale.relay.lifecycle import Lifecycle
+    from lynxscale.relay.upstream.group import Group
+    from lynxscale.relay.upstream.validation import Teller
 
 log = structlog.get_logger()
 
@@ -89,12 +89,12 @@
 
 # In the order in which they start; they stop the other way round.
 KINDS = (
-    Kind("lynxscale.trace.part:attach", lambda conf, own: own.trace.folder is not None),
-    Kind("lynxscale.net.parts:notices", lambda conf, own: True),
-    Kind("lynxscale.upstream.part:attach", lambda conf, own: bool(own.members.files)),
-    Kind("lynxscale.net.parts:discovery", lambda conf, own: conf.discovery is not None),
-    Kind("lynxscale.net.parts:door", lambda conf, own: conf.admin is not None),
-    Kind("lynxscale.cluster.part:attach", lambda conf, own: own.cluster.name is not None, own_only=True),
+    Kind("lynxscale.trace.component:attach", lambda conf, own: own.trace.folder is not None),
+    Kind("lynxscale.relay.net.components:notices", lambda conf, own: True),
+    Kind("lynxscale.relay.upstream.component:attach", lambda conf, own: bool(own.members.files)),
+    Kind("lynxscale.relay.net.components:discovery", lambda conf, own: conf.discovery is not None),
+    Kind("lynxscale.relay.net.components:door", lambda conf, own: conf.admin is not None),
+    Kind("lynxscale.relay.cluster.component:attach", lambda conf, own: own.cluster.name is not None, own_only=True),
 )
 
 
--- a/lynxscale/conf/platform.py
+++ b/lynxscale/relay/conf/platform.py
@@ -13,8 +13,8 @@
 
 import orjson
 
-from gannetshift import interface as api
-from gannetshift.reader import SettingsError, settings_from
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.settings_reader import SettingsError, settings_from
 
 SOCKETS, DISK_MB, MEMORY_MB = 1024, 3.0, 64.0
 LEAST_SOCKETS = 64
--- a/lynxscale/conf/own.py
+++ b/lynxscale/relay/conf/product_settings.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from gannetshift.reader import SettingsError, settings_from
-from lynxscale.conf.lexer import Fault
-from lynxscale.conf.platform import Config, PlatformError, address, seed
-from lynxscale.conf.table import Conf
+from lynxscale.relay.conf.lexer import Fault
+from lynxscale.relay.conf.platform import Config, PlatformError, address, seed
+from lynxscale.relay.conf.table import Conf
+from lynxscale.scheduling.settings_reader import SettingsError, settings_from
 
 
 def nested(conf: Conf) -> dict[str, Any]:
--- a/lynxscale/conf/reader.py
+++ b/lynxscale/relay/conf/reader.py
@@ -8,10 +8,10 @@
 from difflib import get_close_matches
 from pathlib import Path
 
-from lynxscale.conf import own
-from lynxscale.conf.directive import Section, field_of
-from lynxscale.conf.lexer import Fault, Lexer, Line
-from lynxscale.conf.table import SECTIONS, Conf
+from lynxscale.relay.conf import product_settings as own
+from lynxscale.relay.conf.directive import Section, field_of
+from lynxscale.relay.conf.lexer import Fault, Lexer, Line
+from lynxscale.relay.conf.table import SECTIONS, Conf
 
 VARIABLE = "LYNXSCALE_CONF"
 
--- a/lynxscale/conf/table.py
+++ b/lynxscale/relay/conf/table.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from lynxscale.conf.directive import TIMES, Section, column, directives
+from lynxscale.relay.conf.directive import TIMES, Section, column, directives
 
 MEMBERS_MOST = 256  # relays of one cluster
 NODE_NAME_MOST = 63  # letters; as the frames between relays have it
@@ -149,7 +149,7 @@
 
 def _check_members(conf: MembersConf) -> list[tuple[str, str]]:
     # Guards the start of relays that watch no files: netaddr is imported only for them.
-    from lynxscale.conf.networks import nets
+    from lynxscale.relay.conf.networks import nets
 
     faults = []
     for name in ("allow", "deny"):
--- a/lynxscale/relay.py
+++ b/lynxscale/relay/core.py
@@ -15,14 +15,14 @@
 
 import structlog
 
-from gannetshift import interface as api
-from gannetshift.brain import Sender
-from gannetshift.interface import Effect, Result
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadline, Deadlines, Loop
-from lynxscale.fleet.tally import Tally
-from lynxscale.journal import Entry, Journal, JournalFull
-from lynxscale.slots import Slots
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadline, Deadlines, Loop
+from lynxscale.relay.fleet.tally import Tally
+from lynxscale.relay.journal import Entry, Journal, JournalFull
+from lynxscale.relay.slot_table import Slots
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.interface import Effect, Result
+from lynxscale.scheduling.scheduler import Sender
 
 log = structlog.get_logger()
 
--- a/lynxscale/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -14,25 +14,26 @@
 from twisted.internet import reactor
 from twisted.internet.error import CannotListenError
 
-from lynxscale import logs, parts
-from lynxscale.conf import own as own_conf
-from lynxscale.conf import platform, reader
-from lynxscale.conf.table import Conf
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadline, Deadlines, Loop
-from lynxscale.journal import Entry, Journal, JournalFull, old
-from lynxscale.journal.format import Refused
-from lynxscale.journal.port import Folder
-from lynxscale.lifecycle import LOOK_EVERY, Lifecycle, Order
-from lynxscale.net import link
-from lynxscale.net.clients import Clients
-from lynxscale.net.peers import Peers
-from lynxscale.relay import Relay
-from lynxscale.upgrade.folders import Claim, sweep
-from lynxscale.upgrade.handover import Handover
-from lynxscale.upstream.group import FILES, SOURCES, Group
-from lynxscale.upstream.verdicts import Teller
-from lynxscale.wall import unix_clock
+from lynxscale.relay import components as parts
+from lynxscale.relay import logs
+from lynxscale.relay.conf import platform, reader
+from lynxscale.relay.conf import product_settings as own_conf
+from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.core import Relay
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadline, Deadlines, Loop
+from lynxscale.relay.journal import Entry, Journal, JournalFull, old
+from lynxscale.relay.journal.format import Refused
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.lifecycle import LOOK_EVERY, Lifecycle, Order
+from lynxscale.relay.net import connection as link
+from lynxscale.relay.net.clients import Clients
+from lynxscale.relay.net.peers import Peers
+from lynxscale.relay.upgrade.folders import Claim, sweep
+from lynxscale.relay.upgrade.handover import Handover
+from lynxscale.relay.upstream.group import FILES, SOURCES, Group
+from lynxscale.relay.upstream.validation import Teller
+from lynxscale.relay.wall_clock import unix_clock
 
 log = structlog.get_logger()
 
--- a/lynxscale/fleet/count.py
+++ b/lynxscale/relay/fleet/count.py
@@ -12,7 +12,7 @@
 from statistics import median
 from typing import Any
 
-from lynxscale.fleet.lines import Line
+from lynxscale.relay.fleet.lines import Line
 
 STATE = re.compile(r"dest (\d+) endpoint \d+ (\w+)")
 KNOWN = {"span_ms", "dest", "limit", "left", "level"}
--- a/lynxscale/fleet/lines.py
+++ b/lynxscale/relay/fleet/lines.py
@@ -1,4 +1,4 @@
-"""Lines of relays' logs, as ``lynxscale.logs`` writes them: logfmt or JSON, with or without a stamp in front.
+"""Lines of relays' logs, as ``lynxscale.relay.logs`` writes them: logfmt or JSON, with or without a stamp in front.
 
 What cannot be read is counted and named with its place, never fatal: a log may end in the middle of a line, and a
 traceback or another program's line may stand between ours.
--- a/lynxscale/journal/__init__.py
+++ b/lynxscale/relay/journal/__init__.py
@@ -4,7 +4,7 @@
 file operations and ``log`` the journal itself.
 """
 
-from lynxscale.journal.format import Entry
-from lynxscale.journal.log import Journal, JournalFull
+from lynxscale.relay.journal.format import Entry
+from lynxscale.relay.journal.log import Journal, JournalFull
 
 __all__ = ["Entry", "Journal", "JournalFull"]
--- a/lynxscale/journal/log.py
+++ b/lynxscale/relay/journal/log.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterator
 from contextlib import suppress
 
-from lynxscale.journal import format as f
-from lynxscale.journal.format import Entry, Manifest, Refused, Row
-from lynxscale.journal.plan import CLEANING, FREE_LOW, NEW, OPEN, Plan
-from lynxscale.journal.port import Port
-from lynxscale.journal.recover import Gap, Recovered, recover
+from lynxscale.relay.journal import format as f
+from lynxscale.relay.journal.format import Entry, Manifest, Refused, Row
+from lynxscale.relay.journal.plan import CLEANING, FREE_LOW, NEW, OPEN, Plan
+from lynxscale.relay.journal.port import Port
+from lynxscale.relay.journal.recover import Gap, Recovered, recover
 
 SLOTS = ("manifest.0", "manifest.1")  # written in turn: the other one holds while one is written
 SLOT_NEW, SLOT_ROUND = "manifest.new", 4096
--- a/lynxscale/journal/old.py
+++ b/lynxscale/relay/journal/old.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from lynxscale.journal.format import END, FINAL, MESSAGE, META, NOT_RUN, PAYLOAD_MOST, TRIED, TRY, Entry
+from lynxscale.relay.journal.format import END, FINAL, MESSAGE, META, NOT_RUN, PAYLOAD_MOST, TRIED, TRY, Entry
 
 HEAD = struct.Struct("<IIB")  # checksum of kind and payload, length of the payload, kind
 NUMBER = struct.Struct("<Q")
--- a/lynxscale/journal/plan.py
+++ b/lynxscale/relay/journal/plan.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from lynxscale.journal.format import END, HEAD_SIZE, MESSAGE, Record, Row
+from lynxscale.relay.journal.format import END, HEAD_SIZE, MESSAGE, Record, Row
 
 ROUND = 4096  # bytes: a file takes whole blocks
 LIVE_SHARE = 0.5  # of the budget for open messages: what cleaning needs besides grows without bound towards 1
--- a/lynxscale/journal/recover.py
+++ b/lynxscale/relay/journal/recover.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from lynxscale.journal import format as f
-from lynxscale.journal.format import Entry, Manifest, Record, Refused, Row
+from lynxscale.relay.journal import format as f
+from lynxscale.relay.journal.format import Entry, Manifest, Record, Refused, Row
 
 
 class Gap(NamedTuple):
--- a/lynxscale/net/door.py
+++ b/lynxscale/relay/net/admin_server.py
@@ -17,11 +17,11 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from lynxscale import http
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadline, Deadlines
-from lynxscale.lifecycle import Lifecycle
-from lynxscale.net import link
+from lynxscale.relay import http_parser as http
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.lifecycle import Lifecycle
+from lynxscale.relay.net import connection as link
 
 log = structlog.get_logger()
 
--- a/lynxscale/net/clients.py
+++ b/lynxscale/relay/net/clients.py
@@ -16,14 +16,14 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from lynxscale import http
-from lynxscale.deadlines import Deadline, Deadlines
-from lynxscale.http import FRAMING
-from lynxscale.lifecycle import Lifecycle
-from lynxscale.net import link
-from lynxscale.relay import BUSY_RETRY_MS, Envelope, Relay, Verdict
-from lynxscale.room import Room
-from lynxscale.slots import Slots
+from lynxscale.relay import http_parser as http
+from lynxscale.relay.connection_budget import Room
+from lynxscale.relay.core import BUSY_RETRY_MS, Envelope, Relay, Verdict
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.http_parser import FRAMING
+from lynxscale.relay.lifecycle import Lifecycle
+from lynxscale.relay.net import connection as link
+from lynxscale.relay.slot_table import Slots
 
 log = structlog.get_logger()
 
--- a/lynxscale/net/parts.py
+++ b/lynxscale/relay/net/components.py
@@ -9,20 +9,20 @@
 
 from twisted.internet.error import CannotListenError
 
-from lynxscale.conf import platform
-from lynxscale.conf.platform import Config
-from lynxscale.conf.table import Conf
-from lynxscale.parts import Host, Part
-from lynxscale.upstream.group import DISCOVERY
+from lynxscale.relay.components import Host, Part
+from lynxscale.relay.conf import platform
+from lynxscale.relay.conf.platform import Config
+from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.upstream.group import DISCOVERY
 
 if TYPE_CHECKING:
-    from lynxscale.finals import FinalsFile
-    from lynxscale.net.notices import Notices
+    from lynxscale.relay.net.notices import Notices
+    from lynxscale.relay.outcome_log import FinalsFile
 
 
 class DiscoveryPart(Part):
     def __init__(self, host: Host) -> None:
-        from lynxscale.net.discovery import Discovery
+        from lynxscale.relay.net.discovery import Discovery
 
         self._where, self._known = host.conf.discovery, host.conf.known
         self._discovery = Discovery(
@@ -59,12 +59,12 @@
     def _made(self, host: Host) -> Notices | FinalsFile:
         done, finals = host.relay.notified, host.own.finals
         if not host.conf.by_platform and finals.file is not None:
-            from lynxscale.finals import FinalsFile
+            from lynxscale.relay.outcome_log import FinalsFile
 
             return FinalsFile(
                 Path(finals.file), finals.size, finals.files, host.deadlines, done, host.counters, time.time
             )
-        from lynxscale.net.notices import Notices
+        from lynxscale.relay.net.notices import Notices
 
         if host.conf.by_platform:
             return Notices(host.reactor, host.deadlines, self._where, done, host.counters)
@@ -81,7 +81,7 @@
 
 class DoorPart(Part):
     def __init__(self, host: Host) -> None:
-        from lynxscale.net import door
+        from lynxscale.relay.net import admin_server as door
 
         self.sockets = door.MOST + 2
         self._reactor, self._where = host.reactor, host.conf.admin
--- a/lynxscale/net/link.py
+++ b/lynxscale/relay/net/connection.py
@@ -14,8 +14,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from lynxscale.deadlines import Deadline, Deadlines
-from lynxscale.http import BODY_MOST, LIST_MOST, Response, ResponseParser
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.http_parser import BODY_MOST, LIST_MOST, Response, ResponseParser
 
 log = structlog.get_logger()
 
--- a/lynxscale/net/discovery.py
+++ b/lynxscale/relay/net/discovery.py
@@ -10,18 +10,18 @@
 import structlog
 from twisted.python.failure import Failure
 
-from gannetshift import interface as api
-from lynxscale import http
-from lynxscale.conf.lexer import Fault
-from lynxscale.conf.platform import Address, PlatformError, address
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines
-from lynxscale.net import link
-from lynxscale.net.link import Broken, Caller, Late
-from lynxscale.upstream.decide import compare
-from lynxscale.upstream.group import DISCOVERY, Group
-from lynxscale.upstream.model import DESTINATION_MOST, Candidate, Changes, Entry, Outcome, Verdict, finish
-from lynxscale.upstream.verdicts import Teller
+from lynxscale.relay import http_parser as http
+from lynxscale.relay.conf.lexer import Fault
+from lynxscale.relay.conf.platform import Address, PlatformError, address
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines
+from lynxscale.relay.net import connection as link
+from lynxscale.relay.net.connection import Broken, Caller, Late
+from lynxscale.relay.upstream.decide import compare
+from lynxscale.relay.upstream.group import DISCOVERY, Group
+from lynxscale.relay.upstream.model import DESTINATION_MOST, Candidate, Changes, Entry, Outcome, Verdict, finish
+from lynxscale.relay.upstream.validation import Teller
+from lynxscale.scheduling import interface as api
 
 log = structlog.get_logger()
 
--- a/lynxscale/net/notices.py
+++ b/lynxscale/relay/net/notices.py
@@ -8,12 +8,12 @@
 import structlog
 from twisted.python.failure import Failure
 
-from lynxscale import http
-from lynxscale.conf.platform import Address
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadline, Deadlines
-from lynxscale.net import link
-from lynxscale.net.link import Caller, Late
+from lynxscale.relay import http_parser as http
+from lynxscale.relay.conf.platform import Address
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.net import connection as link
+from lynxscale.relay.net.connection import Caller, Late
 
 log = structlog.get_logger()
 
--- a/lynxscale/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -16,16 +16,17 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from gannetshift import interface as api
-from gannetshift.interface import Result
-from lynxscale import bundle, http
-from lynxscale.deadlines import Deadline, Deadlines, Loop
-from lynxscale.net import link
-from lynxscale.net.link import Broken, Link
-from lynxscale.slots import Slots
+from lynxscale.relay import bundle
+from lynxscale.relay import http_parser as http
+from lynxscale.relay.deadlines import Deadline, Deadlines, Loop
+from lynxscale.relay.net import connection as link
+from lynxscale.relay.net.connection import Broken, Link
+from lynxscale.relay.slot_table import Slots
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.interface import Result
 
 if TYPE_CHECKING:
-    from lynxscale.relay import Held, Relay
+    from lynxscale.relay.core import Held, Relay
 
 log = structlog.get_logger()
 
--- a/lynxscale/finals.py
+++ b/lynxscale/relay/outcome_log.py
@@ -13,8 +13,8 @@
 import orjson
 import structlog
 
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines
 
 log = structlog.get_logger()
 
--- a/lynxscale/upgrade/folders.py
+++ b/lynxscale/relay/upgrade/folders.py
@@ -8,11 +8,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lynxscale.journal.format import UID, Entry
-from lynxscale.journal.log import manifest_of, segment_name
-from lynxscale.journal.port import Folder
-from lynxscale.journal.recover import Gap, recover
-from lynxscale.upgrade.board import Board, Half
+from lynxscale.relay.journal.format import UID, Entry
+from lynxscale.relay.journal.log import manifest_of, segment_name
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.recover import Gap, recover
+from lynxscale.relay.upgrade.board import Board, Half
 
 FIRST = "segments"
 GONE, TAKEN, HEIR = ".gone", "taken", "heir"
--- a/lynxscale/upgrade/follow.py
+++ b/lynxscale/relay/upgrade/follow.py
@@ -6,11 +6,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lynxscale.journal import format as f
-from lynxscale.journal.format import Entry, Refused
-from lynxscale.journal.log import SUFFIX, manifest_of, segment_name
-from lynxscale.journal.port import Folder
-from lynxscale.journal.recover import recover
+from lynxscale.relay.journal import format as f
+from lynxscale.relay.journal.format import Entry, Refused
+from lynxscale.relay.journal.log import SUFFIX, manifest_of, segment_name
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.recover import recover
 
 READ_MOST = 256 << 10  # in one look, so that no turn is long
 
--- a/lynxscale/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -6,17 +6,17 @@
 
 import structlog
 
-from gannetshift.knowledge import export, take
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines
-from lynxscale.journal import JournalFull
-from lynxscale.journal.format import Refused
-from lynxscale.relay import Relay
-from lynxscale.upgrade.board import Stage
-from lynxscale.upgrade.folders import RELEASED_SIZE, Claim, Estate, alive, folder_of, release, released
-from lynxscale.upgrade.follow import Follower
-from lynxscale.upgrade.kept import keep, kept
-from lynxscale.upgrade.succession import Order, Succession
+from lynxscale.relay.core import Relay
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines
+from lynxscale.relay.journal import JournalFull
+from lynxscale.relay.journal.format import Refused
+from lynxscale.relay.upgrade.board import Stage
+from lynxscale.relay.upgrade.folders import RELEASED_SIZE, Claim, Estate, alive, folder_of, release, released
+from lynxscale.relay.upgrade.follow import Follower
+from lynxscale.relay.upgrade.kept import keep, kept
+from lynxscale.relay.upgrade.succession import Order, Succession
+from lynxscale.scheduling.learned_state import export, take
 
 log = structlog.get_logger()
 
--- a/lynxscale/upgrade/succession.py
+++ b/lynxscale/relay/upgrade/succession.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from lynxscale.upgrade.board import Stage
+from lynxscale.relay.upgrade.board import Stage
 
 
 class Order(Enum):
--- a/lynxscale/upstream/part.py
+++ b/lynxscale/relay/upstream/component.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Collection
 
-from lynxscale.conf.platform import Config
-from lynxscale.conf.table import Conf
-from lynxscale.parts import Host, Part
-from lynxscale.upstream.group import FILES
-from lynxscale.upstream.rules import rules_of
-from lynxscale.upstream.state import Lists
-from lynxscale.upstream.watch import Watch
+from lynxscale.relay.components import Host, Part
+from lynxscale.relay.conf.platform import Config
+from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.upstream.group import FILES
+from lynxscale.relay.upstream.rules import rules_of
+from lynxscale.relay.upstream.state import Lists
+from lynxscale.relay.upstream.watch import Watch
 
 
 class WatchPart(Part):
--- a/lynxscale/upstream/decide.py
+++ b/lynxscale/relay/upstream/decide.py
@@ -10,9 +10,9 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-from gannetshift.interface import Lifecycle
-from lynxscale.conf.lexer import Fault
-from lynxscale.upstream.model import SLICE, Candidate, Changes, Entry, Outcome, Shards, Slices, Verdict
+from lynxscale.relay.conf.lexer import Fault
+from lynxscale.relay.upstream.model import SLICE, Candidate, Changes, Entry, Outcome, Shards, Slices, Verdict
+from lynxscale.scheduling.interface import Lifecycle
 
 REASONS_MOST = 20  # told of one version; the rest is counted
 
--- a/lynxscale/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -16,10 +16,9 @@
 import orjson
 from crc32c import crc32c
 
-from gannetshift.interface import Lifecycle
-from lynxscale.conf.lexer import Fault, Unclosed, split
-from lynxscale.conf.networks import Nets
-from lynxscale.upstream.model import (
+from lynxscale.relay.conf.lexer import Fault, Unclosed, split
+from lynxscale.relay.conf.networks import Nets
+from lynxscale.relay.upstream.model import (
     DESTINATION_MOST,
     SLICE,
     WEIGHT_MOST,
@@ -30,6 +29,7 @@
     Slices,
     line_of,
 )
+from lynxscale.scheduling.interface import Lifecycle
 
 VERSION = 1
 FILE_MOST = 16 << 20  # bytes: guards against a device or a log named by mistake
--- a/lynxscale/upstream/sight.py
+++ b/lynxscale/relay/upstream/freshness.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import NamedTuple
 
-from lynxscale.upstream.files import FILE_MOST, digest_of
+from lynxscale.relay.upstream.files import FILE_MOST, digest_of
 
 SUFFIXES = (".list", ".json")
 UNITS_MOST = 256  # files of a folder
--- a/lynxscale/upstream/group.py
+++ b/lynxscale/relay/upstream/group.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Protocol
 
-from gannetshift import interface as api
-from lynxscale.deadlines import Deadlines
-from lynxscale.upstream.model import SLICE, Entry, Slices
-from lynxscale.upstream.ramp import Ramps
-from lynxscale.upstream.table import Table
+from lynxscale.relay.deadlines import Deadlines
+from lynxscale.relay.upstream.model import SLICE, Entry, Slices
+from lynxscale.relay.upstream.slow_start import Ramps
+from lynxscale.relay.upstream.table import Table
+from lynxscale.scheduling import interface as api
 
 FILES, DISCOVERY = "files", "discovery"
 SOURCES = (FILES, DISCOVERY)
--- a/lynxscale/upstream/rules.py
+++ b/lynxscale/relay/upstream/rules.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterable
 
-from lynxscale.conf.networks import nets
-from lynxscale.conf.table import MembersConf
-from lynxscale.upstream import files
-from lynxscale.upstream.decide import Guards
+from lynxscale.relay.conf.networks import nets
+from lynxscale.relay.conf.table import MembersConf
+from lynxscale.relay.upstream import files
+from lynxscale.relay.upstream.decide import Guards
 
 
 def rules_of(conf: MembersConf, kinds: Iterable[str], zones: Iterable[str]) -> files.Rules:
--- a/lynxscale/upstream/slicer.py
+++ b/lynxscale/relay/upstream/slicer.py
@@ -12,8 +12,8 @@
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
-from lynxscale.deadlines import Deadlines
-from lynxscale.upstream.model import Slices
+from lynxscale.relay.deadlines import Deadlines
+from lynxscale.relay.upstream.model import Slices
 
 HOLD_NS = 1_500_000  # of the loop's time, in one go; the module's step on what was applied meanwhile comes on top
 
--- a/lynxscale/upstream/state.py
+++ b/lynxscale/relay/upstream/state.py
@@ -18,7 +18,7 @@
 
 import orjson
 
-from lynxscale.upstream.files import digest_of
+from lynxscale.relay.upstream.files import digest_of
 
 FOLDER = "lists"
 LOG_MOST = 256 << 10  # bytes of one file of verdicts; there are two
--- a/lynxscale/upstream/table.py
+++ b/lynxscale/relay/upstream/table.py
@@ -11,9 +11,9 @@
 from collections.abc import Iterable
 from itertools import count
 
-from gannetshift import interface as api
-from lynxscale.upstream.model import Entry
-from lynxscale.upstream.ramp import Ramps
+from lynxscale.relay.upstream.model import Entry
+from lynxscale.relay.upstream.slow_start import Ramps
+from lynxscale.scheduling import interface as api
 
 LEFT_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
 
--- a/lynxscale/upstream/verdicts.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -8,7 +8,7 @@
 
 import structlog
 
-from lynxscale.upstream.model import Outcome, Verdict
+from lynxscale.relay.upstream.model import Outcome, Verdict
 
 log = structlog.get_logger()
 
--- a/lynxscale/upstream/watch.py
+++ b/lynxscale/relay/upstream/watch.py
@@ -17,18 +17,29 @@
 from twisted.python.failure import Failure
 from twisted.python.filepath import FilePath
 
-from lynxscale.conf.table import MembersConf
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines
-from lynxscale.upstream import files, sight
-from lynxscale.upstream.decide import Guards, InForce, Owners, judge
-from lynxscale.upstream.group import FILES, Group
-from lynxscale.upstream.model import Candidate, Destination, Entry, Outcome, Shards, Slices, Verdict, finish, release
-from lynxscale.upstream.rules import guards_of
-from lynxscale.upstream.sight import Round, Sight
-from lynxscale.upstream.slicer import Slicer, Worker
-from lynxscale.upstream.state import Lists, Spoilt
-from lynxscale.upstream.verdicts import Teller
+from lynxscale.relay.conf.table import MembersConf
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines
+from lynxscale.relay.upstream import files
+from lynxscale.relay.upstream import freshness as sight
+from lynxscale.relay.upstream.decide import Guards, InForce, Owners, judge
+from lynxscale.relay.upstream.freshness import Round, Sight
+from lynxscale.relay.upstream.group import FILES, Group
+from lynxscale.relay.upstream.model import (
+    Candidate,
+    Destination,
+    Entry,
+    Outcome,
+    Shards,
+    Slices,
+    Verdict,
+    finish,
+    release,
+)
+from lynxscale.relay.upstream.rules import guards_of
+from lynxscale.relay.upstream.slicer import Slicer, Worker
+from lynxscale.relay.upstream.state import Lists, Spoilt
+from lynxscale.relay.upstream.validation import Teller
 
 log = structlog.get_logger()
 
--- a/gannetshift/__init__.py
+++ b/lynxscale/scheduling/__init__.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from gannetshift.brain import Sender
+    from lynxscale.scheduling.scheduler import Sender
 
 __all__ = ["Sender"]
 
@@ -13,7 +13,7 @@
 def __getattr__(name: str) -> Any:
     """``Sender`` on first use (PEP 562): whoever needs restart times alone need not load it."""
     if name == "Sender":
-        from gannetshift.brain import Sender
+        from lynxscale.scheduling.scheduler import Sender
 
         return Sender
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/gannetshift/knowledge.py
+++ b/lynxscale/scheduling/learned_state.py
@@ -10,7 +10,7 @@
 import math
 from typing import Any
 
-from gannetshift.brain import FAILING, OK, WARMING, Health, Lane, Sender
+from lynxscale.scheduling.scheduler import FAILING, OK, WARMING, Health, Lane, Sender
 
 LANE = ("window", "restarts", "lost_restarts", "tau", "median", "recent", "limit", "wait_until")
 HEALTH = (
--- a/gannetshift/brain.py
+++ b/lynxscale/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""All decisions of a gannetshift sender: what to send, hold, cut, restart, refuse or fail.
+"""All decisions of a relay: what to send, hold, cut, restart, refuse or fail.
 
 Types, settings, events and actions are in interface.py. One ``Sender`` serves one instance: ``step(now,
 events)`` returns the actions. It has no clock, no I/O and no state outside itself; times are milliseconds.
@@ -14,11 +14,11 @@
 from itertools import count, islice
 from random import Random
 
-from gannetshift import interface as api
-from gannetshift.interface import Effect, Result
-from gannetshift.limits import Share
-from gannetshift.pools import Reuse, Tables
-from gannetshift.restart import LEAST_FINISHED, TrySample
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.connection_reuse import Reuse, Tables
+from lynxscale.scheduling.interface import Effect, Result
+from lynxscale.scheduling.rate_limits import Share
+from lynxscale.scheduling.restart_timeout import LEAST_FINISHED, TrySample
 
 # Sample and time-out
 RESTART_SHARE = 0.1  # restarts earned by a success: cut calls may run on, so they are rationed
--- a/gannetshift/reader.py
+++ b/lynxscale/scheduling/settings_reader.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
 
 EFFECTS = {
     "idempotent": api.Effect.IDEMPOTENT,
--- a/gannetshift/adapter.py
+++ b/lynxscale/scheduling/simulator_adapter.py
@@ -8,9 +8,9 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from gannetshift import interface as api
-from gannetshift import reader
-from gannetshift.brain import Sender
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling import settings_reader as reader
+from lynxscale.scheduling.scheduler import Sender
 
 BATCH_HEAD = struct.Struct("<IId")
 REPLY_HEAD = struct.Struct("<II")
@@ -289,7 +289,7 @@
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, struct.error) as error:
-        print(f"gannetshift: {error}", file=sys.stderr)
+        print(f"lynxscale.scheduling: {error}", file=sys.stderr)
         return 2
     except (BrokenPipeError, KeyboardInterrupt):
         return 1
--- a/lynxscale/trace/part.py
+++ b/lynxscale/trace/component.py
@@ -4,7 +4,7 @@
 
 import structlog
 
-from lynxscale.parts import Host, Part
+from lynxscale.relay.components import Host, Part
 from lynxscale.trace.recorder import Recorder
 
 log = structlog.get_logger()
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -18,8 +18,8 @@
 import orjson
 from crc32c import crc32c
 
-from gannetshift import interface as api
-from lynxscale.conf.table import TraceConf
+from lynxscale.relay.conf.table import TraceConf
+from lynxscale.scheduling import interface as api
 from lynxscale.trace import records as r
 from lynxscale.trace.frames import Frame
 from lynxscale.trace.rotation import Files
@@ -59,7 +59,7 @@
 
 def policy_hash() -> str:
     """What tells one text of the decision module from another."""
-    from gannetshift import brain
+    from lynxscale.scheduling import scheduler as brain
 
     return hashlib.sha256(Path(brain.__file__).read_bytes()).hexdigest()[:16]
 
--- a/lynxscale/trace/replay.py
+++ b/lynxscale/trace/replay.py
@@ -14,7 +14,7 @@
 
 import orjson
 
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
 from lynxscale.trace import records as r
 from lynxscale.trace.frames import Frame
 
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from gannetshift import interface as api
-from gannetshift.brain import Sender
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.scheduler import Sender
 
 SAFE, UNSAFE, KEYED, ORDERED = range(4)
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from gannetshift import adapter
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling import simulator_adapter as adapter
 
 CONF = {
     "allowed": {"attempts_cap": 8, "cancel": True, "most_held": 50},
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from gannetshift import interface as api
-from gannetshift.reader import SettingsError, settings_from
 from lab.standins import settings as settings_table
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.settings_reader import SettingsError, settings_from
 from tests.driver import KEYED, ORDERED, SAFE, UNSAFE, Driver, member
 
 OK, FULL, FAILED = api.Result.OK, api.Result.FULL, api.Result.CONNECT_FAILED
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -9,9 +9,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gannetshift.interface import Result
 from lab.standins import PATIENCE, message, reply, row, settings, until
-from lynxscale import bundle
+from lynxscale.relay import bundle
+from lynxscale.scheduling.interface import Result
 from tests.node import NodeCase
 
 IDS = ["a1", "b2", "c3"]
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -55,8 +55,7 @@
 
 def test_names_of_deployments_in_the_program_are_found(tmp_path):
     names = load("deployment_names")
-    for room in ("gannetshift", "lynxscale"):
-        (tmp_path / room).mkdir()
+    (tmp_path / "lynxscale" / "scheduling").mkdir(parents=True)
     (tmp_path / ".ci").mkdir()
     (tmp_path / ".ci" / "deployment-names.txt").write_text("# names\nclub-one  # a tenant\n")
     (tmp_path / "deploy" / "sites").mkdir(parents=True)
@@ -65,8 +64,13 @@
     clean = '"""What a booking is."""\nBOOKINGS = "booking s"  # a club-one-a\n'
     (tmp_path / "lynxscale" / "a.py").write_text(clean)
     assert list(names.found(tmp_path)) == []
-    (tmp_path / "gannetshift" / "b.py").write_text('X = 1\nif x == "booking":  # as club-one has it\n    pass\n')
-    assert list(names.found(tmp_path)) == ["gannetshift/b.py:2: club-one", "gannetshift/b.py:2: booking"]
+    (tmp_path / "lynxscale" / "scheduling" / "b.py").write_text(
+        'X = 1\nif x == "booking":  # as club-one has it\n    pass\n'
+    )
+    assert list(names.found(tmp_path)) == [
+        "lynxscale/scheduling/b.py:2: club-one",
+        "lynxscale/scheduling/b.py:2: booking",
+    ]
     assert names.main(tmp_path) == 1
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -10,12 +10,15 @@
 from lab.cluster import check, explore, mistakes, simulate
 from lab.cluster.simulate import SECOND, World
 from lab.explorer import Breach
-from lynxscale.cluster import frame, stable, views, words
-from lynxscale.cluster.core import Core
-from lynxscale.cluster.detector import Detector, Renew, Send
-from lynxscale.cluster.frame import BadFrame, Message, Window
-from lynxscale.cluster.sight import Identity, Rumour, Sight, State, greater
-from lynxscale.cluster.words import Ballot, Kept, Step, View
+from lynxscale.relay.cluster import durable_state as stable
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster import messages as words
+from lynxscale.relay.cluster import view_change as views
+from lynxscale.relay.cluster.core import Core
+from lynxscale.relay.cluster.failure_detector import Detector, Renew, Send
+from lynxscale.relay.cluster.frame import BadFrame, Message, Window
+from lynxscale.relay.cluster.membership_table import Identity, Rumour, Sight, State, greater
+from lynxscale.relay.cluster.messages import Ballot, Kept, Step, View
 
 NAMES = st.sampled_from(["r1", "r2", "r3", "nodo-ñ"])
 SMALL = st.integers(0, 3)
--- a/tests/test_cluster_conf.py
+++ b/tests/test_cluster_conf.py
@@ -11,7 +11,7 @@
 
 from lab.demo import CONF, ROOT
 from lab.standins import until
-from lynxscale.conf import reader
+from lynxscale.relay.conf import reader
 from tests.node import NodeCase
 
 SECTION = """begin cluster
@@ -137,9 +137,9 @@
         without, sockets = self._started(CONF.read_text())
         self.log.write_text("")
         with_, sockets_with = self._started(TEXT)
-        self.assertIn("event=part_left_off part=lynxscale.cluster.part", self.log.read_text())
+        self.assertIn("event=part_left_off part=lynxscale.relay.cluster.component", self.log.read_text())
         self.assertIn("lynxscale.relay", without)
         self.assertEqual(without, with_)
-        self.assertFalse([name for name in with_ if name.startswith(("lynxscale.cluster", "msgspec", "lab"))])
+        self.assertFalse([name for name in with_ if name.startswith(("lynxscale.relay.cluster", "msgspec", "lab"))])
         self.assertEqual((sockets, sockets_with), (1, 1))
         self.assertFalse((self.state / "cluster").exists())
--- a/tests/test_cluster_live.py
+++ b/tests/test_cluster_live.py
@@ -20,9 +20,9 @@
 from lab.cluster.nodes import Cluster, Node
 from lab.cluster.play import play
 from lab.demo import ROOT, entries_of
-from lynxscale.cluster import frame
-from lynxscale.cluster.frame import Message
-from lynxscale.cluster.sight import Rumour, State
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.frame import Message
+from lynxscale.relay.cluster.membership_table import Rumour, State
 
 OUT_WITHIN, BACK_WITHIN, FORM_WITHIN = 8.0, 15.0, 30.0
 
--- a/tests/test_cluster_machines.py
+++ b/tests/test_cluster_machines.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lynxscale.cluster import frame
-from lynxscale.cluster.frame import BadFrame, Message, Window
-from lynxscale.cluster.sight import Rumour, Sight, State
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.frame import BadFrame, Message, Window
+from lynxscale.relay.cluster.membership_table import Rumour, Sight, State
 
 NAMES = ("r1", "r2", "r3")
 KEY, FOREIGN = frame.key_of("norte", 500_000), frame.key_of("norte", 250_000)
--- a/tests/test_conf.py
+++ b/tests/test_conf.py
@@ -7,8 +7,8 @@
 
 from lynxscale import cli
 from lynxscale.cli.conf import manual_page
-from lynxscale.conf import reader
-from lynxscale.conf.table import SECTIONS, Conf
+from lynxscale.relay.conf import reader
+from lynxscale.relay.conf.table import SECTIONS, Conf
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -6,15 +6,15 @@
 
 from structlog.testing import capture_logs
 
-from gannetshift import interface as api
-from gannetshift.reader import settings_from
 from lab.standins import settings
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines, Loop
-from lynxscale.journal import Journal
-from lynxscale.journal.port import Folder
-from lynxscale.relay import Envelope, Relay, Verdict
-from lynxscale.slots import Slots
+from lynxscale.relay.core import Envelope, Relay, Verdict
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines, Loop
+from lynxscale.relay.journal import Journal
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.slot_table import Slots
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.settings_reader import settings_from
 
 
 class Ports:
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
 from tests.driver import KEYED, ORDERED, SAFE, UNSAFE, Driver, member
 
 FULL, RESET, ERROR = api.Result.FULL, api.Result.RESET, api.Result.ERROR
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 from lab.standins import PATIENCE, Client, reply, until
-from lynxscale.net.door import MOST
+from lynxscale.relay.net.admin_server import MOST
 from tests.node import ROOT, NodeCase
 
 
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -10,8 +10,8 @@
 
 from lab.standins import reply, until
 from lynxscale.cli import program
-from lynxscale.fleet import tally
-from lynxscale.fleet.lines import parse
+from lynxscale.relay.fleet import tally
+from lynxscale.relay.fleet.lines import parse
 from tests.node import NodeCase
 
 T = "2026-12-01T10:00:{:06.3f}Z"
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -13,13 +13,13 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from lab.disk import Disk, Killed
-from lynxscale.journal import format as f
-from lynxscale.journal import old
-from lynxscale.journal.format import Entry, Refused
-from lynxscale.journal.log import Journal, JournalFull, segment_name
-from lynxscale.journal.plan import Plan, blocks
-from lynxscale.journal.port import Folder
-from lynxscale.journal.recover import recover
+from lynxscale.relay.journal import format as f
+from lynxscale.relay.journal import old
+from lynxscale.relay.journal.format import Entry, Refused
+from lynxscale.relay.journal.log import Journal, JournalFull, segment_name
+from lynxscale.relay.journal.plan import Plan, blocks
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.recover import recover
 
 BUDGET = 13 * 4 * 4096  # ten segments of 16 KiB: a cleaning every few dozen messages
 
--- a/tests/test_journal_live.py
+++ b/tests/test_journal_live.py
@@ -14,8 +14,8 @@
 from lab.partner import Mood, Partner
 from lab.rules import judge
 from lab.standins import reply, until
-from lynxscale.journal import old
-from lynxscale.journal.plan import blocks
+from lynxscale.relay.journal import old
+from lynxscale.relay.journal.plan import blocks
 from tests.node import NodeCase
 
 KILLS = int(os.environ.get("JOURNAL_KILLS", "30"))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lynxscale.lifecycle import (
+from lynxscale.relay.lifecycle import (
     HAND_PART_AT,
     LEAVE_AT,
     PART_AT,
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,7 +1,7 @@
 """A sender's part of a limit, and what the module makes of refusals above one."""
 
-from gannetshift import interface as api
-from gannetshift.limits import Share
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.rate_limits import Share
 from tests.driver import SAFE, UNSAFE, Driver, classes, member
 
 
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -2,10 +2,10 @@
 
 from pathlib import Path
 
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
 from tests.driver import KEYED, ORDERED, SAFE, UNSAFE, Driver, member
 
-BRAIN = Path(__file__).parent.parent / "gannetshift" / "brain.py"
+BRAIN = Path(__file__).parent.parent / "lynxscale" / "scheduling" / "scheduler.py"
 
 
 def test_module_keeps_its_limits():
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -11,8 +11,8 @@
 import threading
 import time
 
-from gannetshift import interface as api
 from lab.standins import PATIENCE, Discovery, message, read_http, reply, row, settings, until
+from lynxscale.scheduling import interface as api
 from tests.driver import KEYED, SAFE, UNSAFE, Driver, member
 from tests.node import NodeCase
 
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -11,15 +11,16 @@
 
 import pytest
 
-from gannetshift.reader import settings_from
 from lab import traffic
 from lab.clients import Desk
 from lab.demo import CONF, ROOT, Own, entries_of, play
 from lab.partner import Mood, Partner
-from lynxscale.conf import own, reader
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines, Loop
-from lynxscale.finals import FinalsFile
+from lynxscale.relay.conf import product_settings as own
+from lynxscale.relay.conf import reader
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines, Loop
+from lynxscale.relay.outcome_log import FinalsFile
+from lynxscale.scheduling.settings_reader import settings_from
 
 TEXT = CONF.read_text()
 
--- a/tests/test_rare_rules.py
+++ b/tests/test_rare_rules.py
@@ -9,16 +9,16 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from gannetshift import interface as api
-from gannetshift.interface import Effect, Result
-from gannetshift.reader import settings_from
 from lab.disk import Disk
 from lab.standins import settings as table
-from lynxscale import deadlines
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines, Loop
-from lynxscale.journal import Journal
-from lynxscale.relay import SPAN_SHARE, Envelope, Relay
+from lynxscale.relay import deadlines
+from lynxscale.relay.core import SPAN_SHARE, Envelope, Relay
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines, Loop
+from lynxscale.relay.journal import Journal
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.interface import Effect, Result
+from lynxscale.scheduling.settings_reader import settings_from
 from tests.driver import Driver, member
 from tests.test_core import Ports, Turns
 
@@ -120,7 +120,7 @@
 def test_a_repeat_goes_only_where_what_may_have_run_allows_it(effect, span_ms, steps):
     """A plain model: when each try that may have run was written, whatever lives lie between."""
     clock = Clock()
-    with patch.object(deadlines.time, "monotonic_ns", clock.ns), patch("lynxscale.relay.time.time_ns", clock.ns):
+    with patch.object(deadlines.time, "monotonic_ns", clock.ns), patch("lynxscale.relay.core.time.time_ns", clock.ns):
         life, ran, attempt = Lives(clock, effect, float(span_ms)), [], 0
         for what, value in steps:
             if what == "pass":
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
 
 
 def test_example_sends_the_message():
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from lab.standins import Client, message, reply, until
-from lynxscale.room import RESTED, YOUNG, Room
+from lynxscale.relay.connection_budget import RESTED, YOUNG, Room
 from tests.node import NodeCase
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gannetshift import interface as api
+from lynxscale.scheduling import interface as api
 from tests.driver import KEYED, ORDERED, SAFE, UNSAFE, Driver, member
 
 NEVER_RAN = (api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.MOOT)
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -5,8 +5,8 @@
 import unittest
 
 from lab.standins import reply, row, until
-from lynxscale.http import ResponseParser
-from lynxscale.net.peers import seconds
+from lynxscale.relay.http_parser import ResponseParser
+from lynxscale.relay.net.peers import seconds
 from tests.node import NodeCase
 
 OK = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_timeout.py
+++ b/tests/test_timeout.py
@@ -2,9 +2,9 @@
 
 import math
 
-from gannetshift import brain
-from gannetshift import interface as api
-from gannetshift.restart import best_timeout
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling import scheduler as brain
+from lynxscale.scheduling.restart_timeout import best_timeout
 from tests.driver import SAFE, UNSAFE, Driver, member
 
 
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from gannetshift.brain import Sender
-from gannetshift.reader import settings_from
 from lab.standins import PATIENCE, reply, row, settings, until
-from lynxscale.conf.table import TraceConf
+from lynxscale.relay.conf.table import TraceConf
+from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.settings_reader import settings_from
 from lynxscale.trace import records as r
 from lynxscale.trace.merge import Merge
 from lynxscale.trace.reader import Reader
@@ -95,7 +95,7 @@
         """A module that does something else once is found there, and as another version it is counted."""
         path = Path(self.folder.name, "other.py")
         path.write_text(
-            "from gannetshift import brain, interface as api\n\nclass Sender(brain.Sender):\n"
+            "from lynxscale.scheduling import brain, interface as api\n\nclass Sender(brain.Sender):\n"
             "    def step(self, now, events):\n        actions = super().step(now, events)\n"
             "        if self.steps == 40:\n            actions.append(api.Note('odd'))\n"
             "        return actions\n"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -13,16 +13,16 @@
 import orjson
 import pytest
 
-from gannetshift import interface as api
-from gannetshift.knowledge import export, take
 from lab.standins import PATIENCE, Client, reply, until
-from lynxscale.journal import Entry, Journal
-from lynxscale.journal.port import Folder
-from lynxscale.upgrade import folders, kept
-from lynxscale.upgrade.board import MOST_WAITS, Board, Stage
-from lynxscale.upgrade.folders import Claim, Estate
-from lynxscale.upgrade.follow import Follower
-from lynxscale.upgrade.succession import Order, Succession
+from lynxscale.relay.journal import Entry, Journal
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.upgrade import folders, kept
+from lynxscale.relay.upgrade.board import MOST_WAITS, Board, Stage
+from lynxscale.relay.upgrade.folders import Claim, Estate
+from lynxscale.relay.upgrade.follow import Follower
+from lynxscale.relay.upgrade.succession import Order, Succession
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.learned_state import export, take
 from tests.driver import Driver, member
 from tests.node import NodeCase
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -8,16 +8,17 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from gannetshift.interface import Lifecycle, ListKind
-from lynxscale.conf.networks import nets
-from lynxscale.deadlines import Deadlines, Loop
-from lynxscale.upstream import decide, files, sight
-from lynxscale.upstream.decide import NOTHING, Guards, InForce, Owners, judge
-from lynxscale.upstream.group import DISCOVERY, FILES, Group
-from lynxscale.upstream.model import Candidate, Destination, Entry, Outcome, finish
-from lynxscale.upstream.ramp import Ramps
-from lynxscale.upstream.state import Lists, Spoilt
-from lynxscale.upstream.table import Table
+from lynxscale.relay.conf.networks import nets
+from lynxscale.relay.deadlines import Deadlines, Loop
+from lynxscale.relay.upstream import decide, files
+from lynxscale.relay.upstream import freshness as sight
+from lynxscale.relay.upstream.decide import NOTHING, Guards, InForce, Owners, judge
+from lynxscale.relay.upstream.group import DISCOVERY, FILES, Group
+from lynxscale.relay.upstream.model import Candidate, Destination, Entry, Outcome, finish
+from lynxscale.relay.upstream.slow_start import Ramps
+from lynxscale.relay.upstream.state import Lists, Spoilt
+from lynxscale.relay.upstream.table import Table
+from lynxscale.scheduling.interface import Lifecycle, ListKind
 from tests.driver import settings as module_settings
 
 RULES = files.Rules(nets(["10.0.0.0/8", "127.0.0.0/8"], ["10.9.0.0/16"]), frozenset({"club"}), frozenset({"a"}))
--- a/tests/test_upstream_live.py
+++ b/tests/test_upstream_live.py
@@ -17,15 +17,15 @@
 from lab.partner import Mood, Partner
 from lab.rules import judge
 from lab.standins import Discovery, row
-from lynxscale.conf.table import MembersConf
-from lynxscale.counters import Counters
-from lynxscale.deadlines import Deadlines, Loop
-from lynxscale.upstream import files, watch
-from lynxscale.upstream.group import Group
-from lynxscale.upstream.model import Entry
-from lynxscale.upstream.rules import rules_of
-from lynxscale.upstream.state import Lists
-from lynxscale.upstream.verdicts import Teller
+from lynxscale.relay.conf.table import MembersConf
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.deadlines import Deadlines, Loop
+from lynxscale.relay.upstream import files, watch
+from lynxscale.relay.upstream.group import Group
+from lynxscale.relay.upstream.model import Entry
+from lynxscale.relay.upstream.rules import rules_of
+from lynxscale.relay.upstream.state import Lists
+from lynxscale.relay.upstream.validation import Teller
 from tests.driver import settings as module_settings
 
 SEED = int(os.environ.get("LISTS_SEED", "1"))
@@ -503,7 +503,7 @@
 
 
 ENDS_AS_IT_KEEPS = """import os, signal
-from lynxscale.upstream.state import Lists
+from lynxscale.relay.upstream.state import Lists
 keep = Lists.keep
 Lists.keep = lambda *args: (keep(*args), os.kill(os.getpid(), signal.SIGKILL))
 from lynxscale.__main__ import main
--- a/tests/test_wall.py
+++ b/tests/test_wall.py
@@ -6,7 +6,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from lynxscale import wall
+from lynxscale.relay import wall_clock as wall
 
 HOUR = 3_600_000_000
 
