--- /dev/null
+++ b/tests/golden_relay.py
@@ -0,0 +1,105 @@
+"""Files that a relay leaves in its state folder for a later process, written with fixed times and names.
+
+The journal, traces and the cluster's memory have golden data of their own. ``write`` was run on the program at d667dea,
+the last one before names were changed, and its output is kept in ``tests/data/relay/v1``, which must never be written
+anew: a changed format gets a folder beside.
+"""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from pathlib import Path
+from unittest import mock
+
+import orjson
+
+from lynxscale.relay import wall_clock as wall
+from lynxscale.relay.counters import Counters
+from lynxscale.relay.outcome_log import FinalsFile
+from lynxscale.relay.upgrade import folders, kept
+from lynxscale.relay.upgrade.board import Board, Stage
+from lynxscale.relay.upstream.files import digest_of
+from lynxscale.relay.upstream.state import Lists
+from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.learned_state import export
+from tests.driver import Driver, member
+
+DATA = Path(__file__).parent / "data" / "relay" / "v1"
+UNIX_NS = 1_800_000_000_123_456_000
+NOW = 5_000_000  # µs
+BOOT, ZERO = "7d3a3c1e-0000-4000-8000-000000000001", 1_799_999_000_000_000
+UNIT, LIST = "/etc/lynx/lists/north unit.list", b"endpoint a 10.0.0.1:90\n"
+WAITING = b"endpoint b 10.0.0.2:90\n"
+VERDICTS = [{"at": 1.5, "digest": digest_of(LIST), "verdict": "applied"}, {"digest": digest_of(WAITING)}]
+ENDPOINTS = {11: ("a", "127.0.0.1:1"), 12: ("b", "127.0.0.1:2")}
+MARKED, RELEASED = [1, 77, 2**40], [3, 4]
+FINALS = "finals.jsonl"
+
+
+class AtOnce:
+    """Deadlines whose calls are made by hand."""
+
+    def __init__(self) -> None:
+        self.calls: list[Callable[[], None]] = []
+
+    def after(self, micros: int, call: Callable[[], None]) -> None:
+        """Note a call."""
+        self.calls.append(call)
+
+
+def learned() -> tuple[dict, Driver]:
+    """What a sender knows of two destinations, one of which told it to wait."""
+    old = Driver(members=[member(11), member(12, dest=2)])
+    old.warm_up(30)
+    old.finish(old.message(dest=2), api.Result.FULL, wait=500.0)
+    return orjson.loads(orjson.dumps(export(old.sender))), old
+
+
+def write(state: Path) -> None:
+    """Everything, by the program's own writers."""
+    state.mkdir(parents=True, exist_ok=True)
+    _write_lists(state)
+    _write_finals(state)
+    _write_upgrade(state)
+    wall._note(state / wall.FILE, BOOT, ZERO)
+    with mock.patch.object(time, "time_ns", lambda: UNIX_NS):
+        kept.keep(state, learned()[0], ENDPOINTS.get, NOW)
+
+
+def _write_lists(state: Path) -> None:
+    lists = Lists(state)
+    lists.keep(UNIT, digest_of(LIST), LIST)
+    lists.hold(digest_of(WAITING), WAITING)
+    lists.approve(digest_of(WAITING), "operator")
+    lists.log(VERDICTS)
+
+
+def _write_finals(state: Path) -> None:
+    due = AtOnce()
+    finals = FinalsFile(state / FINALS, 1 << 20, 1, due, lambda number: None, Counters(), lambda: 1_800_000_000.1234)
+    finals.owe(1, "m-1", "expired", 0)
+    finals.owe(2, "m-2", "refused", 1500)
+    for call in due.calls:
+        call()
+
+
+def _write_upgrade(state: Path) -> None:
+    mine, heir = Board(state).halves()
+    mine.begin(4, 99)
+    mine.enter(Stage.HANDING)
+    mine.out(3)
+    mine.tell(7, NOW + 1000, NOW)
+    mine.tell(8, NOW + 2000, NOW)
+    heir.begin(5, 99)
+    heir.enter(Stage.READY)
+    folder = folders.folder_of(state, 2)
+    folder.mkdir()
+    estate = folders.Estate(state, 2)
+    estate.mark(MARKED)
+    estate.close()
+    folders.release(folder, RELEASED)
+
+
+if __name__ == "__main__":
+    write(DATA)
