--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from lynxscale.controlplane.ledger import Ledger, Turn
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.table import Table
 from lynxscale.runtime.clock import LoopClock
@@ -52,11 +52,11 @@
     return time.perf_counter() - begun
 
 
-def filled(megabytes: int) -> tuple[m.Put, ...]:
+def filled(megabytes: int) -> tuple[Put, ...]:
     """Turns of so many bytes in all."""
     value = msgspec.Raw(msgspec.json.encode(Turn(b"x" * TURN_BYTES, "", 90.0)))
     count = megabytes * 1_000_000 // len(bytes(value))
-    return tuple(m.Put(f"turn/{number:012x}", value) for number in range(count))
+    return tuple(Put(f"turn/{number:012x}", value) for number in range(count))
 
 
 def measure(megabytes: int) -> str:
@@ -70,7 +70,7 @@
         store = Store(DurableFiles(folder), steps.defer)
         table = Table()
         table.apply(puts)
-        installing = timed(lambda: store.install(m.Position(1, 1), table, lambda: None))
+        installing = timed(lambda: store.install(Position(1, 1), table, lambda: None))
         in_all = steps.run()
         compare = timed(store.checksum)
         ledger = Ledger(store.values, LoopClock(loop))
--- a/lab/tier/group.py
+++ b/lab/tier/group.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from lab.tier.world import World
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.member import ControlMember, MemberSettings
+from lynxscale.coordination.messages import put_value
 from lynxscale.coordination.register import MemberIdentity, Register
 
 FLUSH_S = 0.05  # between its release and a process's end
@@ -85,7 +85,7 @@
     @staticmethod
     def submit(member: ControlMember, key: str, value: object, done: Callable[[bool], None]) -> None:
         """Hand a write to a member."""
-        member.submit((m.put_value(key, value),), done)
+        member.submit((put_value(key, value),), done)
 
     def value(self, key: str) -> object:
         """What the primary holds under a key, None for nothing."""
--- a/lab/tier/mistakes/epochs.py
+++ b/lab/tier/mistakes/epochs.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from lab.tier.mistakes.finders import Patches
-from lynxscale.coordination import messages as m
 from lynxscale.coordination import register
 from lynxscale.coordination.epochs import Proposal, Witness, majority
 from lynxscale.coordination.leadership import Leadership
 from lynxscale.coordination.lease import LEASE_S, NEVER, HeldLease
+from lynxscale.coordination.messages import EpochRecord, Prepare
 from lynxscale.coordination.proposer import Proposer
 
 
@@ -27,7 +27,7 @@
 
     def new_state(who: register.MemberIdentity, first_start: bool, random) -> register.RegisterState:  # noqa: ANN001
         founders = tuple(register.founder_id(address) for address in sorted(who.seeds))
-        founding = m.EpochRecord(0, "", founders, founders)
+        founding = EpochRecord(0, "", founders, founders)
         return register.RegisterState(register.founder_id(who.address), founding)
 
     return [(register, "_new_state", new_state)]
@@ -41,7 +41,7 @@
         self._open_epoch = epoch
         voters_asked = self._witness.record.witnesses
         self._proposal = Proposal(epoch, self._witness.member, voters_asked)
-        self._send_all(voters_asked, m.Prepare(epoch, self._witness.member))
+        self._send_all(voters_asked, Prepare(epoch, self._witness.member))
 
     return [(Proposer, "propose", propose)]
 
--- a/lab/tier/mistakes/orders.py
+++ b/lab/tier/mistakes/orders.py
@@ -6,7 +6,7 @@
 
 from lab.tier.mistakes.finders import Patches
 from lynxscale.controlplane import operator_api
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import TopicUpdate
 from lynxscale.coordination.tree import Publisher
 from lynxscale.runtime.http_types import Head, Request
 
@@ -15,7 +15,7 @@
     """A relay takes any version that it is sent, and a parent sends all it has."""
 
     def send(self: Publisher, address: str, child, primary: str, epoch: int, age: float) -> None:  # noqa: ANN001
-        self._network.send(address, m.Update(self.address, primary, epoch, age, self.versions(), self.topics))
+        self._network.send(address, TopicUpdate(self.address, primary, epoch, age, self.versions(), self.topics))
 
     return [(Publisher, "_is_newer", lambda self, name, topic: True), (Publisher, "_send", send)]
 
--- a/lab/tier/mistakes/replication.py
+++ b/lab/tier/mistakes/replication.py
@@ -6,10 +6,10 @@
 
 from lab.tier.mistakes.finders import Patches
 from lab.tier.orders import admission
-from lynxscale.coordination import messages as m
 from lynxscale.coordination import voters
 from lynxscale.coordination.copies import Copy, CopyState
 from lynxscale.coordination.follower import Follower
+from lynxscale.coordination.messages import Batch, Put, Replicate, SnapshotChunk, SnapshotProgress
 from lynxscale.coordination.replication import Replicator
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.voters import PlanInput
@@ -34,7 +34,7 @@
 def late_batches_are_skipped() -> Patches:
     """A copy takes a batch although it lacks the one before."""
 
-    def on_replicate(self: Follower, message: m.Replicate) -> None:
+    def on_replicate(self: Follower, message: Replicate) -> None:
         if self._follows(message.epoch) and message.batch.position > self._store.position:
             self._store.save(message.batch)
             self._store.apply(message.batch.puts)
@@ -46,9 +46,9 @@
 def whole_state_lacks_the_last_batch() -> Patches:
     """A version is written whole before its batch is applied (seen on a bench day)."""
 
-    def save(self: Store, batch: m.Batch) -> None:
+    def save(self: Store, batch: Batch) -> None:
         original(self, batch)
-        writer = self._versions.write_whole(self.position, [m.Put(*entry) for entry in self.values.items()])
+        writer = self._versions.write_whole(self.position, [Put(*entry) for entry in self.values.items()])
         while not writer.step():
             pass
         self._versions.remove_before(self.position)
@@ -105,7 +105,7 @@
 def snapshot_is_mixed_of_two() -> Patches:
     """A transfer goes on at another position, and its parts are taken whatever they belong behind."""
 
-    def on_state_part(self: Follower, message: m.StatePart) -> None:
+    def on_state_part(self: Follower, message: SnapshotChunk) -> None:
         if not self._follows(message.epoch) or self._transfer.installing:
             return
         if not message.after:
@@ -117,7 +117,7 @@
         if message.last:
             self._install(message.epoch)
 
-    def resume(self: Copy, message: m.TransferProgress) -> None:
+    def resume(self: Copy, message: SnapshotProgress) -> None:
         original(self, message)
         if message.upto and self.state is CopyState.PARTS:
             self._sent, self._upto = self._store.position, message.upto
@@ -130,7 +130,7 @@
 def batches_between_parts_are_lost() -> Patches:
     """A batch that comes between two parts moves the transfer on without its changes."""
 
-    def on_replicate(self: Follower, message: m.Replicate) -> None:
+    def on_replicate(self: Follower, message: Replicate) -> None:
         transfer = self._transfer
         if self._follows(message.epoch) and message.batch.previous == transfer.position and not transfer.installing:
             transfer.position = message.batch.position
--- a/lab/tier/mistakes/turns.py
+++ b/lab/tier/mistakes/turns.py
@@ -6,7 +6,7 @@
 
 from lab.tier.mistakes.finders import Patches
 from lynxscale.controlplane.ledger import Ledger, Turn
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import Reply, TurnAdmitted
 from lynxscale.dataplane.attempt import Attempt, Outcome
 from lynxscale.dataplane.forwarding import ForwardedRequest
 from lynxscale.dataplane.headers import NOT_EXECUTED, REQUEST_ID
@@ -21,7 +21,7 @@
     def reply(self, call, answer, puts) -> None:  # noqa: ANN001
         if puts:
             self.member.submit(puts, lambda committed: None)
-        self._network.send(call.caller, m.Reply(call.number, call.life, answer))
+        self._network.send(call.caller, Reply(call.number, call.life, answer))
 
     from lynxscale.controlplane.service import ControlService
 
@@ -44,7 +44,7 @@
 def chain_lacks_its_oldest() -> Patches:
     """A history stops after two turns."""
 
-    def history(self: Ledger, last: str, cached: str) -> m.TurnAdmitted | None:
+    def history(self: Ledger, last: str, cached: str) -> TurnAdmitted | None:
         contents, name = [], last
         while name and name != cached and len(contents) < 2:
             raw = self._values.get("turn/" + name)
@@ -53,7 +53,7 @@
             turn = msgspec_decode(raw)
             contents.append(turn.content)
             name = turn.previous
-        return m.TurnAdmitted(b"".join(reversed(contents)), name if name == cached else "")
+        return TurnAdmitted(b"".join(reversed(contents)), name if name == cached else "")
 
     return [(Ledger, "_history", history)]
 
@@ -67,9 +67,9 @@
 def cached_history_is_taken_for_any_chain() -> Patches:
     """A relay is sent nothing where it has the session's newest history cached, whatever the turn goes on from."""
 
-    def history(self: Ledger, last: str, cached: str) -> m.TurnAdmitted | None:
+    def history(self: Ledger, last: str, cached: str) -> TurnAdmitted | None:
         if cached and last:
-            return m.TurnAdmitted(b"", cached)
+            return TurnAdmitted(b"", cached)
         return original(self, last, cached)
 
     original = Ledger._history
--- a/lab/tier/orders/election.py
+++ b/lab/tier/orders/election.py
@@ -17,10 +17,24 @@
 
 from lab.explorer import Breach, Event, frozen
 from lab.tier.world import World
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.candidacy import decide_candidacy
 from lynxscale.coordination.epochs import Proposal, Witness, majority
 from lynxscale.coordination.lease import LEASE_S, HeldLease
+from lynxscale.coordination.messages import (
+    Accept,
+    Accepted,
+    EpochRecord,
+    LeaseGrant,
+    LeaseRequest,
+    Message,
+    Position,
+    Prepare,
+    PrepareRejected,
+    Promise,
+    address_of,
+    encode,
+    member_id,
+)
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.register import MemberIdentity, Register
 from lynxscale.coordination.versions import START
@@ -47,24 +61,24 @@
 
     def __init__(self, world: World, address: str) -> None:
         machine = world.machine(address)
-        self.sent: list[tuple[str, m.Message]] = []
+        self.sent: list[tuple[str, Message]] = []
         self.primary = False
         register = Register(MemberIdentity(address, True, ADDRESSES), machine.files, world.random)
         self.witness = Witness(register, machine.clock(), LEASE_S)
         self.lease = HeldLease(machine.clock())
         self.proposer = Proposer(self.witness, machine.clock(), self, self._held, self._choose, self._decided)
 
-    def send(self, address: str, message: m.Message) -> None:
+    def send(self, address: str, message: Message) -> None:
         """Part of the Network port."""
         self.sent.append((address, message))
 
-    def _held(self) -> m.Position:
+    def _held(self) -> Position:
         return START
 
-    def _choose(self, proposal: Proposal) -> m.EpochRecord | None:
+    def _choose(self, proposal: Proposal) -> EpochRecord | None:
         return decide_candidacy(self.witness.member, START, proposal, TOLERATED).record
 
-    def _decided(self, record: m.EpochRecord) -> None:
+    def _decided(self, record: EpochRecord) -> None:
         self.primary = True
         self.lease.forget_rounds()
 
@@ -77,44 +91,44 @@
     def ask_for_lease(self) -> None:
         """One heartbeat."""
         record = self.witness.record
-        request = m.LeaseRequest(record, self.lease.begin_round())
+        request = LeaseRequest(record, self.lease.begin_round())
         for one in record.witnesses:
             if one != self.witness.member:
-                self.send(m.address_of(one), request)
+                self.send(address_of(one), request)
         if self.witness.grant(request):
             self.lease.grant(request.round, self.witness.member, record.witnesses)
 
-    def receive(self, message: m.Message) -> None:
+    def receive(self, message: Message) -> None:
         """As ControlMember does."""
-        if isinstance(message, m.Prepare):
+        if isinstance(message, Prepare):
             answer = self.witness.prepare(message, START)
-            if isinstance(answer, m.Promise):
+            if isinstance(answer, Promise):
                 self._step_down()
-            self.send(m.address_of(message.candidate), answer)
-        elif isinstance(message, m.Promise):
+            self.send(address_of(message.candidate), answer)
+        elif isinstance(message, Promise):
             self.proposer.on_promise(message)
-        elif isinstance(message, m.Deny):
+        elif isinstance(message, PrepareRejected):
             self.proposer.on_deny(message)
-        elif isinstance(message, m.Accept):
+        elif isinstance(message, Accept):
             answer = self.witness.accept(message.record)
             if answer is not None:
-                self.send(m.address_of(message.record.primary), answer)
-        elif isinstance(message, m.Accepted):
+                self.send(address_of(message.record.primary), answer)
+        elif isinstance(message, Accepted):
             self.proposer.on_accepted(message)
-        elif isinstance(message, m.LeaseRequest):
+        elif isinstance(message, LeaseRequest):
             self._on_lease_request(message)
-        elif isinstance(message, m.LeaseGrant) and message.granted and message.epoch == self.witness.record.epoch:
+        elif isinstance(message, LeaseGrant) and message.granted and message.epoch == self.witness.record.epoch:
             self.lease.grant(message.round, message.member, self.witness.record.witnesses)
 
-    def _on_lease_request(self, message: m.LeaseRequest) -> None:
+    def _on_lease_request(self, message: LeaseRequest) -> None:
         if message.record.epoch < self.witness.record.epoch:
             return
         self.witness.learn(message.record)
         self._step_down()
         granted = self.witness.grant(message)
         me = self.witness.member
-        answer = m.LeaseGrant(message.record.epoch, message.round, me, "", granted, 0, START)
-        self.send(m.address_of(message.record.primary), answer)
+        answer = LeaseGrant(message.record.epoch, message.round, me, "", granted, 0, START)
+        self.send(address_of(message.record.primary), answer)
 
     def _step_down(self) -> None:
         if self.primary:
@@ -136,9 +150,9 @@
         }
         self._steps = bounds.steps
         self._cuts = bounds.cuts
-        self._links: dict[tuple[str, str], deque[m.Message]] = {}
+        self._links: dict[tuple[str, str], deque[Message]] = {}
         self._accepted: dict[int, dict[str, set[str]]] = {}  # by epoch and record: who accepted it
-        self._records: dict[str, m.EpochRecord] = {}
+        self._records: dict[str, EpochRecord] = {}
         for event in bounds.begun:
             self.do(event)
 
@@ -180,12 +194,12 @@
     def _collect(self) -> None:
         for address, node in self.nodes.items():
             for target, message in node.sent:
-                if not isinstance(message, m.Deny):
+                if not isinstance(message, PrepareRejected):
                     self._links.setdefault((address, target), deque()).append(message)
             node.sent.clear()
             record = node.witness.record
             if record.epoch:
-                name = m.encode(m.Accept(record)).decode()
+                name = encode(Accept(record)).decode()
                 self._records[name] = record
                 self._accepted.setdefault(record.epoch, {}).setdefault(name, set()).add(founder(address))
         self._links = {link: messages for link, messages in sorted(self._links.items()) if messages}
@@ -207,7 +221,7 @@
             )
             for node in self.nodes.values()
         )
-        links = tuple((link, *(m.encode(one) for one in messages)) for link, messages in self._links.items())
+        links = tuple((link, *(encode(one) for one in messages)) for link, messages in self._links.items())
         return nodes, links, frozen(self._left), self._steps, self._cuts, frozen(self._accepted)
 
     def judge(self) -> None:
@@ -230,7 +244,7 @@
 
 def founder(address: str) -> str:
     """The id of the member at an address."""
-    return m.member_id(address, "0")
+    return member_id(address, "0")
 
 
 PROMISED = (  # a has asked, both others have promised, and its record is on its way
--- a/lab/tier/orders/operators.py
+++ b/lab/tier/orders/operators.py
@@ -16,7 +16,7 @@
 
 from lab.explorer import Breach, Event, frozen
 from lynxscale.controlplane.operator_api import BASE_HEADER, CURRENT_KEY, OperatorApi
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import Put, put_value
 from lynxscale.coordination.table import Table
 from lynxscale.runtime.http_types import Head, Request, Response
 
@@ -42,7 +42,7 @@
 class Submission:
     """Puts of the present primary that are not committed."""
 
-    puts: tuple[m.Put, ...]
+    puts: tuple[Put, ...]
     done: Callable[[bool], None]
 
 
@@ -69,7 +69,7 @@
         """Always: a failover makes another stub."""
         return True
 
-    def submit(self, puts: tuple[m.Put, ...], done: Callable[[bool], None]) -> None:
+    def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
         """Part of ControlMember."""
         self.store.table.apply(puts)
         self.submissions.append(Submission(puts, done))
@@ -106,7 +106,7 @@
     """The machine that is searched."""
 
     def __init__(self, bounds: OperatorBounds) -> None:
-        self._committed: list[tuple[m.Put, ...]] = []
+        self._committed: list[tuple[Put, ...]] = []
         self._sends: list[list[Wire]] = [[] for _ in bounds.versions]
         self._heard: list[int | None] = [None for _ in bounds.versions]
         self._orders = [
@@ -121,7 +121,7 @@
         self._sent = [0 for _ in self._orders]
         self._given: list[set[int]] = [set() for _ in self._orders]
         body = {"generation": 1, "routes": [], "services": []}
-        first = m.put_value(CURRENT_KEY, {"generation": 1, "body": body})
+        first = put_value(CURRENT_KEY, {"generation": 1, "body": body})
         self._commit((first,))
         self._lead()
 
@@ -133,7 +133,7 @@
         table = {"generation": version, "routes": [], "services": services}
         return SentOrder("/config/replace", str(base), table)
 
-    def _commit(self, puts: tuple[m.Put, ...]) -> None:
+    def _commit(self, puts: tuple[Put, ...]) -> None:
         if puts:
             self._committed.append(puts)
 
--- a/lab/tier/orders/transfer.py
+++ b/lab/tier/orders/transfer.py
@@ -18,9 +18,21 @@
 from lab.explorer import Breach, Event, frozen
 from lab.tier.world import World
 from lynxscale.coordination import copies
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.copies import Copy
 from lynxscale.coordination.follower import Follower
+from lynxscale.coordination.messages import (
+    Batch,
+    Message,
+    Position,
+    Put,
+    Replicate,
+    ReplicateAck,
+    SnapshotChunk,
+    SnapshotProbe,
+    SnapshotProgress,
+    encode,
+    put_value,
+)
 from lynxscale.coordination.store import Store
 
 PRIMARY, FOLLOWER = "p:1", "f:1"
@@ -45,9 +57,9 @@
     """Implements the Network port: one connection in one direction."""
 
     def __init__(self) -> None:
-        self.messages: deque[m.Message] = deque()
+        self.messages: deque[Message] = deque()
 
-    def send(self, address: str, message: m.Message) -> None:
+    def send(self, address: str, message: Message) -> None:
         """Part of the Network port."""
         self.messages.append(message)
 
@@ -60,7 +72,7 @@
         self._epoch = 1
         self._there, self._back = Pipe(), Pipe()
         self.store = Store(self.world.machine(PRIMARY).files)
-        self._states: dict[m.Position, dict[str, bytes]] = {self.store.position: {}}
+        self._states: dict[Position, dict[str, bytes]] = {self.store.position: {}}
         self._left = {
             "submit": bounds.writes,
             "cut": bounds.cuts,
@@ -69,8 +81,8 @@
             "pause": bounds.pauses,
             "repair": bounds.repairs,
         }
-        self._pending: list[m.Put] = []
-        self._undo: tuple[m.Put, ...] = ()
+        self._pending: list[Put] = []
+        self._undo: tuple[Put, ...] = ()
         self._written = 0
         for _ in FIRST:
             self._submit()
@@ -96,7 +108,7 @@
 
     def _submit(self) -> None:
         """A write changes the memory; keys are rewritten, removed and new."""
-        put = m.put_value(*(FIRST + LATER)[self._written])
+        put = put_value(*(FIRST + LATER)[self._written])
         self._written += 1
         self._undo = (*self.store.before((put,)), *self._undo)
         self.store.apply((put,))
@@ -106,7 +118,7 @@
         """What was submitted goes as one batch."""
         puts, self._pending, self._undo = tuple(self._pending), [], ()
         previous = self.store.position
-        batch = m.Batch(previous, m.Position(self._epoch, previous.index + 1), puts)
+        batch = Batch(previous, Position(self._epoch, previous.index + 1), puts)
         if hasattr(self, "copy"):
             self.copy.offer(batch)
         self.store.save(batch)
@@ -136,9 +148,9 @@
     def _follower_hears(self) -> None:
         message = self._there.messages.popleft()
         handlers = {
-            m.Replicate: self.follower.on_replicate,
-            m.StatePart: self.follower.on_state_part,
-            m.TransferAsk: self.follower.on_transfer_ask,
+            Replicate: self.follower.on_replicate,
+            SnapshotChunk: self.follower.on_state_part,
+            SnapshotProbe: self.follower.on_transfer_ask,
         }
         handlers[type(message)](message)
 
@@ -146,9 +158,9 @@
         message = self._back.messages.popleft()
         if message.epoch != self._epoch:
             return
-        if isinstance(message, m.Stored):
+        if isinstance(message, ReplicateAck):
             self.copy.on_position(message.position)
-        elif isinstance(message, m.TransferProgress):
+        elif isinstance(message, SnapshotProgress):
             self.copy.on_progress(message)
 
     def _cut(self) -> None:
@@ -163,7 +175,7 @@
         """Time goes by; a heartbeat tells the follower's position, as in service."""
         self.world.time += PAUSE_S
         self.copy.tick()
-        self._back.send(PRIMARY, m.Stored(self._epoch, FOLLOWER, self.follower_store.held))
+        self._back.send(PRIMARY, ReplicateAck(self._epoch, FOLLOWER, self.follower_store.held))
 
     def _repair(self) -> None:
         self.copy.restart()
@@ -186,8 +198,8 @@
             self.follower_store.position,
             frozen(values_of(self.follower_store)),
             frozen(self.follower._transfer),
-            tuple(m.encode(message) for message in self._there.messages),
-            tuple(m.encode(message) for message in self._back.messages),
+            tuple(encode(message) for message in self._there.messages),
+            tuple(encode(message) for message in self._back.messages),
             tuple(self._left.values()),
         )
 
--- a/lynxscale/controlplane/ledger.py
+++ b/lynxscale/controlplane/ledger.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lynxscale.controlplane.retention import Retention
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import AdmitTurn, FinishTurn, Put, TurnAdmitted, TurnRejected, put_value
 from lynxscale.coordination.ports import Clock
 
 PROGRAM_PREFIX, TURN_PREFIX = "program/", "turn/"
@@ -64,22 +64,22 @@
                 kept = msgspec.json.decode(raw, type=Kept)
                 self._retention.keep(key, kept.keep_s, turn_key(kept.previous))
 
-    def admit(self, request: m.AdmitTurn) -> tuple[m.TurnAdmitted | m.TurnRefused, tuple[m.Put, ...]]:
+    def admit(self, request: AdmitTurn) -> tuple[TurnAdmitted | TurnRejected, tuple[Put, ...]]:
         """The answer to a turn that wants to run, and what has to be durable before the answer goes."""
         admitted = self._history(request.previous, request.cached)
         if admitted is None:
-            return m.TurnRefused(404), ()
+            return TurnRejected(404), ()
         if request.budget == NO_BUDGET:
             return admitted, ()
         program = self._program(request.program) or Program(request.budget)
         if request.request not in program.open:
             if program.committed + request.most > max(program.budget, request.budget):
-                return m.TurnRefused(402), ()
+                return TurnRejected(402), ()
             program.open[request.request] = request.most
         program.budget = max(program.budget, request.budget)
         return admitted, (self._put_program(request.program, program, request.retention_s),)
 
-    def finish(self, request: m.FinishTurn) -> tuple[m.Put, ...]:
+    def finish(self, request: FinishTurn) -> tuple[Put, ...]:
         """What has to be durable before a turn has ended."""
         puts = []
         program = self._program(request.program)
@@ -91,14 +91,14 @@
             turn = Turn(request.content, request.previous, request.retention_s + KEEP_SLACK_S)
             key = turn_key(request.request)
             self._retention.keep(key, turn.keep_s, turn_key(request.previous))
-            puts.append(m.put_value(key, turn))
+            puts.append(put_value(key, turn))
         return tuple(puts)
 
-    def expired(self) -> tuple[m.Put, ...]:
+    def expired(self) -> tuple[Put, ...]:
         """Puts that remove what is kept no longer."""
-        return tuple(m.put_value(key, None) for key in self._retention.take_expired())
+        return tuple(put_value(key, None) for key in self._retention.take_expired())
 
-    def _history(self, last: str, cached: str) -> m.TurnAdmitted | None:
+    def _history(self, last: str, cached: str) -> TurnAdmitted | None:
         """Inputs and outputs of a chain of turns from its oldest on, or from behind the one that the relay has cached.
 
         None where a turn is not there. A turn is kept as long as any that goes on from it, so behind one that is
@@ -115,16 +115,16 @@
             name = turn.previous
         if name and turn_key(name) not in self._values:
             return None
-        return m.TurnAdmitted(b"".join(reversed(contents)), name)
+        return TurnAdmitted(b"".join(reversed(contents)), name)
 
     def _program(self, name: str) -> Program | None:
         raw = self._values.get(PROGRAM_PREFIX + name)
         return None if raw is None else msgspec.json.decode(raw, type=Program)
 
-    def _put_program(self, name: str, program: Program, retention_s: float) -> m.Put:
+    def _put_program(self, name: str, program: Program, retention_s: float) -> Put:
         program.keep_s = max(KEEP_PROGRAM_S, retention_s)
         self._retention.keep(PROGRAM_PREFIX + name, program.keep_s)
-        return m.put_value(PROGRAM_PREFIX + name, program)
+        return put_value(PROGRAM_PREFIX + name, program)
 
 
 def turn_key(request: str) -> str:
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -16,8 +16,8 @@
 
 from lynxscale.controlplane.configuration import Configuration, Finding, check
 from lynxscale.controlplane.update import EMPTY_CONFIGURATION, Update, apply_update, check_update
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.member import ControlMember
+from lynxscale.coordination.messages import Put, put_value
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Head, Request, Response
 
@@ -142,8 +142,8 @@
     def _take(self, generation: int, body: bytes, digest: str, responder: Responder) -> None:
         value = CurrentConfiguration(generation, msgspec.Raw(body))
         puts = (
-            m.put_value(CURRENT_KEY, value),
-            m.put_value(ORDER_PREFIX + digest, generation),
+            put_value(CURRENT_KEY, value),
+            put_value(ORDER_PREFIX + digest, generation),
             *self._forget_oldest(),
         )
 
@@ -162,15 +162,15 @@
         """May an order on that version have been taken and forgotten? It made a version above its base."""
         return base.isdigit() and int(base) < self._forgotten()
 
-    def _forget_oldest(self) -> tuple[m.Put, ...]:
+    def _forget_oldest(self) -> tuple[Put, ...]:
         """Puts that remove the older half of the orders, where there are too many; each made a higher version."""
         values = self._member.store.values
         if sum(key.startswith(ORDER_PREFIX) for key in values) < MOST_ORDERS:
             return ()
         made = {key: msgspec.json.decode(raw, type=int) for key, raw in values.items() if key.startswith(ORDER_PREFIX)}
         oldest = sorted(made, key=made.get)[: MOST_ORDERS // 2]
-        newest_gone = m.put_value(FORGOTTEN_KEY, made[oldest[-1]])
-        return (newest_gone, *(m.put_value(key, None) for key in oldest))
+        newest_gone = put_value(FORGOTTEN_KEY, made[oldest[-1]])
+        return (newest_gone, *(put_value(key, None) for key in oldest))
 
     def _answer_when_decided(self, responder: Responder, response: Response) -> None:
         """What the answer rests on may not be committed yet."""
@@ -198,7 +198,7 @@
         if RETIRE_PREFIX + node in self._member.store.values:
             self._answer_when_decided(responder, json_response(200, {"state": "running"}))
         elif len(leadership.present_nodes() - {node}) >= self._member.least_members and self._is_known(node):
-            self._member.submit((m.put_value(RETIRE_PREFIX + node, {}),), lambda done: self._retiring(responder, done))
+            self._member.submit((put_value(RETIRE_PREFIX + node, {}),), lambda done: self._retiring(responder, done))
         else:
             self._answer_when_decided(responder, self._retirement_refused(node))
 
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -12,8 +12,21 @@
 from lynxscale.controlplane.ledger import Ledger
 from lynxscale.controlplane.operator_api import OperatorApi, json_response
 from lynxscale.controlplane.status import ControlStatus, ReplicaStatus
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.member import ControlMember, MemberSettings
+from lynxscale.coordination.messages import (
+    AdmitTurn,
+    Attach,
+    Call,
+    Message,
+    Put,
+    Redirect,
+    Reply,
+    Suspicion,
+    Topic,
+    TurnFinished,
+    Version,
+    address_of,
+)
 from lynxscale.coordination.ports import Clock, Files, Network
 from lynxscale.coordination.register import MemberIdentity, Register
 from lynxscale.coordination.ring import Roster
@@ -94,15 +107,15 @@
             for one, peer in sorted(self.member.leadership.peers.items())
         ]
 
-    def receive(self, message: m.Message) -> None:
+    def receive(self, message: Message) -> None:
         """Handle a message of another node."""
         if self.member.receive(message):
             return
-        if isinstance(message, m.Call):
+        if isinstance(message, Call):
             self._on_call(message)
-        elif isinstance(message, m.Attach):
+        elif isinstance(message, Attach):
             self._on_attach(message)
-        elif isinstance(message, m.Suspicion) and self._serving:
+        elif isinstance(message, Suspicion) and self._serving:
             self.roster.suspected(message)
 
     def settings_changed(self, settings: Settings) -> None:
@@ -116,26 +129,26 @@
 
     # Requests of relays ----------------------------------------------------------------------------
 
-    def _on_call(self, call: m.Call) -> None:
+    def _on_call(self, call: Call) -> None:
         if not self._serving or not self.member.leads():
             self._redirect(call.caller)
-        elif isinstance(call.body, m.AdmitTurn):
+        elif isinstance(call.body, AdmitTurn):
             answer, puts = self.ledger.admit(call.body)
             self._reply_when_durable(call, answer, puts)
         else:
-            self._reply_when_durable(call, m.TurnFinished(), self.ledger.finish(call.body))
+            self._reply_when_durable(call, TurnFinished(), self.ledger.finish(call.body))
 
-    def _reply_when_durable(self, call: m.Call, answer: m.Message, puts: tuple[m.Put, ...]) -> None:
+    def _reply_when_durable(self, call: Call, answer: Message, puts: tuple[Put, ...]) -> None:
         def done(committed: bool) -> None:
             if committed and self.member.leads():
-                self._network.send(call.caller, m.Reply(call.number, call.life, answer))
+                self._network.send(call.caller, Reply(call.number, call.life, answer))
 
         if puts:
             self.member.submit(puts, done)
         else:
             self.member.barrier(done)
 
-    def _on_attach(self, message: m.Attach) -> None:
+    def _on_attach(self, message: Attach) -> None:
         if not self._serving or not self.member.leads():
             self._redirect(message.sender)
             return
@@ -145,7 +158,7 @@
     def _redirect(self, address: str) -> None:
         """Tell who is primary, now or as soon as it is known here."""
         if self._primary_that_serves():
-            self._network.send(address, m.Redirect(self._primary_that_serves(), self.member.record.epoch))
+            self._network.send(address, Redirect(self._primary_that_serves(), self.member.record.epoch))
         elif len(self._unanswered) < MOST_UNANSWERED:
             self._unanswered.add(address)
 
@@ -182,7 +195,7 @@
         self.member.retiring = self.api.retiring()
         current = self.api.current()
         if current is not None:
-            topic = m.Topic(m.Version(0, current.generation), current.body)
+            topic = Topic(Version(0, current.generation), current.body)
             self.publisher.take({CONFIG: topic})
         self._push()
 
@@ -214,8 +227,8 @@
 
     def _set_topic(self, name: str, value: object) -> None:
         self._numbers[name] = self._numbers.get(name, 0) + 1
-        version = m.Version(self.member.record.epoch, self._numbers[name])
-        self.publisher.take({name: m.Topic(version, msgspec.Raw(msgspec.json.encode(value)))})
+        version = Version(self.member.record.epoch, self._numbers[name])
+        self.publisher.take({name: Topic(version, msgspec.Raw(msgspec.json.encode(value)))})
 
     def _push(self) -> None:
         self.publisher.push(self.publisher.address, self.member.record.epoch, 0.0)
@@ -227,7 +240,7 @@
         self._answer_waiting()
         if not self.member.leads():
             return
-        members = tuple(m.address_of(one) for one in self.member.record.witnesses)
+        members = tuple(address_of(one) for one in self.member.record.witnesses)
         if members != self._members:
             self._members = members
             self._publish(MEMBERS, members)
--- a/lynxscale/coordination/calls.py
+++ b/lynxscale/coordination/calls.py
@@ -6,21 +6,21 @@
 from dataclasses import dataclass
 from random import Random
 
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import AdmitTurn, Call, FinishTurn, Message, Reply
 from lynxscale.coordination.ports import Clock, Network, Timer
 
 REPEAT_AFTER_S = 0.15
 LIFE_BITS = 48
 
 
-Answered = Callable[[m.Message | None], None]
+Answered = Callable[[Message | None], None]
 
 
 @dataclass(slots=True)
 class Pending:
     """A call without an answer."""
 
-    call: m.Call
+    call: Call
     deadline: float
     done: Answered
     timer: Timer | None = None
@@ -50,17 +50,17 @@
         self._number = 0
         self._turn = 0
 
-    def call(self, body: m.AdmitTurn | m.FinishTurn, timeout_s: float, done: Answered) -> None:
+    def call(self, body: AdmitTurn | FinishTurn, timeout_s: float, done: Answered) -> None:
         """``done(answer)``, or ``done(None)`` where none came in time."""
         self._number += 1
-        message = m.Call(self._number, self._address, self._life, body)
+        message = Call(self._number, self._address, self._life, body)
         pending = Pending(message, self._clock.now() + timeout_s, done)
         self._pending[self._number] = pending
         self._send(pending, self._primary())
 
-    def receive(self, message: m.Message) -> bool:
+    def receive(self, message: Message) -> bool:
         """Handle an answer; False for messages of other kinds."""
-        if not isinstance(message, m.Reply):
+        if not isinstance(message, Reply):
             return False
         pending = self._pending.pop(message.number, None) if message.life == self._life else None
         if pending is not None:
--- a/lynxscale/coordination/campaign.py
+++ b/lynxscale/coordination/campaign.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 from random import Random
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.epochs import Witness, majority
 from lynxscale.coordination.lease import LEASE_S
+from lynxscale.coordination.messages import CandidacyAnnounced, Position, PreVote, PreVoteReply, address_of
 from lynxscale.coordination.ports import Clock, Network, Timer
 from lynxscale.coordination.support import Support
 
@@ -26,11 +26,11 @@
     def __init__(self, number: int, voters: tuple[str, ...], asked_at: float) -> None:
         self.number = number
         self.asked_at = asked_at
-        self.positions: dict[str, m.Position] = {}
+        self.positions: dict[str, Position] = {}
         self._voters = voters
         self._free_at: dict[str, float] = {}
 
-    def on_reply(self, reply: m.PreVoteReply, now: float) -> None:
+    def on_reply(self, reply: PreVoteReply, now: float) -> None:
         """Count an answer."""
         self.positions[reply.witness] = reply.position
         self._free_at[reply.witness] = now if reply.granted else now + reply.wait_s
@@ -58,7 +58,7 @@
         clock: Clock,
         network: Network,
         random: Random,
-        held: Callable[[], m.Position],
+        held: Callable[[], Position],
         may_stand: Callable[[], bool],
         stand: Callable[[str], None],
     ) -> None:
@@ -119,7 +119,7 @@
     def _ask(self) -> None:
         now = self._clock.now()
         self._number += 1
-        question = m.PreVote(self._number, self._witness.member)
+        question = PreVote(self._number, self._witness.member)
         own = self._answer(question)
         self._round = PreVoteRound(self._number, self._witness.record.witnesses, now)
         self._send_others(question)
@@ -127,7 +127,7 @@
         self._schedule()
         self.on_reply(own)
 
-    def on_reply(self, reply: m.PreVoteReply) -> None:
+    def on_reply(self, reply: PreVoteReply) -> None:
         """A voter tells whether it would promise."""
         current = self._round
         if current is None or reply.round != current.number:
@@ -147,13 +147,13 @@
         further = self._further_copy(answered)
         if not further:
             self.support(self._witness.member)
-            self._send_others(m.Standing(self._witness.member))
+            self._send_others(CandidacyAnnounced(self._witness.member))
         self._stand(further)
 
-    def _send_others(self, message: m.PreVote | m.Standing) -> None:
+    def _send_others(self, message: PreVote | CandidacyAnnounced) -> None:
         for one in self._witness.record.witnesses:
             if one != self._witness.member:
-                self._network.send(m.address_of(one), message)
+                self._network.send(address_of(one), message)
 
     def _schedule_sooner(self) -> None:
         if self._timer is not None:
@@ -169,11 +169,11 @@
 
     # The voter's side --------------------------------------------------------------------------------
 
-    def on_pre_vote(self, question: m.PreVote) -> None:
+    def on_pre_vote(self, question: PreVote) -> None:
         """Tell a member whether it would be promised an epoch now."""
-        self._network.send(m.address_of(question.candidate), self._answer(question))
+        self._network.send(address_of(question.candidate), self._answer(question))
 
-    def on_standing(self, message: m.Standing) -> None:
+    def on_standing(self, message: CandidacyAnnounced) -> None:
         """A member stands."""
         if self._support.bound_for(message.candidate) <= 0:
             self.support(message.candidate)
@@ -183,12 +183,12 @@
         self._support.give(candidate)
         self._keep_out_for(candidate, self._support.standing_s)
 
-    def _answer(self, question: m.PreVote) -> m.PreVoteReply:
+    def _answer(self, question: PreVote) -> PreVoteReply:
         wait_s = self._support.bound_for(question.candidate)
         if wait_s <= 0:
             self._support.prefer(question.candidate)
             self._keep_out_for(question.candidate, self._support.round_s)
-        return m.PreVoteReply(question.round, self._witness.member, wait_s <= 0, max(0.0, wait_s), self._held())
+        return PreVoteReply(question.round, self._witness.member, wait_s <= 0, max(0.0, wait_s), self._held())
 
     def _keep_out_for(self, candidate: str, seconds: float) -> None:
         if candidate != self._witness.member:
--- a/lynxscale/coordination/candidacy.py
+++ b/lynxscale/coordination/candidacy.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.epochs import Proposal
+from lynxscale.coordination.messages import EpochRecord, Position
 from lynxscale.coordination.store import NOWHERE
 
 
@@ -13,11 +13,11 @@
 class Candidacy:
     """The outcome: a record to propose, or a member whose copy reaches further, or neither."""
 
-    record: m.EpochRecord | None = None
+    record: EpochRecord | None = None
     further: str = ""
 
 
-def decide_candidacy(me: str, held: m.Position, proposal: Proposal, tolerated: int) -> Candidacy:
+def decide_candidacy(me: str, held: Position, proposal: Proposal, tolerated: int) -> Candidacy:
     """``held``: how far the own copy reaches. Only a voter whose copy counts may lead.
 
     Those in sync that have not promised are left out where enough copies remain, as they may be gone.
@@ -30,10 +30,10 @@
         return Candidacy(further=further)
     present = tuple(one for one in base.in_sync if proposal.promised.get(one, NOWHERE) != NOWHERE)
     in_sync = present if len(present) > tolerated else base.in_sync
-    return Candidacy(m.EpochRecord(proposal.epoch, me, in_sync, base.witnesses))
+    return Candidacy(EpochRecord(proposal.epoch, me, in_sync, base.witnesses))
 
 
-def _further_copy(me: str, held: m.Position, proposal: Proposal) -> str:
+def _further_copy(me: str, held: Position, proposal: Proposal) -> str:
     """An in-sync voter whose copy reaches further than the candidate's, which may have lost its last files."""
     base = proposal.base
     voters = [one for one in base.in_sync if one in base.witnesses and one in proposal.promised]
--- a/lynxscale/coordination/copies.py
+++ b/lynxscale/coordination/copies.py
@@ -17,7 +17,16 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import (
+    Batch,
+    Position,
+    Put,
+    Replicate,
+    SnapshotChunk,
+    SnapshotProbe,
+    SnapshotProgress,
+    address_of,
+)
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.versions import START
@@ -47,7 +56,7 @@
 class InFlight:
     """A batch or a part on its way: where the copy is once it has come, its size and when it was sent."""
 
-    end: m.Position | str
+    end: Position | str
     size: int
     sent_at: float
 
@@ -62,7 +71,7 @@
         self.stored = START
         self.known = False
         self._member = member
-        self._address = m.address_of(member)
+        self._address = address_of(member)
         self._epoch = epoch
         self._store = store
         self._clock = clock
@@ -91,7 +100,7 @@
 
     # What the member tells -----------------------------------------------------------------------------
 
-    def on_position(self, position: m.Position) -> None:
+    def on_position(self, position: Position) -> None:
         """How far its copy reaches."""
         moved = position != self.stored or not self.known
         if moved:
@@ -104,7 +113,7 @@
             self._ask()
         self.pump()
 
-    def _follow(self, position: m.Position) -> None:
+    def _follow(self, position: Position) -> None:
         while self.state is CopyState.BATCHES and self._in_flight and self._in_flight[0].end <= position:
             self._confirmed(self._in_flight.popleft())
         if self.state is not CopyState.BATCHES:
@@ -121,7 +130,7 @@
         on_its_way = sum(one.size for one in self._in_flight)
         return self._clock.now() - self._progress_at > RESEND_AFTER_S + on_its_way / SLOWEST_BYTES_S
 
-    def on_progress(self, message: m.TransferProgress) -> None:
+    def on_progress(self, message: SnapshotProgress) -> None:
         """How far a transfer has come."""
         if self.state is CopyState.PARTS and message.probe == 0:
             self._confirm(message.upto)
@@ -144,7 +153,7 @@
         else:
             self._window = min(MOST_WINDOW_BYTES, self._window + sent.size)
 
-    def _resume(self, message: m.TransferProgress) -> None:
+    def _resume(self, message: SnapshotProgress) -> None:
         self._progress_at = self._clock.now()
         self._in_flight.clear()
         if message.installing:
@@ -169,7 +178,7 @@
 
     # What is sent --------------------------------------------------------------------------------------
 
-    def offer(self, batch: m.Batch) -> None:
+    def offer(self, batch: Batch) -> None:
         """A batch that is about to be stored here too: it may go at once."""
         current = self.state is CopyState.BATCHES and not self._window_full
         if (current or self._parts_begun) and self._sent == batch.previous:
@@ -229,12 +238,12 @@
             self._send_batch(merge_batches(following))
         return bool(following)
 
-    def _send_batch(self, batch: m.Batch) -> None:
+    def _send_batch(self, batch: Batch) -> None:
         if not self._in_flight:
             self._progress_at = max(self._progress_at, self._clock.now())
         if self.state is CopyState.BATCHES:
             self._in_flight.append(InFlight(batch.position, batch.size, self._clock.now()))
-        self._network.send(self._address, m.Replicate(self._epoch, batch))
+        self._network.send(self._address, Replicate(self._epoch, batch))
         self._sent = batch.position
 
     def _send_next_part(self) -> bool:
@@ -245,11 +254,11 @@
         after, self._upto = self._upto, END if self._last_sent else self._keys[self._cursor - 1]
         size = sum(put.size for put in puts)
         self._in_flight.append(InFlight(self._upto, size, self._clock.now()))
-        part = m.StatePart(self._epoch, self._store.position, after, self._upto, self._last_sent, puts)
+        part = SnapshotChunk(self._epoch, self._store.position, after, self._upto, self._last_sent, puts)
         self._network.send(self._address, part)
         return True
 
-    def _next_puts(self) -> tuple[m.Put, ...]:
+    def _next_puts(self) -> tuple[Put, ...]:
         puts, size = [], 0
         most = min(MOST_PART_BYTES, self._window)
         while self._cursor < len(self._keys) and size < most:
@@ -257,7 +266,7 @@
             self._cursor += 1
             value = self._store.values.get(key)
             if value is not None:
-                puts.append(m.Put(key, value))
+                puts.append(Put(key, value))
                 size += puts[-1].size
         return tuple(puts)
 
@@ -271,7 +280,7 @@
         self._become(CopyState.ASKING)
         self._probe += 1
         self._progress_at = self._clock.now()
-        self._network.send(self._address, m.TransferAsk(self._epoch, self._probe))
+        self._network.send(self._address, SnapshotProbe(self._epoch, self._probe))
 
     def _become(self, state: CopyState) -> None:
         """The one change of state."""
@@ -281,9 +290,9 @@
         self._in_flight.clear()
 
 
-def merge_batches(batches: list[m.Batch]) -> m.Batch:
+def merge_batches(batches: list[Batch]) -> Batch:
     """One batch with the effect of several that follow each other."""
     if len(batches) == 1:
         return batches[0]
     puts = {put.key: put for batch in batches for put in batch.puts}
-    return m.Batch(batches[0].previous, batches[-1].position, tuple(puts.values()))
+    return Batch(batches[0].previous, batches[-1].position, tuple(puts.values()))
--- a/lynxscale/coordination/epochs.py
+++ b/lynxscale/coordination/epochs.py
@@ -7,7 +7,15 @@
 
 from __future__ import annotations
 
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import (
+    Accepted,
+    EpochRecord,
+    LeaseRequest,
+    Position,
+    Prepare,
+    PrepareRejected,
+    Promise,
+)
 from lynxscale.coordination.ports import Clock
 from lynxscale.coordination.register import Register, RegisterState
 
@@ -43,7 +51,7 @@
         return self._register.state
 
     @property
-    def record(self) -> m.EpochRecord:
+    def record(self) -> EpochRecord:
         """The record accepted last."""
         return self.state.accepted
 
@@ -56,7 +64,7 @@
         """Seconds for which a lease of another member than the candidate may run."""
         return 0.0 if self._lease_holder == candidate else self.lease_left
 
-    def learn(self, record: m.EpochRecord) -> bool:
+    def learn(self, record: EpochRecord) -> bool:
         """Take over a record that a majority has accepted; was it news?"""
         if record.epoch <= self.record.epoch:
             return False
@@ -66,7 +74,7 @@
             self._save(record, self.state.promised, self.state.promised_to)
         return True
 
-    def prepare(self, request: m.Prepare, position: m.Position) -> m.Promise | m.Deny:
+    def prepare(self, request: Prepare, position: Position) -> Promise | PrepareRejected:
         """Promise the epoch, unless a higher one was promised or another member may hold the lease.
 
         ``position``: how far the copy beside this witness reaches. A repeat is one by the same process of the
@@ -74,21 +82,21 @@
         """
         repeated = request.epoch == self.state.promised and request.candidate == self.state.promised_to
         if self.bound_for(request.candidate) > 0 or (request.epoch <= self.state.promised and not repeated):
-            return m.Deny(request.epoch, self.member, self.state.promised, self.lease_left, self.record)
+            return PrepareRejected(request.epoch, self.member, self.state.promised, self.lease_left, self.record)
         if not repeated:
             self._save(self.record, request.epoch, request.candidate)
-        return m.Promise(request.epoch, self.member, self.record, position)
+        return Promise(request.epoch, self.member, self.record, position)
 
-    def accept(self, record: m.EpochRecord) -> m.Accepted | None:
+    def accept(self, record: EpochRecord) -> Accepted | None:
         """Store the record, unless a higher epoch or another candidate of the same one was promised."""
         promised_other = record.epoch == self.state.promised and record.primary != self.state.promised_to
         if record.epoch < self.state.promised or promised_other or record.epoch < self.record.epoch:
             return None
         if record != self.record:
             self._save(record, record.epoch, record.primary)
-        return m.Accepted(record.epoch, self.member)
+        return Accepted(record.epoch, self.member)
 
-    def grant(self, request: m.LeaseRequest) -> bool:
+    def grant(self, request: LeaseRequest) -> bool:
         """Grant the lease of the accepted epoch to its primary, also while that one asks for its next epoch."""
         record = request.record
         passed_by = self.state.promised > record.epoch and self.state.promised_to != record.primary
@@ -105,7 +113,7 @@
         if epoch == self.record.epoch:
             self._lease_until = self._clock.now()
 
-    def _save(self, accepted: m.EpochRecord, promised: int, promised_to: str) -> None:
+    def _save(self, accepted: EpochRecord, promised: int, promised_to: str) -> None:
         """Store the state, and only then go by it. Raises OSError."""
         begun = self._clock.now()
         self._register.save(RegisterState(self.member, accepted, promised, promised_to))
@@ -118,9 +126,9 @@
     def __init__(self, epoch: int, candidate: str, voters: tuple[str, ...]) -> None:
         self.epoch = epoch
         self.candidate = candidate
-        self.base: m.EpochRecord | None = None
-        self.record: m.EpochRecord | None = None
-        self.promised: dict[str, m.Position] = {}
+        self.base: EpochRecord | None = None
+        self.record: EpochRecord | None = None
+        self.promised: dict[str, Position] = {}
         self.accepted: set[str] = set()
         self._voters = voters
 
@@ -132,7 +140,7 @@
             known.update(dict.fromkeys(record.witnesses if record else ()))
         return tuple(known)
 
-    def promise(self, answer: m.Promise) -> bool:
+    def promise(self, answer: Promise) -> bool:
         """Count a promise; True once the record may be chosen from ``base``."""
         if answer.epoch != self.epoch or self.record is not None:
             return False
@@ -141,7 +149,7 @@
             self.base = answer.accepted
         return majority(self.base.witnesses, set(self.promised))
 
-    def accept(self, answer: m.Accepted) -> bool:
+    def accept(self, answer: Accepted) -> bool:
         """Count an accept; True once the record is decided."""
         if answer.epoch != self.epoch or self.record is None or self.base is None:
             return False
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -5,7 +5,18 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import (
+    DigestReply,
+    DigestRequest,
+    Message,
+    Position,
+    Replicate,
+    ReplicateAck,
+    SnapshotChunk,
+    SnapshotProbe,
+    SnapshotProgress,
+    address_of,
+)
 from lynxscale.coordination.ports import Network
 from lynxscale.coordination.store import NOWHERE, Store
 from lynxscale.coordination.table import Table
@@ -15,7 +26,7 @@
 class Transfer:
     """A whole state on its way here: all keys up to ``upto`` as they are at ``position``."""
 
-    position: m.Position = NOWHERE
+    position: Position = NOWHERE
     upto: str = ""
     installing: bool = False
     table: Table = field(default_factory=Table)
@@ -39,7 +50,7 @@
         self._primary = primary
         self._transfer = Transfer()
 
-    def on_replicate(self, message: m.Replicate) -> None:
+    def on_replicate(self, message: Replicate) -> None:
         """Store a batch that fits behind what is here. Raises OSError."""
         if not self._follows(message.epoch):
             return
@@ -58,12 +69,12 @@
             return
         self._tell_position(message.epoch)
 
-    def on_transfer_ask(self, message: m.TransferAsk) -> None:
+    def on_transfer_ask(self, message: SnapshotProbe) -> None:
         """Tell how far the transfer has come."""
         if self._follows(message.epoch):
             self._tell_progress(message.epoch, message.probe)
 
-    def on_state_part(self, message: m.StatePart) -> None:
+    def on_state_part(self, message: SnapshotChunk) -> None:
         """Take a part of a whole state; behind the last one it takes the place of the own state. Raises OSError."""
         if not self._follows(message.epoch) or self._transfer.installing:
             return
@@ -78,11 +89,11 @@
         if message.last:
             self._install(message.epoch)
 
-    def on_digest_request(self, message: m.DigestRequest) -> None:
+    def on_digest_request(self, message: DigestRequest) -> None:
         """Tell the checksum that the state had at the position asked for, where that is known."""
         checksum = self._store.checksum_at(message.position)
         if self._follows(message.epoch) and self._store.intact and checksum is not None:
-            self._send(m.DigestReply(message.epoch, self._member, message.position, checksum))
+            self._send(DigestReply(message.epoch, self._member, message.position, checksum))
 
     def abandon_transfer(self) -> None:
         """What has come of a whole state cannot be made durable: it has to come again."""
@@ -99,12 +110,12 @@
         self._store.install(transfer.position, transfer.table, installed)
 
     def _tell_position(self, epoch: int) -> None:
-        self._send(m.Stored(epoch, self._member, self._store.held))
+        self._send(ReplicateAck(epoch, self._member, self._store.held))
 
     def _tell_progress(self, epoch: int, probe: int) -> None:
         transfer = self._transfer
-        progress = m.TransferProgress(epoch, self._member, probe, transfer.position, transfer.upto, transfer.installing)
+        progress = SnapshotProgress(epoch, self._member, probe, transfer.position, transfer.upto, transfer.installing)
         self._send(progress)
 
-    def _send(self, message: m.Message) -> None:
-        self._network.send(m.address_of(self._primary()), message)
+    def _send(self, message: Message) -> None:
+        self._network.send(address_of(self._primary()), message)
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -5,9 +5,23 @@
 import logging
 from collections.abc import Callable
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.epochs import Proposal, Witness
 from lynxscale.coordination.lease import LEASE_S, HeldLease
+from lynxscale.coordination.messages import (
+    DigestReply,
+    DigestRequest,
+    EpochRecord,
+    Join,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    LeaveApproved,
+    Message,
+    ReplicateAck,
+    SnapshotProgress,
+    TakeOver,
+    address_of,
+)
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.replication import Replicator
@@ -109,7 +123,7 @@
 
     # What happens ------------------------------------------------------------------------------------
 
-    def begin_epoch(self, record: m.EpochRecord) -> None:
+    def begin_epoch(self, record: EpochRecord) -> None:
         """A record with this member as primary was decided."""
         self.lease.forget_rounds()
         self.heartbeat()
@@ -135,25 +149,25 @@
         """Ask for the lease anew, and let everybody know of the record."""
         self._heartbeat_at = self._clock.now()
         record = self._witness.record
-        request = m.LeaseRequest(record, self.lease.begin_round())
+        request = LeaseRequest(record, self.lease.begin_round())
         oldest = self._heartbeat_at - MISSED_S
         heard = [one for one, peer in self._peers.items() if peer.heard_at > oldest]
         self._send_all((*record.witnesses, *heard), request)
         if self._witness.grant(request):
             self.lease.grant(request.round, self.me, record.witnesses)
 
-    def receive(self, message: m.LeaseGrant | m.TransferProgress | m.Stored | m.DigestReply) -> None:
+    def receive(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
         """Handle an answer of another member to this epoch."""
-        if isinstance(message, m.LeaseGrant):
+        if isinstance(message, LeaseGrant):
             self.on_lease_grant(message)
-        elif isinstance(message, m.TransferProgress):
+        elif isinstance(message, SnapshotProgress):
             self.on_transfer_progress(message)
-        elif isinstance(message, m.Stored):
+        elif isinstance(message, ReplicateAck):
             self.on_stored(message)
         else:
             self.on_digest_reply(message)
 
-    def on_lease_grant(self, message: m.LeaseGrant) -> None:
+    def on_lease_grant(self, message: LeaseGrant) -> None:
         """A member has answered a heartbeat."""
         record = self._witness.record
         self._hear(message.member, message.node).leaving = message.leaving
@@ -163,23 +177,23 @@
             self._pass_promise(message.promised)
         self.replicator.on_position(message.member, message.position)
 
-    def on_join(self, message: m.Join) -> None:
+    def on_join(self, message: Join) -> None:
         """A member tells that it is there, or about to go."""
         self._hear(message.member, message.node).leaving = message.leaving
         self.consider_plan()
         self._release_departing()
 
-    def on_transfer_progress(self, message: m.TransferProgress) -> None:
+    def on_transfer_progress(self, message: SnapshotProgress) -> None:
         """A member tells how far a transfer of the whole state has come."""
         self._hear(message.member)
         self.replicator.on_progress(message)
 
-    def on_stored(self, message: m.Stored) -> None:
+    def on_stored(self, message: ReplicateAck) -> None:
         """A member tells what it has stored."""
         self._hear(message.member)
         self.replicator.on_position(message.member, message.position)
 
-    def on_digest_reply(self, message: m.DigestReply) -> None:
+    def on_digest_reply(self, message: DigestReply) -> None:
         """A copy's checksum: one that differs is sent anew."""
         own = self._store.checksum_at(message.position)
         if own is not None and message.checksum != own:
@@ -190,11 +204,11 @@
         """Compare the copies with the own one, at what was committed last."""
         record = self._witness.record
         if self.established:
-            self._send_all(record.in_sync, m.DigestRequest(record.epoch, self.replicator.committed))
+            self._send_all(record.in_sync, DigestRequest(record.epoch, self.replicator.committed))
 
     # Who votes and copies ------------------------------------------------------------------------------
 
-    def plan(self, proposal: Proposal) -> m.EpochRecord:
+    def plan(self, proposal: Proposal) -> EpochRecord:
         """The record that a round of this primary proposes; until it is decided, more copies are needed."""
         record = plan_record(self._plan_input(proposal.base), proposal.epoch)
         self.replicator.require_also(set(proposal.base.in_sync) | set(record.in_sync))
@@ -220,7 +234,7 @@
         if not ready:
             return False
         self.release(ready[0])
-        self._network.send(m.address_of(ready[0]), m.TakeOver(record.epoch))
+        self._network.send(address_of(ready[0]), TakeOver(record.epoch))
         return True
 
     def release(self, successor: str = "") -> None:
@@ -228,9 +242,9 @@
         record = self._witness.record
         self.lease.drop()
         self._witness.release(record.epoch)
-        self._send_all(record.witnesses, m.LeaseRelease(record.epoch, successor))
+        self._send_all(record.witnesses, LeaseRelease(record.epoch, successor))
 
-    def _plan_input(self, base: m.EpochRecord) -> PlanInput:
+    def _plan_input(self, base: EpochRecord) -> PlanInput:
         retiring = self._retiring()
         return PlanInput(
             base=base,
@@ -254,7 +268,7 @@
         for one, peer in self._peers.items():
             in_record = one in record.witnesses
             if peer.leaving and may_go(plan, one) and (self.settled or not in_record):
-                self._network.send(m.address_of(one), m.Released(record.epoch))
+                self._network.send(address_of(one), LeaveApproved(record.epoch))
 
     def _pass_promise(self, promised: int) -> None:
         """A witness that promised a candidate's epoch, of which nothing came, is bound until a later one is decided."""
@@ -268,7 +282,7 @@
         peer.node = node or peer.node
         return peer
 
-    def _send_all(self, members: tuple[str, ...], message: m.Message) -> None:
+    def _send_all(self, members: tuple[str, ...], message: Message) -> None:
         for one in dict.fromkeys(members):
             if one != self.me:
-                self._network.send(m.address_of(one), message)
+                self._network.send(address_of(one), message)
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -13,7 +13,6 @@
 from enum import Enum
 from random import Random
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.campaign import Campaign
 from lynxscale.coordination.candidacy import Candidacy, decide_candidacy
 from lynxscale.coordination.departure import Departure
@@ -21,6 +20,35 @@
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.leadership import TICK_S, Leadership
 from lynxscale.coordination.lease import LEASE_S
+from lynxscale.coordination.messages import (
+    Accept,
+    Accepted,
+    CandidacyAnnounced,
+    DigestReply,
+    DigestRequest,
+    EpochRecord,
+    Join,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    LeaveApproved,
+    Message,
+    Position,
+    Prepare,
+    PrepareRejected,
+    PreVote,
+    PreVoteReply,
+    Promise,
+    Put,
+    Redirect,
+    Replicate,
+    ReplicateAck,
+    SnapshotChunk,
+    SnapshotProbe,
+    SnapshotProgress,
+    TakeOver,
+    address_of,
+)
 from lynxscale.coordination.ports import Clock, Files, Network
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.register import Register
@@ -101,7 +129,7 @@
     # What the process asks ---------------------------------------------------------------------------
 
     @property
-    def record(self) -> m.EpochRecord:
+    def record(self) -> EpochRecord:
         """The record of epochs known here."""
         return self.witness.record
 
@@ -117,12 +145,12 @@
     def primary(self) -> str:
         """The primary's internal address, empty where none was heard of lately."""
         if self.leads():
-            return m.address_of(self.me)
+            return address_of(self.me)
         recent = self._clock.now() - self._primary_heard_at < LEASE_S
         other = self.record.primary != self.me and self.state is not State.PRIMARY
-        return m.address_of(self.record.primary) if recent and other else ""
+        return address_of(self.record.primary) if recent and other else ""
 
-    def submit(self, puts: tuple[m.Put, ...], done: Callable[[bool], None]) -> None:
+    def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
         """Change the state as primary; ``done`` as in Replicator.submit."""
         if self.leads():
             self.leadership.replicator.submit(puts, done)
@@ -150,7 +178,7 @@
 
     # Messages ------------------------------------------------------------------------------------
 
-    def receive(self, message: m.Message) -> bool:
+    def receive(self, message: Message) -> bool:
         """Handle a message of the members; False where it is of another kind."""
         handler = self._handlers.get(type(message))
         if handler is None:
@@ -161,15 +189,15 @@
             self._on_disk_failure(error)
         return True
 
-    def _on_prepare(self, message: m.Prepare) -> None:
+    def _on_prepare(self, message: Prepare) -> None:
         answer = self.witness.prepare(message, self._held())
-        if isinstance(answer, m.Promise):
+        if isinstance(answer, Promise):
             self._campaign.support(message.candidate)
             if message.candidate != self.me and self.state is State.PRIMARY:
                 self._become(State.BACKUP)
-        self._network.send(m.address_of(message.candidate), answer)
+        self._network.send(address_of(message.candidate), answer)
 
-    def _on_deny(self, message: m.Deny) -> None:
+    def _on_deny(self, message: PrepareRejected) -> None:
         if self._proposer.on_deny(message) and self.state is State.CANDIDATE:
             self._wait_for_lease(message.lease_left)
 
@@ -177,16 +205,16 @@
         self._become(State.BACKUP)
         self._campaign.wait(min(lease_left, LEASE_S))
 
-    def _on_accept(self, message: m.Accept) -> None:
+    def _on_accept(self, message: Accept) -> None:
         answer = self.witness.accept(message.record)
         if answer is not None:
             self._campaign.support(message.record.primary)
-            self._network.send(m.address_of(message.record.primary), answer)
+            self._network.send(address_of(message.record.primary), answer)
 
-    def _on_lease_request(self, message: m.LeaseRequest) -> None:
+    def _on_lease_request(self, message: LeaseRequest) -> None:
         record = message.record
         if record.epoch < self.record.epoch:
-            self._network.send(m.address_of(record.primary), m.Redirect(self.primary(), self.record.epoch))
+            self._network.send(address_of(record.primary), Redirect(self.primary(), self.record.epoch))
             return
         self.witness.learn(record)
         if record.primary == self.me:
@@ -196,7 +224,7 @@
         self._campaign.primary_heard()
         granted = self.witness.grant(message)
         promised = self.witness.state.promised
-        answer = m.LeaseGrant(
+        answer = LeaseGrant(
             record.epoch,
             message.round,
             self.me,
@@ -206,9 +234,9 @@
             self._held(),
             self.departure.leaving,
         )
-        self._network.send(m.address_of(record.primary), answer)
+        self._network.send(address_of(record.primary), answer)
 
-    def _on_lease_release(self, message: m.LeaseRelease) -> None:
+    def _on_lease_release(self, message: LeaseRelease) -> None:
         if message.epoch != self.record.epoch:
             return
         self.witness.release(message.epoch)
@@ -217,55 +245,55 @@
         else:
             self._campaign.wait(0.0)
 
-    def _on_take_over(self, message: m.TakeOver) -> None:
+    def _on_take_over(self, message: TakeOver) -> None:
         if message.epoch == self.record.epoch and self.state is State.BACKUP and self._may_stand():
             self._primary_heard_at = -1e9
             self._stand()
 
-    def _on_join(self, message: m.Join) -> None:
+    def _on_join(self, message: Join) -> None:
         if self.leadership is not None:
             self.leadership.on_join(message)
         elif address := self.primary():
-            self._network.send(m.address_of(message.member), m.Redirect(address, self.record.epoch))
+            self._network.send(address_of(message.member), Redirect(address, self.record.epoch))
 
-    def _on_released(self, message: m.Released) -> None:
+    def _on_released(self, message: LeaveApproved) -> None:
         if message.epoch >= self.record.epoch and self.leadership is None:
             self.departure.release()
 
-    def _on_redirect(self, message: m.Redirect) -> None:
+    def _on_redirect(self, message: Redirect) -> None:
         if message.epoch > self.record.epoch and self.state is State.PRIMARY:
             self._become(State.BACKUP)
         if self.state is State.JOINING and message.primary:
-            self._network.send(message.primary, m.Join(self.me, self.settings.node, self.departure.leaving))
+            self._network.send(message.primary, Join(self.me, self.settings.node, self.departure.leaving))
 
-    def _message_handlers(self) -> dict[type[m.Message], Callable[[m.Message], None]]:
+    def _message_handlers(self) -> dict[type[Message], Callable[[Message], None]]:
         """Whose business each message is: this member's own, or one of its parts'."""
         return {
-            m.PreVote: self._campaign.on_pre_vote,
-            m.PreVoteReply: self._campaign.on_reply,
-            m.Standing: self._campaign.on_standing,
-            m.Prepare: self._on_prepare,
-            m.Promise: self._proposer.on_promise,
-            m.Deny: self._on_deny,
-            m.Accept: self._on_accept,
-            m.Accepted: self._proposer.on_accepted,
-            m.LeaseRequest: self._on_lease_request,
-            m.LeaseRelease: self._on_lease_release,
-            m.TakeOver: self._on_take_over,
-            m.Join: self._on_join,
-            m.Released: self._on_released,
-            m.Redirect: self._on_redirect,
-            m.Replicate: self._follower.on_replicate,
-            m.StatePart: self._follower.on_state_part,
-            m.TransferAsk: self._follower.on_transfer_ask,
-            m.DigestRequest: self._follower.on_digest_request,
-            m.LeaseGrant: self._to_leadership,
-            m.TransferProgress: self._to_leadership,
-            m.Stored: self._to_leadership,
-            m.DigestReply: self._to_leadership,
+            PreVote: self._campaign.on_pre_vote,
+            PreVoteReply: self._campaign.on_reply,
+            CandidacyAnnounced: self._campaign.on_standing,
+            Prepare: self._on_prepare,
+            Promise: self._proposer.on_promise,
+            PrepareRejected: self._on_deny,
+            Accept: self._on_accept,
+            Accepted: self._proposer.on_accepted,
+            LeaseRequest: self._on_lease_request,
+            LeaseRelease: self._on_lease_release,
+            TakeOver: self._on_take_over,
+            Join: self._on_join,
+            LeaveApproved: self._on_released,
+            Redirect: self._on_redirect,
+            Replicate: self._follower.on_replicate,
+            SnapshotChunk: self._follower.on_state_part,
+            SnapshotProbe: self._follower.on_transfer_ask,
+            DigestRequest: self._follower.on_digest_request,
+            LeaseGrant: self._to_leadership,
+            SnapshotProgress: self._to_leadership,
+            ReplicateAck: self._to_leadership,
+            DigestReply: self._to_leadership,
         }
 
-    def _to_leadership(self, message: m.LeaseGrant | m.TransferProgress | m.Stored | m.DigestReply) -> None:
+    def _to_leadership(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
         """An answer to a primary, of this lead's present epoch."""
         if self.leadership is not None and message.epoch == self.record.epoch:
             self.leadership.receive(message)
@@ -277,7 +305,7 @@
 
     # Rounds of the register ----------------------------------------------------------------------
 
-    def _choose(self, proposal: Proposal) -> m.EpochRecord | None:
+    def _choose(self, proposal: Proposal) -> EpochRecord | None:
         """The record to propose: as primary the planned one, as candidate oneself, if in sync."""
         base = proposal.base
         if self.leadership is not None and base.primary == self.me:
@@ -292,19 +320,19 @@
             self._become(State.BACKUP if self.me in base.witnesses else State.JOINING)
         return decided.record
 
-    def _stand_aside(self, base: m.EpochRecord, further: str) -> None:
+    def _stand_aside(self, base: EpochRecord, further: str) -> None:
         log.warning("event=stands_aside member=%s", further)
         self._become(State.BACKUP)
         self._campaign.wait(LEASE_S)
-        self._network.send(m.address_of(further), m.TakeOver(base.epoch))
+        self._network.send(address_of(further), TakeOver(base.epoch))
 
-    def _held(self) -> m.Position:
+    def _held(self) -> Position:
         return self.store.held
 
     def _recorded_primary(self) -> str:
         return self.record.primary
 
-    def _decided(self, record: m.EpochRecord) -> None:
+    def _decided(self, record: EpochRecord) -> None:
         if self.state is State.CANDIDATE:
             self._become(State.PRIMARY)
         if self.leadership is not None:
@@ -376,13 +404,13 @@
         self._join_at = self._clock.now()
         primary = self.primary()
         if primary and not self.departure.pending:
-            self._network.send(primary, m.Join(self.me, self.settings.node, False))
+            self._network.send(primary, Join(self.me, self.settings.node, False))
             return
-        known = [m.address_of(one) for one in (self.record.primary, *self.record.witnesses) if one]
-        own = m.address_of(self.me)
+        known = [address_of(one) for one in (self.record.primary, *self.record.witnesses) if one]
+        own = address_of(self.me)
         for address in dict.fromkeys([*known, *self.contacts]):
             if address != own:
-                self._network.send(address, m.Join(self.me, self.settings.node, self.departure.leaving))
+                self._network.send(address, Join(self.me, self.settings.node, self.departure.leaving))
 
     # The one change of state -----------------------------------------------------------------------
 
--- /dev/null
+++ b/lynxscale/coordination/messages/__init__.py
@@ -0,0 +1,92 @@
+"""All messages of the internal protocol, a module a conversation.
+
+The names of classes and fields are free to change; ``tag`` and ``msgspec.field(name=...)`` keep what stands on the wire
+and in files. A member is ``ADDRESS#INCARNATION``: a node that lost its disk comes back as another member at the same
+address.
+"""
+
+from lynxscale.coordination.messages.base import EpochRecord, Message, Position, address_of, member_id
+from lynxscale.coordination.messages.calls import (
+    AdmitTurn,
+    Call,
+    FinishTurn,
+    Reply,
+    TurnAdmitted,
+    TurnFinished,
+    TurnRejected,
+)
+from lynxscale.coordination.messages.codec import Wire, decode, encode
+from lynxscale.coordination.messages.distribution import Attach, Heartbeat, Suspicion, Topic, TopicUpdate, Version
+from lynxscale.coordination.messages.election import (
+    Accept,
+    Accepted,
+    CandidacyAnnounced,
+    Prepare,
+    PrepareRejected,
+    PreVote,
+    PreVoteReply,
+    Promise,
+)
+from lynxscale.coordination.messages.lease import LeaseGrant, LeaseRelease, LeaseRequest, TakeOver
+from lynxscale.coordination.messages.membership import Join, LeaveApproved, Redirect
+from lynxscale.coordination.messages.replication import (
+    Batch,
+    DigestReply,
+    DigestRequest,
+    Put,
+    Replicate,
+    ReplicateAck,
+    SnapshotChunk,
+    SnapshotProbe,
+    SnapshotProgress,
+    put_value,
+)
+
+__all__ = [
+    "Accept",
+    "Accepted",
+    "AdmitTurn",
+    "Attach",
+    "Batch",
+    "Call",
+    "CandidacyAnnounced",
+    "DigestReply",
+    "DigestRequest",
+    "EpochRecord",
+    "FinishTurn",
+    "Heartbeat",
+    "Join",
+    "LeaseGrant",
+    "LeaseRelease",
+    "LeaseRequest",
+    "LeaveApproved",
+    "Message",
+    "Position",
+    "PreVote",
+    "PreVoteReply",
+    "Prepare",
+    "PrepareRejected",
+    "Promise",
+    "Put",
+    "Redirect",
+    "Replicate",
+    "ReplicateAck",
+    "Reply",
+    "SnapshotChunk",
+    "SnapshotProbe",
+    "SnapshotProgress",
+    "Suspicion",
+    "TakeOver",
+    "Topic",
+    "TopicUpdate",
+    "TurnAdmitted",
+    "TurnFinished",
+    "TurnRejected",
+    "Version",
+    "Wire",
+    "address_of",
+    "decode",
+    "encode",
+    "member_id",
+    "put_value",
+]
--- a/lynxscale/coordination/proposer.py
+++ b/lynxscale/coordination/proposer.py
@@ -4,8 +4,18 @@
 
 from collections.abc import Callable
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.epochs import Proposal, Witness
+from lynxscale.coordination.messages import (
+    Accept,
+    Accepted,
+    EpochRecord,
+    Message,
+    Position,
+    Prepare,
+    PrepareRejected,
+    Promise,
+    address_of,
+)
 from lynxscale.coordination.ports import Clock, Network
 
 ROUND_TIMEOUT_S = 0.25  # for the answers to a prepare or an accept, beside what disks take
@@ -24,9 +34,9 @@
         witness: Witness,
         clock: Clock,
         network: Network,
-        held: Callable[[], m.Position],
-        choose: Callable[[Proposal], m.EpochRecord | None],
-        decided: Callable[[m.EpochRecord], None],
+        held: Callable[[], Position],
+        choose: Callable[[Proposal], EpochRecord | None],
+        decided: Callable[[EpochRecord], None],
     ) -> None:
         self._witness = witness
         self._clock = clock
@@ -54,7 +64,7 @@
         """Answers to the round under way count no more."""
         self._proposal = None
 
-    def propose(self) -> m.Deny | None:
+    def propose(self) -> PrepareRejected | None:
         """Begin a round; no round where the own witness is bound, which is told. Raises OSError.
 
         The own promise is durable before anyone else is asked: no later process of this member asks for that epoch
@@ -62,10 +72,10 @@
         """
         self._proposal = None
         epoch = self._next_epoch()
-        request = m.Prepare(epoch, self._witness.member)
+        request = Prepare(epoch, self._witness.member)
         own = self._witness.prepare(request, self._held())
         self._begun_at = self._clock.now()
-        if isinstance(own, m.Deny):
+        if isinstance(own, PrepareRejected):
             self._highest_denied = max(self._highest_denied, own.promised)
             return own
         self._open_epoch = epoch
@@ -86,7 +96,7 @@
         """A witness is bound by an epoch of which nothing came: the next round asks for a later one."""
         self._highest_denied = max(self._highest_denied, promised)
 
-    def on_promise(self, message: m.Promise) -> None:
+    def on_promise(self, message: Promise) -> None:
         """A witness takes part."""
         proposal = self._proposal
         if proposal is None:
@@ -100,9 +110,9 @@
             return
         proposal.record = record
         self._open_epoch = 0
-        self._send_all(proposal.voters, m.Accept(record))
+        self._send_all(proposal.voters, Accept(record))
 
-    def on_deny(self, message: m.Deny) -> bool:
+    def on_deny(self, message: PrepareRejected) -> bool:
         """A witness does not; was the round under way meant?"""
         proposal = self._proposal
         if proposal is None or message.epoch != proposal.epoch or proposal.record is not None:
@@ -110,7 +120,7 @@
         self._highest_denied = max(self._highest_denied, message.promised)
         return True
 
-    def on_accepted(self, message: m.Accepted) -> None:
+    def on_accepted(self, message: Accepted) -> None:
         """A witness has stored the record."""
         proposal = self._proposal
         if proposal is not None and proposal.accept(message):
@@ -124,8 +134,8 @@
         if base is None or proposal.record is not None or set(base.witnesses) <= set(self._witness.record.witnesses):
             return
         missing = tuple(one for one in base.witnesses if one not in proposal.promised)
-        self._send_all(missing, m.Prepare(proposal.epoch, proposal.candidate))
+        self._send_all(missing, Prepare(proposal.epoch, proposal.candidate))
 
-    def _send_all(self, members: tuple[str, ...], message: m.Message) -> None:
+    def _send_all(self, members: tuple[str, ...], message: Message) -> None:
         for one in members:
-            self._network.send(m.address_of(one), message)
+            self._network.send(address_of(one), message)
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.copies import Copy
+from lynxscale.coordination.messages import Batch, EpochRecord, Position, Put, SnapshotProgress
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.versions import START
@@ -22,8 +22,8 @@
 class Submission:
     """Puts that wait for their batch, what undoes them, and whom to tell of the commit."""
 
-    puts: tuple[m.Put, ...]
-    undo: tuple[m.Put, ...]
+    puts: tuple[Put, ...]
+    undo: tuple[Put, ...]
     done: Callable[[bool], None]
 
 
@@ -31,7 +31,7 @@
 class Outstanding:
     """The batch under way."""
 
-    batch: m.Batch
+    batch: Batch
     begun_at: float
     submissions: list[Submission] = field(default_factory=list)
 
@@ -57,7 +57,7 @@
         self._clock = clock
         self._network = network
         self._least_copies = copies
-        self._record: m.EpochRecord | None = None
+        self._record: EpochRecord | None = None
         self._must_store: set[str] = set()
         self._pending: list[Submission] = []
         self._outstanding: Outstanding | None = None
@@ -82,7 +82,7 @@
             return set()
         return self.lacking
 
-    def begin(self, record: m.EpochRecord) -> None:
+    def begin(self, record: EpochRecord) -> None:
         """Go on in a new epoch of this primary; the first one opens with an empty batch, so positions differ."""
         first = self._record is None
         self._record = record
@@ -104,7 +104,7 @@
         for one in set(self.copies) - members - self._must_store:
             del self.copies[one]
 
-    def submit(self, puts: tuple[m.Put, ...], done: Callable[[bool], None]) -> None:
+    def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
         """Change the state now; ``done(True)`` once that is committed, ``done(False)`` if this cannot be told."""
         self._pending.append(Submission(puts, self._store.before(puts), done))
         self._store.apply(puts)
@@ -131,14 +131,14 @@
         for submission in waiting:
             submission.done(False)
 
-    def on_position(self, member: str, position: m.Position) -> None:
+    def on_position(self, member: str, position: Position) -> None:
         """A member tells what it has stored."""
         copy = self.copies.get(member)
         if copy is not None:
             copy.on_position(position)
             self._check_commit()
 
-    def on_progress(self, message: m.TransferProgress) -> None:
+    def on_progress(self, message: SnapshotProgress) -> None:
         """A member tells how far a transfer of the whole state has come."""
         copy = self.copies.get(message.member)
         if copy is not None:
@@ -190,7 +190,7 @@
         submissions, self._pending = self._pending, []
         puts = tuple(put for submission in submissions for put in submission.puts)
         previous = self._store.position
-        batch = m.Batch(previous, m.Position(self._record.epoch, previous.index + 1), puts)
+        batch = Batch(previous, Position(self._record.epoch, previous.index + 1), puts)
         self._outstanding = Outstanding(batch, self._clock.now(), submissions)
         for copy in self.copies.values():
             copy.offer(batch)
--- a/lynxscale/coordination/ring.py
+++ b/lynxscale/coordination/ring.py
@@ -9,7 +9,7 @@
 import zlib
 from collections.abc import Callable
 
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import Heartbeat, Message, Suspicion
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.tree import RosterEntry
 
@@ -54,9 +54,9 @@
         now = self._clock.now()
         self._heard = {one: self._heard.get(one, now) for one in watched}
 
-    def receive(self, message: m.Message) -> bool:
+    def receive(self, message: Message) -> bool:
         """Handle a heartbeat; False for messages of other kinds."""
-        if not isinstance(message, m.Heartbeat):
+        if not isinstance(message, Heartbeat):
             return False
         if message.sender in self._heard:
             self._heard[message.sender] = self._clock.now()
@@ -65,11 +65,11 @@
     def _tick(self) -> None:
         self._clock.call_later(self._interval, self._tick)
         for monitor in self._monitors:
-            self._network.send(monitor, m.Heartbeat(self.address))
+            self._network.send(monitor, Heartbeat(self.address))
         oldest = self._clock.now() - MISSED_HEARTBEATS * self._interval
         for one, heard in self._heard.items():
             if heard < oldest and self.primary:
-                self._network.send(self.primary, m.Suspicion(self.address, one))
+                self._network.send(self.primary, Suspicion(self.address, one))
 
 
 class Roster:
@@ -92,7 +92,7 @@
             self._entries[address] = RosterEntry(address, zone)
             self._on_change()
 
-    def suspected(self, suspicion: m.Suspicion) -> None:
+    def suspected(self, suspicion: Suspicion) -> None:
         """A monitor misses a relay; with most of its monitors it goes."""
         suspect, now = suspicion.suspect, self._clock.now()
         if suspect not in self._entries:
--- a/lynxscale/coordination/tree.py
+++ b/lynxscale/coordination/tree.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import Attach, Message, Redirect, Topic, TopicUpdate, Version
 from lynxscale.coordination.ports import Clock, Network
 
 FANOUT = 4
@@ -51,7 +51,7 @@
 class Sent:
     """A version that is on its way."""
 
-    version: m.Version
+    version: Version
     at: float
 
 
@@ -59,13 +59,13 @@
 class Child:
     """A relay below this node: what it told that it has, and what was sent since."""
 
-    have: dict[str, m.Version]
+    have: dict[str, Version]
     seen_at: float
     sent: dict[str, Sent] = field(default_factory=dict)
 
-    def wants(self, name: str, version: m.Version, now: float) -> bool:
+    def wants(self, name: str, version: Version, now: float) -> bool:
         """Is it to be sent this version? Not while it has yet to confirm an earlier one: that would queue up behind."""
-        have = self.have.get(name, m.Version())
+        have = self.have.get(name, Version())
         sent = self.sent.get(name)
         unconfirmed = sent is not None and sent.version > have and now - sent.at < RESEND_AFTER_S
         return have < version and not unconfirmed
@@ -76,16 +76,16 @@
 
     def __init__(self, address: str, clock: Clock, network: Network) -> None:
         self.address = address
-        self.topics: dict[str, m.Topic] = {}
+        self.topics: dict[str, Topic] = {}
         self.children: dict[str, Child] = {}
         self._clock = clock
         self._network = network
 
-    def versions(self) -> dict[str, m.Version]:
+    def versions(self) -> dict[str, Version]:
         """The version of each topic."""
         return {name: topic.version for name, topic in self.topics.items()}
 
-    def take(self, topics: dict[str, m.Topic]) -> list[str]:
+    def take(self, topics: dict[str, Topic]) -> list[str]:
         """Keep what is newer than the own version; the names of these topics."""
         newer = [name for name, topic in topics.items() if self._is_newer(name, topic)]
         for name in newer:
@@ -96,7 +96,7 @@
         """Forget topics by name."""
         self.topics = {name: topic for name, topic in self.topics.items() if not unwanted(name)}
 
-    def attach(self, request: m.Attach, primary: str, epoch: int, age: float) -> None:
+    def attach(self, request: Attach, primary: str, epoch: int, age: float) -> None:
         """Answer a child."""
         now = self._clock.now()
         child = self.children.setdefault(request.sender, Child({}, now))
@@ -112,7 +112,7 @@
             if any(child.wants(name, topic.version, now) for name, topic in self.topics.items()):
                 self._send(one, child, primary, epoch, age)
 
-    def _is_newer(self, name: str, topic: m.Topic) -> bool:
+    def _is_newer(self, name: str, topic: Topic) -> bool:
         own = self.topics.get(name)
         return own is None or own.version < topic.version
 
@@ -120,7 +120,7 @@
         now = self._clock.now()
         lacking = {name: topic for name, topic in self.topics.items() if child.wants(name, topic.version, now)}
         child.sent |= {name: Sent(topic.version, now) for name, topic in lacking.items()}
-        self._network.send(address, m.Update(self.address, primary, epoch, age, self.versions(), lacking))
+        self._network.send(address, TopicUpdate(self.address, primary, epoch, age, self.versions(), lacking))
 
 
 class Place(Enum):
@@ -182,19 +182,19 @@
         """Seconds between two questions: a parent's cost grows with its children, not with the tier."""
         return ATTACH_EVERY_S * min(MOST_STRETCH, max(1.0, self._relays / STRETCH_BEYOND))
 
-    def receive(self, message: m.Message) -> bool:
+    def receive(self, message: Message) -> bool:
         """Handle a message of the tree; False where it is of another kind."""
-        if isinstance(message, m.Attach):
+        if isinstance(message, Attach):
             self.publisher.attach(message, self.primary, self.epoch, self.age)
-        elif isinstance(message, m.Update):
+        elif isinstance(message, TopicUpdate):
             self._on_update(message)
-        elif isinstance(message, m.Redirect):
+        elif isinstance(message, Redirect):
             self._on_redirect(message)
         else:
             return False
         return True
 
-    def _on_update(self, message: m.Update) -> None:
+    def _on_update(self, message: TopicUpdate) -> None:
         now = self._clock.now()
         if message.epoch >= self.epoch:
             self.epoch = message.epoch
@@ -213,7 +213,7 @@
         if self.place is Place.SEEKING or newer:
             self._settle()
 
-    def _on_redirect(self, message: m.Redirect) -> None:
+    def _on_redirect(self, message: Redirect) -> None:
         if message.epoch >= self.epoch and message.primary:
             moved = message.primary != self.primary
             self.epoch, self.primary = message.epoch, message.primary
@@ -250,11 +250,11 @@
 
     def _confirm(self, parent: str) -> None:
         """Tell at once what has come, so that the newest may follow."""
-        self._network.send(parent, m.Attach(self.address, self._zone, self.publisher.versions()))
+        self._network.send(parent, Attach(self.address, self._zone, self.publisher.versions()))
 
     def _attach(self) -> None:
         target = self._parent
         if self.place is Place.SEEKING:
             self._next_contact = (self._next_contact + 1) % len(self.contacts)
             target = self.contacts[self._next_contact]
-        self._network.send(target, m.Attach(self.address, self._zone, self.publisher.versions()))
+        self._network.send(target, Attach(self.address, self._zone, self.publisher.versions()))
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from lynxscale.controlplane.endpoints import EndpointReader
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.calls import PrimaryCalls
+from lynxscale.coordination.messages import Message
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.ring import RingMember
 from lynxscale.coordination.tree import ROSTER, Subscriber
@@ -67,7 +67,7 @@
         """Has no primary vouched for what this relay holds for long? Then others serve programs better."""
         return self.tree.alone
 
-    def receive(self, message: m.Message) -> None:
+    def receive(self, message: Message) -> None:
         """Handle a message of another node."""
         primary = self.tree.primary
         handled = self.calls.receive(message) or self.ring.receive(message) or self.tree.receive(message)
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.calls import PrimaryCalls
+from lynxscale.coordination.messages import AdmitTurn, FinishTurn, Message, TurnAdmitted, TurnRejected
 from lynxscale.dataplane import headers as h
 from lynxscale.dataplane.history_cache import HistoryCache
 from lynxscale.dataplane.routing import Route
@@ -70,11 +70,11 @@
         # Taken now: by the time of the answer it may be cached no more.
         history = self._histories.get(cached) or b""
 
-        def answered(answer: m.Message | None) -> None:
-            if isinstance(answer, m.TurnAdmitted):
+        def answered(answer: Message | None) -> None:
+            if isinstance(answer, TurnAdmitted):
                 self._history = (history if answer.after else b"") + answer.history
                 done(200, self._history)
-            elif isinstance(answer, m.TurnRefused):
+            elif isinstance(answer, TurnRejected):
                 self._settled = True
                 done(answer.status, b"")
             else:
@@ -84,8 +84,8 @@
 
         self._calls.call(self._admission(cached), min(left_s, self._timeout_s), answered)
 
-    def _admission(self, cached: str) -> m.AdmitTurn:
-        return m.AdmitTurn(
+    def _admission(self, cached: str) -> AdmitTurn:
+        return AdmitTurn(
             self._program,
             self._request_id,
             self._budget,
@@ -106,12 +106,12 @@
         """The turn has ended whole; ``done(True)`` once it is durable."""
         self._settled = True
 
-        def answered(answer: m.Message | None) -> None:
+        def answered(answer: Message | None) -> None:
             if answer is not None:
                 self._histories.put(self._session, self._request_id, self._history + content)
             done(answer is not None)
 
         self._calls.call(self._finish(tokens, content), FINISH_TIMEOUT_S, answered)
 
-    def _finish(self, tokens: int, content: bytes | None) -> m.FinishTurn:
-        return m.FinishTurn(self._program, self._request_id, tokens, self._route.retention_s, content, self._previous)
+    def _finish(self, tokens: int, content: bytes | None) -> FinishTurn:
+        return FinishTurn(self._program, self._request_id, tokens, self._route.retention_s, content, self._previous)
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -9,9 +9,30 @@
 from lab.tier.world import World
 from lynxscale.controlplane.configuration import check
 from lynxscale.controlplane.update import apply_update, check_update
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.epochs import Witness
-from lynxscale.coordination.netstring import Decoder, NetstringError, encode
+from lynxscale.coordination.messages import (
+    Accept,
+    Attach,
+    Batch,
+    Call,
+    EpochRecord,
+    FinishTurn,
+    LeaseRequest,
+    Message,
+    Position,
+    Prepare,
+    PrepareRejected,
+    Promise,
+    Replicate,
+    Topic,
+    TopicUpdate,
+    Version,
+    decode,
+    encode,
+    put_value,
+)
+from lynxscale.coordination.netstring import Decoder, NetstringError
+from lynxscale.coordination.netstring import encode as encode_netstring
 from lynxscale.coordination.register import MemberIdentity, Register, RegisterState
 from lynxscale.coordination.ring import MONITORS, neighbours
 from lynxscale.coordination.store import NOWHERE, Store
@@ -59,36 +80,36 @@
     world = World(4)
     machine = world.machine("a:1")
     clock = machine.clock()
-    record = m.EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
+    record = EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
     register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
     register.save(RegisterState("a#0", record))
     witness = Witness(register, clock, 0.4)
-    start = m.Position(0, 0)
-    assert witness.grant(m.LeaseRequest(record, 1))
-    assert isinstance(witness.prepare(m.Prepare(4, "c#0"), start), m.Deny)
-    assert isinstance(witness.prepare(m.Prepare(4, "b#0"), start), m.Promise)
+    start = Position(0, 0)
+    assert witness.grant(LeaseRequest(record, 1))
+    assert isinstance(witness.prepare(Prepare(4, "c#0"), start), PrepareRejected)
+    assert isinstance(witness.prepare(Prepare(4, "b#0"), start), Promise)
     # Its holder asks for its own next epoch: the lease goes on. Nobody else gets a promise or a lease meanwhile.
-    assert witness.grant(m.LeaseRequest(record, 2))
-    assert isinstance(witness.prepare(m.Prepare(5, "c#0"), start), m.Deny)
-    assert not witness.grant(m.LeaseRequest(m.EpochRecord(3, "c#0", ("c#0",), record.witnesses), 1))
+    assert witness.grant(LeaseRequest(record, 2))
+    assert isinstance(witness.prepare(Prepare(5, "c#0"), start), PrepareRejected)
+    assert not witness.grant(LeaseRequest(EpochRecord(3, "c#0", ("c#0",), record.witnesses), 1))
     restarted = Witness(Register(MemberIdentity("a:1", False, ()), machine.files, world.random), clock, 0.4)
-    assert isinstance(restarted.prepare(m.Prepare(5, "c#0"), start), m.Deny)
+    assert isinstance(restarted.prepare(Prepare(5, "c#0"), start), PrepareRejected)
     world.run(world.time + 0.41)
-    assert isinstance(restarted.prepare(m.Prepare(5, "c#0"), start), m.Promise)
-    assert restarted.accept(m.EpochRecord(4, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))) is None
+    assert isinstance(restarted.prepare(Prepare(5, "c#0"), start), Promise)
+    assert restarted.accept(EpochRecord(4, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))) is None
 
 
 def test_a_topic_never_falls_behind_the_version_held():
     machine = World(1).machine("a:1")
     publisher = Publisher("a:1", machine.clock(), machine.network())
-    newer, older = (m.Topic(m.Version(2, number), msgspec.Raw(b"1")) for number in (5, 4))
+    newer, older = (Topic(Version(2, number), msgspec.Raw(b"1")) for number in (5, 4))
     assert publisher.take({"config": newer}) == ["config"]
     assert publisher.take({"config": older}) == []
     assert publisher.topics["config"] is newer
 
 
 def test_netstrings_come_in_any_pieces_and_wrong_ones_end_the_stream():
-    data = encode(b"one") + encode(b"") + encode(b"x" * 300)
+    data = encode_netstring(b"one") + encode_netstring(b"") + encode_netstring(b"x" * 300)
     for size in (1, 2, 7, len(data)):
         decoder, found = Decoder(), []
         for place in range(0, len(data), size):
@@ -100,17 +121,17 @@
 
 
 def test_every_message_comes_back_as_it_was():
-    record = m.EpochRecord(3, "a#0", ("a#0",), ("a#0", "b#0"))
-    batch = m.Batch(m.Position(1, 2), m.Position(1, 3), (m.put_value("k", {"v": 1}), m.put_value("gone", None)))
+    record = EpochRecord(3, "a#0", ("a#0",), ("a#0", "b#0"))
+    batch = Batch(Position(1, 2), Position(1, 3), (put_value("k", {"v": 1}), put_value("gone", None)))
     for message in (
-        m.Accept(record),
-        m.Replicate(3, batch),
-        m.Call(7, "c", 1, m.FinishTurn("p", "r", 3, 60.0, b"\x00")),
+        Accept(record),
+        Replicate(3, batch),
+        Call(7, "c", 1, FinishTurn("p", "r", 3, 60.0, b"\x00")),
     ):
-        assert m.encode(m.decode(m.encode(message))) == m.encode(message)
+        assert encode(decode(encode(message))) == encode(message)
     assert batch.puts[1].removes and not batch.puts[0].removes
     with pytest.raises(msgspec.ValidationError):
-        m.decode(b'{"type":"accept","record":7}')
+        decode(b'{"type":"accept","record":7}')
 
 
 @pytest.mark.parametrize("count", [2, 8, 64, 320])
@@ -185,13 +206,13 @@
     machine = World(2).machine("a:1")
     store = Store(machine.files)
     for index in range(1, 4):
-        batch = m.Batch(store.position, m.Position(1, index), (m.put_value(f"k{index}", index),))
+        batch = Batch(store.position, Position(1, index), (put_value(f"k{index}", index),))
         store.save(batch)
         store.apply(batch.puts)
     last = machine.files.names()[-1]
     machine.files._files[last] = machine.files.read(last)[:-20]
     reloaded = Store(machine.files)
-    assert (reloaded.position, reloaded.damage) == (m.Position(1, 2), [last])
+    assert (reloaded.position, reloaded.damage) == (Position(1, 2), [last])
     assert not reloaded.intact and reloaded.held == NOWHERE
     assert reloaded.values.keys() == {"k1", "k2"}
 
@@ -277,18 +298,18 @@
 def test_versions_in_quick_succession_do_not_queue_up_on_a_slow_link():
     """Seen on a variant's day: ten configurations a second on 12 Mbit/s were seconds late, as each was sent."""
     machine = World(3).machine("a:1")
-    sent: list[m.Update] = []
+    sent: list[TopicUpdate] = []
 
     class Network:
-        def send(self, address: str, message: m.Message) -> None:
+        def send(self, address: str, message: Message) -> None:
             sent.append(message)
 
     publisher = Publisher("a:1", machine.clock(), Network())
-    publisher.attach(m.Attach("child:1", "z", {}), "a:1", 1, 0.0)
+    publisher.attach(Attach("child:1", "z", {}), "a:1", 1, 0.0)
     for number in range(1, 9):
-        publisher.take({"config": m.Topic(m.Version(0, number), msgspec.Raw(b"1"))})
+        publisher.take({"config": Topic(Version(0, number), msgspec.Raw(b"1"))})
         publisher.push("a:1", 1, 0.0)
     carried = [update.topics["config"].version.number for update in sent if update.topics]
     assert carried == [1]
-    publisher.attach(m.Attach("child:1", "z", {"config": m.Version(0, 1)}), "a:1", 1, 0.0)
+    publisher.attach(Attach("child:1", "z", {"config": Version(0, 1)}), "a:1", 1, 0.0)
     assert sent[-1].topics["config"].version.number == 8
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -10,11 +10,24 @@
 from lab.tier.orders.catalogue import MODELS, Scope
 from lab.tier.world import ProcessEnded, World
 from lynxscale.controlplane.ledger import Ledger
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.calls import PrimaryCalls
 from lynxscale.coordination.epochs import Witness
 from lynxscale.coordination.lease import LEASE_S
-from lynxscale.coordination.messages import address_of
+from lynxscale.coordination.messages import (
+    AdmitTurn,
+    Call,
+    FinishTurn,
+    Message,
+    Position,
+    Prepare,
+    Put,
+    Reply,
+    SnapshotChunk,
+    TurnAdmitted,
+    TurnFinished,
+    address_of,
+    put_value,
+)
 from lynxscale.coordination.register import REGISTER_FILE, MemberIdentity, Register
 from lynxscale.coordination.sealed import SECOND_COPY
 from lynxscale.coordination.store import NOWHERE, Store
@@ -283,7 +296,7 @@
     sent: list[str] = []
     deliver = group.world.deliver
     group.world.deliver = lambda source, target, message: (
-        sent.extend(put.key for put in message.puts) if isinstance(message, m.StatePart) else None,
+        sent.extend(put.key for put in message.puts) if isinstance(message, SnapshotChunk) else None,
         deliver(source, target, message),
     )
     group.kill(address_of(group.wait_for_leader().me))
@@ -302,7 +315,7 @@
     steady(group, 0.02)
     address = backups(group)[0]
     member = group.members[address]
-    member.store.apply((m.put_value("big00001", "other"),))
+    member.store.apply((put_value("big00001", "other"),))
     leader = group.wait_for_leader()
 
     def scrub() -> None:
@@ -321,7 +334,7 @@
     steady(group, 0.004)
     member = group.members[backups(group)[0]]
     leader = group.wait_for_leader()
-    member.store.apply((m.put_value("lost", 1),))
+    member.store.apply((put_value("lost", 1),))
     group.world.run(group.world.time + 0.05)
     leader.leadership.scrub()
     assert group.world.run_until(lambda: member.me not in leader.record.in_sync, 0.5)
@@ -382,8 +395,8 @@
     asked: list[tuple[int, int]] = []
     deliver = group.world.deliver
 
-    def watch(source: str, target: str, message: m.Message) -> None:
-        if isinstance(message, m.Prepare) and target != source:
+    def watch(source: str, target: str, message: Message) -> None:
+        if isinstance(message, Prepare) and target != source:
             stored = Register(MemberIdentity(source, False, ()), group.world.machine(source).files, group.world.random)
             asked.append((message.epoch, stored.state.promised))
         deliver(source, target, message)
@@ -405,9 +418,9 @@
         machine = world.machine("a:1")
         identity = MemberIdentity("a:1", True, ("a:1", "b:1", "c:1"))
         witness = Witness(Register(identity, machine.files, world.random), machine.clock(), LEASE_S)
-        world.at_instant(world.instants + instant, lambda m=machine: m.kill(power=True))
+        world.at_instant(world.instants + instant, lambda one=machine: one.kill(power=True))
         with pytest.raises(ProcessEnded):
-            witness.prepare(m.Prepare(5, "b:1#0"), m.Position(0, 0))
+            witness.prepare(Prepare(5, "b:1#0"), Position(0, 0))
         assert Register(identity, machine.files, world.random).state.promised == 5
 
 
@@ -540,7 +553,7 @@
     values: dict[str, msgspec.Raw] = {}
     ledger = Ledger(values, machine.clock())
 
-    def put(puts: tuple[m.Put, ...]) -> None:
+    def put(puts: tuple[Put, ...]) -> None:
         for one in puts:
             if one.removes:
                 del values[one.key]
@@ -549,12 +562,12 @@
 
     for number in range(6):
         previous = f"t{number - 1}" if number else ""
-        put(ledger.finish(m.FinishTurn("p", f"t{number}", 0, 60.0, b"x", previous)))
+        put(ledger.finish(FinishTurn("p", f"t{number}", 0, 60.0, b"x", previous)))
         machine.world.time += 50.0
         put(ledger.expired())
-    asked = m.AdmitTurn("p", "t6", -1, 0, 60.0, True, "t5")
+    asked = AdmitTurn("p", "t6", -1, 0, 60.0, True, "t5")
     answer, _ = ledger.admit(asked)
-    assert isinstance(answer, m.TurnAdmitted) and answer.history == b"x" * 6
+    assert isinstance(answer, TurnAdmitted) and answer.history == b"x" * 6
     later = Ledger(values, machine.clock())
     later.begin()
     machine.clock_step_s = 7200.0
@@ -567,14 +580,14 @@
 
 def test_an_answer_to_an_earlier_process_is_none_to_this_one():
     machine = World(1).machine("a:1")
-    sent: list[m.Call] = []
+    sent: list[Call] = []
 
     class Wire:
-        def send(self, address: str, message: m.Message) -> None:
+        def send(self, address: str, message: Message) -> None:
             sent.append(message)
 
-    answers: list[m.Message] = []
-    body = m.FinishTurn("p", "r", 0, 60.0)
+    answers: list[Message] = []
+    body = FinishTurn("p", "r", 0, 60.0)
     lives = [
         PrimaryCalls("a:1", machine.clock(), Wire(), machine.world.random, lambda: "b:1", lambda: ["b:1"])
         for _ in range(2)
@@ -582,10 +595,10 @@
     lives[0].call(body, 1.0, lambda answer: None)
     lives[1].call(body, 1.0, answers.append)
     assert sent[0].number == sent[1].number
-    lives[1].receive(m.Reply(sent[0].number, sent[0].life, m.TurnFinished()))
+    lives[1].receive(Reply(sent[0].number, sent[0].life, TurnFinished()))
     assert answers == []
-    lives[1].receive(m.Reply(sent[1].number, sent[1].life, m.TurnFinished()))
-    assert answers == [m.TurnFinished()]
+    lives[1].receive(Reply(sent[1].number, sent[1].life, TurnFinished()))
+    assert answers == [TurnFinished()]
 
 
 def test_an_admission_that_came_too_late_gives_back_what_it_reserved():
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -7,10 +7,20 @@
 from lab.tier.group import Group
 from lab.tier.takeover import Case, silence
 from lab.tier.world import World
-from lynxscale.coordination import messages as m
 from lynxscale.coordination.epochs import Witness
 from lynxscale.coordination.lease import LEASE_S
-from lynxscale.coordination.messages import address_of
+from lynxscale.coordination.messages import (
+    EpochRecord,
+    Heartbeat,
+    Join,
+    LeaseRequest,
+    Message,
+    Position,
+    Prepare,
+    PrepareRejected,
+    Promise,
+    address_of,
+)
 from lynxscale.coordination.register import REGISTER_FILE, MemberIdentity, Register, RegisterState
 from lynxscale.coordination.sealed import SECOND_COPY
 from lynxscale.coordination.support import Support
@@ -42,8 +52,8 @@
         asked: set[str] = set()
         deliver = group.world.deliver
 
-        def watch(source: str, target: str, message: m.Message, asked=asked, deliver=deliver) -> None:
-            if isinstance(message, m.Prepare):
+        def watch(source: str, target: str, message: Message, asked=asked, deliver=deliver) -> None:
+            if isinstance(message, Prepare):
                 asked.add(message.candidate)
             deliver(source, target, message)
 
@@ -72,7 +82,7 @@
     """Seen simulated: a member that heard no answers asked again and again, and all voters kept out of its way."""
     world = World(1)
     machine = world.machine("a:1")
-    record = m.EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
+    record = EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
     register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
     register.save(RegisterState("a#0", record, 3, "p#0"))
     support = Support(Witness(register, machine.clock(), LEASE_S), machine.clock())
@@ -94,7 +104,7 @@
 def test_the_better_rank_is_preferred_among_those_that_ask_at_once():
     world = World(1)
     machine = world.machine("a:1")
-    record = m.EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
+    record = EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
     register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
     register.save(RegisterState("a#0", record, 3, "p#0"))
     support = Support(Witness(register, machine.clock(), LEASE_S), machine.clock())
@@ -116,8 +126,8 @@
     group.world.run(group.world.time + 1.0)
     deliver = group.world.deliver
 
-    def watch(source: str, target: str, message: m.Message) -> None:
-        if isinstance(message, m.Join):
+    def watch(source: str, target: str, message: Message) -> None:
+        if isinstance(message, Join):
             joins.append(target)
         deliver(source, target, message)
 
@@ -134,16 +144,16 @@
     """Seen simulated with 30 ms a sync: each change of the in-sync set cost the primary its lease, for ever again."""
     world = World(1)
     machine = world.machine("a:1")
-    record = m.EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
+    record = EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
     register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
     register.save(RegisterState("a#0", record, 3, "b#0"))
     witness = Witness(register, machine.clock(), LEASE_S)
-    assert isinstance(witness.prepare(m.Prepare(4, "b#0"), m.Position(0, 0)), m.Promise)
-    assert witness.grant(m.LeaseRequest(record, 1))
-    assert isinstance(witness.prepare(m.Prepare(5, "c#0"), m.Position(0, 0)), m.Deny)
+    assert isinstance(witness.prepare(Prepare(4, "b#0"), Position(0, 0)), Promise)
+    assert witness.grant(LeaseRequest(record, 1))
+    assert isinstance(witness.prepare(Prepare(5, "c#0"), Position(0, 0)), PrepareRejected)
     world.run(world.time + LEASE_S + 0.01)
-    assert isinstance(witness.prepare(m.Prepare(5, "c#0"), m.Position(0, 0)), m.Promise)
-    assert not witness.grant(m.LeaseRequest(record, 2))
+    assert isinstance(witness.prepare(Prepare(5, "c#0"), Position(0, 0)), Promise)
+    assert not witness.grant(LeaseRequest(record, 2))
 
 
 def test_a_register_whose_second_file_is_behind_is_written_anew_at_the_start():
@@ -162,13 +172,13 @@
 def test_what_was_sent_before_a_write_leaves_before_the_disk_is_waited_for(tmp_path):
     """Seen from reading: a batch left for its copies only when the primary's own syncs were over."""
 
-    async def play() -> list[m.Message]:
+    async def play() -> list[Message]:
         loop = asyncio.get_running_loop()
         sender, receiver = InternalNetwork(loop, "127.0.0.1:0"), InternalNetwork(loop, "127.0.0.1:0")
-        heard: list[m.Message] = []
+        heard: list[Message] = []
         await receiver.listen(heard.append)
         address = f"127.0.0.1:{receiver._server.sockets[0].getsockname()[1]}"
-        sender.send(address, m.Heartbeat("first"))
+        sender.send(address, Heartbeat("first"))
         while not heard:
             await asyncio.sleep(0)
         written: list[int] = []
@@ -179,7 +189,7 @@
             written.append(len(link._waiting))
 
         files = DurableFiles(str(tmp_path), before_sync)
-        sender.send(address, m.Heartbeat("second"))
+        sender.send(address, Heartbeat("second"))
         assert len(link._waiting) == 1
         files.write("a", b"1")
         assert written == [0]
--- a/tests/test_tier_whole.py
+++ b/tests/test_tier_whole.py
@@ -7,7 +7,7 @@
 
 from lab.tier.cluster import HOST, INTERNAL_PORT, MODEL, Tier, default_configuration
 from lab.tier.world import World
-from lynxscale.coordination import messages as m
+from lynxscale.coordination.messages import Message, Reply, TurnAdmitted
 from lynxscale.runtime.http_types import Request
 
 EVENTS = b"".join(b"id: %d\ndata: word%d\n\n" % (number, number) for number in range(1, 5))
@@ -233,11 +233,11 @@
 def test_a_relay_that_has_a_conversations_text_is_sent_only_what_it_lacks():
     """Seen on the Stadtwerke Steyr site: a third of all bytes between zones were histories, each sent whole."""
     one = tier()
-    sent: list[m.TurnAdmitted] = []
+    sent: list[TurnAdmitted] = []
     deliver = one.world.deliver
 
-    def watch(source: str, target: str, message: m.Message) -> None:
-        if isinstance(message, m.Reply) and isinstance(message.body, m.TurnAdmitted):
+    def watch(source: str, target: str, message: Message) -> None:
+        if isinstance(message, Reply) and isinstance(message.body, TurnAdmitted):
             sent.append(message.body)
         deliver(source, target, message)
 
