--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from lynxscale.controlplane.ledger import Ledger, Turn
+from lynxscale.coordination.key_value_table import Table
 from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.table import Table
 from lynxscale.runtime.clock import LoopClock
 from lynxscale.runtime.files import DurableFiles
 
--- a/lab/tier/mistakes/replication.py
+++ b/lab/tier/mistakes/replication.py
@@ -7,9 +7,9 @@
 from lab.tier.mistakes.finders import Patches
 from lab.tier.orders import admission
 from lynxscale.coordination import voters
-from lynxscale.coordination.copies import Copy, CopyState
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.messages import Batch, Put, Replicate, SnapshotChunk, SnapshotProgress
+from lynxscale.coordination.replica_progress import Copy, CopyState
 from lynxscale.coordination.replication import Replicator
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.voters import PlanInput
--- a/lab/tier/orders/election.py
+++ b/lab/tier/orders/election.py
@@ -37,7 +37,7 @@
 )
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.register import MemberIdentity, Register
-from lynxscale.coordination.versions import START
+from lynxscale.coordination.version_files import START
 
 ADDRESSES = ("a:1", "b:1", "c:1")
 TOLERATED = 1
--- a/lab/tier/orders/operators.py
+++ b/lab/tier/orders/operators.py
@@ -16,8 +16,8 @@
 
 from lab.explorer import Breach, Event, frozen
 from lynxscale.controlplane.operator_api import BASE_HEADER, CURRENT_KEY, OperatorApi
+from lynxscale.coordination.key_value_table import Table
 from lynxscale.coordination.messages import Put, put_value
-from lynxscale.coordination.table import Table
 from lynxscale.runtime.http_types import Head, Request, Response
 
 UNCLEAR = (307, 408, 429)
--- a/lab/tier/orders/transfer.py
+++ b/lab/tier/orders/transfer.py
@@ -17,8 +17,7 @@
 
 from lab.explorer import Breach, Event, frozen
 from lab.tier.world import World
-from lynxscale.coordination import copies
-from lynxscale.coordination.copies import Copy
+from lynxscale.coordination import replica_progress
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.messages import (
     Batch,
@@ -33,6 +32,7 @@
     encode,
     put_value,
 )
+from lynxscale.coordination.replica_progress import Copy
 from lynxscale.coordination.store import Store
 
 PRIMARY, FOLLOWER = "p:1", "f:1"
@@ -142,7 +142,7 @@
         (what,) = event
         if what in self._left:
             self._left[what] -= 1
-        with patch.multiple(copies, MOST_PART_BYTES=1, LEAST_WINDOW_BYTES=1, MOST_WINDOW_BYTES=4):
+        with patch.multiple(replica_progress, MOST_PART_BYTES=1, LEAST_WINDOW_BYTES=1, MOST_WINDOW_BYTES=4):
             getattr(self, "_" + what.replace(" ", "_"))()
 
     def _follower_hears(self) -> None:
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from lynxscale.coordination.key_value_table import Table
 from lynxscale.coordination.messages import (
     DigestReply,
     DigestRequest,
@@ -19,7 +20,6 @@
 )
 from lynxscale.coordination.ports import Network
 from lynxscale.coordination.store import NOWHERE, Store
-from lynxscale.coordination.table import Table
 
 
 @dataclass
--- a/lynxscale/coordination/ring.py
+++ b/lynxscale/coordination/heartbeat_ring.py
@@ -9,9 +9,9 @@
 import zlib
 from collections.abc import Callable
 
+from lynxscale.coordination.distribution_tree import RosterEntry
 from lynxscale.coordination.messages import Heartbeat, Message, Suspicion
 from lynxscale.coordination.ports import Clock, Network
-from lynxscale.coordination.tree import RosterEntry
 
 MONITORS = 3
 MISSED_HEARTBEATS = 2.5
--- a/lynxscale/coordination/copies.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -29,7 +29,7 @@
 )
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.versions import START
+from lynxscale.coordination.version_files import START
 
 log = logging.getLogger(__name__)
 
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -9,11 +9,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from lynxscale.coordination.copies import Copy
 from lynxscale.coordination.messages import Batch, EpochRecord, Position, Put, SnapshotProgress
 from lynxscale.coordination.ports import Clock, Network
+from lynxscale.coordination.replica_progress import Copy
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.versions import START
+from lynxscale.coordination.version_files import START
 
 LAG_S = 0.4  # a member that has not stored a batch after so long is not waited for
 
--- a/lynxscale/coordination/store.py
+++ b/lynxscale/coordination/store.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
+from lynxscale.coordination.key_value_table import Table
 from lynxscale.coordination.messages import Batch, Position, Put
 from lynxscale.coordination.ports import Files
-from lynxscale.coordination.table import Table
-from lynxscale.coordination.versions import START, VersionFiles, WholeWriter
+from lynxscale.coordination.version_files import START, VersionFiles, WholeWriter
 
 MOST_BATCH_FILES = 1000
 LEAST_BATCH_BYTES = 1_000_000  # before the batches are folded into a whole version
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -8,11 +8,11 @@
 import msgspec
 
 from lynxscale.controlplane.endpoints import EndpointReader
-from lynxscale.coordination.calls import PrimaryCalls
+from lynxscale.coordination.distribution_tree import ROSTER, Subscriber
+from lynxscale.coordination.heartbeat_ring import RingMember
 from lynxscale.coordination.messages import Message
 from lynxscale.coordination.ports import Clock, Network
-from lynxscale.coordination.ring import RingMember
-from lynxscale.coordination.tree import ROSTER, Subscriber
+from lynxscale.coordination.primary_calls import PrimaryCalls
 from lynxscale.dataplane import headers as h
 from lynxscale.dataplane.balancer import Balancer
 from lynxscale.dataplane.forwarding import ForwardedRequest, Surroundings
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from lynxscale.coordination.calls import PrimaryCalls
 from lynxscale.coordination.messages import AdmitTurn, FinishTurn, Message, TurnAdmitted, TurnRejected
+from lynxscale.coordination.primary_calls import PrimaryCalls
 from lynxscale.dataplane import headers as h
 from lynxscale.dataplane.history_cache import HistoryCache
 from lynxscale.dataplane.routing import Route
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -10,7 +10,7 @@
 from lynxscale.coordination.register import REGISTER_FILE
 from lynxscale.coordination.sealed import SECOND_COPY, unseal
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.versions import VersionFiles
+from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.runtime.files import ASIDE, DurableFiles
 from tests import golden
 
--- a/tests/data/tier/generate.py
+++ b/tests/data/tier/generate.py
@@ -19,9 +19,9 @@
 
 from lab.tier.cluster import default_configuration
 from lynxscale.controlplane import operator_api
-from lynxscale.coordination import versions
+from lynxscale.coordination import version_files
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.versions import VersionFiles
+from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.runtime.files import DurableFiles
 from tests import golden
 
@@ -292,10 +292,10 @@
     VersionFiles(DurableFiles(str(folded))).remove_before(Store(DurableFiles(str(folded))).position)
     for one in [*batches[FOLDED_AT:], *marks]:
         shutil.copy(source / one, folded / one)
-    usual, versions.CHUNK_BYTES = versions.CHUNK_BYTES, SMALL_CHUNK
+    usual, version_files.CHUNK_BYTES = version_files.CHUNK_BYTES, SMALL_CHUNK
     frames = copy("whole-in-frames", batches)
     golden.fold(frames)
-    versions.CHUNK_BYTES = usual
+    version_files.CHUNK_BYTES = usual
     for one in batches:
         (frames / one).unlink()
     half = copy("cut-off-whole", [*batches, *marks])
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -17,10 +17,10 @@
 from lab.tier.cluster import INTERNAL_PORT, Tier
 from lab.tier.world import World
 from lynxscale.controlplane import endpoints, ledger, operator_api, status
-from lynxscale.coordination import messages, register, tree
+from lynxscale.coordination import distribution_tree, messages, register
 from lynxscale.coordination.register import MemberIdentity, Register
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.versions import VersionFiles
+from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.dataplane import status as relay_status
 from lynxscale.runtime.files import DurableFiles
 from lynxscale.topics import Endpoint
@@ -42,7 +42,7 @@
     "version": messages.Version,
     "topic": messages.Topic,
     "endpoint": Endpoint,
-    "roster_entry": tree.RosterEntry,
+    "roster_entry": distribution_tree.RosterEntry,
     "program": ledger.Program,
     "turn": ledger.Turn,
     "kept": ledger.Kept,
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -9,7 +9,9 @@
 from lab.tier.world import World
 from lynxscale.controlplane.configuration import check
 from lynxscale.controlplane.update import apply_update, check_update
+from lynxscale.coordination.distribution_tree import FANOUT, Publisher, RosterEntry, parent_of
 from lynxscale.coordination.epochs import Witness
+from lynxscale.coordination.heartbeat_ring import MONITORS, neighbours
 from lynxscale.coordination.messages import (
     Accept,
     Attach,
@@ -34,9 +36,7 @@
 from lynxscale.coordination.netstring import Decoder, NetstringError
 from lynxscale.coordination.netstring import encode as encode_netstring
 from lynxscale.coordination.register import MemberIdentity, Register, RegisterState
-from lynxscale.coordination.ring import MONITORS, neighbours
 from lynxscale.coordination.store import NOWHERE, Store
-from lynxscale.coordination.tree import FANOUT, Publisher, RosterEntry, parent_of
 from lynxscale.dataplane.events import EventScanner
 from lynxscale.dataplane.history_cache import HistoryCache
 from lynxscale.topics import PART_PREFIX, part_count
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -10,8 +10,8 @@
 from lab.tier.orders.catalogue import MODELS, Scope
 from lab.tier.world import ProcessEnded, World
 from lynxscale.controlplane.ledger import Ledger
-from lynxscale.coordination.calls import PrimaryCalls
 from lynxscale.coordination.epochs import Witness
+from lynxscale.coordination.key_value_table import RecentBatches
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     AdmitTurn,
@@ -28,11 +28,11 @@
     address_of,
     put_value,
 )
+from lynxscale.coordination.primary_calls import PrimaryCalls
 from lynxscale.coordination.register import REGISTER_FILE, MemberIdentity, Register
 from lynxscale.coordination.sealed import SECOND_COPY
 from lynxscale.coordination.store import NOWHERE, Store
-from lynxscale.coordination.table import RecentBatches
-from lynxscale.coordination.versions import BATCH_PREFIX, MARK_FILE, STATE_PREFIX
+from lynxscale.coordination.version_files import BATCH_PREFIX, MARK_FILE, STATE_PREFIX
 
 NEWCOMER = "10.0.0.9:7000"
 
