--- a/lab/tier/group.py
+++ b/lab/tier/group.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from lab.tier.world import World
+from lynxscale.coordination.acceptor_state import MemberIdentity, Register
 from lynxscale.coordination.member import ControlMember, MemberSettings
 from lynxscale.coordination.messages import put_value
-from lynxscale.coordination.register import MemberIdentity, Register
 
 FLUSH_S = 0.05  # between its release and a process's end
 
--- a/lab/tier/history_rules.py
+++ b/lab/tier/history_rules.py
@@ -9,7 +9,7 @@
 
 from lab.tier.cluster import Tier
 from lab.tier.standins import Answer
-from lynxscale.coordination.voters import FOUNDERS
+from lynxscale.coordination.membership_plan import FOUNDERS
 from lynxscale.runtime.http_types import Request
 
 MOST_TOKENS, STRIDE, EVENTS = 40, 10, 4
--- a/lab/tier/mistakes/epochs.py
+++ b/lab/tier/mistakes/epochs.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from lab.tier.mistakes.finders import Patches
-from lynxscale.coordination import register
-from lynxscale.coordination.epochs import Proposal, Witness, majority
+from lynxscale.coordination import acceptor_state
+from lynxscale.coordination.acceptor import Proposal, Witness, majority
 from lynxscale.coordination.leadership import Leadership
 from lynxscale.coordination.lease import LEASE_S, NEVER, HeldLease
 from lynxscale.coordination.messages import EpochRecord, Prepare
@@ -25,12 +25,12 @@
 def wiped_member_votes_as_before() -> Patches:
     """A member without its disk takes its former id."""
 
-    def new_state(who: register.MemberIdentity, first_start: bool, random) -> register.RegisterState:  # noqa: ANN001
-        founders = tuple(register.founder_id(address) for address in sorted(who.seeds))
+    def new_state(who: acceptor_state.MemberIdentity, first_start: bool, random) -> acceptor_state.RegisterState:  # noqa: ANN001
+        founders = tuple(acceptor_state.founder_id(address) for address in sorted(who.seeds))
         founding = EpochRecord(0, "", founders, founders)
-        return register.RegisterState(register.founder_id(who.address), founding)
+        return acceptor_state.RegisterState(acceptor_state.founder_id(who.address), founding)
 
-    return [(register, "_new_state", new_state)]
+    return [(acceptor_state, "_new_state", new_state)]
 
 
 def epoch_is_used_twice() -> Patches:
@@ -49,7 +49,7 @@
 def restarted_witness_forgets_its_lease() -> Patches:
     """A process that starts promises at once, although the one before may have granted a lease."""
 
-    def init(self: Witness, stored: register.Register, clock, lease_s: float) -> None:  # noqa: ANN001
+    def init(self: Witness, stored: acceptor_state.Register, clock, lease_s: float) -> None:  # noqa: ANN001
         original(self, stored, clock, lease_s)
         self._lease_until = clock.now()
 
--- a/lab/tier/mistakes/replication.py
+++ b/lab/tier/mistakes/replication.py
@@ -6,13 +6,13 @@
 
 from lab.tier.mistakes.finders import Patches
 from lab.tier.orders import admission
-from lynxscale.coordination import voters
+from lynxscale.coordination import membership_plan
 from lynxscale.coordination.follower import Follower
+from lynxscale.coordination.membership_plan import PlanInput
 from lynxscale.coordination.messages import Batch, Put, Replicate, SnapshotChunk, SnapshotProgress
 from lynxscale.coordination.replica_progress import Copy, CopyState
 from lynxscale.coordination.replication import Replicator
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.voters import PlanInput
 
 
 def acknowledged_before_stored() -> Patches:
@@ -80,11 +80,11 @@
 def vote_goes_and_copy_stays() -> Patches:
     """A voter is replaced although its copy goes on to count."""
 
-    def replaced(plan: PlanInput, member: str, successor: str | None) -> voters.Change:
+    def replaced(plan: PlanInput, member: str, successor: str | None) -> membership_plan.Change:
         witnesses = [successor if one == member else one for one in plan.base.witnesses]
         return plan.base.in_sync, tuple(one for one in witnesses if one is not None)
 
-    return [(voters, "_replaced", replaced)]
+    return [(membership_plan, "_replaced", replaced)]
 
 
 def copy_counts_before_it_confirmed() -> Patches:
--- a/lab/tier/orders/admission.py
+++ b/lab/tier/orders/admission.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 from lab.explorer import Breach, Event
-from lynxscale.coordination.epochs import majority
+from lynxscale.coordination.acceptor import majority
+from lynxscale.coordination.membership_plan import PeerView, PlanInput, may_go, plan_record
 from lynxscale.coordination.messages import EpochRecord
-from lynxscale.coordination.voters import PeerView, PlanInput, may_go, plan_record
 
 SILENT_S = 0.3
 
--- a/lab/tier/orders/election.py
+++ b/lab/tier/orders/election.py
@@ -17,8 +17,9 @@
 
 from lab.explorer import Breach, Event, frozen
 from lab.tier.world import World
-from lynxscale.coordination.candidacy import decide_candidacy
-from lynxscale.coordination.epochs import Proposal, Witness, majority
+from lynxscale.coordination.acceptor import Proposal, Witness, majority
+from lynxscale.coordination.acceptor_state import MemberIdentity, Register
+from lynxscale.coordination.eligibility import decide_candidacy
 from lynxscale.coordination.lease import LEASE_S, HeldLease
 from lynxscale.coordination.messages import (
     Accept,
@@ -36,7 +37,6 @@
     member_id,
 )
 from lynxscale.coordination.proposer import Proposer
-from lynxscale.coordination.register import MemberIdentity, Register
 from lynxscale.coordination.version_files import START
 
 ADDRESSES = ("a:1", "b:1", "c:1")
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -12,6 +12,7 @@
 from lynxscale.controlplane.ledger import Ledger
 from lynxscale.controlplane.operator_api import OperatorApi, json_response
 from lynxscale.controlplane.status import ControlStatus, ReplicaStatus
+from lynxscale.coordination.acceptor_state import MemberIdentity, Register
 from lynxscale.coordination.distribution_tree import ROSTER, Publisher
 from lynxscale.coordination.heartbeat_ring import Roster
 from lynxscale.coordination.member import ControlMember, MemberSettings
@@ -30,7 +31,6 @@
     address_of,
 )
 from lynxscale.coordination.ports import Clock, Files, Network
-from lynxscale.coordination.register import MemberIdentity, Register
 from lynxscale.runtime.http_client import Dial
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Request
--- a/lynxscale/coordination/epochs.py
+++ b/lynxscale/coordination/acceptor.py
@@ -7,6 +7,7 @@
 
 from __future__ import annotations
 
+from lynxscale.coordination.acceptor_state import Register, RegisterState
 from lynxscale.coordination.messages import (
     Accepted,
     EpochRecord,
@@ -17,7 +18,6 @@
     Promise,
 )
 from lynxscale.coordination.ports import Clock
-from lynxscale.coordination.register import Register, RegisterState
 
 EXPECTED_WRITE_S = 0.03  # before the first was seen
 WRITE_FADES = 0.8  # of the slowest late write, with each that is faster
--- a/lynxscale/coordination/register.py
+++ b/lynxscale/coordination/acceptor_state.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
+from lynxscale.coordination.checksummed_file import SealedPair
 from lynxscale.coordination.messages import EpochRecord, member_id
 from lynxscale.coordination.ports import Files
-from lynxscale.coordination.sealed import SealedPair
 
 REGISTER_FILE = "register"
 FIRST_INCARNATION = "0"
--- a/lynxscale/coordination/campaign.py
+++ b/lynxscale/coordination/election.py
@@ -1,7 +1,7 @@
 """When a backup stands for primary: it waits until nobody leads, asks the voters first, and keeps out of others' way.
 
 Asking first is a pre-vote: it writes nothing, so a member that could not win disturbs nobody. Voters tell all but one
-to wait (``support.py``), so candidates do not meet, and a young primary gets its lease.
+to wait (``vote_deference.py``), so candidates do not meet, and a young primary gets its lease.
 """
 
 from __future__ import annotations
@@ -9,11 +9,11 @@
 from collections.abc import Callable
 from random import Random
 
-from lynxscale.coordination.epochs import Witness, majority
+from lynxscale.coordination.acceptor import Witness, majority
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import CandidacyAnnounced, Position, PreVote, PreVoteReply, address_of
 from lynxscale.coordination.ports import Clock, Network, Timer
-from lynxscale.coordination.support import Support
+from lynxscale.coordination.vote_deference import Support
 
 RANK_DELAY_S = 0.02  # between the in-sync members' first questions, so that they seldom meet
 JITTER_S = 0.01
--- a/lynxscale/coordination/candidacy.py
+++ b/lynxscale/coordination/eligibility.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lynxscale.coordination.epochs import Proposal
+from lynxscale.coordination.acceptor import Proposal
 from lynxscale.coordination.messages import EpochRecord, Position
 from lynxscale.coordination.store import NOWHERE
 
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -5,8 +5,9 @@
 import logging
 from collections.abc import Callable
 
-from lynxscale.coordination.epochs import Proposal, Witness
+from lynxscale.coordination.acceptor import Proposal, Witness
 from lynxscale.coordination.lease import LEASE_S, HeldLease
+from lynxscale.coordination.membership_plan import PeerView, PlanInput, may_go, plan_record
 from lynxscale.coordination.messages import (
     DigestReply,
     DigestRequest,
@@ -26,7 +27,6 @@
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.replication import Replicator
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.voters import PeerView, PlanInput, may_go, plan_record
 
 log = logging.getLogger(__name__)
 
--- a/lynxscale/coordination/lease.py
+++ b/lynxscale/coordination/lease.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lynxscale.coordination.epochs import majority
+from lynxscale.coordination.acceptor import majority
 from lynxscale.coordination.ports import Clock
 
 LEASE_S = 0.4
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -2,7 +2,7 @@
 
 States: JOINING (no vote yet), BACKUP, CANDIDATE (asks the witnesses for an epoch of its own) and PRIMARY (holds a lease
 from a majority of the witnesses and stops before it ends). ``_become`` is the one place of change. A member that is
-about to stop keeps its state until it is released (``departure.py``).
+about to stop keeps its state until it is released (``graceful_leave.py``).
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 from enum import Enum
 from random import Random
 
-from lynxscale.coordination.campaign import Campaign
-from lynxscale.coordination.candidacy import Candidacy, decide_candidacy
-from lynxscale.coordination.departure import Departure
-from lynxscale.coordination.epochs import Proposal, Witness
+from lynxscale.coordination.acceptor import Proposal, Witness
+from lynxscale.coordination.acceptor_state import Register
+from lynxscale.coordination.election import Campaign
+from lynxscale.coordination.eligibility import Candidacy, decide_candidacy
 from lynxscale.coordination.follower import Follower
+from lynxscale.coordination.graceful_leave import Departure
 from lynxscale.coordination.leadership import TICK_S, Leadership
 from lynxscale.coordination.lease import LEASE_S
+from lynxscale.coordination.membership_plan import FOUNDERS
 from lynxscale.coordination.messages import (
     Accept,
     Accepted,
@@ -51,9 +53,7 @@
 )
 from lynxscale.coordination.ports import Clock, Files, Network
 from lynxscale.coordination.proposer import Proposer
-from lynxscale.coordination.register import Register
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.voters import FOUNDERS
 
 log = logging.getLogger(__name__)
 
--- a/lynxscale/coordination/voters.py
+++ b/lynxscale/coordination/membership_plan.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lynxscale.coordination.epochs import majority
+from lynxscale.coordination.acceptor import majority
 from lynxscale.coordination.messages import EpochRecord, address_of
 
 FOUNDERS = 3
--- a/lynxscale/coordination/proposer.py
+++ b/lynxscale/coordination/proposer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lynxscale.coordination.epochs import Proposal, Witness
+from lynxscale.coordination.acceptor import Proposal, Witness
 from lynxscale.coordination.messages import (
     Accept,
     Accepted,
--- a/lynxscale/coordination/version_files.py
+++ b/lynxscale/coordination/version_files.py
@@ -15,10 +15,10 @@
 import msgspec
 
 from lynxscale.coordination import netstring
+from lynxscale.coordination.checksummed_file import CorruptFile, SealedPair, checksum_line, seal, unseal
 from lynxscale.coordination.key_value_table import RecentBatches, Table
 from lynxscale.coordination.messages import Batch, Position, Put
 from lynxscale.coordination.ports import Files, FileWriter
-from lynxscale.coordination.sealed import CorruptFile, SealedPair, checksum_line, seal, unseal
 
 BATCH_PREFIX, STATE_PREFIX = "batch-", "state-"
 MARK_FILE = "mark"
--- a/lynxscale/coordination/support.py
+++ b/lynxscale/coordination/vote_deference.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from lynxscale.coordination.epochs import Witness
+from lynxscale.coordination.acceptor import Witness
 from lynxscale.coordination.lease import NEVER
 from lynxscale.coordination.ports import Clock
 
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -6,9 +6,9 @@
 import pytest
 
 from lab.tier.world import World
-from lynxscale.coordination.epochs import Witness
-from lynxscale.coordination.register import REGISTER_FILE
-from lynxscale.coordination.sealed import SECOND_COPY, unseal
+from lynxscale.coordination.acceptor import Witness
+from lynxscale.coordination.acceptor_state import REGISTER_FILE
+from lynxscale.coordination.checksummed_file import SECOND_COPY, unseal
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.runtime.files import ASIDE, DurableFiles
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -17,8 +17,8 @@
 from lab.tier.cluster import INTERNAL_PORT, Tier
 from lab.tier.world import World
 from lynxscale.controlplane import endpoints, ledger, operator_api, status
-from lynxscale.coordination import distribution_tree, messages, register
-from lynxscale.coordination.register import MemberIdentity, Register
+from lynxscale.coordination import acceptor_state, distribution_tree, messages
+from lynxscale.coordination.acceptor_state import MemberIdentity, Register
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.dataplane import status as relay_status
@@ -47,7 +47,7 @@
     "turn": ledger.Turn,
     "kept": ledger.Kept,
     "current_configuration": operator_api.CurrentConfiguration,
-    "register_state": register.RegisterState,
+    "register_state": acceptor_state.RegisterState,
     "page": endpoints.Page,
     "replica_status": status.ReplicaStatus,
     "control_status": status.ControlStatus,
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -9,8 +9,9 @@
 from lab.tier.world import World
 from lynxscale.controlplane.configuration import check
 from lynxscale.controlplane.update import apply_update, check_update
+from lynxscale.coordination.acceptor import Witness
+from lynxscale.coordination.acceptor_state import MemberIdentity, Register, RegisterState
 from lynxscale.coordination.distribution_tree import FANOUT, Publisher, RosterEntry, parent_of
-from lynxscale.coordination.epochs import Witness
 from lynxscale.coordination.heartbeat_ring import MONITORS, neighbours
 from lynxscale.coordination.messages import (
     Accept,
@@ -35,7 +36,6 @@
 )
 from lynxscale.coordination.netstring import Decoder, NetstringError
 from lynxscale.coordination.netstring import encode as encode_netstring
-from lynxscale.coordination.register import MemberIdentity, Register, RegisterState
 from lynxscale.coordination.store import NOWHERE, Store
 from lynxscale.dataplane.events import EventScanner
 from lynxscale.dataplane.history_cache import HistoryCache
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -10,7 +10,9 @@
 from lab.tier.orders.catalogue import MODELS, Scope
 from lab.tier.world import ProcessEnded, World
 from lynxscale.controlplane.ledger import Ledger
-from lynxscale.coordination.epochs import Witness
+from lynxscale.coordination.acceptor import Witness
+from lynxscale.coordination.acceptor_state import REGISTER_FILE, MemberIdentity, Register
+from lynxscale.coordination.checksummed_file import SECOND_COPY
 from lynxscale.coordination.key_value_table import RecentBatches
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
@@ -29,8 +31,6 @@
     put_value,
 )
 from lynxscale.coordination.primary_calls import PrimaryCalls
-from lynxscale.coordination.register import REGISTER_FILE, MemberIdentity, Register
-from lynxscale.coordination.sealed import SECOND_COPY
 from lynxscale.coordination.store import NOWHERE, Store
 from lynxscale.coordination.version_files import BATCH_PREFIX, MARK_FILE, STATE_PREFIX
 
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -7,7 +7,9 @@
 from lab.tier.group import Group
 from lab.tier.takeover import Case, silence
 from lab.tier.world import World
-from lynxscale.coordination.epochs import Witness
+from lynxscale.coordination.acceptor import Witness
+from lynxscale.coordination.acceptor_state import REGISTER_FILE, MemberIdentity, Register, RegisterState
+from lynxscale.coordination.checksummed_file import SECOND_COPY
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     EpochRecord,
@@ -21,9 +23,7 @@
     Promise,
     address_of,
 )
-from lynxscale.coordination.register import REGISTER_FILE, MemberIdentity, Register, RegisterState
-from lynxscale.coordination.sealed import SECOND_COPY
-from lynxscale.coordination.support import Support
+from lynxscale.coordination.vote_deference import Support
 from lynxscale.runtime.files import DurableFiles
 from lynxscale.runtime.network import InternalNetwork
 
