--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -18,7 +18,7 @@
 from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.store import Store
 from lynxscale.runtime.clock import LoopClock
-from lynxscale.runtime.files import DurableFiles
+from lynxscale.runtime.durable_files import DurableFiles
 
 TURN_BYTES = 2500  # input and output of a usual turn
 
--- a/lab/tier/local.py
+++ b/lab/tier/local.py
@@ -18,10 +18,11 @@
 
 from lab.tier.cluster import MODEL, TOOLS, ZONES, default_configuration
 from lab.tier.standins import StandInEndpoint, StandInPlatform
-from lynxscale.runtime.ask import NoAnswer, ask_async
 from lynxscale.runtime.clock import LoopClock
+from lynxscale.runtime.exceptions import NoResponseError
 from lynxscale.runtime.http_types import Head, Request, Response
-from lynxscale.runtime.network import split_address
+from lynxscale.runtime.operator_client import send_request
+from lynxscale.runtime.sockets import split_address
 from lynxscale.topics import Endpoint
 
 CONTROLS, RELAYS = 3, 2
@@ -168,8 +169,8 @@
         """One request; status 0 where nothing answers."""
         head = Head(((b"host", b"tier.example"), *fields))
         try:
-            return await ask_async(address, Request(method, target, head, body))
-        except NoAnswer:
+            return await send_request(address, Request(method, target, head, body))
+        except NoResponseError:
             return Response(0)
 
     async def primary(self) -> str:
--- a/lab/tier/mistakes/orders.py
+++ b/lab/tier/mistakes/orders.py
@@ -75,6 +75,6 @@
     """412 and 200 to a resend go out before what they rest on is committed."""
 
     def at_once(self: operator_api.OperatorApi, responder, response) -> None:  # noqa: ANN001
-        responder.whole(response)
+        responder.respond(response)
 
     return [(operator_api.OperatorApi, "_answer_when_decided", at_once)]
--- a/lab/tier/mistakes/turns.py
+++ b/lab/tier/mistakes/turns.py
@@ -11,7 +11,7 @@
 from lynxscale.dataplane.forwarding import ForwardedRequest
 from lynxscale.dataplane.headers import NOT_EXECUTED, REQUEST_ID
 from lynxscale.dataplane.turns import Turn as RelayTurn
-from lynxscale.runtime.http_client import ClientConnection, Failure
+from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
 from lynxscale.runtime.http_types import Head
 
 
@@ -98,7 +98,7 @@
 
 def given_up_dial_was_not_sent() -> Patches:
     """A dial whose time runs out as it comes up counts as never sent (seen: 21 of 21 when forced)."""
-    return [(ClientConnection, "refused", lambda self: self._fail(Failure.NOT_CONNECTED))]
+    return [(ClientConnection, "on_connect_failed", lambda self: self._fail(ResponseFailure.NOT_CONNECTED))]
 
 
 def nameless_answer_is_the_own() -> Patches:
--- a/lab/tier/orders/calls.py
+++ b/lab/tier/orders/calls.py
@@ -110,7 +110,7 @@
         if self.connection is None:
             self.connection = connection
         else:
-            connection.refused()  # another connection is another machine
+            connection.on_connect_failed()  # another connection is another machine
 
     def _begin(self) -> None:
         call = Call(len(self.calls) + 1)
@@ -163,7 +163,7 @@
         if what != "out of time":
             self.connection.connection_made(self.transport)
         if what != "up":
-            self.connection.refused()
+            self.connection.on_connect_failed()
 
     def _serve(self, what: str) -> None:
         number = len(self.calls)
--- a/lab/tier/standins.py
+++ b/lab/tier/standins.py
@@ -11,7 +11,7 @@
 from lab.tier.world import World
 from lynxscale.coordination.ports import Clock
 from lynxscale.dataplane import headers as h
-from lynxscale.runtime.http_client import ClientConnection, Failure
+from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
 from lynxscale.runtime.http_server import Responder, ServerConnection, ServerLimits
 from lynxscale.runtime.http_types import Head, Request, Response
 from lynxscale.topics import Endpoint
@@ -40,10 +40,10 @@
 
     def _handle(self, request: Request, responder: Responder) -> EndpointRun | None:
         if request.head.text(h.EXPECT_INSTANCE) != self.endpoint.id:
-            responder.whole(self._answer(request, 421, b"", stamped=False))
+            responder.respond(self._answer(request, 421, b"", stamped=False))
         elif self.refuses:
             fields = Head(((h.NOT_EXECUTED, b"1"), (h.REQUEST_ID, request.head.get(h.REQUEST_ID))))
-            responder.whole(Response(503, fields))
+            responder.respond(Response(503, fields))
         else:
             self.ran.append(request)
             self.running += 1
@@ -69,7 +69,7 @@
         self._over = False
         endpoint._clock.call_later(endpoint.work_s, self._begin)
 
-    def client_gone(self) -> None:
+    def on_client_disconnected(self) -> None:
         """The request is dropped."""
         self._end()
 
@@ -77,14 +77,14 @@
         if self._over:
             return
         if self._endpoint.fails:
-            self._responder.break_off()
+            self._responder.abort()
             self._end()
         elif "/stream" in self._request.target:
             answer = self._endpoint._answer(self._request, 200, b"")
             self._responder.start(200, (*answer.head.fields, (b"content-type", b"text/event-stream")))
             self._event()
         else:
-            self._responder.whole(self._endpoint._answer(self._request, 200, b"done"))
+            self._responder.respond(self._endpoint._answer(self._request, 200, b"done"))
             self._end()
 
     def _event(self) -> None:
@@ -95,7 +95,7 @@
             self._end()
         elif self._number == self._endpoint.breaks_after:
             self._endpoint.breaks_after = None
-            self._responder.break_off()
+            self._responder.abort()
             self._end()
         else:
             self._number += 1
@@ -120,14 +120,14 @@
     def _handle(self, request: Request, responder: Responder) -> None:
         self.calls += 1
         if self.refuses:
-            responder.whole(Response(429))
+            responder.respond(Response(429))
             return
         body = msgspec.json.encode({"instances": self.listed, "next-page-token": None})
-        responder.whole(Response(200, Head(()), body))
+        responder.respond(Response(200, Head(()), body))
 
 
 class Answer:
-    """What a client got. Implements Receiver."""
+    """What a client got. Implements ResponseReceiver."""
 
     def __init__(self, world: World, on_end: Callable[[Answer], None] | None = None) -> None:
         self.status = 0
@@ -135,28 +135,28 @@
         self.body = b""
         self.complete = False
         self.ended = False
-        self.failure: Failure | None = None
+        self.failure: ResponseFailure | None = None
         self.first_at = 0.0
         self.ended_at = 0.0
         self._world = world
         self._on_end = on_end
 
     def on_head(self, status: int, head: Head) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         self.status, self.head = status, head
 
     def on_data(self, data: bytes) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         self.first_at = self.first_at or self._world.time
         self.body += data
 
     def on_end(self) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         self.complete = True
         self._end()
 
-    def on_failure(self, failure: Failure) -> None:
-        """Part of Receiver."""
+    def on_failure(self, failure: ResponseFailure) -> None:
+        """Part of ResponseReceiver."""
         self.failure = failure
         self._end()
 
--- a/lab/tier/streams.py
+++ b/lab/tier/streams.py
@@ -98,11 +98,11 @@
         def connect() -> None:
             entry = self._listeners.get(address)
             if entry is None or self.world.machine(entry[0]).life != entry[1]:
-                connection.refused()
+                connection.on_connect_failed()
                 return
             target, _, factory = entry
             if (source, target) in self.world.cuts or (target, source) in self.world.cuts:
-                self.world.at(self.world.time + 1.0, connection.refused)
+                self.world.at(self.world.time + 1.0, connection.on_connect_failed)
                 return
             server = factory()
             near = Transport(self.world, source, target, connection)
--- a/lynxscale/controlplane/__main__.py
+++ b/lynxscale/controlplane/__main__.py
@@ -10,12 +10,14 @@
 
 from lynxscale.controlplane.service import ControlService
 from lynxscale.runtime.clock import LoopClock
-from lynxscale.runtime.files import DurableFiles
-from lynxscale.runtime.http_client import LoopDialer
+from lynxscale.runtime.durable_files import DurableFiles
+from lynxscale.runtime.http_client import AsyncioDialer
 from lynxscale.runtime.http_server import ServerConnection, ServerLimits
-from lynxscale.runtime.network import InternalNetwork, split_address
+from lynxscale.runtime.peer_network import PeerNetwork
 from lynxscale.runtime.process import run
-from lynxscale.runtime.settings import Settings, SettingsWatch, watch_until
+from lynxscale.runtime.settings import Settings
+from lynxscale.runtime.settings_watcher import SettingsWatcher, watch_until
+from lynxscale.runtime.sockets import split_address
 
 log = logging.getLogger(__name__)
 
@@ -31,9 +33,9 @@
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     clock = LoopClock(loop)
-    network = InternalNetwork(loop, settings.internal_address)
+    network = PeerNetwork(loop, settings.internal_address)
     files = DurableFiles(settings.data_dir, network.flush)
-    service = ControlService(settings, clock, network, files, LoopDialer(loop, DIAL_TIMEOUT_S), Random())
+    service = ControlService(settings, clock, network, files, AsyncioDialer(loop, DIAL_TIMEOUT_S), Random())
     limits = ServerLimits(body_bytes=MOST_BODY_BYTES)
     connections: set[ServerConnection] = set()
     await network.listen(service.receive)
@@ -43,9 +45,9 @@
             lambda: ServerConnection(service.handle_request, limits, clock, connections), host, port
         )
     log.info("event=started member=%s state=%s", service.member.me, service.member.state.value)
-    watch = SettingsWatch(settings, service.settings_changed)
-    loop.add_signal_handler(signal.SIGHUP, watch.look)
-    await watch_until(stopped, watch)
+    watcher = SettingsWatcher(settings, service.settings_changed)
+    loop.add_signal_handler(signal.SIGHUP, watcher.reload)
+    await watch_until(stopped, watcher)
     await leave(service, settings.bounds.grace_s - LEAVE_MARGIN_S)
     log.info("event=ended")
 
--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -14,8 +14,9 @@
 from lynxscale.controlplane.status import ControlStatus, render
 from lynxscale.controlplane.update import apply_update, check_update
 from lynxscale.coordination.store import Store
-from lynxscale.runtime.commands import FINDINGS, UNUSABLE, CheckSettings, call, fail, print_status, read_file
-from lynxscale.runtime.files import ReadOnlyFiles
+from lynxscale.runtime.commands import CheckSettings, call, fail, print_status, read_file
+from lynxscale.runtime.durable_files import ReadOnlyFiles
+from lynxscale.runtime.exit_codes import ExitCode
 
 
 @cappa.command(help="Run a control process; the variable LYNXSCALE_SETTINGS names its settings file.")
@@ -41,7 +42,7 @@
         """Tell the findings."""
         checked = check(read_file(self.file))
         if isinstance(checked, Failure):
-            raise fail("\n".join(f"{self.file}: {finding}" for finding in checked.failure()), FINDINGS)
+            raise fail("\n".join(f"{self.file}: {finding}" for finding in checked.failure()), ExitCode.FINDINGS)
         table = checked.unwrap()
         print(f"{self.file}: good, version {table['generation']}, {len(table['routes'])} routes")
 
@@ -70,7 +71,7 @@
         """Print it as it was sent."""
         response = call(self.address, "GET", "/config/read")
         if response.status != 200:
-            raise fail(f"{self.address}: {response.status}: {response.body.decode()}", FINDINGS)
+            raise fail(f"{self.address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
         print(response.body.decode())
 
 
@@ -90,7 +91,7 @@
         path = "/config/update" if self.update else "/config/replace"
         response = call(self.address, "POST", path, read_file(self.file), fields)
         if response.status != 200:
-            raise fail(f"{self.address}: {response.status}: {response.body.decode()}", FINDINGS)
+            raise fail(f"{self.address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
         print(f"{self.file}: acknowledged")
 
 
@@ -110,20 +111,20 @@
         lines = [line for part in ("routes", "services") for line in differences(part, before, after)]
         print("\n".join(lines) if lines else "no difference")
         if lines:
-            raise cappa.Exit(code=FINDINGS)
+            raise cappa.Exit(code=ExitCode.FINDINGS)
 
 
 def _updated(before: Configuration, path: str) -> Configuration:
     changed = check_update(read_file(path)).bind(lambda update: apply_update(before, update))
     if isinstance(changed, Failure):
-        raise fail("\n".join(f"{path}: {finding}" for finding in changed.failure()), UNUSABLE)
+        raise fail("\n".join(f"{path}: {finding}" for finding in changed.failure()), ExitCode.UNUSABLE)
     return changed.unwrap()
 
 
 def _table(path: str) -> Configuration:
     checked = check(read_file(path))
     if isinstance(checked, Failure):
-        raise fail("\n".join(f"{path}: {finding}" for finding in checked.failure()), UNUSABLE)
+        raise fail("\n".join(f"{path}: {finding}" for finding in checked.failure()), ExitCode.UNUSABLE)
     return checked.unwrap()
 
 
@@ -152,7 +153,7 @@
         print(f"{self.folder}: position {store.position.epoch}/{store.position.index}, {len(store.values)} keys")
         if not store.intact:
             findings = (f"{self.folder}/{name}: damaged, or nothing leads to it" for name in store.damage)
-            raise fail("\n".join(findings), FINDINGS)
+            raise fail("\n".join(findings), ExitCode.FINDINGS)
 
 
 @cappa.command(help="Print every key and value of a stopped member's data folder, a JSON object a line.")
@@ -170,7 +171,7 @@
 
 def _store(folder: str) -> Store:
     if not Path(folder).is_dir():
-        raise fail(f"{folder}: no such folder", UNUSABLE)
+        raise fail(f"{folder}: no such folder", ExitCode.UNUSABLE)
     return Store(ReadOnlyFiles(folder))
 
 
--- a/lynxscale/controlplane/endpoints.py
+++ b/lynxscale/controlplane/endpoints.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lynxscale.coordination.ports import Clock, Timer
-from lynxscale.runtime.http_client import Dial, OneRequest
+from lynxscale.runtime.http_client import Dial, SingleRequest
 from lynxscale.runtime.http_types import Head, Request
 from lynxscale.topics import Endpoint
 
@@ -62,7 +62,7 @@
     def _ask(self, number: int, token: str | None) -> None:
         target = "/instances" + (f"?page-token={quote(token)}" if token else "")
         request = Request("GET", target, Head(((b"host", self.address.encode()),)))
-        OneRequest(
+        SingleRequest(
             self.address,
             request,
             self._clock,
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -74,7 +74,7 @@
         elif request.path.startswith("/retire/"):
             self._retire(request, responder)
         else:
-            responder.whole(json_response(404, {"error": "no such call"}))
+            responder.respond(json_response(404, {"error": "no such call"}))
 
     def current(self) -> CurrentConfiguration | None:
         """The newest configuration held here."""
@@ -89,10 +89,10 @@
     def _send_elsewhere(self, request: Request, responder: Responder) -> None:
         primary = self._member.primary()
         if not primary:
-            responder.whole(undecided("there is no primary"))
+            responder.respond(undecided("there is no primary"))
             return
         location = f"http://{primary.rpartition(':')[0]}:{self._port}{request.target}"
-        responder.whole(Response(307, Head(((b"location", location.encode()),))))
+        responder.respond(Response(307, Head(((b"location", location.encode()),))))
 
     def _order(self, kind: OrderKind, request: Request, responder: Responder) -> None:
         """Decide on an order that replaces or updates the configuration."""
@@ -103,7 +103,7 @@
             return
         read = check(request.body) if kind is OrderKind.REPLACE else check_update(request.body)
         if isinstance(read, Failure):
-            responder.whole(invalid(read.failure()))
+            responder.respond(invalid(read.failure()))
             return
         order = read.unwrap()
         refusal = self._refusal(base, order["generation"])
@@ -150,7 +150,7 @@
         def done(committed: bool) -> None:
             if committed:
                 self._on_commit()
-            responder.whole(json_response(200, {"generation": generation}) if committed else undecided("not decided"))
+            responder.respond(json_response(200, {"generation": generation}) if committed else undecided("not decided"))
 
         self._member.submit(puts, done)
 
@@ -174,14 +174,14 @@
 
     def _answer_when_decided(self, responder: Responder, response: Response) -> None:
         """What the answer rests on may not be committed yet."""
-        self._member.barrier(lambda decided: responder.whole(response if decided else undecided("not decided")))
+        self._member.barrier(lambda decided: responder.respond(response if decided else undecided("not decided")))
 
     def _read(self, responder: Responder, decided: bool) -> None:
         current = self.current()
         if not decided or current is None:
-            responder.whole(undecided("no configuration yet"))
+            responder.respond(undecided("no configuration yet"))
             return
-        responder.whole(Response(200, Head(((b"content-type", b"application/json"),)), bytes(current.body)))
+        responder.respond(Response(200, Head(((b"content-type", b"application/json"),)), bytes(current.body)))
 
     def _retire(self, request: Request, responder: Responder) -> None:
         _, _, node, verb = (request.path.split("/") + ["", ""])[:4]
@@ -190,7 +190,7 @@
         elif verb == "read" and request.method == "GET":
             self._read_retiring(node, responder)
         else:
-            responder.whole(json_response(404, {"error": "no such call"}))
+            responder.respond(json_response(404, {"error": "no such call"}))
 
     def _start_retiring(self, node: str, responder: Responder) -> None:
         """Take the order where enough machines are there to stay; refuse it only for what is certain."""
@@ -219,17 +219,17 @@
     def _retiring(self, responder: Responder, committed: bool) -> None:
         if committed:
             self._on_commit()
-        responder.whole(json_response(200, {"state": "running"}) if committed else undecided("not decided"))
+        responder.respond(json_response(200, {"state": "running"}) if committed else undecided("not decided"))
 
     def _read_retiring(self, node: str, responder: Responder) -> None:
         def decided(committed: bool) -> None:
             if not committed or not self._member.leads():
-                responder.whole(undecided("not decided"))
+                responder.respond(undecided("not decided"))
             elif RETIRE_PREFIX + node not in self._member.store.values:
-                responder.whole(json_response(404, {"error": f"{node!r} is not to be emptied"}))
+                responder.respond(json_response(404, {"error": f"{node!r} is not to be emptied"}))
             else:
                 state = "done" if self._member.leadership.is_empty(node) else "running"
-                responder.whole(json_response(200, {"state": state}))
+                responder.respond(json_response(200, {"state": state}))
 
         self._member.barrier(decided)
 
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -75,7 +75,7 @@
     def handle_request(self, request: Request, responder: Responder) -> None:
         """Answer the operator."""
         if (request.method, request.path) == ("GET", "/status"):
-            responder.whole(json_response(200, self.status()))
+            responder.respond(json_response(200, self.status()))
         else:
             self.api.handle(request, responder)
 
--- a/lynxscale/dataplane/__main__.py
+++ b/lynxscale/dataplane/__main__.py
@@ -10,11 +10,13 @@
 
 from lynxscale.dataplane.service import RelayService
 from lynxscale.runtime.clock import LoopClock
-from lynxscale.runtime.http_client import LoopDialer
+from lynxscale.runtime.http_client import AsyncioDialer
 from lynxscale.runtime.http_server import ServerConnection
-from lynxscale.runtime.network import InternalNetwork, split_address
+from lynxscale.runtime.peer_network import PeerNetwork
 from lynxscale.runtime.process import run
-from lynxscale.runtime.settings import Settings, SettingsWatch, watch_until
+from lynxscale.runtime.settings import Settings
+from lynxscale.runtime.settings_watcher import SettingsWatcher, watch_until
+from lynxscale.runtime.sockets import split_address
 
 log = logging.getLogger(__name__)
 
@@ -31,8 +33,8 @@
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     clock = LoopClock(loop)
-    network = InternalNetwork(loop, settings.internal_address)
-    service = RelayService(settings, clock, network, LoopDialer(loop, DIAL_TIMEOUT_S), Random())
+    network = PeerNetwork(loop, settings.internal_address)
+    service = RelayService(settings, clock, network, AsyncioDialer(loop, DIAL_TIMEOUT_S), Random())
     clients: set[ServerConnection] = set()
     probes: set[ServerConnection] = set()
     await network.listen(service.receive)
@@ -48,9 +50,9 @@
         backlog=BACKLOG,
     )
     log.info("event=started")
-    watch = SettingsWatch(settings, service.settings_changed)
-    loop.add_signal_handler(signal.SIGHUP, watch.look)
-    await watch_until(stopped, watch)
+    watcher = SettingsWatcher(settings, service.settings_changed)
+    loop.add_signal_handler(signal.SIGHUP, watcher.reload)
+    await watch_until(stopped, watcher)
     await drain(service, server, clients, loop.time() + settings.bounds.grace_s - END_MARGIN_S)
     log.info("event=ended")
 
--- a/lynxscale/dataplane/attempt.py
+++ b/lynxscale/dataplane/attempt.py
@@ -8,7 +8,7 @@
 from lynxscale.coordination.ports import Clock
 from lynxscale.dataplane import headers as h
 from lynxscale.dataplane.endpoints import EndpointState
-from lynxscale.runtime.http_client import ClientConnection, Failure
+from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
 from lynxscale.runtime.http_types import Head, Request
 
 MISDIRECTED = 421
@@ -37,7 +37,7 @@
 
 
 class Attempt:
-    """Implements Receiver of one connection. After an outcome or ``cancel`` the listener hears nothing more."""
+    """Implements ResponseReceiver of one connection. After an outcome or ``cancel`` the listener hears nothing more."""
 
     def __init__(self, state: EndpointState, request: Request, listener: Listener, clock: Clock, tokens: int) -> None:
         self.state = state
@@ -61,7 +61,7 @@
         return (self._clock.now() - self.sent_at) * 1000.0
 
     def on_head(self, status: int, head: Head) -> None:
-        """Part of Receiver. An answer to another request ends the try: its connection is out of step.
+        """Part of ResponseReceiver. An answer to another request ends the try: its connection is out of step.
 
         An answer without an id may be an earlier request's where the connection carried one.
         """
@@ -85,14 +85,14 @@
         self._listener.on_answer(self, status, head)
 
     def on_data(self, data: bytes) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         if not self._first_latency_ms:
             self._first_latency_ms = self.elapsed_ms
         if not self._refusal and self._listener is not None:
             self._listener.on_body(self, data)
 
     def on_end(self) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         if self._refusal:
             self.state.refused()
             self._end(Outcome.NOT_RUN)
@@ -102,14 +102,14 @@
                 self.state.errored()
             self._end(Outcome.COMPLETE)
 
-    def on_failure(self, failure: Failure) -> None:
-        """Part of Receiver."""
+    def on_failure(self, failure: ResponseFailure) -> None:
+        """Part of ResponseReceiver."""
         if self._refusal:
             self.state.refused()
             self._end(Outcome.NOT_RUN)
             return
         self.state.failed()
-        self._end(Outcome.NOT_RUN if failure is Failure.NOT_CONNECTED else Outcome.MAY_HAVE_RUN)
+        self._end(Outcome.NOT_RUN if failure is ResponseFailure.NOT_CONNECTED else Outcome.MAY_HAVE_RUN)
 
     def cancel(self) -> None:
         """End the try at the endpoint too; nobody is told."""
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -309,7 +309,7 @@
         else:
             self._give_up()
 
-    def client_gone(self) -> None:
+    def on_client_disconnected(self) -> None:
         """Part of Exchange: the endpoint is freed at once."""
         if self.state is State.ENDED:
             return
@@ -328,11 +328,11 @@
 
     def _answer(self, response: Response) -> None:
         self._become(State.ENDED)
-        self._responder.whole(response)
+        self._responder.respond(response)
 
     def _end_broken(self) -> None:
         self._become(State.ENDED)
-        self._responder.break_off()
+        self._responder.abort()
 
     def _cancel_restart(self) -> None:
         if self._restart is not None:
--- a/lynxscale/dataplane/parking.py
+++ b/lynxscale/dataplane/parking.py
@@ -24,11 +24,11 @@
         self.waiting = True
         self.served_by: Exchange | None = None
 
-    def client_gone(self) -> None:
+    def on_client_disconnected(self) -> None:
         """Part of Exchange."""
         self.waiting = False
         if self.served_by is not None:
-            self.served_by.client_gone()
+            self.served_by.on_client_disconnected()
 
 
 class Parking:
@@ -42,7 +42,7 @@
     def park(self, request: Request, responder: Responder) -> Parked | None:
         """Let a request wait, or refuse it where too many do."""
         if len(self._parked) >= MOST_PARKED:
-            responder.whole(h.own_answer(503, RETRY_AFTER_S))
+            responder.respond(h.own_answer(503, RETRY_AFTER_S))
             return None
         parked = Parked(request, responder)
         self._parked.append(parked)
@@ -64,4 +64,4 @@
             self._parked.remove(parked)
         if parked.waiting:
             parked.waiting = False
-            parked.responder.whole(h.own_answer(503, RETRY_AFTER_S))
+            parked.responder.respond(h.own_answer(503, RETRY_AFTER_S))
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -86,9 +86,9 @@
     def handle_readiness(self, request: Request, responder: Responder) -> None:
         """Answer the platform's question whether clients may be sent here."""
         if request.path == "/status":
-            responder.whole(Response(200, Head(()), msgspec.json.encode(self.status())))
+            responder.respond(Response(200, Head(()), msgspec.json.encode(self.status())))
         else:
-            responder.whole(h.own_answer(200 if self.ready else 503))
+            responder.respond(h.own_answer(200 if self.ready else 503))
 
     def status(self) -> RelayStatus:
         """What this relay knows."""
@@ -115,7 +115,7 @@
     def _serve(self, request: Request, responder: Responder) -> Exchange | None:
         route = self._table.find(request.head.text(b"host"), request.path)
         if route is None:
-            responder.whole(h.own_answer(404))
+            responder.respond(h.own_answer(404))
             return None
         exchange = ForwardedRequest(request, route, self._table, responder, self._around)
         exchange.start()
--- a/lynxscale/runtime/commands.py
+++ b/lynxscale/runtime/commands.py
@@ -1,4 +1,4 @@
-"""What the command lines of both programs share. Exit codes: 0 good, 1 a finding or a refusal, 2 not usable."""
+"""What the command lines of both programs share: exits with a message, calls to a process, ``check-settings``."""
 
 from __future__ import annotations
 
@@ -11,39 +11,39 @@
 import cappa
 import msgspec
 
-from lynxscale.runtime.ask import NoAnswer, ask
-from lynxscale.runtime.http_types import Response
-from lynxscale.runtime.settings import SettingsError, parse
+from lynxscale.runtime.exceptions import NoResponseError, SettingsError
+from lynxscale.runtime.exit_codes import ExitCode
+from lynxscale.runtime.http_types import Headers, Response
+from lynxscale.runtime.operator_client import send_request_blocking
+from lynxscale.runtime.settings_reader import parse_settings
 
 T = TypeVar("T")
 
-GOOD, FINDINGS, UNUSABLE = 0, 1, 2
 
-
-def fail(text: str, code: int) -> cappa.Exit:
-    """Tell on standard error, and the exit to raise."""
+def fail(text: str, code: ExitCode) -> cappa.Exit:
+    """Print ``text`` on standard error and return the exit, for the caller to raise."""
     print(text, file=sys.stderr)
     return cappa.Exit(code=code)
 
 
 def read_file(path: str) -> bytes:
-    """A file's bytes. Raises cappa.Exit."""
+    """A file's bytes. Raises cappa.Exit with ``UNUSABLE`` where it cannot be read."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise fail(f"{path}: {error.strerror}", UNUSABLE) from None
+        raise fail(f"{path}: {error.strerror}", ExitCode.UNUSABLE) from None
 
 
-def call(address: str, method: str, target: str, body: bytes = b"", fields: tuple = ()) -> Response:
-    """One call to a process. Raises cappa.Exit."""
+def call(address: str, method: str, target: str, body: bytes = b"", fields: Headers = ()) -> Response:
+    """The response of the process at ``address``. Raises cappa.Exit with ``UNUSABLE`` where there is none."""
     try:
-        return ask(address, method, target, body, fields)
-    except NoAnswer as error:
-        raise fail(f"{address}: {error}", UNUSABLE) from None
+        return send_request_blocking(address, method, target, body, fields)
+    except NoResponseError as error:
+        raise fail(f"{address}: {error}", ExitCode.UNUSABLE) from None
 
 
 def print_status(address: str, as_json: bool, kind: type[T], render: Callable[[T], str]) -> None:
-    """Print what a process tells of itself, as it came or as text. Raises cappa.Exit."""
+    """Print the status page of a process, as received or as text by ``render``. Raises cappa.Exit."""
     response = call(address, "GET", "/status")
     print(response.body.decode() if as_json else render(msgspec.json.decode(response.body, type=kind)))
 
@@ -51,14 +51,14 @@
 @cappa.command(name="check-settings", help="Check a settings file; all findings are told at once.")
 @dataclass
 class CheckSettings:
-    """A command of both programs."""
+    """The command ``check-settings`` of both programs. ``file``: path of the settings file."""
 
     file: str
 
     def __call__(self) -> None:
-        """Tell the findings of a settings file."""
+        """Print the node's name, or all findings. Raises cappa.Exit with ``FINDINGS`` for the latter."""
         try:
-            settings = parse(read_file(self.file).decode(errors="replace"), self.file)
+            settings = parse_settings(read_file(self.file).decode(errors="replace"), self.file)
         except SettingsError as error:
-            raise fail(str(error), FINDINGS) from None
+            raise fail(str(error), ExitCode.FINDINGS) from None
         print(f"{self.file}: good, node {settings.node_name}")
--- /dev/null
+++ b/lynxscale/runtime/exit_codes.py
@@ -0,0 +1,15 @@
+"""Exit codes of the tier's programs and command lines."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+
+
+class ExitCode(IntEnum):
+    """What a program tells the shell or the process manager that started it."""
+
+    OK = 0
+    FINDINGS = 1
+    """The command ran, and reports findings or a rejection."""
+    UNUSABLE = 2
+    """The command or program could not run: unusable settings, unreadable file, unreachable server."""
--- a/lynxscale/runtime/http_client.py
+++ b/lynxscale/runtime/http_client.py
@@ -1,49 +1,58 @@
-"""HTTP/1.1 to servers, by h11. A ``ClientConnection`` carries one request at a time and may be kept for more."""
+"""HTTP/1.1 client by h11. A ``ClientConnection`` carries one request at a time, and may be reused for the next.
+
+Its states: CONNECTING -> IDLE <-> WAITING -> CLOSED; CLOSED is reached from every state and never left. Responses reach
+a ``ResponseReceiver``: ``on_head``, any number of ``on_data``, then ``on_end``; or ``on_failure`` at any point before.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from enum import Enum
-from typing import Protocol
+from typing import Protocol, cast
 
 import h11
 
 from lynxscale.coordination.ports import Clock, Timer
 from lynxscale.runtime.http_types import Head, Headers, Request
-from lynxscale.runtime.network import split_address, tune
+from lynxscale.runtime.sockets import configure_socket, split_address
 
-DEFAULT_KEEP_S = 4.0  # a kept connection is not used after so long, unless the server tells its own time
-KEEP_MARGIN_S = 0.5  # before the time that the server tells
-MOST_HEADER_BYTES = 65536
+DEFAULT_KEEP_ALIVE_S = 4.0
+"""An idle connection is not reused after so long, where the server states no ``Keep-Alive: timeout``."""
+KEEP_ALIVE_MARGIN_S = 0.5
+"""A connection is not reused in the last moments of the server's timeout, as the server may be closing it."""
+MAX_HEADER_BYTES = 65536
 
 
-class Failure(Enum):
-    """Why there is no whole answer."""
+class ResponseFailure(Enum):
+    """Why there is no complete response."""
 
     NOT_CONNECTED = "not_connected"
+    """No byte of the request was sent: the server cannot have executed it."""
     CLOSED = "closed"
-    GARBLED = "garbled"
+    """The connection ended before the response did; the server may have executed the request."""
+    MALFORMED = "malformed"
+    """The server sent something that is not HTTP; it may have executed the request."""
 
 
-class Receiver(Protocol):
-    """Who waits for an answer."""
+class ResponseReceiver(Protocol):
+    """Takes the parts of one response as they arrive."""
 
     def on_head(self, status: int, head: Head) -> None:
-        """The answer begins."""
+        """The response begins."""
 
     def on_data(self, data: bytes) -> None:
-        """A piece of its body."""
+        """A chunk of its body."""
 
     def on_end(self) -> None:
         """It is complete."""
 
-    def on_failure(self, failure: Failure) -> None:
-        """There will be no more of it."""
+    def on_failure(self, failure: ResponseFailure) -> None:
+        """It will not be completed; no call follows."""
 
 
 class ClientState(Enum):
-    """What a connection is doing."""
+    """State of a connection to a server."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
@@ -52,53 +61,54 @@
 
 
 Dial = Callable[[str, "ClientConnection"], None]
+"""``dial(address, connection)`` connects to ``host:port`` and reports to the connection."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server. ``on_idle`` is told when it may carry another request."""
+    """One connection to a server. ``on_idle(connection)`` is called whenever it may carry another request."""
 
     def __init__(self, address: str, clock: Clock, on_idle: Callable[[ClientConnection], None]) -> None:
         self.address = address
         self.state = ClientState.CONNECTING
         self.idle_until = 0.0
-        self.used = False
-        self._written = False  # has any byte of a request been handed to the system?
+        self.used = False  # has it carried a complete exchange?
+        self._written = False  # has any byte of a request been passed to the transport?
         self._clock = clock
         self._on_idle = on_idle
-        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MOST_HEADER_BYTES)
+        self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
         self._transport: asyncio.Transport | None = None
         self._request: Request | None = None
-        self._receiver: Receiver | None = None
-        self._keep_s = DEFAULT_KEEP_S
+        self._receiver: ResponseReceiver | None = None
+        self._keep_alive_s = DEFAULT_KEEP_ALIVE_S
 
     @property
     def reusable(self) -> bool:
-        """May another request be sent now?"""
+        """Whether another request may be sent now."""
         return self.state is ClientState.IDLE and self._clock.now() < self.idle_until
 
-    def send(self, request: Request, receiver: Receiver) -> None:
-        """Send a request, as soon as the connection is up."""
+    def send(self, request: Request, receiver: ResponseReceiver) -> None:
+        """Send a request, once the connection is established."""
         self._request, self._receiver = request, receiver
         if self.state is ClientState.IDLE:
             self._write()
 
     def close(self) -> None:
-        """End the connection; its receiver hears nothing more."""
+        """Abort the connection; its receiver is not called any more."""
         self._receiver = None
-        self._become(ClientState.CLOSED)
+        self._set_state(ClientState.CLOSED)
 
-    def refused(self) -> None:
-        """The dialler gives the connection up. It may have come up in that very moment, and carry a request already."""
-        self._fail(Failure.CLOSED if self._written else Failure.NOT_CONNECTED)
+    def on_connect_failed(self) -> None:
+        """The dialer gives up. The connection may have been established at that very moment, and carry a request."""
+        self._fail(ResponseFailure.CLOSED if self._written else ResponseFailure.NOT_CONNECTED)
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Part of asyncio.Protocol."""
-        self._transport = transport
+        self._transport = cast(asyncio.Transport, transport)
         if self.state is ClientState.CLOSED:
-            transport.abort()
+            self._transport.abort()
             return
-        tune(transport)
-        self._become(ClientState.IDLE)
+        configure_socket(transport)
+        self._set_state(ClientState.IDLE)
         if self._request is not None:
             self._write()
 
@@ -106,12 +116,12 @@
         """Part of asyncio.Protocol."""
         if self.state is ClientState.WAITING and error is None:
             self._end_of_stream()
-        self._fail(Failure.CLOSED)
+        self._fail(ResponseFailure.CLOSED)
 
     def data_received(self, data: bytes) -> None:
-        """Part of asyncio.Protocol. Bytes that no request asked for end the connection."""
+        """Part of asyncio.Protocol. Bytes outside a response close the connection."""
         if self.state is not ClientState.WAITING:
-            self._become(ClientState.CLOSED)
+            self._set_state(ClientState.CLOSED)
             return
         self._http.receive_data(data)
         self._read()
@@ -124,13 +134,14 @@
     def _end_of_stream(self) -> None:
         try:
             self._http.receive_data(b"")
-        except RuntimeError:
+        except RuntimeError:  # h11: the end of the stream was received before
             return
         self._read()
 
     def _write(self) -> None:
-        request = self._request
-        self._become(ClientState.WAITING)
+        request, transport = self._request, self._transport
+        assert request is not None and transport is not None
+        self._set_state(ClientState.WAITING)
         fields: Headers = request.head.fields
         if request.body or request.method not in ("GET", "HEAD", "DELETE"):
             fields = (*fields, (b"content-length", b"%d" % len(request.body)))
@@ -139,56 +150,57 @@
             if request.body:
                 data += self._http.send(h11.Data(data=request.body))
             data += self._http.send(h11.EndOfMessage()) or b""
-        except h11.LocalProtocolError:
-            self._fail(Failure.NOT_CONNECTED)
+        except h11.LocalProtocolError:  # the request cannot be expressed in HTTP/1.1
+            self._fail(ResponseFailure.NOT_CONNECTED)
             return
         self._written = True
-        self._transport.write(data)
+        transport.write(data)
 
     def _read(self) -> None:
         try:
             while self.state is ClientState.WAITING and self._next():
                 pass
         except h11.RemoteProtocolError:
-            self._fail(Failure.GARBLED)
+            self._fail(ResponseFailure.MALFORMED)
 
     def _next(self) -> bool:
-        event = self._http.next_event()
-        if event is h11.NEED_DATA or event is h11.PAUSED:
+        """Handle one event of h11; False where it needs more bytes."""
+        receiver, event = self._receiver, self._http.next_event()
+        if event is h11.NEED_DATA or event is h11.PAUSED or receiver is None:
             return False
         if isinstance(event, h11.Response):
             head = Head(tuple(event.headers))
-            self._keep_s = kept_for(head)
-            self._receiver.on_head(event.status_code, head)
+            self._keep_alive_s = keep_alive_s(head)
+            receiver.on_head(event.status_code, head)
         elif isinstance(event, h11.Data):
-            self._receiver.on_data(bytes(event.data))
+            receiver.on_data(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._complete()
+            self._complete(receiver)
         elif isinstance(event, h11.ConnectionClosed):
-            self._fail(Failure.CLOSED)
-        return self._receiver is not None
+            self._fail(ResponseFailure.CLOSED)
+        return True
 
-    def _complete(self) -> None:
-        receiver, self._receiver, self._request = self._receiver, None, None
+    def _complete(self, receiver: ResponseReceiver) -> None:
+        self._receiver = self._request = None
         both_done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         if both_done and not self._http.trailing_data[0]:
             self._http.start_next_cycle()
             self.used = True
-            self.idle_until = self._clock.now() + self._keep_s
-            self._become(ClientState.IDLE)
+            self.idle_until = self._clock.now() + self._keep_alive_s
+            self._set_state(ClientState.IDLE)
             self._on_idle(self)
         else:
-            self._become(ClientState.CLOSED)
+            self._set_state(ClientState.CLOSED)
         receiver.on_end()
 
-    def _fail(self, failure: Failure) -> None:
+    def _fail(self, failure: ResponseFailure) -> None:
         receiver, self._receiver = self._receiver, None
-        self._become(ClientState.CLOSED)
+        self._set_state(ClientState.CLOSED)
         if receiver is not None:
             receiver.on_failure(failure)
 
-    def _become(self, state: ClientState) -> None:
-        """The one change of state."""
+    def _set_state(self, state: ClientState) -> None:
+        """The only place that changes the state."""
         if self.state is ClientState.CLOSED:
             return
         self.state = state
@@ -196,25 +208,25 @@
             self._transport.abort()
 
 
-def kept_for(head: Head) -> float:
-    """Seconds for which the server keeps the connection, by its ``Keep-Alive`` field."""
-    for word in head.text(b"keep-alive").split(","):
-        name, _, value = word.strip().partition("=")
+def keep_alive_s(head: Head) -> float:
+    """Seconds for which the server keeps an idle connection, by its ``Keep-Alive`` field (RFC 2068, 19.7.1)."""
+    for parameter in head.text(b"keep-alive").split(","):
+        name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            return max(0.0, int(value) - KEEP_MARGIN_S)
-    return DEFAULT_KEEP_S
+            return max(0.0, int(value) - KEEP_ALIVE_MARGIN_S)
+    return DEFAULT_KEEP_ALIVE_S
 
 
-class LoopDialer:
-    """Connects by asyncio."""
+class AsyncioDialer:
+    """Implements Dial by asyncio."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timeout_s: float) -> None:
         self._loop = loop
         self._timeout_s = timeout_s
-        self._tasks: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     def __call__(self, address: str, connection: ClientConnection) -> None:
-        """Bring a connection up; it is told of the outcome."""
+        """Connect in the background; the connection is called with the outcome."""
         task = self._loop.create_task(self._connect(address, connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -224,12 +236,12 @@
         try:
             async with asyncio.timeout(self._timeout_s):
                 await self._loop.create_connection(lambda: connection, host, port)
-        except OSError:
-            connection.refused()
+        except OSError:  # a TimeoutError is one
+            connection.on_connect_failed()
 
 
-class OneRequest:
-    """One whole request and answer on a connection of its own."""
+class SingleRequest:
+    """One request and its response on a connection of its own."""
 
     def __init__(
         self,
@@ -240,7 +252,7 @@
         timeout_s: float,
         done: Callable[[int, bytes], None],
     ) -> None:
-        """``done(status, body)``; status 0 where there is no whole answer in time."""
+        """``done(status, body)`` is called once; status 0 where there is no complete response within ``timeout_s``."""
         self._done: Callable[[int, bytes], None] | None = done
         self._status = 0
         self._body = bytearray()
@@ -250,19 +262,19 @@
         dial(address, self._connection)
 
     def on_head(self, status: int, head: Head) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         self._status = status
 
     def on_data(self, data: bytes) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         self._body += data
 
     def on_end(self) -> None:
-        """Part of Receiver."""
+        """Part of ResponseReceiver."""
         self._finish(self._status)
 
-    def on_failure(self, failure: Failure) -> None:
-        """Part of Receiver."""
+    def on_failure(self, failure: ResponseFailure) -> None:
+        """Part of ResponseReceiver."""
         self._finish(0)
 
     def _finish(self, status: int) -> None:
--- a/lynxscale/runtime/http_server.py
+++ b/lynxscale/runtime/http_server.py
@@ -1,45 +1,53 @@
-"""HTTP/1.1 to clients, by h11. One ``ServerConnection`` serves a connection's requests one after the other."""
+"""HTTP/1.1 server by h11. A ``ServerConnection`` serves the requests of one client connection one after the other.
+
+Its states: IDLE -> READING -> ANSWERING -> IDLE; CLOSED is reached from every state and never left. A complete request
+goes to the ``Handler``, which answers by its ``Responder`` at once or later, and returns an ``Exchange`` in the latter
+case, to be called should the client disconnect first.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 from enum import Enum
-from typing import Protocol
+from typing import Protocol, cast
 
 import h11
 from attrs import define
 
 from lynxscale.coordination.ports import Clock, Timer
 from lynxscale.runtime.http_types import Head, Headers, Request, Response
-from lynxscale.runtime.network import tune
+from lynxscale.runtime.sockets import configure_socket
 
 EMPTY_LENGTH: Headers = ((b"content-length", b"0"),)
+REQUEST_TIMEOUT = 408
+CONTENT_TOO_LARGE = 413
 
 
 @define
 class ServerLimits:
-    """What a client may send and how long it may take; changed in place by a new configuration."""
+    """Limits on a client's bytes and times; changed in place by a new configuration."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
     header_timeout_s: float = 5.0
     idle_timeout_s: float = 60.0
-    closing: bool = False  # answers end their connections
+    closing: bool = False  # graceful shutdown: each response closes its connection
 
 
 class Exchange(Protocol):
-    """Who answers one request."""
+    """What a handler has pending for one request."""
 
-    def client_gone(self) -> None:
-        """The client left before the answer's end."""
+    def on_client_disconnected(self) -> None:
+        """The client disconnected before the end of the response."""
 
 
 Handler = Callable[[Request, "Responder"], Exchange | None]
+"""``handler(request, responder)``; returns what is pending, None where the request is answered or its end is moot."""
 
 
 class ConnectionState(Enum):
-    """What a connection is doing."""
+    """State of a connection from a client."""
 
     IDLE = "idle"
     READING = "receiving"
@@ -48,22 +56,17 @@
 
 
 class Responder:
-    """The answer to one request. Calls after the client has gone do nothing."""
+    """Sends the response to one request. Calls after the client has disconnected do nothing."""
 
     def __init__(self, connection: ServerConnection) -> None:
         self._connection: ServerConnection | None = connection
 
-    @property
-    def gone(self) -> bool:
-        """Is there nobody to answer any more?"""
-        return self._connection is None
-
     def detach(self) -> None:
-        """The connection has ended."""
+        """The connection is closed."""
         self._connection = None
 
-    def whole(self, response: Response) -> None:
-        """Answer at once."""
+    def respond(self, response: Response) -> None:
+        """Send a complete response."""
         if self._connection is not None:
             fields = (*response.head.fields, (b"content-length", b"%d" % len(response.body)))
             self._connection.send_head(response.status, fields)
@@ -72,12 +75,12 @@
             self._connection.finish()
 
     def start(self, status: int, fields: Headers) -> None:
-        """Begin an answer whose body follows."""
+        """Begin a response whose body follows."""
         if self._connection is not None:
             self._connection.send_head(status, fields)
 
     def data(self, data: bytes) -> None:
-        """A piece of the body, passed on now."""
+        """Send a chunk of the body at once."""
         if self._connection is not None:
             self._connection.send_data(data)
             self._connection.flush()
@@ -87,8 +90,8 @@
         if self._connection is not None:
             self._connection.finish()
 
-    def break_off(self) -> None:
-        """End the connection without completing the answer."""
+    def abort(self) -> None:
+        """Close the connection without completing the response."""
         if self._connection is not None:
             self._connection.close()
 
@@ -119,22 +122,22 @@
 
     @property
     def busy(self) -> bool:
-        """Is a request half read or not yet answered?"""
+        """Whether a request is partly read or not yet answered."""
         return self.state in (ConnectionState.READING, ConnectionState.ANSWERING)
 
-    def connection_made(self, transport: asyncio.Transport) -> None:
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Part of asyncio.Protocol."""
-        self._transport = transport
-        tune(transport)
+        self._transport = cast(asyncio.Transport, transport)
+        configure_socket(transport)
         self._open.add(self)
         self._set_deadline(self._limits.idle_timeout_s)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Part of asyncio.Protocol."""
-        self._become(ConnectionState.CLOSED)
+        self._set_state(ConnectionState.CLOSED)
 
     def eof_received(self) -> None:
-        """Part of asyncio.Protocol: a client that ends its sending has left."""
+        """Part of asyncio.Protocol. A client that closes its sending side counts as disconnected."""
 
     def data_received(self, data: bytes) -> None:
         """Part of asyncio.Protocol."""
@@ -142,33 +145,33 @@
             return
         self._http.receive_data(data)
         if self.state is ConnectionState.IDLE:
-            self._become(ConnectionState.READING)
+            self._set_state(ConnectionState.READING)
         if self.state is ConnectionState.READING:
             self._read()
 
     def close_if_idle(self) -> None:
-        """End a connection on which no request is under way."""
+        """Close the connection if no request is in flight."""
         if self.state is ConnectionState.IDLE:
             self.close()
 
     def close(self) -> None:
-        """End the connection as it stands."""
+        """Close the connection, whatever its state."""
         if self._transport is not None:
             self.flush()
             self._transport.close()
-        self._become(ConnectionState.CLOSED)
+        self._set_state(ConnectionState.CLOSED)
 
     def send_head(self, status: int, fields: Headers) -> None:
-        """Begin the answer."""
+        """Queue the head of the response."""
         extra = ((b"connection", b"close"),) if self._limits.closing else ()
         self._queue(h11.Response(status_code=status, headers=[*fields, *extra]))
 
     def send_data(self, data: bytes) -> None:
-        """Continue the answer."""
+        """Queue a chunk of the body."""
         self._queue(h11.Data(data=data))
 
     def finish(self) -> None:
-        """Complete the answer, and go on with the next request."""
+        """Complete the response, and read the next request."""
         self._queue(h11.EndOfMessage())
         self.flush()
         self._exchange = None
@@ -177,13 +180,13 @@
             self.close()
             return
         self._http.start_next_cycle()
-        self._become(ConnectionState.IDLE)
+        self._set_state(ConnectionState.IDLE)
         if self._http.trailing_data[0]:
-            self._become(ConnectionState.READING)
+            self._set_state(ConnectionState.READING)
             self._clock.call_later(0.0, self._read)
 
     def flush(self) -> None:
-        """Hand what was queued to the socket."""
+        """Write all queued bytes to the transport."""
         if self._unsent and self._transport is not None and not self._transport.is_closing():
             self._transport.write(bytes(self._unsent))
         self._unsent.clear()
@@ -191,7 +194,7 @@
     def _queue(self, event: h11.Event) -> None:
         try:
             self._unsent += self._http.send(event) or b""
-        except h11.LocalProtocolError:
+        except h11.LocalProtocolError:  # the handler's response cannot be expressed in HTTP/1.1
             self.close()
 
     def _read(self) -> None:
@@ -199,10 +202,10 @@
             while self.state is ConnectionState.READING and self._next():
                 pass
         except h11.RemoteProtocolError as error:
-            self._refuse(error.error_status_hint)
+            self._reject(error.error_status_hint)
 
     def _next(self) -> bool:
-        """Take one event; False where more bytes are needed."""
+        """Handle one event of h11; False where it needs more bytes."""
         event = self._http.next_event()
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
@@ -212,7 +215,7 @@
         elif isinstance(event, h11.Data):
             self._body += event.data
             if len(self._body) > self._limits.body_bytes:
-                self._refuse(413)
+                self._reject(CONTENT_TOO_LARGE)
         elif isinstance(event, h11.EndOfMessage):
             self._dispatch()
         elif isinstance(event, h11.ConnectionClosed):
@@ -221,18 +224,19 @@
 
     def _dispatch(self) -> None:
         head = self._head
+        assert head is not None
         request = Request(
             head.method.decode("latin-1"), head.target.decode("latin-1"), Head(tuple(head.headers)), bytes(self._body)
         )
         self._body.clear()
-        self._become(ConnectionState.ANSWERING)
+        self._set_state(ConnectionState.ANSWERING)
         self._responder = Responder(self)
         exchange = self._handler(request, self._responder)
         if self.state is ConnectionState.ANSWERING and self._responder is not None:
             self._exchange = exchange
 
-    def _refuse(self, status: int) -> None:
-        """Answer a request that cannot be read, and end the connection."""
+    def _reject(self, status: int) -> None:
+        """Answer a request that cannot be read, and close the connection."""
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._queue(h11.Response(status_code=status, headers=[*EMPTY_LENGTH, (b"connection", b"close")]))
             self._queue(h11.EndOfMessage())
@@ -240,21 +244,21 @@
 
     def _set_deadline(self, seconds: float) -> None:
         self._cancel_deadline()
-        self._deadline = self._clock.call_later(seconds, self._too_slow)
+        self._deadline = self._clock.call_later(seconds, self._on_deadline)
 
     def _cancel_deadline(self) -> None:
         if self._deadline is not None:
             self._deadline.cancel()
             self._deadline = None
 
-    def _too_slow(self) -> None:
+    def _on_deadline(self) -> None:
         if self.state is ConnectionState.READING:
-            self._refuse(408)
+            self._reject(REQUEST_TIMEOUT)
         else:
             self.close()
 
-    def _become(self, state: ConnectionState) -> None:
-        """The one change of state."""
+    def _set_state(self, state: ConnectionState) -> None:
+        """The only place that changes the state."""
         if self.state is ConnectionState.CLOSED or self.state is state:
             return
         self.state = state
@@ -266,12 +270,12 @@
             self._cancel_deadline()
         if state is ConnectionState.CLOSED:
             self._open.discard(self)
-            self._leave_exchange()
+            self._detach_exchange()
 
-    def _leave_exchange(self) -> None:
+    def _detach_exchange(self) -> None:
         exchange, self._exchange = self._exchange, None
         responder, self._responder = self._responder, None
         if responder is not None:
             responder.detach()
         if exchange is not None:
-            exchange.client_gone()
+            exchange.on_client_disconnected()
--- a/lynxscale/runtime/http_types.py
+++ b/lynxscale/runtime/http_types.py
@@ -1,10 +1,11 @@
-"""Values that HTTP servers and clients share."""
+"""HTTP messages as plain values, shared by the server and the client."""
 
 from __future__ import annotations
 
 from attrs import field, frozen
 
 Headers = tuple[tuple[bytes, bytes], ...]
+"""Header fields as pairs of name and value."""
 
 HOP_BY_HOP = frozenset(
     (
@@ -19,6 +20,7 @@
         b"upgrade",
     )
 )
+"""Fields of one connection, which an intermediary does not forward (RFC 9110, section 7.6.1)."""
 
 
 @frozen
@@ -28,33 +30,34 @@
     fields: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The first field of that name."""
-        for one, value in self.fields:
-            if one == name:
+        """The value of the first field of that name, None where there is none."""
+        for field_name, value in self.fields:
+            if field_name == name:
                 return value
         return None
 
     def text(self, name: bytes, default: str = "") -> str:
-        """The field as text."""
+        """The field as text, ``default`` where there is none."""
         value = self.get(name)
         return default if value is None else value.decode("latin-1")
 
     def number(self, name: bytes) -> float | None:
-        """The field as a number, None where it is none."""
+        """The field as a number, None where it is missing or no number."""
+        value = self.get(name)
         try:
-            return float(self.get(name))
-        except (TypeError, ValueError):
+            return None if value is None else float(value)
+        except ValueError:
             return None
 
     def end_to_end(self) -> Headers:
-        """The fields that do not concern one connection alone (RFC 9110, section 7.6.1)."""
-        named = frozenset(word.strip().lower() for word in (self.get(b"connection") or b"").split(b","))
+        """The fields that an intermediary forwards: neither hop-by-hop nor named by ``Connection``."""
+        named = frozenset(option.strip().lower() for option in (self.get(b"connection") or b"").split(b","))
         return tuple(entry for entry in self.fields if entry[0] not in HOP_BY_HOP and entry[0] not in named)
 
 
 @frozen
 class Request:
-    """A whole request."""
+    """A complete request."""
 
     method: str
     target: str
@@ -69,7 +72,7 @@
 
 @frozen
 class Response:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     head: Head = Head(())
--- a/lynxscale/runtime/logs.py
+++ b/lynxscale/runtime/logs.py
@@ -1,4 +1,4 @@
-"""Logs on standard error: one line an event, ``event=NAME`` and fields."""
+"""The tier's log on standard error: one line an event, ``event=NAME`` and its fields as ``key=value``."""
 
 from __future__ import annotations
 
@@ -6,6 +6,6 @@
 import sys
 
 
-def start(level: int = logging.INFO) -> None:
-    """Send all records to standard error."""
+def configure(level: int = logging.INFO) -> None:
+    """Write all records of ``level`` and above to standard error."""
     logging.basicConfig(stream=sys.stderr, level=level, format="level=%(levelname)s %(message)s")
--- /dev/null
+++ b/lynxscale/runtime/peer_network.py
@@ -0,0 +1,145 @@
+"""Messages between nodes: netstrings of JSON over TCP, one connection in each direction.
+
+A message is lost where its connection cannot be established, or breaks: a sender that needs a response retries.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from typing import cast
+
+import msgspec
+
+from lynxscale.coordination.messages import Message, decode, encode
+from lynxscale.coordination.netstring import Decoder, NetstringError
+from lynxscale.coordination.netstring import encode as encode_frame
+from lynxscale.runtime.sockets import configure_socket, split_address
+
+log = logging.getLogger(__name__)
+
+CONNECT_TIMEOUT_S = 1.0
+RECONNECT_BACKOFF_S = 0.1
+"""After a failed connection attempt, messages are dropped for so long."""
+MAX_UNSENT_BYTES = 16 * 1024 * 1024
+"""A connection whose write buffer exceeds this is aborted: its peer reads too slowly."""
+
+
+class InboundConnection(asyncio.Protocol):
+    """A connection by which another node sends to this one."""
+
+    def __init__(self, receive: Callable[[Message], None]) -> None:
+        self._receive = receive
+        self._decoder = Decoder()
+        self._transport: asyncio.Transport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Part of asyncio.Protocol."""
+        self._transport = cast(asyncio.Transport, transport)
+        configure_socket(transport)
+
+    def data_received(self, data: bytes) -> None:
+        """Part of asyncio.Protocol. Bytes that are not messages abort the connection."""
+        try:
+            for payload in self._decoder.feed(data):
+                self._receive(decode(payload))
+        except (NetstringError, msgspec.DecodeError) as error:
+            log.warning("event=bad_message error=%s", error)
+            if self._transport is not None:
+                self._transport.abort()
+
+
+class OutboundConnection(asyncio.Protocol):
+    """The connection by which this node sends to one peer, established as needed.
+
+    It is down (no transport), connecting (``_connecting``) or up (a transport).
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: str) -> None:
+        self._loop = loop
+        self._address = address
+        self._transport: asyncio.Transport | None = None
+        self._connecting = False
+        self._backoff_until = 0.0
+        self._unsent: list[bytes] = []
+        self._flush_scheduled = False
+
+    def send(self, payload: bytes) -> None:
+        """Send with the next flush: messages of one iteration of the loop share one write."""
+        if self._transport is None and not self._connecting:
+            if self._loop.time() < self._backoff_until:
+                return
+            self._connecting = True
+            self._loop.create_task(self._connect())
+        self._unsent.append(payload)
+        if not self._flush_scheduled and self._transport is not None:
+            self._flush_scheduled = True
+            self._loop.call_soon(self.flush)
+
+    async def _connect(self) -> None:
+        host, port = split_address(self._address)
+        try:
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
+                await self._loop.create_connection(lambda: self, host, port)
+        except OSError:  # a TimeoutError is one
+            self._backoff_until = self._loop.time() + RECONNECT_BACKOFF_S
+            self._unsent.clear()
+        finally:
+            self._connecting = False
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Part of asyncio.Protocol."""
+        self._transport = cast(asyncio.Transport, transport)
+        configure_socket(transport)
+        self.flush()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Part of asyncio.Protocol."""
+        self._transport = None
+        self._unsent.clear()
+
+    def flush(self) -> None:
+        """Write all unsent messages to the socket."""
+        self._flush_scheduled = False
+        if self._transport is None or not self._unsent:
+            return
+        data = b"".join(map(encode_frame, self._unsent))
+        self._unsent.clear()
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            self._transport.abort()
+        else:
+            self._transport.write(data)
+
+
+class PeerNetwork:
+    """Implements the Network port. ``address``: where this node listens, ``host:port``."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, address: str) -> None:
+        self.address = address
+        self._loop = loop
+        self._connections: dict[str, OutboundConnection] = {}
+        self._receive: Callable[[Message], None] = lambda message: None
+        self._server: asyncio.Server | None = None
+
+    async def listen(self, receive: Callable[[Message], None]) -> None:
+        """Pass each message received to ``receive`` from now on. Raises OSError where the port is in use."""
+        self._receive = receive
+        host, port = split_address(self.address)
+        self._server = await self._loop.create_server(lambda: InboundConnection(receive), host, port)
+
+    def flush(self) -> None:
+        """Write all unsent messages now: the event loop is about to block on a disk."""
+        for connection in self._connections.values():
+            connection.flush()
+
+    def send(self, address: str, message: Message) -> None:
+        """Send a message; one to this node itself is received in the loop's next iteration."""
+        if not address:
+            return
+        if address == self.address:
+            self._loop.call_soon(self._receive, message)
+            return
+        if address not in self._connections:
+            self._connections[address] = OutboundConnection(self._loop, address)
+        self._connections[address].send(encode(message))
--- a/lynxscale/runtime/process.py
+++ b/lynxscale/runtime/process.py
@@ -1,26 +1,28 @@
-"""Start of a program: its settings, its log, its loop and its exit code."""
+"""Start of a program of the tier: its log, its settings, its event loop and its exit code."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import sys
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 from lynxscale.runtime import logs
-from lynxscale.runtime.settings import Settings, SettingsError, load
+from lynxscale.runtime.exceptions import SettingsError
+from lynxscale.runtime.exit_codes import ExitCode
+from lynxscale.runtime.settings import Settings
+from lynxscale.runtime.settings_reader import load_settings
 
-EXIT_GOOD, EXIT_SETTINGS = 0, 2
 
-
-def run(serve: Callable[[Settings], Awaitable[None]]) -> int:
-    """Serve by the process's settings; the exit code, 2 where these cannot be used."""
-    logs.start()
+def run(serve: Callable[[Settings], Coroutine[Any, Any, None]]) -> int:
+    """Run ``serve(settings)`` to its end; return the exit code, ``UNUSABLE`` for unusable settings."""
+    logs.configure()
     try:
-        settings = load()
+        settings = load_settings()
     except SettingsError as error:
         print(error, file=sys.stderr)
-        return EXIT_SETTINGS
+        return ExitCode.UNUSABLE
     with contextlib.suppress(KeyboardInterrupt):
         asyncio.run(serve(settings))
-    return EXIT_GOOD
+    return ExitCode.OK
--- /dev/null
+++ b/lynxscale/runtime/settings_reader.py
@@ -0,0 +1,57 @@
+"""Reads the settings file of a process: TOML, named by the variable ``LYNXSCALE_SETTINGS``.
+
+Unknown keys are ignored. All wrong fields are reported together, each by its place in the file.
+"""
+
+from __future__ import annotations
+
+import os
+import tomllib
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lynxscale.runtime.exceptions import SettingsError
+from lynxscale.runtime.settings import Settings
+
+SETTINGS_VARIABLE = "LYNXSCALE_SETTINGS"
+
+
+def load_settings() -> Settings:
+    """The settings of this process. Raises SettingsError."""
+    path = os.environ.get(SETTINGS_VARIABLE, "")
+    if not path:
+        raise SettingsError(f"the variable {SETTINGS_VARIABLE} names no file")
+    try:
+        text = Path(path).read_text()
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from error
+    return parse_settings(text, path)
+
+
+def parse_settings(text: str, source: str) -> Settings:
+    """Settings from TOML text; ``source`` is the file's name in findings. Raises SettingsError with all findings."""
+    try:
+        table = tomllib.loads(text)
+    except tomllib.TOMLDecodeError as error:
+        raise SettingsError(f"{source}: {error}") from error
+    findings = _findings(table, source)
+    if findings:
+        raise SettingsError("\n".join(findings))
+    return msgspec.convert(table, Settings)
+
+
+def _findings(table: dict[str, Any], source: str) -> list[str]:
+    """Every field that is missing or of a wrong type; msgspec itself stops at the first, so each is checked alone."""
+    found = []
+    for field in msgspec.structs.fields(Settings):
+        if field.encode_name not in table:
+            if field.required:
+                found.append(f"{source}: {field.encode_name}: missing")
+            continue
+        try:
+            msgspec.convert(table[field.encode_name], field.type)
+        except msgspec.ValidationError as error:
+            found.append(f"{source}: {field.encode_name}: {error}")
+    return found
--- /dev/null
+++ b/lynxscale/runtime/sockets.py
@@ -0,0 +1,25 @@
+"""Addresses and socket options that all connections of the tier share."""
+
+from __future__ import annotations
+
+import asyncio
+import contextlib
+import socket
+
+UNACKNOWLEDGED_TIMEOUT_MS = 1500
+"""A connection whose sent bytes stay unacknowledged for so long is closed by the kernel (``TCP_USER_TIMEOUT``)."""
+
+
+def split_address(address: str) -> tuple[str, int]:
+    """Split ``host:port``. Raises ValueError where the port is no number."""
+    host, _, port = address.rpartition(":")
+    return host, int(port)
+
+
+def configure_socket(transport: asyncio.BaseTransport) -> None:
+    """Disable Nagle's algorithm, and bound the time for which an unresponsive peer keeps a connection open."""
+    connection = transport.get_extra_info("socket")
+    if connection is not None:
+        with contextlib.suppress(OSError):  # the peer may have closed the connection already
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -11,7 +11,7 @@
 from lynxscale.coordination.checksummed_file import SECOND_COPY, unseal
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
-from lynxscale.runtime.files import ASIDE, DurableFiles
+from lynxscale.runtime.durable_files import TEMPORARY_SUFFIX, DurableFiles
 from tests import golden
 
 FOLDERS = golden.expected("folders.json")
@@ -49,9 +49,9 @@
 @pytest.mark.parametrize("name", ["cut-off-whole", "cut-off-batch"])
 def test_the_rest_of_a_file_that_was_cut_off_goes(name, copied):
     folder = copied(f"folders/{name}")
-    assert any(folder.glob(f"*{ASIDE}"))
+    assert any(folder.glob(f"*{TEMPORARY_SUFFIX}"))
     assert Store(DurableFiles(str(folder))).intact
-    assert not any(folder.glob(f"*{ASIDE}"))
+    assert not any(folder.glob(f"*{TEMPORARY_SUFFIX}"))
 
 
 def test_batches_are_stored_with_the_golden_bytes(tmp_path):
--- a/tests/data/tier/generate.py
+++ b/tests/data/tier/generate.py
@@ -22,7 +22,7 @@
 from lynxscale.coordination import version_files
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
-from lynxscale.runtime.files import DurableFiles
+from lynxscale.runtime.durable_files import DurableFiles
 from tests import golden
 
 MOST_ORDERS = 4  # remembered, so that some are forgotten
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -22,7 +22,7 @@
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.dataplane import status as relay_status
-from lynxscale.runtime.files import DurableFiles
+from lynxscale.runtime.durable_files import DurableFiles
 from lynxscale.topics import Endpoint
 
 DATA = Path(__file__).parent / "data" / "tier" / "v1"
--- a/tests/test_tier_live.py
+++ b/tests/test_tier_live.py
@@ -13,7 +13,8 @@
 
 from lab.tier.cluster import default_configuration
 from lab.tier.local import LocalTier
-from lynxscale.runtime.settings import SettingsError, parse
+from lynxscale.runtime.exceptions import SettingsError
+from lynxscale.runtime.settings_reader import parse_settings
 
 NETWORK = 83
 
@@ -166,7 +167,7 @@
 
 def test_settings_findings_come_together():
     with pytest.raises(SettingsError) as raised:
-        parse('ip = 7\nzone = "a"\ninternal-ports = [1]\nseeds = ["a:1"]\nunknown = 1', "s.toml")
+        parse_settings('ip = 7\nzone = "a"\ninternal-ports = [1]\nseeds = ["a:1"]\nunknown = 1', "s.toml")
     lines = str(raised.value).splitlines()
     assert [line.split(":")[1].strip() for line in lines] == ["node-name", "ip", "internal-ports"]
 
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -24,8 +24,8 @@
     address_of,
 )
 from lynxscale.coordination.vote_deference import Support
-from lynxscale.runtime.files import DurableFiles
-from lynxscale.runtime.network import InternalNetwork
+from lynxscale.runtime.durable_files import DurableFiles
+from lynxscale.runtime.peer_network import PeerNetwork
 
 
 def started(seed: int = 1, size: int = 5, tolerated: int = 2, sync_s: float = 0.0) -> Group:
@@ -174,7 +174,7 @@
 
     async def play() -> list[Message]:
         loop = asyncio.get_running_loop()
-        sender, receiver = InternalNetwork(loop, "127.0.0.1:0"), InternalNetwork(loop, "127.0.0.1:0")
+        sender, receiver = PeerNetwork(loop, "127.0.0.1:0"), PeerNetwork(loop, "127.0.0.1:0")
         heard: list[Message] = []
         await receiver.listen(heard.append)
         address = f"127.0.0.1:{receiver._server.sockets[0].getsockname()[1]}"
@@ -182,15 +182,15 @@
         while not heard:
             await asyncio.sleep(0)
         written: list[int] = []
-        link = sender._links[address]
+        connection = sender._connections[address]
 
         def before_sync() -> None:
             sender.flush()
-            written.append(len(link._waiting))
+            written.append(len(connection._unsent))
 
         files = DurableFiles(str(tmp_path), before_sync)
         sender.send(address, Heartbeat("second"))
-        assert len(link._waiting) == 1
+        assert len(connection._unsent) == 1
         files.write("a", b"1")
         assert written == [0]
         receiver._server.close()
