--- a/lab/tier/cluster.py
+++ b/lab/tier/cluster.py
@@ -13,11 +13,11 @@
 from lab.tier.world import World
 from lynxscale.controlplane.service import ControlService
 from lynxscale.dataplane.service import RelayService
+from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_client import ClientConnection
 from lynxscale.runtime.http_server import ServerConnection, ServerLimits
 from lynxscale.runtime.http_types import Head, Request
 from lynxscale.runtime.settings import Cloud, FaultTolerance, Limits, Listen, Settings
-from lynxscale.topics import Endpoint
 
 INTERNAL_PORT, CONTROL_PORT, FRONT_PORT, READY_PORT = 7000, 8000, 8080, 8081
 MODEL, TOOLS = "model", "tools"
--- a/lab/tier/local.py
+++ b/lab/tier/local.py
@@ -18,12 +18,12 @@
 
 from lab.tier.cluster import MODEL, TOOLS, ZONES, default_configuration
 from lab.tier.standins import StandInEndpoint, StandInPlatform
+from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.clock import LoopClock
 from lynxscale.runtime.exceptions import NoResponseError
 from lynxscale.runtime.http_types import Head, Request, Response
 from lynxscale.runtime.operator_client import send_request
 from lynxscale.runtime.sockets import split_address
-from lynxscale.topics import Endpoint
 
 CONTROLS, RELAYS = 3, 2
 ENDPOINT_PORT = 7399
--- a/lab/tier/orders/calls.py
+++ b/lab/tier/orders/calls.py
@@ -18,8 +18,8 @@
 from lynxscale.dataplane import headers as h
 from lynxscale.dataplane.attempt import Attempt, Outcome
 from lynxscale.dataplane.endpoints import EndpointState
+from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_types import Head, Request
-from lynxscale.topics import Endpoint
 
 ADDRESS = "e:1"
 BODY = b"0123456789"
--- a/lab/tier/standins.py
+++ b/lab/tier/standins.py
@@ -11,10 +11,10 @@
 from lab.tier.world import World
 from lynxscale.coordination.ports import Clock
 from lynxscale.dataplane import headers as h
+from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
 from lynxscale.runtime.http_server import Responder, ServerConnection, ServerLimits
 from lynxscale.runtime.http_types import Head, Request, Response
-from lynxscale.topics import Endpoint
 
 Listen = Callable[[str, Callable[[], ServerConnection]], None]
 PLATFORM = "10.200.0.100:80"
--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -11,8 +11,8 @@
 from returns.result import Failure
 
 from lynxscale.controlplane.configuration import Configuration, check
+from lynxscale.controlplane.configuration_update import apply_update, check_update
 from lynxscale.controlplane.status import ControlStatus, render
-from lynxscale.controlplane.update import apply_update, check_update
 from lynxscale.coordination.store import Store
 from lynxscale.runtime.commands import CheckSettings, call, fail, print_status, read_file
 from lynxscale.runtime.durable_files import ReadOnlyFiles
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -15,7 +15,7 @@
 from returns.result import Failure, Result, Success
 
 from lynxscale.controlplane.configuration import Configuration, Finding, check
-from lynxscale.controlplane.update import EMPTY_CONFIGURATION, Update, apply_update, check_update
+from lynxscale.controlplane.configuration_update import EMPTY_CONFIGURATION, Update, apply_update, check_update
 from lynxscale.coordination.member import ControlMember
 from lynxscale.coordination.messages import Put, put_value
 from lynxscale.runtime.http_server import Responder
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from lynxscale.controlplane.endpoints import EndpointReader
 from lynxscale.controlplane.ledger import Ledger
 from lynxscale.controlplane.operator_api import OperatorApi, json_response
 from lynxscale.controlplane.status import ControlStatus, ReplicaStatus
@@ -31,11 +30,20 @@
     address_of,
 )
 from lynxscale.coordination.ports import Clock, Files, Network
+from lynxscale.discovery.endpoint import Endpoint
+from lynxscale.discovery.endpoint_poller import EndpointPoller
+from lynxscale.discovery.topics import (
+    CONFIGURATION_TOPIC,
+    ENDPOINTS_TOPIC,
+    MEMBERS_TOPIC,
+    is_stale_shard_topic,
+    shard_count,
+    shard_endpoints,
+)
 from lynxscale.runtime.http_client import Dial
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Request
 from lynxscale.runtime.settings import Settings
-from lynxscale.topics import CONFIG, ENDPOINTS, MEMBERS, Endpoint, is_foreign_part, part_count, split
 
 log = logging.getLogger(__name__)
 
@@ -61,7 +69,7 @@
         self.ledger = Ledger(self.member.store.values, clock)
         self.publisher = Publisher(address, clock, network)
         self.roster = Roster(clock, self._roster_changed)
-        self._reader = EndpointReader(settings.cloud.address, clock, dial, self._on_list)
+        self._reader = EndpointPoller(settings.cloud.address, clock, dial, self._on_list)
         self._serving = False
         self._unanswered: set[str] = set()
         self._endpoints: list[Endpoint] = []
@@ -196,7 +204,7 @@
         current = self.api.current()
         if current is not None:
             topic = Topic(Version(0, current.generation), current.body)
-            self.publisher.take({CONFIG: topic})
+            self.publisher.take({CONFIGURATION_TOPIC: topic})
         self._push()
 
     def _on_list(self, endpoints: list[Endpoint]) -> None:
@@ -207,12 +215,12 @@
 
     def _publish_endpoints(self) -> None:
         """Publish the parts of the list that have changed."""
-        count = part_count(len(self._endpoints))
-        parts = split(self._endpoints, count)
+        count = shard_count(len(self._endpoints))
+        parts = shard_endpoints(self._endpoints, count)
         changed = {name: part for name, part in parts.items() if self._parts.get(name) != part}
         if len(parts) != len(self._parts):
-            self.publisher.drop(lambda name: is_foreign_part(name, count))
-            changed[ENDPOINTS] = count
+            self.publisher.drop(lambda name: is_stale_shard_topic(name, count))
+            changed[ENDPOINTS_TOPIC] = count
         self._parts = parts
         for name, value in changed.items():
             self._set_topic(name, value)
@@ -243,7 +251,7 @@
         members = tuple(address_of(one) for one in self.member.record.witnesses)
         if members != self._members:
             self._members = members
-            self._publish(MEMBERS, members)
+            self._publish(MEMBERS_TOPIC, members)
         if self._roster_dirty:
             self._roster_dirty = False
             self._publish(ROSTER, self.roster.entries())
--- a/lynxscale/dataplane/balancer.py
+++ b/lynxscale/dataplane/balancer.py
@@ -9,8 +9,8 @@
 from lynxscale.coordination.ports import Clock
 from lynxscale.dataplane.endpoints import READY, EndpointState
 from lynxscale.dataplane.queue import PlaceQueue
+from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_client import Dial
-from lynxscale.topics import Endpoint
 
 OUTLIER_TROUBLE = 0.25  # share of wrong tries beyond which an endpoint is left out
 MEMORY_SHARE = 0.8  # of an endpoint's memory that requests may come to hold together
--- a/lynxscale/dataplane/endpoints.py
+++ b/lynxscale/dataplane/endpoints.py
@@ -5,9 +5,9 @@
 import math
 
 from lynxscale.coordination.ports import Clock
+from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_client import ClientConnection, Dial
 from lynxscale.scheduling.restart_timeout import INF, TrySample
-from lynxscale.topics import Endpoint
 
 WINDOW_SHARE = 0.75  # of the slots, at most (design)
 SICK_SHARE = 0.5  # of the slots, while an endpoint is failing or slow (design)
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from lynxscale.controlplane.endpoints import EndpointReader
 from lynxscale.coordination.distribution_tree import ROSTER, Subscriber
 from lynxscale.coordination.heartbeat_ring import RingMember
 from lynxscale.coordination.messages import Message
@@ -20,11 +19,19 @@
 from lynxscale.dataplane.routing import RouteTable, decode_table
 from lynxscale.dataplane.status import NEVER_S, EndpointStatus, RelayStatus, tau
 from lynxscale.dataplane.turns import TurnLedger
+from lynxscale.discovery.endpoint import Endpoint
+from lynxscale.discovery.endpoint_poller import EndpointPoller
+from lynxscale.discovery.topics import (
+    CONFIGURATION_TOPIC,
+    ENDPOINTS_TOPIC,
+    MEMBERS_TOPIC,
+    is_stale_shard_topic,
+    shard_topic,
+)
 from lynxscale.runtime.http_client import Dial
 from lynxscale.runtime.http_server import Exchange, Responder, ServerLimits
 from lynxscale.runtime.http_types import Head, Request, Response
 from lynxscale.runtime.settings import Settings
-from lynxscale.topics import CONFIG, ENDPOINTS, MEMBERS, Endpoint, is_foreign_part, part_name
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +55,7 @@
         )
         self._seeds = settings.contacts
         self._members: tuple[str, ...] = ()
-        self._reader = EndpointReader(settings.cloud.address, clock, dial, self._on_own_list)
+        self._reader = EndpointPoller(settings.cloud.address, clock, dial, self._on_own_list)
         self._reading = False
         self._clock = clock
         self._rate_per_s = max(1.0, settings.cloud.rate_per_s)
@@ -129,7 +136,7 @@
         if alone and not self._reading:
             log.info("event=reads_the_list_itself")
             relays = max(1, len(self.tree.roster))
-            self._reader.start(every_s=max(OWN_READ_EVERY_S, relays / (RATE_SHARE * self._rate_per_s)))
+            self._reader.start(interval_s=max(OWN_READ_EVERY_S, relays / (RATE_SHARE * self._rate_per_s)))
         elif self._reading and not alone:
             self._reader.stop()
         self._reading = alone
@@ -139,12 +146,12 @@
 
     def _on_topics(self, names: list[str]) -> None:
         topics = self.tree.publisher.topics
-        if CONFIG in names:
-            self._take_configuration(topics[CONFIG].value)
-        if any(name.startswith(ENDPOINTS) for name in names):
+        if CONFIGURATION_TOPIC in names:
+            self._take_configuration(topics[CONFIGURATION_TOPIC].value)
+        if any(name.startswith(ENDPOINTS_TOPIC) for name in names):
             self._take_endpoints()
-        if MEMBERS in names:
-            self._members = msgspec.json.decode(topics[MEMBERS].value, type=tuple[str, ...])
+        if MEMBERS_TOPIC in names:
+            self._members = msgspec.json.decode(topics[MEMBERS_TOPIC].value, type=tuple[str, ...])
             self._set_contacts()
         if ROSTER in names:
             self.ring.set_roster(self.tree.roster)
@@ -154,11 +161,11 @@
     def _take_endpoints(self) -> None:
         """Take the list once all of its parts are there."""
         publisher = self.tree.publisher
-        if ENDPOINTS not in publisher.topics:
+        if ENDPOINTS_TOPIC not in publisher.topics:
             return
-        count = msgspec.json.decode(publisher.topics[ENDPOINTS].value, type=int)
-        publisher.drop(lambda name: is_foreign_part(name, count))
-        parts = [publisher.topics.get(part_name(count, number)) for number in range(count)]
+        count = msgspec.json.decode(publisher.topics[ENDPOINTS_TOPIC].value, type=int)
+        publisher.drop(lambda name: is_stale_shard_topic(name, count))
+        parts = [publisher.topics.get(shard_topic(count, number)) for number in range(count)]
         if all(parts):
             listed = [msgspec.json.decode(part.value, type=list[Endpoint]) for part in parts]
             self.balancer.take_list([endpoint for part in listed for endpoint in part])
--- /dev/null
+++ b/lynxscale/discovery/endpoint_poller.py
@@ -0,0 +1,102 @@
+"""Polls the platform's endpoint list: ``GET /instances``, page by page.
+
+The primary of the control plane polls and publishes the list. A relay without contact to any primary polls it itself,
+at its share of the platform's rate limit.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from urllib.parse import quote
+
+import msgspec
+
+from lynxscale.coordination.ports import Clock, Timer
+from lynxscale.discovery.endpoint import Endpoint
+from lynxscale.runtime.http_client import Dial, SingleRequest
+from lynxscale.runtime.http_types import Head, Request
+
+POLL_INTERVAL_S = 0.6
+RETRY_DELAY_S = 0.3  # after a failed or rejected request
+REQUEST_TIMEOUT_S = 1.0
+MAX_PAGES = 200
+
+
+class EndpointPage(msgspec.Struct, rename="kebab"):
+    """One page of the platform's answer; ``next-page-token`` is absent on the last one."""
+
+    instances: list[Endpoint]
+    next_page_token: str | None = None
+
+
+class EndpointPoller:
+    """Fetches all pages, again and again while it runs. ``on_list`` gets each complete list, sorted.
+
+    ``address`` (``host:port`` of the platform) may be changed at any time; the next request goes there.
+    """
+
+    def __init__(self, address: str, clock: Clock, dial: Dial, on_list: Callable[[list[Endpoint]], None]) -> None:
+        self.address = address
+        self._clock = clock
+        self._dial = dial
+        self._on_list = on_list
+        self._timer: Timer | None = None
+        self._run = 0  # rises with every start and stop, so that answers to earlier requests are dropped
+        self._interval_s = POLL_INTERVAL_S
+        self._endpoints: list[Endpoint] = []
+        self._pages = 0
+
+    def start(self, interval_s: float = POLL_INTERVAL_S) -> None:
+        """Fetch the list now, and again ``interval_s`` seconds after each complete one."""
+        self._interval_s = interval_s
+        self._run += 1
+        self._fetch_list(self._run)
+
+    def stop(self) -> None:
+        """Poll no more; the answer to a request in flight is dropped."""
+        self._run += 1
+        if self._timer is not None:
+            self._timer.cancel()
+
+    def _fetch_list(self, run: int) -> None:
+        if run == self._run:
+            self._endpoints, self._pages = [], 0
+            self._fetch_page(run, None)
+
+    def _fetch_page(self, run: int, token: str | None) -> None:
+        target = "/instances" + (f"?page-token={quote(token)}" if token else "")
+        request = Request("GET", target, Head(((b"host", self.address.encode()),)))
+        SingleRequest(
+            self.address,
+            request,
+            self._clock,
+            self._dial,
+            REQUEST_TIMEOUT_S,
+            lambda status, body: self._on_response(run, status, body),
+        )
+
+    def _on_response(self, run: int, status: int, body: bytes) -> None:
+        if run != self._run:
+            return
+        page = decode_page(body) if status == 200 else None
+        if page is None:
+            self._fetch_list_later(run, RETRY_DELAY_S)
+            return
+        self._endpoints += page.instances
+        self._pages += 1
+        if page.next_page_token and self._pages < MAX_PAGES:
+            self._fetch_page(run, page.next_page_token)
+            return
+        self._on_list(sorted(self._endpoints))
+        self._fetch_list_later(run, self._interval_s)
+
+    def _fetch_list_later(self, run: int, delay_s: float) -> None:
+        self._timer = self._clock.call_later(delay_s, lambda: self._fetch_list(run))
+
+
+def decode_page(body: bytes) -> EndpointPage | None:
+    """Decode a page of the list; None where the body is no such page."""
+    try:
+        return msgspec.json.decode(body, type=EndpointPage)
+    except msgspec.DecodeError:
+        return None
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -16,14 +16,15 @@
 
 from lab.tier.cluster import INTERNAL_PORT, Tier
 from lab.tier.world import World
-from lynxscale.controlplane import endpoints, ledger, operator_api, status
+from lynxscale.controlplane import ledger, operator_api, status
 from lynxscale.coordination import acceptor_state, distribution_tree, messages
 from lynxscale.coordination.acceptor_state import MemberIdentity, Register
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.dataplane import status as relay_status
+from lynxscale.discovery.endpoint import Endpoint
+from lynxscale.discovery.endpoint_poller import EndpointPage
 from lynxscale.runtime.durable_files import DurableFiles
-from lynxscale.topics import Endpoint
 
 DATA = Path(__file__).parent / "data" / "tier" / "v1"
 SEED = 5
@@ -48,7 +49,7 @@
     "kept": ledger.Kept,
     "current_configuration": operator_api.CurrentConfiguration,
     "register_state": acceptor_state.RegisterState,
-    "page": endpoints.Page,
+    "page": EndpointPage,
     "replica_status": status.ReplicaStatus,
     "control_status": status.ControlStatus,
     "endpoint_status": relay_status.EndpointStatus,
--- a/tests/test_tier_balancer.py
+++ b/tests/test_tier_balancer.py
@@ -3,7 +3,7 @@
 from lab.tier.world import World
 from lynxscale.dataplane.balancer import Balancer, Demand
 from lynxscale.dataplane.queue import PlaceQueue
-from lynxscale.topics import Endpoint
+from lynxscale.discovery.endpoint import Endpoint
 
 SLOTS = 16
 
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -8,7 +8,7 @@
 from lab.tier.histories import History
 from lab.tier.world import World
 from lynxscale.controlplane.configuration import check
-from lynxscale.controlplane.update import apply_update, check_update
+from lynxscale.controlplane.configuration_update import apply_update, check_update
 from lynxscale.coordination.acceptor import Witness
 from lynxscale.coordination.acceptor_state import MemberIdentity, Register, RegisterState
 from lynxscale.coordination.distribution_tree import FANOUT, Publisher, RosterEntry, parent_of
@@ -39,7 +39,7 @@
 from lynxscale.coordination.store import NOWHERE, Store
 from lynxscale.dataplane.events import EventScanner
 from lynxscale.dataplane.history_cache import HistoryCache
-from lynxscale.topics import PART_PREFIX, part_count
+from lynxscale.discovery.topics import ENDPOINT_SHARD_PREFIX, shard_count
 
 
 @pytest.mark.parametrize("seed", range(1, 41))
@@ -183,7 +183,7 @@
     relay = one.relays[one.relay_hosts[0]]
     assert len(relay.balancer.states) == 354
     before = dict(relay.tree.publisher.versions())
-    assert sum(name.startswith(PART_PREFIX) for name in before) == part_count(354) == 4
+    assert sum(name.startswith(ENDPOINT_SHARD_PREFIX) for name in before) == shard_count(354) == 4
     del one.platform.listed[-1]
     one.world.run(one.world.time + 2.0)
     assert len(relay.balancer.states) == 353
