--- /dev/null
+++ b/tests/runtime/test_peer_network.py
@@ -0,0 +1,38 @@
+"""Messages between nodes over sockets."""
+
+import asyncio
+
+from lynxscale.coordination.messages import Heartbeat, Message
+from lynxscale.runtime.durable_files import DurableFiles
+from lynxscale.runtime.peer_network import PeerNetwork
+
+
+def test_unsent_messages_are_written_before_a_write_blocks_on_the_disk(tmp_path):
+    """Seen from reading: a batch left for its copies only when the primary's own syncs were over."""
+
+    async def play() -> list[Message]:
+        loop = asyncio.get_running_loop()
+        sender, receiver = PeerNetwork(loop, "127.0.0.1:0"), PeerNetwork(loop, "127.0.0.1:0")
+        received: list[Message] = []
+        await receiver.listen(received.append)
+        address = f"127.0.0.1:{receiver._server.sockets[0].getsockname()[1]}"
+        sender.send(address, Heartbeat("first"))
+        while not received:
+            await asyncio.sleep(0)
+        written: list[int] = []
+        connection = sender._connections[address]
+
+        def before_sync() -> None:
+            sender.flush()
+            written.append(len(connection._unsent))
+
+        files = DurableFiles(str(tmp_path), before_sync)
+        sender.send(address, Heartbeat("second"))
+        assert len(connection._unsent) == 1
+        files.write("a", b"1")
+        assert written == [0]
+        receiver._server.close()
+        return received
+
+    asyncio.run(play())
+    assert DurableFiles(str(tmp_path)).read("a") == b"1"
--- a/tests/test_tier_live.py
+++ b/tests/runtime/test_processes.py
@@ -1,38 +1,22 @@
-"""The programs as they are, on loopback: sockets, files, signals and the command lines."""
+"""The programs as processes on loopback: sockets, files, signals and the command lines."""
 
 import asyncio
 import json
 import shutil
-import subprocess
-import sys
 import tempfile
 from pathlib import Path
 
 import msgspec
-import pytest
 
 from lab.tier.cluster import default_configuration
 from lab.tier.local import LocalTier
-from lynxscale.runtime.exceptions import SettingsError
-from lynxscale.runtime.settings_reader import parse_settings
+from tests.programs import controlplane_cli, dataplane_cli, run_module
 
 NETWORK = 83
 
 
-def command(module: str, *words: str) -> subprocess.CompletedProcess:
-    return subprocess.run([sys.executable, "-m", module, *words], capture_output=True, text=True, timeout=60)
-
-
-def control(*words: str) -> subprocess.CompletedProcess:
-    return command("lynxscale.controlplane.cli", *words)
-
-
-def data(*words: str) -> subprocess.CompletedProcess:
-    return command("lynxscale.dataplane.cli", *words)
-
-
-async def off_loop(call, *words):
-    return await asyncio.get_running_loop().run_in_executor(None, call, *words)
+async def off_loop(call, *arguments):
+    return await asyncio.get_running_loop().run_in_executor(None, call, *arguments)
 
 
 def turn_fields(name: str, previous: str = "") -> tuple:
@@ -42,7 +26,7 @@
     return tuple((key.encode(), value.encode()) for key, value in fields.items())
 
 
-def test_a_tier_of_processes_from_first_start_to_last_signal():
+def test_a_tier_of_processes_from_first_start_to_graceful_shutdown():
     folder = Path(tempfile.mkdtemp(prefix="tier-"))
     try:
         asyncio.run(play(LocalTier(folder, NETWORK), folder))
@@ -59,15 +43,15 @@
         await check_end(tier)
     finally:
         tier.stop()
-    verified = control("storage", "verify", str(folder / "control-1"))
+    verified = controlplane_cli("storage", "verify", str(folder / "control-1"))
     assert verified.returncode == 0, verified.stderr
-    exported = control("storage", "export", str(folder / "control-1"))
+    exported = controlplane_cli("storage", "export", str(folder / "control-1"))
     keys = [json.loads(line)["key"] for line in exported.stdout.splitlines()]
     assert "config/current" in keys and "turn/t1" in keys
     newest = max(path for path in (folder / "control-1").iterdir() if path.name.startswith(("batch", "state")))
     newest.write_bytes(newest.read_bytes()[:-1] + b"!")
-    spoilt = control("storage", "verify", str(folder / "control-1"))
-    assert spoilt.returncode == 1 and newest.name in spoilt.stderr
+    corrupt = controlplane_cli("storage", "verify", str(folder / "control-1"))
+    assert corrupt.returncode == 1 and newest.name in corrupt.stderr
 
 
 async def check_turns_and_failover(tier: LocalTier) -> None:
@@ -83,14 +67,14 @@
 
 async def check_status(tier: LocalTier) -> None:
     primary = await tier.primary()
-    told = await off_loop(control, "status", tier.control(primary))
-    assert told.returncode == 0 and "holds the lease" in told.stdout and "relays         2" in told.stdout
-    told = await off_loop(control, "status", tier.control(primary), "--json")
-    assert json.loads(told.stdout)["configuration"] == 1
-    told = await off_loop(data, "status", tier.readiness("relay-1"))
-    assert "relay          127" in told.stdout and "ready" in told.stdout
-    nobody = await off_loop(data, "status", f"127.{NETWORK}.9.9:1")
-    assert nobody.returncode == 2 and "not_connected" in nobody.stderr
+    reported = await off_loop(controlplane_cli, "status", tier.control(primary))
+    assert reported.returncode == 0 and "holds the lease" in reported.stdout and "relays         2" in reported.stdout
+    reported = await off_loop(controlplane_cli, "status", tier.control(primary), "--json")
+    assert json.loads(reported.stdout)["configuration"] == 1
+    reported = await off_loop(dataplane_cli, "status", tier.readiness("relay-1"))
+    assert "relay          127" in reported.stdout and "ready" in reported.stdout
+    unreachable = await off_loop(dataplane_cli, "status", f"127.{NETWORK}.9.9:1")
+    assert unreachable.returncode == 2 and "not_connected" in unreachable.stderr
 
 
 async def check_configuration(tier: LocalTier, folder: Path) -> None:
@@ -101,30 +85,30 @@
         table = default_configuration(version)
         table["routes"][0]["timeout-ms"] = 4000 + version
         files[version].write_bytes(msgspec.json.encode(table))
-    compared = control("config", "diff", str(files[1]), str(files[2]))
+    compared = controlplane_cli("config", "diff", str(files[1]), str(files[2]))
     assert compared.returncode == 1 and compared.stdout == "~ routes kept: timeout-ms\n"
-    assert control("config", "diff", str(files[1]), str(files[1])).returncode == 0
-    pushed = await off_loop(control, "config", "push", address, str(files[2]), "--base", "1")
+    assert controlplane_cli("config", "diff", str(files[1]), str(files[1])).returncode == 0
+    pushed = await off_loop(controlplane_cli, "config", "push", address, str(files[2]), "--base", "1")
     assert pushed.returncode == 0, pushed.stderr
-    again = await off_loop(control, "config", "push", address, str(files[1]), "--base", "1")
+    again = await off_loop(controlplane_cli, "config", "push", address, str(files[1]), "--base", "1")
     assert again.returncode == 1 and "412" in again.stderr
-    read = await off_loop(control, "config", "read", address)
+    read = await off_loop(controlplane_cli, "config", "read", address)
     assert json.loads(read.stdout)["generation"] == 2
     await check_update(address, files[2], folder / "update.json")
 
 
 async def check_update(address: str, before: Path, update: Path) -> None:
     update.write_bytes(msgspec.json.encode({"generation": 3, "remove": {"routes": ["look"]}}))
-    compared = control("config", "diff", str(before), str(update), "--update")
+    compared = controlplane_cli("config", "diff", str(before), str(update), "--update")
     assert compared.returncode == 1 and compared.stdout == "- routes look\n"
-    pushed = await off_loop(control, "config", "push", address, str(update), "--base", "2", "--update")
+    pushed = await off_loop(controlplane_cli, "config", "push", address, str(update), "--base", "2", "--update")
     assert pushed.returncode == 0, pushed.stderr
-    read = json.loads((await off_loop(control, "config", "read", address)).stdout)
+    read = json.loads((await off_loop(controlplane_cli, "config", "read", address)).stdout)
     assert read["generation"] == 3 and [route["name"] for route in read["routes"]] == ["kept", "open", "book"]
     update.write_bytes(msgspec.json.encode({"generation": 4, "remove": {"routes": ["nobody"]}}))
-    refused = await off_loop(control, "config", "push", address, str(update), "--base", "3", "--update")
+    refused = await off_loop(controlplane_cli, "config", "push", address, str(update), "--base", "3", "--update")
     assert refused.returncode == 1 and "remove.routes[0]" in refused.stderr
-    compared = control("config", "diff", str(before), str(update), "--update")
+    compared = controlplane_cli("config", "diff", str(before), str(update), "--update")
     assert compared.returncode == 2 and "remove.routes[0]" in compared.stderr
 
 
@@ -145,40 +129,13 @@
     del tier.processes["relay-1"]
 
 
-# Settings and configurations as files ------------------------------------------------------------------
-
-
-def test_check_tells_all_findings_with_their_places(tmp_path):
-    table = default_configuration()
-    table["routes"][0]["backend"] = "nobody"
-    table["routes"][1]["timeout-ms"] = 0
-    path = tmp_path / "bad.json"
-    path.write_bytes(msgspec.json.encode(table))
-    checked = control("check", str(path))
-    assert checked.returncode == 1
-    assert checked.stderr.splitlines() == [
-        f"{path}: routes[0].backend: no service is called 'nobody'",
-        f"{path}: routes[1].timeout-ms: want more than 0",
-    ]
-    path.write_bytes(msgspec.json.encode(default_configuration()))
-    assert control("check", str(path)).returncode == 0
-    assert control("check", str(tmp_path / "none")).returncode == 2
-
-
-def test_settings_findings_come_together():
-    with pytest.raises(SettingsError) as raised:
-        parse_settings('ip = 7\nzone = "a"\ninternal-ports = [1]\nseeds = ["a:1"]\nunknown = 1', "s.toml")
-    lines = str(raised.value).splitlines()
-    assert [line.split(":")[1].strip() for line in lines] == ["node-name", "ip", "internal-ports"]
-
-
-def test_check_settings_and_a_start_without_settings(tmp_path, monkeypatch):
+def test_unusable_settings_end_commands_and_programs_with_their_exit_codes(tmp_path, monkeypatch):
     monkeypatch.delenv("LYNXSCALE_SETTINGS", raising=False)
     path = tmp_path / "s.toml"
     path.write_text('node-name = "n"\nip = "127.0.0.1"\nzone = "a"\ninternal-ports = [1, 2]\nseeds = []\n')
-    assert data("check-settings", str(path)).returncode == 0
+    assert dataplane_cli("check-settings", str(path)).returncode == 0
     path.write_text("node-name = ")
-    assert control("check-settings", str(path)).returncode == 1
+    assert controlplane_cli("check-settings", str(path)).returncode == 1
     for module in ("lynxscale.dataplane", "lynxscale.controlplane"):
-        started = command(module)
+        started = run_module(module)
         assert started.returncode == 2 and "LYNXSCALE_SETTINGS" in started.stderr
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -1,7 +1,5 @@
 """How a primary is followed by another: who asks, who waits, and for how long nobody serves."""
 
-import asyncio
-
 import pytest
 
 from lab.tier.group import Group
@@ -13,7 +11,6 @@
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     EpochRecord,
-    Heartbeat,
     Join,
     LeaseRequest,
     Message,
@@ -24,8 +21,6 @@
     address_of,
 )
 from lynxscale.coordination.vote_deference import Support
-from lynxscale.runtime.durable_files import DurableFiles
-from lynxscale.runtime.peer_network import PeerNetwork
 
 
 def started(seed: int = 1, size: int = 5, tolerated: int = 2, sync_s: float = 0.0) -> Group:
@@ -167,49 +162,3 @@
     assert Register(identity, machine.files, machine.world.random).state.promised == 7
     machine.files.tear(REGISTER_FILE, machine.world.random)
     assert Register(identity, machine.files, machine.world.random).state.promised == 7
-
-
-def test_what_was_sent_before_a_write_leaves_before_the_disk_is_waited_for(tmp_path):
-    """Seen from reading: a batch left for its copies only when the primary's own syncs were over."""
-
-    async def play() -> list[Message]:
-        loop = asyncio.get_running_loop()
-        sender, receiver = PeerNetwork(loop, "127.0.0.1:0"), PeerNetwork(loop, "127.0.0.1:0")
-        heard: list[Message] = []
-        await receiver.listen(heard.append)
-        address = f"127.0.0.1:{receiver._server.sockets[0].getsockname()[1]}"
-        sender.send(address, Heartbeat("first"))
-        while not heard:
-            await asyncio.sleep(0)
-        written: list[int] = []
-        connection = sender._connections[address]
-
-        def before_sync() -> None:
-            sender.flush()
-            written.append(len(connection._unsent))
-
-        files = DurableFiles(str(tmp_path), before_sync)
-        sender.send(address, Heartbeat("second"))
-        assert len(connection._unsent) == 1
-        files.write("a", b"1")
-        assert written == [0]
-        receiver._server.close()
-        return heard
-
-    asyncio.run(play())
-    assert DurableFiles(str(tmp_path)).read("a") == b"1"
-
-
-def test_several_files_are_stored_in_order_and_none_where_one_cannot_be(tmp_path):
-    files = DurableFiles(str(tmp_path))
-    files.write_all({"a": b"1", "b": b"2"})
-    assert (files.read("a"), files.read("b"), files.names()) == (b"1", b"2", ["a", "b"])
-    with pytest.raises(OSError):
-        files.write_all({"a": b"3", "no-such-folder/b": b"4"})
-    assert files.read("a") == b"1"
-    assert files.names() == ["a", "b"]
-    (tmp_path / "taken").mkdir()
-    (tmp_path / "taken" / "by-another").touch()
-    with pytest.raises(OSError):
-        files.write_all({"taken": b"5", "c": b"6"})
-    assert sorted(path.name for path in tmp_path.iterdir()) == ["a", "b", "taken"]
