--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from lynxscale.controlplane.ledger import Ledger, Turn
-from lynxscale.coordination.key_value_table import Table
+from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.store import Store
 from lynxscale.runtime.clock import LoopClock
@@ -68,7 +68,7 @@
     with tempfile.TemporaryDirectory() as folder:
         steps = Steps()
         store = Store(DurableFiles(folder), steps.defer)
-        table = Table()
+        table = KeyValueTable()
         table.apply(puts)
         installing = timed(lambda: store.install(Position(1, 1), table, lambda: None))
         in_all = steps.run()
--- a/lab/tier/mistakes/replication.py
+++ b/lab/tier/mistakes/replication.py
@@ -48,10 +48,10 @@
 
     def save(self: Store, batch: Batch) -> None:
         original(self, batch)
-        writer = self._versions.write_whole(self.position, [Put(*entry) for entry in self.values.items()])
+        writer = self._versions.create_snapshot(self.position, [Put(*entry) for entry in self.values.items()])
         while not writer.step():
             pass
-        self._versions.remove_before(self.position)
+        self._versions.remove_superseded(self.position)
 
     original = Store.save
     return [(Store, "save", save)]
@@ -64,7 +64,7 @@
 
 def undo_is_left_out() -> Patches:
     """What was submitted and never stored stays in the memory of a former primary (seen in an incident)."""
-    return [(Store, "before", lambda self, puts: ())]
+    return [(Store, "undo_of", lambda self, puts: ())]
 
 
 def leaving_member_goes_at_once() -> Patches:
--- a/lab/tier/orders/election.py
+++ b/lab/tier/orders/election.py
@@ -37,7 +37,7 @@
     member_id,
 )
 from lynxscale.coordination.proposer import Proposer
-from lynxscale.coordination.version_files import START
+from lynxscale.coordination.version_files import INITIAL_POSITION
 
 ADDRESSES = ("a:1", "b:1", "c:1")
 TOLERATED = 1
@@ -73,10 +73,10 @@
         self.sent.append((address, message))
 
     def _held(self) -> Position:
-        return START
+        return INITIAL_POSITION
 
     def _choose(self, proposal: Proposal) -> EpochRecord | None:
-        return decide_candidacy(self.witness.member, START, proposal, TOLERATED).record
+        return decide_candidacy(self.witness.member, INITIAL_POSITION, proposal, TOLERATED).record
 
     def _decided(self, record: EpochRecord) -> None:
         self.primary = True
@@ -101,7 +101,7 @@
     def receive(self, message: Message) -> None:
         """As ControlMember does."""
         if isinstance(message, Prepare):
-            answer = self.witness.prepare(message, START)
+            answer = self.witness.prepare(message, INITIAL_POSITION)
             if isinstance(answer, Promise):
                 self._step_down()
             self.send(address_of(message.candidate), answer)
@@ -127,7 +127,7 @@
         self._step_down()
         granted = self.witness.grant(message)
         me = self.witness.member
-        answer = LeaseGrant(message.record.epoch, message.round, me, "", granted, 0, START)
+        answer = LeaseGrant(message.record.epoch, message.round, me, "", granted, 0, INITIAL_POSITION)
         self.send(address_of(message.record.primary), answer)
 
     def _step_down(self) -> None:
--- a/lab/tier/orders/operators.py
+++ b/lab/tier/orders/operators.py
@@ -16,7 +16,7 @@
 
 from lab.explorer import Breach, Event, frozen
 from lynxscale.controlplane.operator_api import BASE_HEADER, CURRENT_KEY, OperatorApi
-from lynxscale.coordination.key_value_table import Table
+from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Put, put_value
 from lynxscale.runtime.http_types import Head, Request, Response
 
@@ -49,7 +49,7 @@
 class StubStore:
     """What OperatorApi needs of a store."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: KeyValueTable) -> None:
         self.table = table
 
     @property
@@ -61,7 +61,7 @@
 class StubMember:
     """What OperatorApi needs of a member: the primary, whoever it is."""
 
-    def __init__(self, table: Table) -> None:
+    def __init__(self, table: KeyValueTable) -> None:
         self.store = StubStore(table)
         self.submissions: list[Submission] = []
 
@@ -138,7 +138,7 @@
             self._committed.append(puts)
 
     def _lead(self) -> None:
-        table = Table()
+        table = KeyValueTable()
         for puts in self._committed:
             table.apply(puts)
         self.member = StubMember(table)
--- a/lab/tier/orders/transfer.py
+++ b/lab/tier/orders/transfer.py
@@ -87,14 +87,14 @@
         for _ in FIRST:
             self._submit()
             self._flush()
-        self.store.recent = type(self.store.recent)()  # so that only a whole state helps
+        self.store.recent_batches = type(self.store.recent_batches)()  # so that only a whole state helps
         self._start_follower()
         self._lead()
 
     def _lead(self) -> None:
         network, clock = self._there, self.world.machine(PRIMARY).clock()
         self.copy = Copy(FOLLOWER, self._epoch, self.store, clock, network, self._is_settled)
-        self.copy.on_position(self.follower_store.held)
+        self.copy.on_position(self.follower_store.durable_position)
 
     def _is_settled(self) -> bool:
         return not self._pending
@@ -110,7 +110,7 @@
         """A write changes the memory; keys are rewritten, removed and new."""
         put = put_value(*(FIRST + LATER)[self._written])
         self._written += 1
-        self._undo = (*self.store.before((put,)), *self._undo)
+        self._undo = (*self.store.undo_of((put,)), *self._undo)
         self.store.apply((put,))
         self._pending.append(put)
 
@@ -175,7 +175,7 @@
         """Time goes by; a heartbeat tells the follower's position, as in service."""
         self.world.time += PAUSE_S
         self.copy.tick()
-        self._back.send(PRIMARY, ReplicateAck(self._epoch, FOLLOWER, self.follower_store.held))
+        self._back.send(PRIMARY, ReplicateAck(self._epoch, FOLLOWER, self.follower_store.durable_position))
 
     def _repair(self) -> None:
         self.copy.restart()
@@ -206,9 +206,9 @@
     def judge(self) -> None:
         """Raises Breach."""
         for store in (self.follower_store, Store(self.world.machine(FOLLOWER).files)):
-            expected = self._states.get(store.held)
+            expected = self._states.get(store.durable_position)
             if expected is None or values_of(store) != expected:
-                raise Breach(f"at {store.held} the follower has {values_of(store)}, {expected} was written")
+                raise Breach(f"at {store.durable_position} the follower has {values_of(store)}, {expected} was written")
 
 
 def values_of(store: Store) -> dict[str, bytes]:
--- a/lynxscale/coordination/eligibility.py
+++ b/lynxscale/coordination/eligibility.py
@@ -6,7 +6,7 @@
 
 from lynxscale.coordination.acceptor import Proposal
 from lynxscale.coordination.messages import EpochRecord, Position
-from lynxscale.coordination.store import NOWHERE
+from lynxscale.coordination.store import NO_POSITION
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     further = _further_copy(me, held, proposal)
     if further:
         return Candidacy(further=further)
-    present = tuple(one for one in base.in_sync if proposal.promised.get(one, NOWHERE) != NOWHERE)
+    present = tuple(one for one in base.in_sync if proposal.promised.get(one, NO_POSITION) != NO_POSITION)
     in_sync = present if len(present) > tolerated else base.in_sync
     return Candidacy(EpochRecord(proposal.epoch, me, in_sync, base.witnesses))
 
@@ -38,4 +38,4 @@
     base = proposal.base
     voters = [one for one in base.in_sync if one in base.witnesses and one in proposal.promised]
     best = max(voters, key=lambda one: proposal.promised[one], default=me)
-    return best if proposal.promised.get(best, NOWHERE) > held else ""
+    return best if proposal.promised.get(best, NO_POSITION) > held else ""
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lynxscale.coordination.key_value_table import Table
+from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import (
     DigestReply,
     DigestRequest,
@@ -19,17 +19,17 @@
     address_of,
 )
 from lynxscale.coordination.ports import Network
-from lynxscale.coordination.store import NOWHERE, Store
+from lynxscale.coordination.store import NO_POSITION, Store
 
 
 @dataclass
 class Transfer:
     """A whole state on its way here: all keys up to ``upto`` as they are at ``position``."""
 
-    position: Position = NOWHERE
+    position: Position = NO_POSITION
     upto: str = ""
     installing: bool = False
-    table: Table = field(default_factory=Table)
+    table: KeyValueTable = field(default_factory=KeyValueTable)
 
 
 class Follower:
@@ -61,10 +61,10 @@
         if staged:
             transfer.table.apply(batch.puts)
             transfer.position = batch.position
-        if batch.previous == self._store.held:
+        if batch.previous == self._store.durable_position:
             self._store.save(batch)
             self._store.apply(batch.puts)
-            self._store.settle()
+            self._store.complete_batch()
         elif staged:
             return
         self._tell_position(message.epoch)
@@ -110,7 +110,7 @@
         self._store.install(transfer.position, transfer.table, installed)
 
     def _tell_position(self, epoch: int) -> None:
-        self._send(ReplicateAck(epoch, self._member, self._store.held))
+        self._send(ReplicateAck(epoch, self._member, self._store.durable_position))
 
     def _tell_progress(self, epoch: int, probe: int) -> None:
         transfer = self._transfer
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -327,7 +327,7 @@
         self._network.send(address_of(further), TakeOver(base.epoch))
 
     def _held(self) -> Position:
-        return self.store.held
+        return self.store.durable_position
 
     def _recorded_primary(self) -> str:
         return self.record.primary
@@ -365,7 +365,7 @@
             self._announce()
         if now - self._mark_at >= MARK_EVERY_S:
             self._mark_at = now
-            self.store.mark()
+            self.store.save_watermark()
 
     def _tick_primary(self) -> None:
         if self.leadership.lost:
--- a/lynxscale/coordination/replica_progress.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -29,7 +29,7 @@
 )
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.version_files import START
+from lynxscale.coordination.version_files import INITIAL_POSITION
 
 log = logging.getLogger(__name__)
 
@@ -68,7 +68,7 @@
         self, member: str, epoch: int, store: Store, clock: Clock, network: Network, settled: Callable[[], bool]
     ) -> None:
         self.state = CopyState.UNKNOWN
-        self.stored = START
+        self.stored = INITIAL_POSITION
         self.known = False
         self._member = member
         self._address = address_of(member)
@@ -77,7 +77,7 @@
         self._clock = clock
         self._network = network
         self._settled = settled
-        self._sent = START  # the last batch sent, or the position of the transfer
+        self._sent = INITIAL_POSITION  # the last batch sent, or the position of the transfer
         self._in_flight: deque[InFlight] = deque()
         self._window = LEAST_WINDOW_BYTES
         self._progress_at = clock.now()
@@ -107,7 +107,7 @@
             self._progress_at = self._clock.now()
         self.stored, self.known = position, True
         repairing = self._repairing and self.state is not CopyState.INSTALLING
-        if self._store.reaches(position) and not repairing:
+        if self._store.continues_from(position) and not repairing:
             self._follow(position)
         elif self.state in (CopyState.UNKNOWN, CopyState.BATCHES):
             self._ask()
@@ -120,7 +120,7 @@
             self._repairing = False
             self._become(CopyState.BATCHES)
             self._rewind()
-        elif not self._store.reaches(self._sent) or self._sent < position or self._stalled:
+        elif not self._store.continues_from(self._sent) or self._sent < position or self._stalled:
             self._rewind()
 
     @property
@@ -160,7 +160,7 @@
             self._become(CopyState.INSTALLING)
             return
         self._last_sent = False
-        if message.upto and self._store.reaches(message.position):
+        if message.upto and self._store.continues_from(message.position):
             self._keys = sorted(self._store.values)
             self._sent, self._upto = message.position, message.upto
             self._cursor = bisect_right(self._keys, message.upto)
@@ -230,7 +230,7 @@
         """Send what follows, several small batches as one: a sync each would make a member that was away late."""
         following, size = [], 0
         position = self._sent
-        while size < MERGED_BYTES and (batch := self._store.after(position)) is not None:
+        while size < MERGED_BYTES and (batch := self._store.batch_after(position)) is not None:
             following.append(batch)
             size += batch.size
             position = batch.position
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -13,7 +13,7 @@
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.replica_progress import Copy
 from lynxscale.coordination.store import Store
-from lynxscale.coordination.version_files import START
+from lynxscale.coordination.version_files import INITIAL_POSITION
 
 LAG_S = 0.4  # a member that has not stored a batch after so long is not waited for
 
@@ -50,7 +50,7 @@
     ) -> None:
         self.member = member
         self._on_disk_failure = on_disk_failure
-        self.committed = START
+        self.committed = INITIAL_POSITION
         self._inherited = store.position  # what earlier primaries may have committed
         self.copies: dict[str, Copy] = {}
         self._store = store
@@ -106,7 +106,7 @@
 
     def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
         """Change the state now; ``done(True)`` once that is committed, ``done(False)`` if this cannot be told."""
-        self._pending.append(Submission(puts, self._store.before(puts), done))
+        self._pending.append(Submission(puts, self._store.undo_of(puts), done))
         self._store.apply(puts)
         self._schedule_flush()
 
@@ -154,7 +154,7 @@
         copy = self.copies.get(member)
         if copy is None or not copy.known or copy.repairing:
             return False
-        return copy.stored >= max(self.committed, self._inherited) and self._store.reaches(copy.stored)
+        return copy.stored >= max(self.committed, self._inherited) and self._store.continues_from(copy.stored)
 
     def behind(self) -> set[str]:
         """Members whose copies may count and lack what is committed: damaged files, or one that differs."""
@@ -196,7 +196,7 @@
             copy.offer(batch)
         try:
             self._store.save(batch)
-            self._store.settle()
+            self._store.complete_batch()
         except OSError as error:
             self._pending, self._outstanding = submissions + self._pending, None
             self._on_disk_failure(error)
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -76,7 +76,7 @@
     folder = copied("folders/batches")
     for path in folder.glob("mark*"):
         path.unlink()
-    Store(DurableFiles(str(folder))).mark()
+    Store(DurableFiles(str(folder))).save_watermark()
     assert golden.files_of(folder) == golden.files_of(golden.DATA / "folders" / "batches")
 
 
--- a/tests/data/tier/generate.py
+++ b/tests/data/tier/generate.py
@@ -19,7 +19,7 @@
 
 from lab.tier.cluster import default_configuration
 from lynxscale.controlplane import operator_api
-from lynxscale.coordination import version_files
+from lynxscale.coordination import snapshot_writer
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.runtime.durable_files import DurableFiles
@@ -289,13 +289,13 @@
     whole = next(folded.glob("state-*"))
     # Before the fold's removals; then after them, with later batches.
     shutil.copytree(folded, folders / "whole-not-swept")
-    VersionFiles(DurableFiles(str(folded))).remove_before(Store(DurableFiles(str(folded))).position)
+    VersionFiles(DurableFiles(str(folded))).remove_superseded(Store(DurableFiles(str(folded))).position)
     for one in [*batches[FOLDED_AT:], *marks]:
         shutil.copy(source / one, folded / one)
-    usual, version_files.CHUNK_BYTES = version_files.CHUNK_BYTES, SMALL_CHUNK
+    usual, snapshot_writer.CHUNK_BYTES = snapshot_writer.CHUNK_BYTES, SMALL_CHUNK
     frames = copy("whole-in-frames", batches)
     golden.fold(frames)
-    version_files.CHUNK_BYTES = usual
+    snapshot_writer.CHUNK_BYTES = usual
     for one in batches:
         (frames / one).unlink()
     half = copy("cut-off-whole", [*batches, *marks])
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -123,7 +123,7 @@
     """What a store has loaded, as JSON."""
     return {
         "position": list(positional(store.position)),
-        "held": list(positional(store.held)),
+        "held": list(positional(store.durable_position)),
         "damage": store.damage,
         "checksum": store.checksum(),
         "entries": {key: bytes(raw).decode() for key, raw in store.values.items()},
@@ -135,7 +135,7 @@
     files = DurableFiles(str(folder))
     store = Store(files)
     puts = [STRUCTS["put"](key, raw) for key, raw in store.values.items()]
-    writer = VersionFiles(files).write_whole(store.position, puts)
+    writer = VersionFiles(files).create_snapshot(store.position, puts)
     while not writer.step():
         pass
 
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -36,7 +36,7 @@
 )
 from lynxscale.coordination.netstring import Decoder, NetstringError
 from lynxscale.coordination.netstring import encode as encode_netstring
-from lynxscale.coordination.store import NOWHERE, Store
+from lynxscale.coordination.store import NO_POSITION, Store
 from lynxscale.dataplane.events import EventScanner
 from lynxscale.dataplane.history_cache import HistoryCache
 from lynxscale.discovery.topics import ENDPOINT_SHARD_PREFIX, shard_count
@@ -213,7 +213,7 @@
     machine.files._files[last] = machine.files.read(last)[:-20]
     reloaded = Store(machine.files)
     assert (reloaded.position, reloaded.damage) == (Position(1, 2), [last])
-    assert not reloaded.intact and reloaded.held == NOWHERE
+    assert not reloaded.intact and reloaded.durable_position == NO_POSITION
     assert reloaded.values.keys() == {"k1", "k2"}
 
 
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -13,7 +13,6 @@
 from lynxscale.coordination.acceptor import Witness
 from lynxscale.coordination.acceptor_state import REGISTER_FILE, MemberIdentity, Register
 from lynxscale.coordination.checksummed_file import SECOND_COPY
-from lynxscale.coordination.key_value_table import RecentBatches
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     AdmitTurn,
@@ -31,8 +30,9 @@
     put_value,
 )
 from lynxscale.coordination.primary_calls import PrimaryCalls
-from lynxscale.coordination.store import NOWHERE, Store
-from lynxscale.coordination.version_files import BATCH_PREFIX, MARK_FILE, STATE_PREFIX
+from lynxscale.coordination.recent_batches import RecentBatches
+from lynxscale.coordination.store import NO_POSITION, Store
+from lynxscale.coordination.version_files import BATCH_PREFIX, SNAPSHOT_PREFIX, WATERMARK_FILE
 
 NEWCOMER = "10.0.0.9:7000"
 
@@ -137,7 +137,7 @@
         group.kill(backup)
         spoil(group, backup, how, where)
         member = group.start(backup)
-        assert not member.store.intact and member.store.held == NOWHERE
+        assert not member.store.intact and member.store.durable_position == NO_POSITION
         group.kill(address_of(group.wait_for_leader().me), power=True)
         assert group.put("after", 1)
         assert all(group.value(f"k{number}") == number for number in range(12)), (seed, how, where)
@@ -155,14 +155,14 @@
 
 
 def test_a_whole_version_that_is_damaged_or_missing_is_noticed(monkeypatch):
-    monkeypatch.setattr("lynxscale.coordination.store.MOST_BATCH_FILES", 3)
+    monkeypatch.setattr("lynxscale.coordination.compaction.MAX_BATCH_FILES", 3)
     group = started()
     for number in range(9):
         assert group.put(f"k{number}", number)
     group.world.run(group.world.time + 1.5)
     address = backups(group)[0]
     files = group.world.machine(address).files
-    state = next(name for name in files.names() if name.startswith(STATE_PREFIX))
+    state = next(name for name in files.names() if name.startswith(SNAPSHOT_PREFIX))
     group.kill(address)
     content = files._files.pop(state)
     assert not Store(files).intact
@@ -198,7 +198,7 @@
             group.kill(address)
         files = group.world.machine(first).files
         del files._files[[name for name in files.names() if name.startswith(BATCH_PREFIX)][-1]]
-        for name in (MARK_FILE, MARK_FILE + SECOND_COPY):
+        for name in (WATERMARK_FILE, WATERMARK_FILE + SECOND_COPY):
             files._files.pop(name, None)
         for address in (first, second):
             group.start(address)
@@ -349,7 +349,7 @@
     filled(group, 1)
     for address, one in group.members.items():
         group.world.machine(address).sync_s = 0.004
-        one.store.recent = RecentBatches()  # so that only a whole state helps
+        one.store.recent_batches = RecentBatches()  # so that only a whole state helps
     wiped = backups(group)[0]
     group.kill(wiped, power=True, wipe=True)
     number = 0
--- a/tests/test_tier_group.py
+++ b/tests/test_tier_group.py
@@ -156,7 +156,7 @@
 
 def test_a_version_written_whole_holds_the_batch_that_led_to_it(monkeypatch):
     """Seen as a turn that was lost: a backup wrote its state whole before it had applied the newest batch."""
-    monkeypatch.setattr("lynxscale.coordination.store.MOST_BATCH_FILES", 3)
+    monkeypatch.setattr("lynxscale.coordination.compaction.MAX_BATCH_FILES", 3)
     group = started()
     for number in range(9):
         assert group.put(f"k{number}", number)
