--- a/lab/tier/group.py
+++ b/lab/tier/group.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lab.tier.world import World
-from lynxscale.coordination.acceptor_state import MemberIdentity, Register
+from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.member import ControlMember, MemberSettings
 from lynxscale.coordination.messages import put_value
 
@@ -36,7 +36,7 @@
         identity = MemberIdentity(address, bootstrap, self.seeds)
         random = Random(self.world.random.random())
         settings = MemberSettings(f"node-{address}", self.seeds, self.tolerated)
-        register = Register(identity, machine.files, random)
+        register = AcceptorStateFile(identity, machine.files, random)
         member = ControlMember(
             settings, register, machine.clock(), machine.network(), machine.files, random, lambda leading: None
         )
--- a/lab/tier/history_rules.py
+++ b/lab/tier/history_rules.py
@@ -9,7 +9,7 @@
 
 from lab.tier.cluster import Tier
 from lab.tier.standins import Answer
-from lynxscale.coordination.membership_plan import FOUNDERS
+from lynxscale.coordination.membership_plan import MIN_VOTERS
 from lynxscale.runtime.http_types import Request
 
 MOST_TOKENS, STRIDE, EVENTS = 40, 10, 4
@@ -85,7 +85,7 @@
         copies = [one.member for one in self.tier.controls.values() if one.member.me in counted]
         sums = {member.store.checksum() for member in copies}
         # Everybody is back for seconds: as many copies count as there are to be voters, so nobody was left behind.
-        if len(copies) < max(FOUNDERS, 2 * self.tier.tolerated + 1):
+        if len(copies) < max(MIN_VOTERS, 2 * self.tier.tolerated + 1):
             self.broken["member_left_behind"] += 1
         if len(sums) > 1:
             self.broken["copies_differ"] += 1
--- a/lab/tier/mistakes/replication.py
+++ b/lab/tier/mistakes/replication.py
@@ -69,22 +69,22 @@
 
 def leaving_member_goes_at_once() -> Patches:
     """A member that is asked to stop waits for nothing (seen: no primary ever again)."""
-    return [(admission, "may_go", lambda plan, member: True)]
+    return [(admission, "can_remove", lambda plan, member: True)]
 
 
 def one_copy_is_left() -> Patches:
     """Copies leave until a single one counts."""
-    return [(PlanInput, "copies_wanted", property(lambda self: 1))]
+    return [(PlanInput, "replicas_wanted", property(lambda self: 1))]
 
 
 def vote_goes_and_copy_stays() -> Patches:
     """A voter is replaced although its copy goes on to count."""
 
     def replaced(plan: PlanInput, member: str, successor: str | None) -> membership_plan.Change:
-        witnesses = [successor if one == member else one for one in plan.base.witnesses]
-        return plan.base.in_sync, tuple(one for one in witnesses if one is not None)
+        voters = [successor if one == member else one for one in plan.base.voters]
+        return plan.base.in_sync, tuple(one for one in voters if one is not None)
 
-    return [(membership_plan, "_replaced", replaced)]
+    return [(membership_plan, "_without_voter", replaced)]
 
 
 def copy_counts_before_it_confirmed() -> Patches:
--- a/lab/tier/orders/admission.py
+++ b/lab/tier/orders/admission.py
@@ -14,7 +14,7 @@
 
 from lab.explorer import Breach, Event
 from lynxscale.coordination.acceptor import majority
-from lynxscale.coordination.membership_plan import PeerView, PlanInput, may_go, plan_record
+from lynxscale.coordination.membership_plan import PeerView, PlanInput, can_remove, plan_next_record
 from lynxscale.coordination.messages import EpochRecord
 
 SILENT_S = 0.3
@@ -86,10 +86,10 @@
         found = [what for what, left in self._left.items() if left and self._allowed(name, what)]
         if not member.present:
             found.append("returns")
-        elif not member.holds and name in self.record.witnesses and self._leads:
+        elif not member.holds and name in self.record.voters and self._leads:
             found.append("has caught up")
         asked = member.leaving and member.present and name != self.primary
-        if asked and self._leads and may_go(self._input(), name):
+        if asked and self._leads and can_remove(self._input(), name):
             found.append("goes")
         return found
 
@@ -108,20 +108,20 @@
 
     def _lost_voters(self) -> set[str]:
         """Members that are not there, or came back and have not caught up: the operators count them as lost."""
-        named = {*self.record.witnesses, *self.record.in_sync}
+        named = {*self.record.voters, *self.record.in_sync}
         return {one for one in named if self.members[one].gone or not self.members[one].present}
 
     @property
     def _leads(self) -> bool:
         member = self.members[self.primary]
         present = {one for one, other in self.members.items() if other.present and not other.gone}
-        return member.present and not member.gone and majority(self.record.witnesses, present)
+        return member.present and not member.gone and majority(self.record.voters, present)
 
     def _heirs(self) -> list[str]:
         present = {one for one, other in self.members.items() if other.present and not other.gone}
-        if not majority(self.record.witnesses, present):
+        if not majority(self.record.voters, present):
             return []
-        voters = set(self.record.witnesses) & set(self.record.in_sync) & present
+        voters = set(self.record.voters) & set(self.record.in_sync) & present
         return sorted(voters - {self.primary})
 
     def do(self, event: Event) -> None:
@@ -150,14 +150,14 @@
         elif what == "goes":
             member.gone, member.present = True, False
         elif what == "takes over":
-            self.record = EpochRecord(self.record.epoch, name, self.record.in_sync, self.record.witnesses)
+            self.record = EpochRecord(self.record.epoch, name, self.record.in_sync, self.record.voters)
         else:
             self.record = self._plan()
             for one, other in self.members.items():
                 other.holds = other.holds and one in self.record.in_sync
 
     def _plan(self) -> EpochRecord | None:
-        planned = plan_record(self._input(), self.record.epoch)
+        planned = plan_next_record(self._input(), self.record.epoch)
         return planned if planned != self.record else None
 
     def _input(self) -> PlanInput:
@@ -170,7 +170,7 @@
             base=self.record,
             me=self.primary,
             now=0.0,
-            silent_after=SILENT_S,
+            unresponsive_after=SILENT_S,
             tolerated=self.bounds.tolerated,
             peers=peers,
             caught_up={one for one, member in self.members.items() if member.holds},
@@ -185,16 +185,16 @@
             (name, one.present, one.gone, one.holds, one.leaving, one.retiring)
             for name, one in sorted(self.members.items())
         )
-        return self.record.primary, self.record.in_sync, self.record.witnesses, members, tuple(self._left.values())
+        return self.record.primary, self.record.in_sync, self.record.voters, members, tuple(self._left.values())
 
     def judge(self) -> None:
         """Raises Breach."""
         record = self.record
-        if not set(record.in_sync) <= set(record.witnesses):
+        if not set(record.in_sync) <= set(record.voters):
             raise Breach(f"a copy counts that is no voter's: {record}")
-        whole = {one for one in record.witnesses if not self.members[one].gone}
-        if not majority(record.witnesses, whole):
-            raise Breach(f"no majority is left of {record.witnesses}")
+        whole = {one for one in record.voters if not self.members[one].gone}
+        if not majority(record.voters, whole):
+            raise Breach(f"no majority is left of {record.voters}")
         if not any(one in whole and self.members[one].holds for one in record.in_sync):
             raise Breach(f"no copy is left of {record.in_sync}")
 
--- a/lab/tier/orders/election.py
+++ b/lab/tier/orders/election.py
@@ -17,10 +17,10 @@
 
 from lab.explorer import Breach, Event, frozen
 from lab.tier.world import World
-from lynxscale.coordination.acceptor import Proposal, Witness, majority
-from lynxscale.coordination.acceptor_state import MemberIdentity, Register
+from lynxscale.coordination.acceptor import Acceptor, Proposal, majority
+from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.eligibility import decide_candidacy
-from lynxscale.coordination.lease import LEASE_S, HeldLease
+from lynxscale.coordination.lease import LEASE_S, LeaderLease
 from lynxscale.coordination.messages import (
     Accept,
     Accepted,
@@ -63,10 +63,10 @@
         machine = world.machine(address)
         self.sent: list[tuple[str, Message]] = []
         self.primary = False
-        register = Register(MemberIdentity(address, True, ADDRESSES), machine.files, world.random)
-        self.witness = Witness(register, machine.clock(), LEASE_S)
-        self.lease = HeldLease(machine.clock())
-        self.proposer = Proposer(self.witness, machine.clock(), self, self._held, self._choose, self._decided)
+        register = AcceptorStateFile(MemberIdentity(address, True, ADDRESSES), machine.files, world.random)
+        self.acceptor = Acceptor(register, machine.clock(), LEASE_S)
+        self.lease = LeaderLease(machine.clock())
+        self.proposer = Proposer(self.acceptor, machine.clock(), self, self._held, self._choose, self._decided)
 
     def send(self, address: str, message: Message) -> None:
         """Part of the Network port."""
@@ -76,11 +76,11 @@
         return INITIAL_POSITION
 
     def _choose(self, proposal: Proposal) -> EpochRecord | None:
-        return decide_candidacy(self.witness.member, INITIAL_POSITION, proposal, TOLERATED).record
+        return decide_candidacy(self.acceptor.member, INITIAL_POSITION, proposal, TOLERATED).record
 
     def _decided(self, record: EpochRecord) -> None:
         self.primary = True
-        self.lease.forget_rounds()
+        self.lease.discard_rounds()
 
     def stand(self) -> None:
         """Ask for an epoch."""
@@ -90,43 +90,43 @@
 
     def ask_for_lease(self) -> None:
         """One heartbeat."""
-        record = self.witness.record
+        record = self.acceptor.record
         request = LeaseRequest(record, self.lease.begin_round())
-        for one in record.witnesses:
-            if one != self.witness.member:
+        for one in record.voters:
+            if one != self.acceptor.member:
                 self.send(address_of(one), request)
-        if self.witness.grant(request):
-            self.lease.grant(request.round, self.witness.member, record.witnesses)
+        if self.acceptor.grant(request):
+            self.lease.grant(request.round, self.acceptor.member, record.voters)
 
     def receive(self, message: Message) -> None:
         """As ControlMember does."""
         if isinstance(message, Prepare):
-            answer = self.witness.prepare(message, INITIAL_POSITION)
+            answer = self.acceptor.prepare(message, INITIAL_POSITION)
             if isinstance(answer, Promise):
                 self._step_down()
             self.send(address_of(message.candidate), answer)
         elif isinstance(message, Promise):
             self.proposer.on_promise(message)
         elif isinstance(message, PrepareRejected):
-            self.proposer.on_deny(message)
+            self.proposer.on_prepare_rejected(message)
         elif isinstance(message, Accept):
-            answer = self.witness.accept(message.record)
+            answer = self.acceptor.accept(message.record)
             if answer is not None:
                 self.send(address_of(message.record.primary), answer)
         elif isinstance(message, Accepted):
             self.proposer.on_accepted(message)
         elif isinstance(message, LeaseRequest):
             self._on_lease_request(message)
-        elif isinstance(message, LeaseGrant) and message.granted and message.epoch == self.witness.record.epoch:
-            self.lease.grant(message.round, message.member, self.witness.record.witnesses)
+        elif isinstance(message, LeaseGrant) and message.granted and message.epoch == self.acceptor.record.epoch:
+            self.lease.grant(message.round, message.member, self.acceptor.record.voters)
 
     def _on_lease_request(self, message: LeaseRequest) -> None:
-        if message.record.epoch < self.witness.record.epoch:
+        if message.record.epoch < self.acceptor.record.epoch:
             return
-        self.witness.learn(message.record)
+        self.acceptor.learn(message.record)
         self._step_down()
-        granted = self.witness.grant(message)
-        me = self.witness.member
+        granted = self.acceptor.grant(message)
+        me = self.acceptor.member
         answer = LeaseGrant(message.record.epoch, message.round, me, "", granted, 0, INITIAL_POSITION)
         self.send(address_of(message.record.primary), answer)
 
@@ -197,7 +197,7 @@
                 if not isinstance(message, PrepareRejected):
                     self._links.setdefault((address, target), deque()).append(message)
             node.sent.clear()
-            record = node.witness.record
+            record = node.acceptor.record
             if record.epoch:
                 name = encode(Accept(record)).decode()
                 self._records[name] = record
@@ -208,15 +208,15 @@
         """Times count as they stand to the present one."""
         nodes = tuple(
             (
-                frozen(node.witness.state),
-                round(node.witness.lease_left, 3),
-                node.witness._lease_holder if node.witness.lease_left else "",
+                frozen(node.acceptor.state),
+                round(node.acceptor.lease_left, 3),
+                node.acceptor._lease_holder if node.acceptor.lease_left else "",
                 node.primary,
                 round(max(0.0, node.lease.until - self.world.time), 3),
                 frozen(node.lease._granted),
                 frozen(node.lease._sent),
                 frozen(node.proposer._proposal),
-                node.proposer._highest_denied,
+                node.proposer._highest_rejected,
                 node.proposer._open_epoch,
             )
             for node in self.nodes.values()
@@ -233,11 +233,11 @@
         if len(holders) > 1:
             raise Breach(f"{holders} hold the lease at once")
         for holder in holders:
-            own = self.nodes[holder].witness.record.epoch
+            own = self.nodes[holder].acceptor.record.epoch
             for records in self._accepted.values():
                 for name, accepted in records.items():
                     record = self._records[name]
-                    passed = record.epoch > own and majority(record.witnesses, accepted)
+                    passed = record.epoch > own and majority(record.voters, accepted)
                     if passed and record.primary != founder(holder):
                         raise Breach(f"{holder} holds the lease of epoch {own} while {record.epoch} is decided")
 
--- a/lab/tier/second_loss.py
+++ b/lab/tier/second_loss.py
@@ -150,7 +150,7 @@
 def members_by_place(group: Group) -> list[str]:
     """Addresses of the present voters, the primary first."""
     leader = group.wait_for_leader()
-    voters = [address_of(one) for one in leader.record.witnesses]
+    voters = [address_of(one) for one in leader.record.voters]
     own = address_of(leader.me)
     return [own, *(one for one in voters if one != own and one in group.members)]
 
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -197,22 +197,22 @@
         leadership = self._member.leadership
         if RETIRE_PREFIX + node in self._member.store.values:
             self._answer_when_decided(responder, json_response(200, {"state": "running"}))
-        elif len(leadership.present_nodes() - {node}) >= self._member.least_members and self._is_known(node):
+        elif len(leadership.live_nodes() - {node}) >= self._member.min_members and self._is_known(node):
             self._member.submit((put_value(RETIRE_PREFIX + node, {}),), lambda done: self._retiring(responder, done))
         else:
             self._answer_when_decided(responder, self._retirement_refused(node))
 
     def _is_known(self, node: str) -> bool:
         leadership = self._member.leadership
-        return node in leadership.present_nodes() or node in (leadership.possible_nodes() or ())
+        return node in leadership.live_nodes() or node in (leadership.possibly_live_nodes() or ())
 
     def _retirement_refused(self, node: str) -> Response:
-        possible = self._member.leadership.possible_nodes()
+        possible = self._member.leadership.possibly_live_nodes()
         if possible is None:
             return undecided("not every machine was heard of yet")
         if node not in possible:
             return json_response(404, {"error": f"no machine is called {node!r}"})
-        if len(possible - {node}) < self._member.least_members:
+        if len(possible - {node}) < self._member.min_members:
             return json_response(409, {"error": "too few machines would remain"})
         return undecided("some machines are silent just now")
 
@@ -228,7 +228,7 @@
             elif RETIRE_PREFIX + node not in self._member.store.values:
                 responder.respond(json_response(404, {"error": f"{node!r} is not to be emptied"}))
             else:
-                state = "done" if self._member.leadership.is_empty(node) else "running"
+                state = "done" if self._member.leadership.is_vacated(node) else "running"
                 responder.respond(json_response(200, {"state": state}))
 
         self._member.barrier(decided)
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -11,7 +11,7 @@
 from lynxscale.controlplane.ledger import Ledger
 from lynxscale.controlplane.operator_api import OperatorApi, json_response
 from lynxscale.controlplane.status import ControlStatus, ReplicaStatus
-from lynxscale.coordination.acceptor_state import MemberIdentity, Register
+from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.distribution_tree import ROSTER, Publisher
 from lynxscale.coordination.heartbeat_ring import Roster
 from lynxscale.coordination.member import ControlMember, MemberSettings
@@ -62,7 +62,7 @@
         address = settings.internal_address
         identity = MemberIdentity(address, settings.bootstrap, settings.contacts)
         member_settings = MemberSettings(settings.node_name, settings.contacts, settings.fault_tolerance.machines)
-        register = Register(identity, files, random)
+        register = AcceptorStateFile(identity, files, random)
         self.member = ControlMember(member_settings, register, clock, network, files, random, self._on_lead)
         control_port = int(settings.listen.control.rpartition(":")[2] or 0)
         self.api = OperatorApi(self.member, control_port, self._publish_committed)
@@ -111,7 +111,7 @@
         now = self._clock.now()
         record = self.member.record
         return [
-            ReplicaStatus(one, peer.node, one in record.witnesses, one in record.in_sync, now - peer.heard_at)
+            ReplicaStatus(one, peer.node, one in record.voters, one in record.in_sync, now - peer.heard_at)
             for one, peer in sorted(self.member.leadership.peers.items())
         ]
 
@@ -248,7 +248,7 @@
         self._answer_waiting()
         if not self.member.leads():
             return
-        members = tuple(address_of(one) for one in self.member.record.witnesses)
+        members = tuple(address_of(one) for one in self.member.record.voters)
         if members != self._members:
             self._members = members
             self._publish(MEMBERS_TOPIC, members)
--- a/lynxscale/coordination/acceptor.py
+++ b/lynxscale/coordination/acceptor.py
@@ -1,4 +1,4 @@
-"""The witness: a register of epochs on every voting member, and the leases it grants.
+"""The voter: a register of epochs on every voting member, and the leases it grants.
 
 A register round has two steps, as in CASPaxos (Rystsov, arXiv:1802.07000): a majority promises an
 epoch and tells the record accepted last, then a majority accepts the record built on it. A change of the voting
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from lynxscale.coordination.acceptor_state import Register, RegisterState
+from lynxscale.coordination.acceptor_state import AcceptorState, AcceptorStateFile
 from lynxscale.coordination.messages import (
     Accepted,
     EpochRecord,
@@ -20,7 +20,7 @@
 from lynxscale.coordination.ports import Clock
 
 EXPECTED_WRITE_S = 0.03  # before the first was seen
-WRITE_FADES = 0.8  # of the slowest late write, with each that is faster
+WRITE_DECAY = 0.8  # of the slowest late write, with each that is faster
 
 
 def majority(voters: tuple[str, ...], present: set[str]) -> bool:
@@ -28,13 +28,13 @@
     return 2 * len(present.intersection(voters)) > len(voters)
 
 
-class Witness:
+class Acceptor:
     """One member's votes. ``lease_s``: how long a grant binds it, by its own steady clock.
 
     ``write_s``: what a write of the register takes, by the slowest of the late ones.
     """
 
-    def __init__(self, register: Register, clock: Clock, lease_s: float) -> None:
+    def __init__(self, register: AcceptorStateFile, clock: Clock, lease_s: float) -> None:
         self.member = register.state.member
         self.lease_s = lease_s
         self.write_s = EXPECTED_WRITE_S
@@ -46,7 +46,7 @@
         self._lease_holder = register.state.accepted.primary
 
     @property
-    def state(self) -> RegisterState:
+    def state(self) -> AcceptorState:
         """What is stored."""
         return self._register.state
 
@@ -102,7 +102,7 @@
         passed_by = self.state.promised > record.epoch and self.state.promised_to != record.primary
         if record.epoch != self.record.epoch or passed_by:
             return False
-        if self.member not in record.witnesses:
+        if self.member not in record.voters:
             return False
         self._lease_holder = record.primary
         self._lease_until = max(self._lease_until, self._clock.now() + self.lease_s)
@@ -116,8 +116,8 @@
     def _save(self, accepted: EpochRecord, promised: int, promised_to: str) -> None:
         """Store the state, and only then go by it. Raises OSError."""
         begun = self._clock.now()
-        self._register.save(RegisterState(self.member, accepted, promised, promised_to))
-        self.write_s = max(self._clock.now() - begun, self.write_s * WRITE_FADES)
+        self._register.save(AcceptorState(self.member, accepted, promised, promised_to))
+        self.write_s = max(self._clock.now() - begun, self.write_s * WRITE_DECAY)
 
 
 class Proposal:
@@ -137,22 +137,22 @@
         """Members to ask: those known, those of the record that was found, those to come."""
         known = dict.fromkeys(self._voters)
         for record in (self.base, self.record):
-            known.update(dict.fromkeys(record.witnesses if record else ()))
+            known.update(dict.fromkeys(record.voters if record else ()))
         return tuple(known)
 
     def promise(self, answer: Promise) -> bool:
         """Count a promise; True once the record may be chosen from ``base``."""
         if answer.epoch != self.epoch or self.record is not None:
             return False
-        self.promised[answer.witness] = answer.position
+        self.promised[answer.voter] = answer.position
         if self.base is None or answer.accepted.epoch > self.base.epoch:
             self.base = answer.accepted
-        return majority(self.base.witnesses, set(self.promised))
+        return majority(self.base.voters, set(self.promised))
 
     def accept(self, answer: Accepted) -> bool:
         """Count an accept; True once the record is decided."""
         if answer.epoch != self.epoch or self.record is None or self.base is None:
             return False
-        self.accepted.add(answer.witness)
-        old, new = self.base.witnesses, self.record.witnesses
+        self.accepted.add(answer.voter)
+        old, new = self.base.voters, self.record.voters
         return majority(old, self.accepted) and majority(new, self.accepted)
--- a/lynxscale/coordination/acceptor_state.py
+++ b/lynxscale/coordination/acceptor_state.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from lynxscale.coordination.checksummed_file import SealedPair
+from lynxscale.coordination.checksummed_file import ChecksummedFilePair
 from lynxscale.coordination.messages import EpochRecord, member_id
 from lynxscale.coordination.ports import Files
 
-REGISTER_FILE = "register"
+ACCEPTOR_STATE_FILE = "register"
 FIRST_INCARNATION = "0"
 INCARNATION_BITS = 48
 NO_RECORD = EpochRecord(0, "", (), ())
@@ -31,7 +31,7 @@
     seeds: tuple[str, ...]
 
 
-class RegisterState(msgspec.Struct, frozen=True):
+class AcceptorState(msgspec.Struct, frozen=True):
     """The register's content. ``promised_to`` is the candidate of the promised epoch."""
 
     member: str
@@ -40,24 +40,24 @@
     promised_to: str = ""
 
 
-class Register:
+class AcceptorStateFile:
     """The register of one process. ``restored``: did an earlier process of this disk write it?"""
 
     def __init__(self, identity: MemberIdentity, files: Files, random: Random) -> None:
         """Raises OSError where a first one cannot be stored."""
-        self._pair = SealedPair(files, REGISTER_FILE)
+        self._pair = ChecksummedFilePair(files, ACCEPTOR_STATE_FILE)
         first_start = not files.names()
         stored = self._pair.load()
         self.restored = stored is not None
         if stored is not None:
-            self.state = msgspec.json.decode(stored, type=RegisterState)
+            self.state = msgspec.json.decode(stored, type=AcceptorState)
             if not self._pair.whole:
                 # What is promised from here on may rest on one file: were it damaged, the other would tell less.
                 self.save(self.state)
         else:
             self.save(_new_state(identity, first_start, random))
 
-    def save(self, state: RegisterState) -> None:
+    def save(self, state: AcceptorState) -> None:
         """Store the state, and only then go by it. Raises OSError."""
         self._pair.save(msgspec.json.encode(state))
         self.state = state
@@ -68,7 +68,7 @@
     return member_id(address, FIRST_INCARNATION)
 
 
-def _new_state(identity: MemberIdentity, first_start: bool, random: Random) -> RegisterState:
+def _new_state(identity: MemberIdentity, first_start: bool, random: Random) -> AcceptorState:
     """On an empty disk at the group's first start a founder's; else that of a member nobody knows yet."""
     founding = first_start and identity.bootstrap
     if founding and identity.address in identity.seeds:
@@ -76,4 +76,4 @@
     else:
         member = member_id(identity.address, f"{random.getrandbits(INCARNATION_BITS):x}")
     founders = tuple(founder_id(address) for address in sorted(identity.seeds))
-    return RegisterState(member, EpochRecord(0, "", founders, founders) if founding else NO_RECORD)
+    return AcceptorState(member, EpochRecord(0, "", founders, founders) if founding else NO_RECORD)
--- a/lynxscale/coordination/checksummed_file.py
+++ b/lynxscale/coordination/checksummed_file.py
@@ -7,37 +7,37 @@
 from lynxscale.coordination.ports import Files
 
 CHECKSUM_BYTES = 8
-SECOND_COPY = ".second"
+SECOND_FILE_SUFFIX = ".second"
 
 
-class CorruptFile(Exception):
+class StorageCorrupt(Exception):
     """A file does not hold what was written to it; the text names it."""
 
 
-def seal(content: bytes) -> bytes:
+def append_checksum(content: bytes) -> bytes:
     """The content with its checksum behind."""
-    return content + checksum_line(zlib.crc32(content))
+    return content + encode_checksum(zlib.crc32(content))
 
 
-def checksum_line(checksum: int) -> bytes:
+def encode_checksum(checksum: int) -> bytes:
     """The end of a sealed file whose content has this CRC-32."""
     return b"%08x" % checksum
 
 
-def unseal(name: str, sealed: bytes) -> bytes:
-    """The content of a sealed file. Raises CorruptFile."""
+def strip_checksum(name: str, sealed: bytes) -> bytes:
+    """The content of a sealed file. Raises StorageCorrupt."""
     content, checksum = sealed[:-CHECKSUM_BYTES], sealed[-CHECKSUM_BYTES:]
-    if checksum != checksum_line(zlib.crc32(content)):
-        raise CorruptFile(name)
+    if checksum != encode_checksum(zlib.crc32(content)):
+        raise StorageCorrupt(name)
     return content
 
 
-class SealedPair:
+class ChecksummedFilePair:
     """A small value in two sealed files, so that one damaged or missing file loses nothing."""
 
     def __init__(self, files: Files, name: str) -> None:
         self._files = files
-        self._names = (name, name + SECOND_COPY)
+        self._names = (name, name + SECOND_FILE_SUFFIX)
 
     def load(self) -> bytes | None:
         """The value saved last, None where neither file holds one. The first file counts where it is whole."""
@@ -52,13 +52,13 @@
 
     def save(self, content: bytes) -> None:
         """Returns once both files hold the value. Raises OSError; either may then hold it already."""
-        self._files.write_all(dict.fromkeys(self._names, seal(content)))
+        self._files.write_all(dict.fromkeys(self._names, append_checksum(content)))
 
     def _read(self, name: str) -> bytes | None:
         sealed = self._files.read(name)
         if sealed is None:
             return None
         try:
-            return unseal(name, sealed)
-        except CorruptFile:
+            return strip_checksum(name, sealed)
+        except StorageCorrupt:
             return None
--- a/lynxscale/coordination/election.py
+++ b/lynxscale/coordination/election.py
@@ -9,15 +9,15 @@
 from collections.abc import Callable
 from random import Random
 
-from lynxscale.coordination.acceptor import Witness, majority
+from lynxscale.coordination.acceptor import Acceptor, majority
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import CandidacyAnnounced, Position, PreVote, PreVoteReply, address_of
 from lynxscale.coordination.ports import Clock, Network, Timer
-from lynxscale.coordination.vote_deference import Support
+from lynxscale.coordination.vote_deference import VoteDeference
 
 RANK_DELAY_S = 0.02  # between the in-sync members' first questions, so that they seldom meet
 JITTER_S = 0.01
-LEAVING_STANDS_LATER_S = 0.3  # than others: it stands where nobody else does
+LEAVING_DELAY_S = 0.3  # than others: it stands where nobody else does
 
 
 class PreVoteRound:
@@ -32,8 +32,8 @@
 
     def on_reply(self, reply: PreVoteReply, now: float) -> None:
         """Count an answer."""
-        self.positions[reply.witness] = reply.position
-        self._free_at[reply.witness] = now if reply.granted else now + reply.wait_s
+        self.positions[reply.voter] = reply.position
+        self._free_at[reply.voter] = now if reply.granted else now + reply.wait_s
 
     def won(self, now: float) -> bool:
         """Would a majority promise?"""
@@ -46,35 +46,35 @@
         return answered[needed - 1] if len(answered) >= needed else None
 
 
-class Campaign:
-    """``may_stand()``: is this member one that may lead? ``stand(further)``: a majority would promise.
+class ElectionCampaign:
+    """``eligible()``: is this member one that may lead? ``stand(further)``: a majority would promise.
 
     ``further`` names an in-sync voter whose copy reaches further than the own one, empty for none.
     """
 
     def __init__(
         self,
-        witness: Witness,
+        acceptor: Acceptor,
         clock: Clock,
         network: Network,
         random: Random,
         held: Callable[[], Position],
-        may_stand: Callable[[], bool],
+        eligible: Callable[[], bool],
         stand: Callable[[str], None],
     ) -> None:
         self.leaving = False
-        self._witness = witness
+        self._acceptor = acceptor
         self._clock = clock
         self._network = network
         self._random = random
         self._held = held
-        self._may_stand = may_stand
-        self._stand = stand
+        self._eligible = eligible
+        self._start_candidacy = stand
         self._ask_at = clock.now()
         self._timer: Timer | None = None
         self._round: PreVoteRound | None = None
         self._number = 0
-        self._support = Support(witness, clock)
+        self._support = VoteDeference(acceptor, clock)
 
     # When to ask -------------------------------------------------------------------------------------
 
@@ -88,15 +88,15 @@
         self._ask_at = max(self._ask_at, self._clock.now() + after_s)
         self._schedule()
 
-    def primary_heard(self) -> None:
+    def on_primary_heartbeat(self) -> None:
         """Somebody leads: nobody has to stand before its lease is over."""
         self._round = None
-        self._support.primary_heard()
+        self._support.on_primary_heartbeat()
         self.wait(LEASE_S)
 
     def _rank_delay(self) -> float:
-        later = LEAVING_STANDS_LATER_S if self.leaving else 0.0
-        rank = self._support.rank(self._witness.member)
+        later = LEAVING_DELAY_S if self.leaving else 0.0
+        rank = self._support.rank(self._acceptor.member)
         return later + rank * RANK_DELAY_S + self._random.uniform(0.0, JITTER_S)
 
     def _schedule(self) -> None:
@@ -109,7 +109,7 @@
         now = self._clock.now()
         if now < self._ask_at:
             self._schedule()
-        elif self._may_stand():
+        elif self._eligible():
             self._ask()
         else:
             self.wait(LEASE_S)
@@ -119,9 +119,9 @@
     def _ask(self) -> None:
         now = self._clock.now()
         self._number += 1
-        question = PreVote(self._number, self._witness.member)
+        question = PreVote(self._number, self._acceptor.member)
         own = self._answer(question)
-        self._round = PreVoteRound(self._number, self._witness.record.witnesses, now)
+        self._round = PreVoteRound(self._number, self._acceptor.record.voters, now)
         self._send_others(question)
         self._ask_at = now + self._support.round_s + self._random.uniform(0.0, JITTER_S)
         self._schedule()
@@ -144,15 +144,15 @@
 
     def _win(self, answered: PreVoteRound) -> None:
         self._round = None
-        further = self._further_copy(answered)
+        further = self._more_complete_voter(answered)
         if not further:
-            self.support(self._witness.member)
-            self._send_others(CandidacyAnnounced(self._witness.member))
-        self._stand(further)
+            self.support(self._acceptor.member)
+            self._send_others(CandidacyAnnounced(self._acceptor.member))
+        self._start_candidacy(further)
 
     def _send_others(self, message: PreVote | CandidacyAnnounced) -> None:
-        for one in self._witness.record.witnesses:
-            if one != self._witness.member:
+        for one in self._acceptor.record.voters:
+            if one != self._acceptor.member:
                 self._network.send(address_of(one), message)
 
     def _schedule_sooner(self) -> None:
@@ -161,9 +161,9 @@
             self._timer = None
         self._schedule()
 
-    def _further_copy(self, answered: PreVoteRound) -> str:
-        record = self._witness.record
-        voters = [one for one in record.in_sync if one in record.witnesses and one in answered.positions]
+    def _more_complete_voter(self, answered: PreVoteRound) -> str:
+        record = self._acceptor.record
+        voters = [one for one in record.in_sync if one in record.voters and one in answered.positions]
         best = max(voters, key=lambda one: answered.positions[one], default="")
         return best if best and answered.positions[best] > self._held() else ""
 
@@ -173,7 +173,7 @@
         """Tell a member whether it would be promised an epoch now."""
         self._network.send(address_of(question.candidate), self._answer(question))
 
-    def on_standing(self, message: CandidacyAnnounced) -> None:
+    def on_candidacy_announced(self, message: CandidacyAnnounced) -> None:
         """A member stands."""
         if self._support.bound_for(message.candidate) <= 0:
             self.support(message.candidate)
@@ -181,16 +181,16 @@
     def support(self, candidate: str) -> None:
         """Keep out of the way of a member that is about to lead: it stands, was promised, or asked to take over."""
         self._support.give(candidate)
-        self._keep_out_for(candidate, self._support.standing_s)
+        self._keep_out_for(candidate, self._support.election_s)
 
     def _answer(self, question: PreVote) -> PreVoteReply:
         wait_s = self._support.bound_for(question.candidate)
         if wait_s <= 0:
             self._support.prefer(question.candidate)
             self._keep_out_for(question.candidate, self._support.round_s)
-        return PreVoteReply(question.round, self._witness.member, wait_s <= 0, max(0.0, wait_s), self._held())
+        return PreVoteReply(question.round, self._acceptor.member, wait_s <= 0, max(0.0, wait_s), self._held())
 
     def _keep_out_for(self, candidate: str, seconds: float) -> None:
-        if candidate != self._witness.member:
+        if candidate != self._acceptor.member:
             self._round = None
             self.wait_at_least(seconds + self._rank_delay())
--- a/lynxscale/coordination/graceful_leave.py
+++ b/lynxscale/coordination/graceful_leave.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class DepartureState(Enum):
+class LeaveState(Enum):
     """Where a member stands on its way out."""
 
     STAYING = "staying"
@@ -19,31 +19,31 @@
     RELEASED = "released"
 
 
-class Departure:
+class GracefulLeave:
     """One process's way out. ``on_release()`` is called once."""
 
     def __init__(self) -> None:
-        self.state = DepartureState.STAYING
+        self.state = LeaveState.STAYING
         self._on_release: Callable[[], None] = lambda: None
 
     @property
     def leaving(self) -> bool:
         """Is the member to stop, released or not?"""
-        return self.state is not DepartureState.STAYING
+        return self.state is not LeaveState.STAYING
 
     @property
     def pending(self) -> bool:
         """Does it wait to be released?"""
-        return self.state is DepartureState.LEAVING
+        return self.state is LeaveState.LEAVING
 
     def begin(self, on_release: Callable[[], None]) -> None:
         """The process was asked to stop."""
-        if self.state is DepartureState.STAYING:
+        if self.state is LeaveState.STAYING:
             self._on_release = on_release
-            self.state = DepartureState.LEAVING
+            self.state = LeaveState.LEAVING
 
     def release(self) -> None:
         """Nothing depends on the member any more."""
-        if self.state is DepartureState.LEAVING:
-            self.state = DepartureState.RELEASED
+        if self.state is LeaveState.LEAVING:
+            self.state = LeaveState.RELEASED
             self._on_release()
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Callable
 
-from lynxscale.coordination.acceptor import Proposal, Witness
-from lynxscale.coordination.lease import LEASE_S, HeldLease
-from lynxscale.coordination.membership_plan import PeerView, PlanInput, may_go, plan_record
+from lynxscale.coordination.acceptor import Acceptor, Proposal
+from lynxscale.coordination.lease import LEASE_S, LeaderLease
+from lynxscale.coordination.membership_plan import PeerView, PlanInput, can_remove, plan_next_record
 from lynxscale.coordination.messages import (
     DigestReply,
     DigestRequest,
@@ -32,9 +32,9 @@
 
 TICK_S = 0.05
 HEARTBEAT_S = 0.08
-SILENT_AFTER_S = 0.32  # a member unheard so long is not waited for
-SETTLED_S = 0.6  # a lead so old has heard of everybody who is there
-MISSED_S = 3.0  # a machine unheard for so long is gone, as far as a retirement goes
+UNRESPONSIVE_AFTER_S = 0.32  # a member unheard so long is not waited for
+MEMBERSHIP_KNOWN_AFTER_S = 0.6  # a lead so old has heard of everybody who is there
+GONE_AFTER_S = 3.0  # a machine unheard for so long is gone, as far as a retirement goes
 
 
 class Leadership:
@@ -46,7 +46,7 @@
     def __init__(
         self,
         node: str,
-        witness: Witness,
+        acceptor: Acceptor,
         store: Store,
         clock: Clock,
         network: Network,
@@ -55,11 +55,11 @@
         retiring: Callable[[], frozenset[str]],
         on_disk_failure: Callable[[OSError], None],
     ) -> None:
-        self.me = witness.member
+        self.me = acceptor.member
         self.replicator = Replicator(self.me, store, clock, network, tolerated + 1, on_disk_failure)
-        self.lease = HeldLease(clock)
+        self.lease = LeaderLease(clock)
         self._node = node
-        self._witness = witness
+        self._acceptor = acceptor
         self._store = store
         self._clock = clock
         self._network = network
@@ -68,7 +68,7 @@
         self._retiring = retiring
         self._begun_at = clock.now()
         self._heartbeat_at = -1e9
-        others = dict.fromkeys((*witness.record.witnesses, *witness.record.in_sync))
+        others = dict.fromkeys((*acceptor.record.voters, *acceptor.record.in_sync))
         self._peers = {one: PeerView(heard_at=self._begun_at) for one in others if one != self.me}
 
     # State -------------------------------------------------------------------------------------------
@@ -91,30 +91,30 @@
     @property
     def settled(self) -> bool:
         """Has this lead lasted long enough to have heard of every member that is there?"""
-        return self._clock.now() - self._begun_at > SETTLED_S
+        return self._clock.now() - self._begun_at > MEMBERSHIP_KNOWN_AFTER_S
 
-    def present_nodes(self) -> set[str]:
+    def live_nodes(self) -> set[str]:
         """Machines that are heard of, and to stay."""
-        return self._nodes_heard(SILENT_AFTER_S) - self._retiring()
+        return self._nodes_heard(UNRESPONSIVE_AFTER_S) - self._retiring()
 
-    def possible_nodes(self) -> set[str] | None:
+    def possibly_live_nodes(self) -> set[str] | None:
         """Machines that may be there, also where they are silent just now; None where this lead cannot tell yet."""
-        if self._clock.now() - self._begun_at < MISSED_S:
+        if self._clock.now() - self._begun_at < GONE_AFTER_S:
             return None
-        return self._nodes_heard(MISSED_S) - self._retiring()
+        return self._nodes_heard(GONE_AFTER_S) - self._retiring()
 
     def _nodes_heard(self, within_s: float) -> set[str]:
         oldest = self._clock.now() - within_s
         heard = {peer.node for peer in self._peers.values() if peer.heard_at > oldest and not peer.leaving}
         return (heard | {self._node}) - {""}
 
-    def is_empty(self, node: str) -> bool:
+    def is_vacated(self, node: str) -> bool:
         """Does no copy that counts stand on the machine, and are there enough without it?
 
         Not before this lead has heard which members are on the machine.
         """
-        record = self._witness.record
-        counted = {*record.in_sync, *record.witnesses}
+        record = self._acceptor.record
+        counted = {*record.in_sync, *record.voters}
         unknown = any(not self._peers[one].node for one in counted if one != self.me and one in self._peers)
         there = {one for one, peer in self._peers.items() if peer.node == node}
         enough = len(record.in_sync) > self._tolerated
@@ -125,10 +125,10 @@
 
     def begin_epoch(self, record: EpochRecord) -> None:
         """A record with this member as primary was decided."""
-        self.lease.forget_rounds()
+        self.lease.discard_rounds()
         self.heartbeat()
         self.replicator.begin(record)
-        self.replicator.forget(set(record.witnesses))
+        self.replicator.forget(set(record.voters))
 
     def end(self) -> None:
         """Another may lead from now on."""
@@ -143,54 +143,54 @@
         if self._proposer.active and self._proposer.timed_out:
             self._proposer.propose()
         self.consider_plan()
-        self._release_departing()
+        self._approve_leaving()
 
     def heartbeat(self) -> None:
         """Ask for the lease anew, and let everybody know of the record."""
         self._heartbeat_at = self._clock.now()
-        record = self._witness.record
+        record = self._acceptor.record
         request = LeaseRequest(record, self.lease.begin_round())
-        oldest = self._heartbeat_at - MISSED_S
+        oldest = self._heartbeat_at - GONE_AFTER_S
         heard = [one for one, peer in self._peers.items() if peer.heard_at > oldest]
-        self._send_all((*record.witnesses, *heard), request)
-        if self._witness.grant(request):
-            self.lease.grant(request.round, self.me, record.witnesses)
+        self._send_all((*record.voters, *heard), request)
+        if self._acceptor.grant(request):
+            self.lease.grant(request.round, self.me, record.voters)
 
     def receive(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
         """Handle an answer of another member to this epoch."""
         if isinstance(message, LeaseGrant):
             self.on_lease_grant(message)
         elif isinstance(message, SnapshotProgress):
-            self.on_transfer_progress(message)
+            self.on_snapshot_progress(message)
         elif isinstance(message, ReplicateAck):
-            self.on_stored(message)
+            self.on_replicate_ack(message)
         else:
             self.on_digest_reply(message)
 
     def on_lease_grant(self, message: LeaseGrant) -> None:
         """A member has answered a heartbeat."""
-        record = self._witness.record
-        self._hear(message.member, message.node).leaving = message.leaving
+        record = self._acceptor.record
+        self._mark_alive(message.member, message.node).leaving = message.leaving
         if message.granted:
-            self.lease.grant(message.round, message.member, record.witnesses)
-        elif message.promised > record.epoch and message.member in record.witnesses:
-            self._pass_promise(message.promised)
+            self.lease.grant(message.round, message.member, record.voters)
+        elif message.promised > record.epoch and message.member in record.voters:
+            self._overtake_promise(message.promised)
         self.replicator.on_position(message.member, message.position)
 
     def on_join(self, message: Join) -> None:
         """A member tells that it is there, or about to go."""
-        self._hear(message.member, message.node).leaving = message.leaving
+        self._mark_alive(message.member, message.node).leaving = message.leaving
         self.consider_plan()
-        self._release_departing()
+        self._approve_leaving()
 
-    def on_transfer_progress(self, message: SnapshotProgress) -> None:
+    def on_snapshot_progress(self, message: SnapshotProgress) -> None:
         """A member tells how far a transfer of the whole state has come."""
-        self._hear(message.member)
+        self._mark_alive(message.member)
         self.replicator.on_progress(message)
 
-    def on_stored(self, message: ReplicateAck) -> None:
+    def on_replicate_ack(self, message: ReplicateAck) -> None:
         """A member tells what it has stored."""
-        self._hear(message.member)
+        self._mark_alive(message.member)
         self.replicator.on_position(message.member, message.position)
 
     def on_digest_reply(self, message: DigestReply) -> None:
@@ -202,7 +202,7 @@
 
     def scrub(self) -> None:
         """Compare the copies with the own one, at what was committed last."""
-        record = self._witness.record
+        record = self._acceptor.record
         if self.established:
             self._send_all(record.in_sync, DigestRequest(record.epoch, self.replicator.committed))
 
@@ -210,24 +210,24 @@
 
     def plan(self, proposal: Proposal) -> EpochRecord:
         """The record that a round of this primary proposes; until it is decided, more copies are needed."""
-        record = plan_record(self._plan_input(proposal.base), proposal.epoch)
+        record = plan_next_record(self._plan_input(proposal.base), proposal.epoch)
         self.replicator.require_also(set(proposal.base.in_sync) | set(record.in_sync))
         return record
 
     def consider_plan(self) -> None:
         """Propose a new epoch where other members should vote or copy."""
-        young = not self.established and self._clock.now() - self._begun_at < SILENT_AFTER_S
+        young = not self.established and self._clock.now() - self._begun_at < UNRESPONSIVE_AFTER_S
         if self._proposer.active or not self.lease.held or young:
             return
-        record = self._witness.record
-        planned = plan_record(self._plan_input(record), record.epoch)
-        if (planned.in_sync, planned.witnesses) != (record.in_sync, record.witnesses):
+        record = self._acceptor.record
+        planned = plan_next_record(self._plan_input(record), record.epoch)
+        if (planned.in_sync, planned.voters) != (record.in_sync, record.voters):
             self._proposer.propose()
 
-    def hand_over(self) -> bool:
+    def transfer_leadership(self) -> bool:
         """Give the lease back and let an in-sync member stand; False where there is none."""
-        record = self._witness.record
-        oldest = self._clock.now() - SILENT_AFTER_S
+        record = self._acceptor.record
+        oldest = self._clock.now() - UNRESPONSIVE_AFTER_S
         others = [one for one in record.in_sync if one != self.me and self._peers[one].heard_at > oldest]
         plan = self._plan_input(record)
         ready = [one for one in others if self.replicator.caught_up(one) and not plan.departing(one)]
@@ -239,10 +239,10 @@
 
     def release(self, successor: str = "") -> None:
         """Give the lease back, or tell that it has ended, so that nobody waits for it."""
-        record = self._witness.record
+        record = self._acceptor.record
         self.lease.drop()
-        self._witness.release(record.epoch)
-        self._send_all(record.witnesses, LeaseRelease(record.epoch, successor))
+        self._acceptor.release(record.epoch)
+        self._send_all(record.voters, LeaseRelease(record.epoch, successor))
 
     def _plan_input(self, base: EpochRecord) -> PlanInput:
         retiring = self._retiring()
@@ -250,7 +250,7 @@
             base=base,
             me=self.me,
             now=self._clock.now(),
-            silent_after=SILENT_AFTER_S,
+            unresponsive_after=UNRESPONSIVE_AFTER_S,
             tolerated=self._tolerated,
             peers=self._peers,
             caught_up={one for one in self._peers if self.replicator.caught_up(one)},
@@ -259,24 +259,24 @@
             retiring={one for one, peer in self._peers.items() if peer.node in retiring},
         )
 
-    def _release_departing(self) -> None:
+    def _approve_leaving(self) -> None:
         """Tell members that are about to go once nothing depends on them any more."""
         if self._proposer.active or not self.established:
             return
-        record = self._witness.record
+        record = self._acceptor.record
         plan = self._plan_input(record)
         for one, peer in self._peers.items():
-            in_record = one in record.witnesses
-            if peer.leaving and may_go(plan, one) and (self.settled or not in_record):
+            in_record = one in record.voters
+            if peer.leaving and can_remove(plan, one) and (self.settled or not in_record):
                 self._network.send(address_of(one), LeaveApproved(record.epoch))
 
-    def _pass_promise(self, promised: int) -> None:
-        """A witness that promised a candidate's epoch, of which nothing came, is bound until a later one is decided."""
-        self._proposer.pass_by(promised)
+    def _overtake_promise(self, promised: int) -> None:
+        """A voter that promised a candidate's epoch, of which nothing came, is bound until a later one is decided."""
+        self._proposer.note_higher_promise(promised)
         if not self._proposer.active and self.lease.held:
             self._proposer.propose()
 
-    def _hear(self, member: str, node: str = "") -> PeerView:
+    def _mark_alive(self, member: str, node: str = "") -> PeerView:
         peer = self._peers.setdefault(member, PeerView())
         peer.heard_at = self._clock.now()
         peer.node = node or peer.node
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -1,7 +1,7 @@
-"""A control member: witness, replica and, in its epoch, primary.
+"""A control member: acceptor, replica and, in its epoch, primary.
 
-States: JOINING (no vote yet), BACKUP, CANDIDATE (asks the witnesses for an epoch of its own) and PRIMARY (holds a lease
-from a majority of the witnesses and stops before it ends). ``_become`` is the one place of change. A member that is
+States: JOINING (no vote yet), BACKUP, CANDIDATE (asks the voters for an epoch of its own) and PRIMARY (holds a lease
+from a majority of the voters and stops before it ends). ``_become`` is the one place of change. A member that is
 about to stop keeps its state until it is released (``graceful_leave.py``).
 """
 
@@ -13,15 +13,15 @@
 from enum import Enum
 from random import Random
 
-from lynxscale.coordination.acceptor import Proposal, Witness
-from lynxscale.coordination.acceptor_state import Register
-from lynxscale.coordination.election import Campaign
-from lynxscale.coordination.eligibility import Candidacy, decide_candidacy
+from lynxscale.coordination.acceptor import Acceptor, Proposal
+from lynxscale.coordination.acceptor_state import AcceptorStateFile
+from lynxscale.coordination.election import ElectionCampaign
+from lynxscale.coordination.eligibility import CandidacyDecision, decide_candidacy
 from lynxscale.coordination.follower import Follower
-from lynxscale.coordination.graceful_leave import Departure
+from lynxscale.coordination.graceful_leave import GracefulLeave
 from lynxscale.coordination.leadership import TICK_S, Leadership
 from lynxscale.coordination.lease import LEASE_S
-from lynxscale.coordination.membership_plan import FOUNDERS
+from lynxscale.coordination.membership_plan import MIN_VOTERS
 from lynxscale.coordination.messages import (
     Accept,
     Accepted,
@@ -57,10 +57,10 @@
 
 log = logging.getLogger(__name__)
 
-JOIN_EVERY_S = 0.25
-DISK_ASIDE_S = 1.0  # a member whose disk failed does not stand for so long
-LEAVE_EVERY_S = 0.1  # a member that is about to stop tells so
-MARK_EVERY_S = 1.0  # the position is noted apart from the versions
+JOIN_INTERVAL_S = 0.25
+DISK_FAILURE_COOLDOWN_S = 1.0  # a member whose disk failed does not stand for so long
+LEAVE_INTERVAL_S = 0.1  # a member that is about to stop tells so
+WATERMARK_INTERVAL_S = 1.0  # the position is noted apart from the versions
 
 
 class State(Enum):
@@ -91,7 +91,7 @@
     def __init__(
         self,
         settings: MemberSettings,
-        register: Register,
+        register: AcceptorStateFile,
         clock: Clock,
         network: Network,
         files: Files,
@@ -101,20 +101,20 @@
         self.settings = settings
         self.me = register.state.member
         self.contacts = settings.contacts
-        self.witness = Witness(register, clock, LEASE_S)
-        self.state = State.BACKUP if self.me in self.witness.record.witnesses else State.JOINING
+        self.acceptor = Acceptor(register, clock, LEASE_S)
+        self.state = State.BACKUP if self.me in self.acceptor.record.voters else State.JOINING
         self.store = Store(files, self._defer)
-        self.departure = Departure()
+        self.departure = GracefulLeave()
         self.retiring: frozenset[str] = frozenset()
         self.leadership: Leadership | None = None
         self._clock = clock
         self._network = network
         self._random = random
         self._on_lead = on_lead
-        self._proposer = Proposer(self.witness, clock, network, self._held, self._choose, self._decided)
+        self._proposer = Proposer(self.acceptor, clock, network, self._held, self._choose, self._decided)
         self._follower = Follower(self.me, self.store, network, self._follows, self._recorded_primary)
-        self._campaign = Campaign(
-            self.witness, clock, network, random, self._held, self._may_stand, self._stand_or_send_on
+        self._campaign = ElectionCampaign(
+            self.acceptor, clock, network, random, self._held, self._eligible, self._on_pre_vote_won
         )
         self._handlers = self._message_handlers()
         self._join_at = self._disk_failed_at = self._mark_at = -1e9
@@ -131,12 +131,12 @@
     @property
     def record(self) -> EpochRecord:
         """The record of epochs known here."""
-        return self.witness.record
+        return self.acceptor.record
 
     @property
-    def least_members(self) -> int:
+    def min_members(self) -> int:
         """With fewer the group could not bear the tolerated losses."""
-        return max(FOUNDERS, 2 * self.settings.tolerated + 1)
+        return max(MIN_VOTERS, 2 * self.settings.tolerated + 1)
 
     def leads(self) -> bool:
         """Is this the primary, with its lease running and all that earlier primaries committed at hand?"""
@@ -168,12 +168,12 @@
         """The process is to stop. It votes and copies on; ``on_release()`` once nothing depends on it any more."""
         self.departure.begin(on_release)
         self._campaign.leaving = True
-        self.yield_lead()
+        self.step_down_in_favour()
         self._announce()
 
-    def yield_lead(self) -> None:
+    def step_down_in_favour(self) -> None:
         """As primary, let another in-sync member take over, and stay as its backup."""
-        if self.leadership is not None and self.leadership.hand_over():
+        if self.leadership is not None and self.leadership.transfer_leadership():
             self._become(State.BACKUP)
 
     # Messages ------------------------------------------------------------------------------------
@@ -190,15 +190,15 @@
         return True
 
     def _on_prepare(self, message: Prepare) -> None:
-        answer = self.witness.prepare(message, self._held())
+        answer = self.acceptor.prepare(message, self._held())
         if isinstance(answer, Promise):
             self._campaign.support(message.candidate)
             if message.candidate != self.me and self.state is State.PRIMARY:
                 self._become(State.BACKUP)
         self._network.send(address_of(message.candidate), answer)
 
-    def _on_deny(self, message: PrepareRejected) -> None:
-        if self._proposer.on_deny(message) and self.state is State.CANDIDATE:
+    def _on_prepare_rejected(self, message: PrepareRejected) -> None:
+        if self._proposer.on_prepare_rejected(message) and self.state is State.CANDIDATE:
             self._wait_for_lease(message.lease_left)
 
     def _wait_for_lease(self, lease_left: float) -> None:
@@ -206,7 +206,7 @@
         self._campaign.wait(min(lease_left, LEASE_S))
 
     def _on_accept(self, message: Accept) -> None:
-        answer = self.witness.accept(message.record)
+        answer = self.acceptor.accept(message.record)
         if answer is not None:
             self._campaign.support(message.record.primary)
             self._network.send(address_of(message.record.primary), answer)
@@ -216,14 +216,14 @@
         if record.epoch < self.record.epoch:
             self._network.send(address_of(record.primary), Redirect(self.primary(), self.record.epoch))
             return
-        self.witness.learn(record)
+        self.acceptor.learn(record)
         if record.primary == self.me:
             return
-        self._become(State.BACKUP if self.me in record.witnesses else State.JOINING)
+        self._become(State.BACKUP if self.me in record.voters else State.JOINING)
         self._primary_heard_at = self._clock.now()
-        self._campaign.primary_heard()
-        granted = self.witness.grant(message)
-        promised = self.witness.state.promised
+        self._campaign.on_primary_heartbeat()
+        granted = self.acceptor.grant(message)
+        promised = self.acceptor.state.promised
         answer = LeaseGrant(
             record.epoch,
             message.round,
@@ -239,16 +239,16 @@
     def _on_lease_release(self, message: LeaseRelease) -> None:
         if message.epoch != self.record.epoch:
             return
-        self.witness.release(message.epoch)
+        self.acceptor.release(message.epoch)
         if message.successor:
             self._campaign.support(message.successor)
         else:
             self._campaign.wait(0.0)
 
     def _on_take_over(self, message: TakeOver) -> None:
-        if message.epoch == self.record.epoch and self.state is State.BACKUP and self._may_stand():
+        if message.epoch == self.record.epoch and self.state is State.BACKUP and self._eligible():
             self._primary_heard_at = -1e9
-            self._stand()
+            self._start_candidacy()
 
     def _on_join(self, message: Join) -> None:
         if self.leadership is not None:
@@ -256,7 +256,7 @@
         elif address := self.primary():
             self._network.send(address_of(message.member), Redirect(address, self.record.epoch))
 
-    def _on_released(self, message: LeaveApproved) -> None:
+    def _on_leave_approved(self, message: LeaveApproved) -> None:
         if message.epoch >= self.record.epoch and self.leadership is None:
             self.departure.release()
 
@@ -271,36 +271,36 @@
         return {
             PreVote: self._campaign.on_pre_vote,
             PreVoteReply: self._campaign.on_reply,
-            CandidacyAnnounced: self._campaign.on_standing,
+            CandidacyAnnounced: self._campaign.on_candidacy_announced,
             Prepare: self._on_prepare,
             Promise: self._proposer.on_promise,
-            PrepareRejected: self._on_deny,
+            PrepareRejected: self._on_prepare_rejected,
             Accept: self._on_accept,
             Accepted: self._proposer.on_accepted,
             LeaseRequest: self._on_lease_request,
             LeaseRelease: self._on_lease_release,
             TakeOver: self._on_take_over,
             Join: self._on_join,
-            LeaveApproved: self._on_released,
+            LeaveApproved: self._on_leave_approved,
             Redirect: self._on_redirect,
             Replicate: self._follower.on_replicate,
             SnapshotChunk: self._follower.on_state_part,
             SnapshotProbe: self._follower.on_transfer_ask,
             DigestRequest: self._follower.on_digest_request,
-            LeaseGrant: self._to_leadership,
-            SnapshotProgress: self._to_leadership,
-            ReplicateAck: self._to_leadership,
-            DigestReply: self._to_leadership,
+            LeaseGrant: self._forward_to_leadership,
+            SnapshotProgress: self._forward_to_leadership,
+            ReplicateAck: self._forward_to_leadership,
+            DigestReply: self._forward_to_leadership,
         }
 
-    def _to_leadership(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
+    def _forward_to_leadership(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
         """An answer to a primary, of this lead's present epoch."""
         if self.leadership is not None and message.epoch == self.record.epoch:
             self.leadership.receive(message)
 
     def _follows(self, epoch: int) -> bool:
         """May a primary of that epoch still write here? Not once a later one was promised."""
-        current = epoch == self.record.epoch and self.witness.state.promised <= epoch
+        current = epoch == self.record.epoch and self.acceptor.state.promised <= epoch
         return current and self.state is not State.PRIMARY
 
     # Rounds of the register ----------------------------------------------------------------------
@@ -310,17 +310,17 @@
         base = proposal.base
         if self.leadership is not None and base.primary == self.me:
             return self.leadership.plan(proposal)
-        decided = Candidacy()
+        decided = CandidacyDecision()
         if self.state is State.CANDIDATE:
             decided = decide_candidacy(self.me, self._held(), proposal, self.settings.tolerated)
         if decided.further:
-            self._stand_aside(base, decided.further)
+            self._yield_to(base, decided.further)
         elif decided.record is None:
-            self.witness.learn(base)
-            self._become(State.BACKUP if self.me in base.witnesses else State.JOINING)
+            self.acceptor.learn(base)
+            self._become(State.BACKUP if self.me in base.voters else State.JOINING)
         return decided.record
 
-    def _stand_aside(self, base: EpochRecord, further: str) -> None:
+    def _yield_to(self, base: EpochRecord, further: str) -> None:
         log.warning("event=stands_aside member=%s", further)
         self._become(State.BACKUP)
         self._campaign.wait(LEASE_S)
@@ -336,8 +336,8 @@
         if self.state is State.CANDIDATE:
             self._become(State.PRIMARY)
         if self.leadership is not None:
-            counts = len(record.in_sync), len(record.witnesses)
-            log.info("event=epoch epoch=%d in_sync=%d witnesses=%d", record.epoch, *counts)
+            counts = len(record.in_sync), len(record.voters)
+            log.info("event=epoch epoch=%d in_sync=%d voters=%d", record.epoch, *counts)
             self.leadership.begin_epoch(record)
 
     # Time ----------------------------------------------------------------------------------------
@@ -345,11 +345,11 @@
     def _tick(self) -> None:
         self._clock.call_later(TICK_S, self._tick)
         try:
-            self._act()
+            self._run_periodic_work()
         except OSError as error:
             self._on_disk_failure(error)
 
-    def _act(self) -> None:
+    def _run_periodic_work(self) -> None:
         now = self._clock.now()
         if self.leadership is not None:
             self._tick_primary()
@@ -360,10 +360,10 @@
         waits = self.state in (State.BACKUP, State.CANDIDATE)
         unheard = waits and now - self._primary_heard_at > LEASE_S
         calls = self.state is State.JOINING or unheard
-        every = LEAVE_EVERY_S if self.departure.pending else JOIN_EVERY_S
+        every = LEAVE_INTERVAL_S if self.departure.pending else JOIN_INTERVAL_S
         if (calls or self.departure.pending) and now - self._join_at >= every:
             self._announce()
-        if now - self._mark_at >= MARK_EVERY_S:
+        if now - self._mark_at >= WATERMARK_INTERVAL_S:
             self._mark_at = now
             self.store.save_watermark()
 
@@ -374,22 +374,22 @@
             self._become(State.BACKUP)
             return
         if self.settings.node in self.retiring or self.departure.leaving:
-            self.yield_lead()
+            self.step_down_in_favour()
         if self.leadership is not None:
             self.leadership.tick()
 
-    def _may_stand(self) -> bool:
-        eligible = self.store.intact and self.me in self.record.in_sync and self.me in self.record.witnesses
+    def _eligible(self) -> bool:
+        eligible = self.store.intact and self.me in self.record.in_sync and self.me in self.record.voters
         return eligible and self.state is State.BACKUP
 
-    def _stand_or_send_on(self, further: str) -> None:
+    def _on_pre_vote_won(self, further: str) -> None:
         """A majority would promise; a member whose copy reaches further is to stand instead."""
         if further:
-            self._stand_aside(self.record, further)
+            self._yield_to(self.record, further)
         else:
-            self._stand()
+            self._start_candidacy()
 
-    def _stand(self) -> None:
+    def _start_candidacy(self) -> None:
         self._become(State.CANDIDATE)
         self._campaign.support(self.me)
         try:
@@ -406,7 +406,7 @@
         if primary and not self.departure.pending:
             self._network.send(primary, Join(self.me, self.settings.node, False))
             return
-        known = [address_of(one) for one in (self.record.primary, *self.record.witnesses) if one]
+        known = [address_of(one) for one in (self.record.primary, *self.record.voters) if one]
         own = address_of(self.me)
         for address in dict.fromkeys([*known, *self.contacts]):
             if address != own:
@@ -429,7 +429,7 @@
     def _start_leading(self) -> None:
         self.leadership = Leadership(
             self.settings.node,
-            self.witness,
+            self.acceptor,
             self.store,
             self._clock,
             self._network,
@@ -463,11 +463,11 @@
     def _on_disk_failure(self, error: OSError) -> None:
         """This member can promise and store nothing: it stands aside for a while."""
         now = self._clock.now()
-        if now - self._disk_failed_at > DISK_ASIDE_S:
+        if now - self._disk_failed_at > DISK_FAILURE_COOLDOWN_S:
             log.error("event=disk_failed error=%s", error)
             self._disk_failed_at = now
         if self.leadership is not None:
-            self.leadership.hand_over()
+            self.leadership.transfer_leadership()
         if self.state in (State.PRIMARY, State.CANDIDATE):
             self._become(State.BACKUP)
-        self._campaign.wait_at_least(DISK_ASIDE_S)
+        self._campaign.wait_at_least(DISK_FAILURE_COOLDOWN_S)
--- a/lynxscale/coordination/membership_plan.py
+++ b/lynxscale/coordination/membership_plan.py
@@ -13,8 +13,8 @@
 from lynxscale.coordination.acceptor import majority
 from lynxscale.coordination.messages import EpochRecord, address_of
 
-FOUNDERS = 3
-EXPECTED_SILENCES = 4  # a voter silent for less than so many times the usual may be back in a moment
+MIN_VOTERS = 3
+BRIEF_SILENCE_FACTOR = 4  # a voter silent for less than so many times the usual may be back in a moment
 
 
 @dataclass(slots=True)
@@ -37,7 +37,7 @@
     base: EpochRecord
     me: str
     now: float
-    silent_after: float
+    unresponsive_after: float
     tolerated: int
     peers: dict[str, PeerView]
     caught_up: set[str]
@@ -48,10 +48,10 @@
     @property
     def voters_wanted(self) -> int:
         """Enough that the tolerated losses leave a majority."""
-        return max(FOUNDERS, 2 * self.tolerated + 1)
+        return max(MIN_VOTERS, 2 * self.tolerated + 1)
 
     @property
-    def copies_wanted(self) -> int:
+    def replicas_wanted(self) -> int:
         """Enough that the tolerated losses leave one."""
         return self.tolerated + 1
 
@@ -60,14 +60,14 @@
         if member == self.me:
             return True
         peer = self.peers.get(member)
-        return peer is not None and self.now - peer.heard_at < self.silent_after
+        return peer is not None and self.now - peer.heard_at < self.unresponsive_after
 
     def expected(self, member: str) -> bool:
         """Is the member there to stay, or silent for a moment only, as behind a large message?"""
         if member == self.me:
             return True
         peer = self.peers.get(member)
-        lately = peer is not None and self.now - peer.heard_at < EXPECTED_SILENCES * self.silent_after
+        lately = peer is not None and self.now - peer.heard_at < BRIEF_SILENCE_FACTOR * self.unresponsive_after
         return lately and not self.departing(member)
 
     def lost(self, member: str) -> bool:
@@ -89,73 +89,73 @@
 
     def successors(self) -> list[str]:
         """Members that could become voters."""
-        return [one for one in sorted(self.peers) if one not in self.base.witnesses and self.stays(one)]
+        return [one for one in sorted(self.peers) if one not in self.base.voters and self.stays(one)]
 
 
-def plan_record(plan: PlanInput, epoch: int) -> EpochRecord:
+def plan_next_record(plan: PlanInput, epoch: int) -> EpochRecord:
     """The record that the primary wants next; equal to the base but for the epoch where nothing is to change."""
     base = plan.base
-    for change in (_place_of_a_lost_disk, _place_of_the_silent, _more_voters, _fewer_voters):
+    for change in (_replace_voter_with_lost_disk, _replace_unresponsive_voter, _add_voter, _remove_voter):
         changed = change(plan)
         if changed is not None:
-            in_sync, witnesses = changed
-            return EpochRecord(epoch, plan.me, in_sync, witnesses)
-    return EpochRecord(epoch, plan.me, _plan_in_sync(plan), base.witnesses)
+            in_sync, voters = changed
+            return EpochRecord(epoch, plan.me, in_sync, voters)
+    return EpochRecord(epoch, plan.me, _plan_in_sync(plan), base.voters)
 
 
 Change = tuple[tuple[str, ...], tuple[str, ...]]
 
 
-def _replaced(plan: PlanInput, member: str, successor: str | None) -> Change | None:
+def _without_voter(plan: PlanInput, member: str, successor: str | None) -> Change | None:
     """In-sync set and voters without a member; None where too few copies would be left."""
     in_sync = tuple(one for one in plan.base.in_sync if one != member)
-    if member in plan.base.in_sync and len(in_sync) < plan.copies_wanted:
+    if member in plan.base.in_sync and len(in_sync) < plan.replicas_wanted:
         return None
-    witnesses = [successor if one == member else one for one in plan.base.witnesses]
-    return in_sync, tuple(one for one in witnesses if one is not None)
+    voters = [successor if one == member else one for one in plan.base.voters]
+    return in_sync, tuple(one for one in voters if one is not None)
 
 
-def _place_of_a_lost_disk(plan: PlanInput) -> Change | None:
+def _replace_voter_with_lost_disk(plan: PlanInput) -> Change | None:
     """The same address with another incarnation: the earlier one has lost its disk."""
     for successor in plan.successors():
-        for member in plan.base.witnesses:
+        for member in plan.base.voters:
             same = address_of(member) == address_of(successor)
             if same and member != plan.me and not plan.present(member):
-                return _replaced(plan, member, successor)
+                return _without_voter(plan, member, successor)
     return None
 
 
-def _place_of_the_silent(plan: PlanInput) -> Change | None:
+def _replace_unresponsive_voter(plan: PlanInput) -> Change | None:
     """A vote that cannot be cast goes to somebody who is there."""
     successors = plan.successors()
     if not successors:
         return None
-    for member in plan.base.witnesses:
+    for member in plan.base.voters:
         if not plan.present(member):
-            changed = _replaced(plan, member, successors[0])
+            changed = _without_voter(plan, member, successors[0])
             if changed is not None:
                 return changed
     return None
 
 
-def _more_voters(plan: PlanInput) -> Change | None:
+def _add_voter(plan: PlanInput) -> Change | None:
     """Somebody beside those that are there, or beside one that is to go."""
     successors = plan.successors()
-    staying = [one for one in plan.base.witnesses if not plan.departing(one)]
+    staying = [one for one in plan.base.voters if not plan.departing(one)]
     if successors and len(staying) < plan.voters_wanted:
-        return plan.base.in_sync, (*plan.base.witnesses, successors[0])
+        return plan.base.in_sync, (*plan.base.voters, successors[0])
     return None
 
 
-def _fewer_voters(plan: PlanInput) -> Change | None:
+def _remove_voter(plan: PlanInput) -> Change | None:
     """One that is to go, or one too many, once all the others that are there have caught up."""
-    if len(plan.base.witnesses) <= plan.voters_wanted or _catching_up(plan, plan.base.in_sync):
+    if len(plan.base.voters) <= plan.voters_wanted or _catching_up(plan, plan.base.in_sync):
         return None
-    spare = [one for one in plan.base.witnesses if one != plan.me]
+    spare = [one for one in plan.base.voters if one != plan.me]
     departing = [one for one in spare if plan.departing(one)]
     silent = [one for one in spare if not plan.present(one)]
     for member in (*departing, *silent, *reversed(spare)):
-        changed = _replaced(plan, member, None)
+        changed = _without_voter(plan, member, None)
         if changed is not None:
             return changed
     return None
@@ -163,26 +163,26 @@
 
 def _plan_in_sync(plan: PlanInput) -> tuple[str, ...]:
     """Caught-up voters join; who is silent, late or about to stop leaves, as long as enough copies remain."""
-    voters = plan.base.witnesses
+    voters = plan.base.voters
     in_sync = list(plan.base.in_sync)
     in_sync += [one for one in voters if one not in in_sync and one in plan.caught_up and plan.stays(one)]
     catching_up = _catching_up(plan, in_sync)
-    if sum(not plan.lost(one) for one in in_sync) < plan.copies_wanted:
+    if sum(not plan.lost(one) for one in in_sync) < plan.replicas_wanted:
         # Better a copy that is about to go than none.
         in_sync += [one for one in voters if one not in in_sync and one in plan.caught_up and not plan.lost(one)]
     for one in [one for one in in_sync if one != plan.me]:
         stopping = plan.stopping(one) and not catching_up
-        if (plan.lost(one) or stopping) and len(in_sync) > plan.copies_wanted:
+        if (plan.lost(one) or stopping) and len(in_sync) > plan.replicas_wanted:
             in_sync.remove(one)
     return tuple(in_sync)
 
 
 def _catching_up(plan: PlanInput, in_sync: Sequence[str]) -> bool:
     """Is there a voter that stays and is not in sync yet? A voter that goes is not let go before."""
-    return any(one not in in_sync for one in plan.base.witnesses if plan.expected(one))
+    return any(one not in in_sync for one in plan.base.voters if plan.expected(one))
 
 
-def may_go(plan: PlanInput, member: str) -> bool:
+def can_remove(plan: PlanInput, member: str) -> bool:
     """Does nothing depend any more on a member that is to go?
 
     Its copy may not count any more. Its vote may still be named where nobody can take its place and those that are
@@ -190,8 +190,8 @@
     """
     if member in plan.base.in_sync:
         return False
-    if member not in plan.base.witnesses:
+    if member not in plan.base.voters:
         return True
     replaceable = bool(plan.successors()) or _catching_up(plan, plan.base.in_sync)
-    staying = {one for one in plan.base.witnesses if one != member and plan.stays(one)}
-    return not replaceable and majority(plan.base.witnesses, staying)
+    staying = {one for one in plan.base.voters if one != member and plan.stays(one)}
+    return not replaceable and majority(plan.base.voters, staying)
--- a/lynxscale/coordination/messages/base.py
+++ b/lynxscale/coordination/messages/base.py
@@ -27,9 +27,9 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """What the witnesses store: who is primary in an epoch, who holds every acknowledged write, who may vote."""
+    """What the voters store: who is primary in an epoch, who holds every acknowledged write, who may vote."""
 
     epoch: int
     primary: str
     in_sync: tuple[str, ...]
-    witnesses: tuple[str, ...]
+    voters: tuple[str, ...] = msgspec.field(name="witnesses")  # the stored and sent name
--- a/lynxscale/coordination/messages/election.py
+++ b/lynxscale/coordination/messages/election.py
@@ -1,7 +1,12 @@
-"""Messages of an election: pre-votes, and the two phases by which an epoch record is accepted."""
+"""Messages of an election: pre-votes, and the two phases by which an epoch record is accepted.
+
+``msgspec.field(name="witness")`` keeps the sent name of a voter's id.
+"""
 
 from __future__ import annotations
 
+import msgspec
+
 from lynxscale.coordination.messages.base import EpochRecord, Message, Position
 
 
@@ -16,7 +21,7 @@
     """The voter's answer, with the seconds to wait where it would not, and how far its own copy reaches."""
 
     round: int
-    witness: str
+    voter: str = msgspec.field(name="witness")
     granted: bool
     wait_s: float
     position: Position
@@ -29,39 +34,39 @@
 
 
 class Prepare(Message, frozen=True, tag="prepare"):
-    """A candidate asks a witness to take part in no lower epoch."""
+    """A candidate asks a voter to take part in no lower epoch."""
 
     epoch: int
     candidate: str
 
 
 class Promise(Message, frozen=True, tag="promise"):
-    """The witness will not; it tells the highest record that it accepted, and how far its own copy reaches."""
+    """The voter will not; it tells the highest record that it accepted, and how far its own copy reaches."""
 
     epoch: int
-    witness: str
+    voter: str = msgspec.field(name="witness")
     accepted: EpochRecord
     position: Position
 
 
 class PrepareRejected(Message, frozen=True, tag="deny"):
-    """The witness cannot: it promised a higher epoch, or another's lease runs for ``lease_left`` seconds."""
+    """The voter cannot: it promised a higher epoch, or another's lease runs for ``lease_left`` seconds."""
 
     epoch: int
-    witness: str
+    voter: str = msgspec.field(name="witness")
     promised: int
     lease_left: float
     accepted: EpochRecord
 
 
 class Accept(Message, frozen=True, tag="accept"):
-    """The candidate asks a witness to store the record."""
+    """The candidate asks a voter to store the record."""
 
     record: EpochRecord
 
 
 class Accepted(Message, frozen=True, tag="accepted"):
-    """The witness has stored the record of that epoch on its disk."""
+    """The voter has stored the record of that epoch on its disk."""
 
     epoch: int
-    witness: str
+    voter: str = msgspec.field(name="witness")
--- a/lynxscale/coordination/messages/lease.py
+++ b/lynxscale/coordination/messages/lease.py
@@ -13,7 +13,7 @@
 
 
 class LeaseGrant(Message, frozen=True, tag="lease_grant"):
-    """Answer to a heartbeat; ``granted`` where the sender is a witness of that epoch and bound by no higher one."""
+    """Answer to a heartbeat; ``granted`` where the sender is a voter of that epoch and bound by no higher one."""
 
     epoch: int
     round: int
@@ -26,7 +26,7 @@
 
 
 class LeaseRelease(Message, frozen=True, tag="lease_release"):
-    """The primary of that epoch acts no more, so witnesses need not wait. ``successor``: whom it asked to take over."""
+    """The primary of that epoch acts no more, so voters need not wait. ``successor``: whom it asked to take over."""
 
     epoch: int
     successor: str = ""
--- a/lynxscale/coordination/proposer.py
+++ b/lynxscale/coordination/proposer.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lynxscale.coordination.acceptor import Proposal, Witness
+from lynxscale.coordination.acceptor import Acceptor, Proposal
 from lynxscale.coordination.messages import (
     Accept,
     Accepted,
@@ -19,7 +19,7 @@
 from lynxscale.coordination.ports import Clock, Network
 
 ROUND_TIMEOUT_S = 0.25  # for the answers to a prepare or an accept, beside what disks take
-ROUND_WRITES = 4.0  # register writes that a round waits for
+ROUND_WRITE_FACTOR = 4.0  # register writes that a round waits for
 
 
 class Proposer:
@@ -31,14 +31,14 @@
 
     def __init__(
         self,
-        witness: Witness,
+        acceptor: Acceptor,
         clock: Clock,
         network: Network,
         held: Callable[[], Position],
         choose: Callable[[Proposal], EpochRecord | None],
         decided: Callable[[EpochRecord], None],
     ) -> None:
-        self._witness = witness
+        self._acceptor = acceptor
         self._clock = clock
         self._network = network
         self._held = held
@@ -46,7 +46,7 @@
         self._decided = decided
         self._proposal: Proposal | None = None
         self._begun_at = -1e9
-        self._highest_denied = 0
+        self._highest_rejected = 0
         self._open_epoch = 0  # the last one asked for, while no record was sent for it
 
     @property
@@ -57,7 +57,7 @@
     @property
     def timed_out(self) -> bool:
         """Has the last round had its time?"""
-        allowed_s = ROUND_TIMEOUT_S + ROUND_WRITES * self._witness.write_s
+        allowed_s = ROUND_TIMEOUT_S + ROUND_WRITE_FACTOR * self._acceptor.write_s
         return self._clock.now() - self._begun_at > allowed_s
 
     def cancel(self) -> None:
@@ -65,39 +65,39 @@
         self._proposal = None
 
     def propose(self) -> PrepareRejected | None:
-        """Begin a round; no round where the own witness is bound, which is told. Raises OSError.
+        """Begin a round; no round where the own voter is bound, which is told. Raises OSError.
 
         The own promise is durable before anyone else is asked: no later process of this member asks for that epoch
         again, so no two records stand under one epoch.
         """
         self._proposal = None
         epoch = self._next_epoch()
-        request = Prepare(epoch, self._witness.member)
-        own = self._witness.prepare(request, self._held())
+        request = Prepare(epoch, self._acceptor.member)
+        own = self._acceptor.prepare(request, self._held())
         self._begun_at = self._clock.now()
         if isinstance(own, PrepareRejected):
-            self._highest_denied = max(self._highest_denied, own.promised)
+            self._highest_rejected = max(self._highest_rejected, own.promised)
             return own
         self._open_epoch = epoch
-        voters = self._witness.record.witnesses
-        self._proposal = Proposal(epoch, self._witness.member, voters)
-        self._send_all(tuple(one for one in voters if one != self._witness.member), request)
+        voters = self._acceptor.record.voters
+        self._proposal = Proposal(epoch, self._acceptor.member, voters)
+        self._send_all(tuple(one for one in voters if one != self._acceptor.member), request)
         self.on_promise(own)
         return None
 
     def _next_epoch(self) -> int:
-        lowest = max(self._witness.record.epoch, self._highest_denied) + 1
+        lowest = max(self._acceptor.record.epoch, self._highest_rejected) + 1
         # An epoch for which no record was sent may be asked for again: a cut-off candidate must not climb for ever.
-        if self._open_epoch >= max(lowest, self._witness.state.promised):
+        if self._open_epoch >= max(lowest, self._acceptor.state.promised):
             return self._open_epoch
-        return max(lowest, self._witness.state.promised + 1)
+        return max(lowest, self._acceptor.state.promised + 1)
 
-    def pass_by(self, promised: int) -> None:
-        """A witness is bound by an epoch of which nothing came: the next round asks for a later one."""
-        self._highest_denied = max(self._highest_denied, promised)
+    def note_higher_promise(self, promised: int) -> None:
+        """A voter is bound by an epoch of which nothing came: the next round asks for a later one."""
+        self._highest_rejected = max(self._highest_rejected, promised)
 
     def on_promise(self, message: Promise) -> None:
-        """A witness takes part."""
+        """A voter takes part."""
         proposal = self._proposal
         if proposal is None:
             return
@@ -112,28 +112,28 @@
         self._open_epoch = 0
         self._send_all(proposal.voters, Accept(record))
 
-    def on_deny(self, message: PrepareRejected) -> bool:
-        """A witness does not; was the round under way meant?"""
+    def on_prepare_rejected(self, message: PrepareRejected) -> bool:
+        """A voter does not; was the round under way meant?"""
         proposal = self._proposal
         if proposal is None or message.epoch != proposal.epoch or proposal.record is not None:
             return False
-        self._highest_denied = max(self._highest_denied, message.promised)
+        self._highest_rejected = max(self._highest_rejected, message.promised)
         return True
 
     def on_accepted(self, message: Accepted) -> None:
-        """A witness has stored the record."""
+        """A voter has stored the record."""
         proposal = self._proposal
         if proposal is not None and proposal.accept(message):
             self._proposal = None
-            self._witness.learn(proposal.record)
+            self._acceptor.learn(proposal.record)
             self._decided(proposal.record)
 
     def _ask_new_voters(self, proposal: Proposal) -> None:
-        """The record found may name witnesses that were not asked yet."""
+        """The record found may name voters that were not asked yet."""
         base = proposal.base
-        if base is None or proposal.record is not None or set(base.witnesses) <= set(self._witness.record.witnesses):
+        if base is None or proposal.record is not None or set(base.voters) <= set(self._acceptor.record.voters):
             return
-        missing = tuple(one for one in base.witnesses if one not in proposal.promised)
+        missing = tuple(one for one in base.voters if one not in proposal.promised)
         self._send_all(missing, Prepare(proposal.epoch, proposal.candidate))
 
     def _send_all(self, members: tuple[str, ...], message: Message) -> None:
--- a/lynxscale/coordination/recovery.py
+++ b/lynxscale/coordination/recovery.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lynxscale.coordination import netstring
-from lynxscale.coordination.checksummed_file import CorruptFile, unseal
+from lynxscale.coordination.checksummed_file import StorageCorrupt, strip_checksum
 from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Batch, Position, Put
 from lynxscale.coordination.ports import Files
@@ -109,8 +109,8 @@
 
     def _read(self, name: str) -> bytes | None:
         try:
-            return unseal(name, self._files.read(name) or b"")
-        except CorruptFile:
+            return strip_checksum(name, self._files.read(name) or b"")
+        except StorageCorrupt:
             self._corrupt.append(name)
             return None
 
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -87,7 +87,7 @@
         first = self._record is None
         self._record = record
         self._must_store = set(record.in_sync)
-        self._copy_to((*record.in_sync, *record.witnesses))
+        self._copy_to((*record.in_sync, *record.voters))
         if first:
             self.submit((), lambda committed: None)
         for copy in self.copies.values():
--- a/lynxscale/coordination/snapshot_writer.py
+++ b/lynxscale/coordination/snapshot_writer.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lynxscale.coordination import netstring
-from lynxscale.coordination.checksummed_file import checksum_line
+from lynxscale.coordination.checksummed_file import encode_checksum
 from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.ports import FileWriter
 
@@ -44,7 +44,7 @@
         if self._next < len(self._puts):
             self._write(netstring.encode(msgspec.json.encode(self._take_chunk())))
             return False
-        self._file.append(checksum_line(self._checksum))
+        self._file.append(encode_checksum(self._checksum))
         self._file.finish()
         return True
 
--- a/lynxscale/coordination/version_files.py
+++ b/lynxscale/coordination/version_files.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from lynxscale.coordination.checksummed_file import SealedPair, seal
+from lynxscale.coordination.checksummed_file import ChecksummedFilePair, append_checksum
 from lynxscale.coordination.messages import Batch, Position, Put
 from lynxscale.coordination.ports import Files
 from lynxscale.coordination.snapshot_writer import SnapshotWriter
@@ -41,11 +41,11 @@
 
     def __init__(self, files: Files) -> None:
         self._files = files
-        self._watermark = SealedPair(files, WATERMARK_FILE)
+        self._watermark = ChecksummedFilePair(files, WATERMARK_FILE)
 
     def save(self, batch: Batch) -> int:
         """Write a batch file; its size in bytes. Raises OSError."""
-        content = seal(msgspec.json.encode(batch))
+        content = append_checksum(msgspec.json.encode(batch))
         self._files.write(version_name(BATCH_PREFIX, batch.position), content)
         return len(content)
 
--- a/lynxscale/coordination/vote_deference.py
+++ b/lynxscale/coordination/vote_deference.py
@@ -7,20 +7,20 @@
 
 from __future__ import annotations
 
-from lynxscale.coordination.acceptor import Witness
+from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.lease import NEVER
 from lynxscale.coordination.ports import Clock
 
 ROUND_S = 0.05  # for question and answer, beside what disks take
-STANDING_S, STANDING_WRITES = 0.1, 6.0  # from a won pre-vote to the lease of the new primary
+ELECTION_S, ELECTION_WRITE_FACTOR = 0.1, 6.0  # from a won pre-vote to the lease of the new primary
 FRUITLESS_ROUNDS = 5.0  # a member that asks for so long and never stands may hear no answers: others go first as long
 
 
-class Support:
+class VoteDeference:
     """One voter's support. How long it lasts follows from how long this member's own register writes take."""
 
-    def __init__(self, witness: Witness, clock: Clock) -> None:
-        self._witness = witness
+    def __init__(self, acceptor: Acceptor, clock: Clock) -> None:
+        self._acceptor = acceptor
         self._clock = clock
         self._preferred, self._preferred_until = "", NEVER
         self._supported, self._supported_until = "", NEVER
@@ -29,23 +29,23 @@
     @property
     def round_s(self) -> float:
         """Seconds for a question and its answers, and for which one that asked is preferred."""
-        return ROUND_S + self._witness.write_s
+        return ROUND_S + self._acceptor.write_s
 
     @property
-    def standing_s(self) -> float:
+    def election_s(self) -> float:
         """Seconds that a member that stands gets to become a primary with a lease."""
-        return STANDING_S + STANDING_WRITES * self._witness.write_s
+        return ELECTION_S + ELECTION_WRITE_FACTOR * self._acceptor.write_s
 
     def rank(self, member: str) -> int:
         """A member's place among those that may stand; the primary that was lost comes last."""
-        record = self._witness.record
-        ranked = [one for one in record.in_sync if one != record.primary or one == self._witness.member]
+        record = self._acceptor.record
+        ranked = [one for one in record.in_sync if one != record.primary or one == self._acceptor.member]
         return ranked.index(member) if member in ranked else len(ranked)
 
     def bound_for(self, candidate: str) -> float:
         """Seconds for which a lease of another's may run, or this voter keeps out of another's way; 0 or less: none."""
         now = self._clock.now()
-        waits = [self._witness.bound_for(candidate), self._rest_of(candidate, now)]
+        waits = [self._acceptor.bound_for(candidate), self._rest_of(candidate, now)]
         if candidate != self._supported:
             waits.append(self._supported_until - now)
         if candidate != self._preferred and self._preferred and self.rank(self._preferred) <= self.rank(candidate):
@@ -60,14 +60,14 @@
 
     def give(self, candidate: str) -> None:
         """A member is about to lead."""
-        until = self._clock.now() + self.standing_s
+        until = self._clock.now() + self.election_s
         again = candidate == self._supported
         self._supported_until = max(self._supported_until, until) if again else until
         self._supported = candidate
         self._preferred = ""
         self._asking_since.pop(candidate, None)
 
-    def primary_heard(self) -> None:
+    def on_primary_heartbeat(self) -> None:
         """Somebody leads: who asked before did so for an earlier reason."""
         self._asking_since.clear()
 
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -6,9 +6,9 @@
 import pytest
 
 from lab.tier.world import World
-from lynxscale.coordination.acceptor import Witness
-from lynxscale.coordination.acceptor_state import REGISTER_FILE
-from lynxscale.coordination.checksummed_file import SECOND_COPY, unseal
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.acceptor_state import ACCEPTOR_STATE_FILE
+from lynxscale.coordination.checksummed_file import SECOND_FILE_SUFFIX, strip_checksum
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.runtime.durable_files import TEMPORARY_SUFFIX, DurableFiles
@@ -59,7 +59,7 @@
     versions = VersionFiles(DurableFiles(str(tmp_path)))
     batches = {name: content for name, content in stored.items() if name.startswith("batch-")}
     for name, content in batches.items():
-        versions.save(msgspec.json.decode(unseal(name, content), type=golden.STRUCTS["batch"]))
+        versions.save(msgspec.json.decode(strip_checksum(name, content), type=golden.STRUCTS["batch"]))
     assert golden.files_of(tmp_path) == batches
 
 
@@ -84,7 +84,7 @@
 
 
 @pytest.mark.parametrize("name", REGISTERS)
-@pytest.mark.parametrize("spoilt", ["", REGISTER_FILE, REGISTER_FILE + SECOND_COPY])
+@pytest.mark.parametrize("spoilt", ["", ACCEPTOR_STATE_FILE, ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX])
 @pytest.mark.parametrize("how", ["damaged", "torn", "missing"])
 def test_a_golden_register_is_read_with_either_file_spoilt(name, spoilt, how, copied):
     folder = copied(f"registers/{name}")
@@ -126,7 +126,7 @@
     """No grant is stored: a restored voter counts with one to the primary of the record that it accepted."""
     register = golden.open_register(copied("registers/promised"))
     member, record, promised, candidate = REGISTERS["promised"][2]
-    voter = Witness(register, World(golden.SEED).machine(golden.SEEDS[0]).clock(), LEASE_S)
+    voter = Acceptor(register, World(golden.SEED).machine(golden.SEEDS[0]).clock(), LEASE_S)
     assert voter.member == member and golden.positional(voter.record) == golden.tuples(record)
     assert (voter.lease_left, voter.bound_for(record[1]), voter.bound_for(candidate)) == (LEASE_S, 0.0, LEASE_S)
     assert golden.positional(voter.state)[2:] == (promised, candidate)
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -18,7 +18,7 @@
 from lab.tier.world import World
 from lynxscale.controlplane import ledger, operator_api, status
 from lynxscale.coordination import acceptor_state, distribution_tree, messages
-from lynxscale.coordination.acceptor_state import MemberIdentity, Register
+from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.dataplane import status as relay_status
@@ -48,7 +48,7 @@
     "turn": ledger.Turn,
     "kept": ledger.Kept,
     "current_configuration": operator_api.CurrentConfiguration,
-    "register_state": acceptor_state.RegisterState,
+    "register_state": acceptor_state.AcceptorState,
     "page": EndpointPage,
     "replica_status": status.ReplicaStatus,
     "control_status": status.ControlStatus,
@@ -140,9 +140,11 @@
         pass
 
 
-def open_register(folder: Path, address: str = SEEDS[0], bootstrap: bool = True) -> Register:
+def open_register(folder: Path, address: str = SEEDS[0], bootstrap: bool = True) -> AcceptorStateFile:
     """The register of a folder, written where there is none."""
-    return Register(MemberIdentity(address, bootstrap, SEEDS), DurableFiles(str(folder)), Random(REGISTER_SEED))
+    return AcceptorStateFile(
+        MemberIdentity(address, bootstrap, SEEDS), DurableFiles(str(folder)), Random(REGISTER_SEED)
+    )
 
 
 # A whole control plane -------------------------------------------------------------------------------
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -9,8 +9,8 @@
 from lab.tier.world import World
 from lynxscale.controlplane.configuration import check
 from lynxscale.controlplane.configuration_update import apply_update, check_update
-from lynxscale.coordination.acceptor import Witness
-from lynxscale.coordination.acceptor_state import MemberIdentity, Register, RegisterState
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.acceptor_state import AcceptorState, AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.distribution_tree import FANOUT, Publisher, RosterEntry, parent_of
 from lynxscale.coordination.heartbeat_ring import MONITORS, neighbours
 from lynxscale.coordination.messages import (
@@ -81,9 +81,9 @@
     machine = world.machine("a:1")
     clock = machine.clock()
     record = EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
-    register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
-    register.save(RegisterState("a#0", record))
-    witness = Witness(register, clock, 0.4)
+    register = AcceptorStateFile(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
+    register.save(AcceptorState("a#0", record))
+    witness = Acceptor(register, clock, 0.4)
     start = Position(0, 0)
     assert witness.grant(LeaseRequest(record, 1))
     assert isinstance(witness.prepare(Prepare(4, "c#0"), start), PrepareRejected)
@@ -91,8 +91,8 @@
     # Its holder asks for its own next epoch: the lease goes on. Nobody else gets a promise or a lease meanwhile.
     assert witness.grant(LeaseRequest(record, 2))
     assert isinstance(witness.prepare(Prepare(5, "c#0"), start), PrepareRejected)
-    assert not witness.grant(LeaseRequest(EpochRecord(3, "c#0", ("c#0",), record.witnesses), 1))
-    restarted = Witness(Register(MemberIdentity("a:1", False, ()), machine.files, world.random), clock, 0.4)
+    assert not witness.grant(LeaseRequest(EpochRecord(3, "c#0", ("c#0",), record.voters), 1))
+    restarted = Acceptor(AcceptorStateFile(MemberIdentity("a:1", False, ()), machine.files, world.random), clock, 0.4)
     assert isinstance(restarted.prepare(Prepare(5, "c#0"), start), PrepareRejected)
     world.run(world.time + 0.41)
     assert isinstance(restarted.prepare(Prepare(5, "c#0"), start), Promise)
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -10,9 +10,9 @@
 from lab.tier.orders.catalogue import MODELS, Scope
 from lab.tier.world import ProcessEnded, World
 from lynxscale.controlplane.ledger import Ledger
-from lynxscale.coordination.acceptor import Witness
-from lynxscale.coordination.acceptor_state import REGISTER_FILE, MemberIdentity, Register
-from lynxscale.coordination.checksummed_file import SECOND_COPY
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.acceptor_state import ACCEPTOR_STATE_FILE, AcceptorStateFile, MemberIdentity
+from lynxscale.coordination.checksummed_file import SECOND_FILE_SUFFIX
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     AdmitTurn,
@@ -104,8 +104,8 @@
     group.leave(leaving)
     assert group.world.run_until(lambda: leaving not in group.members, 6.0)
     record = group.wait_for_leader().record
-    assert newcomer.me in record.in_sync and newcomer.me in record.witnesses
-    assert leaving not in [address_of(one) for one in (*record.witnesses, *record.in_sync)]
+    assert newcomer.me in record.in_sync and newcomer.me in record.voters
+    assert leaving not in [address_of(one) for one in (*record.voters, *record.in_sync)]
 
 
 def test_a_member_that_cannot_be_released_goes_on_serving_until_its_time_is_over():
@@ -198,7 +198,7 @@
             group.kill(address)
         files = group.world.machine(first).files
         del files._files[[name for name in files.names() if name.startswith(BATCH_PREFIX)][-1]]
-        for name in (WATERMARK_FILE, WATERMARK_FILE + SECOND_COPY):
+        for name in (WATERMARK_FILE, WATERMARK_FILE + SECOND_FILE_SUFFIX):
             files._files.pop(name, None)
         for address in (first, second):
             group.start(address)
@@ -211,7 +211,7 @@
     """Seen from reading: a damaged register ended the process at each start, a missing one was a first start."""
     group = started()
     address = backups(group)[0]
-    before = group.members[address].witness.state
+    before = group.members[address].acceptor.state
     group.kill(address)
     machine = group.world.machine(address)
 
@@ -221,12 +221,15 @@
         else:
             getattr(machine.files, how)(name, group.world.random)
 
-    for name in (REGISTER_FILE, REGISTER_FILE + SECOND_COPY):
+    for name in (ACCEPTOR_STATE_FILE, ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX):
         break_file(name)
         # The start that finds one damaged writes both anew.
-        assert Register(MemberIdentity(address, False, group.seeds), machine.files, group.world.random).state == before
-    break_file(REGISTER_FILE)
-    break_file(REGISTER_FILE + SECOND_COPY)
+        assert (
+            AcceptorStateFile(MemberIdentity(address, False, group.seeds), machine.files, group.world.random).state
+            == before
+        )
+    break_file(ACCEPTOR_STATE_FILE)
+    break_file(ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX)
     member = group.start(address, bootstrap=True)
     assert member.me != before.member
     assert group.world.run_until(lambda: member.me in group.wait_for_leader().record.in_sync, 4.0)
@@ -397,7 +400,9 @@
 
     def watch(source: str, target: str, message: Message) -> None:
         if isinstance(message, Prepare) and target != source:
-            stored = Register(MemberIdentity(source, False, ()), group.world.machine(source).files, group.world.random)
+            stored = AcceptorStateFile(
+                MemberIdentity(source, False, ()), group.world.machine(source).files, group.world.random
+            )
             asked.append((message.epoch, stored.state.promised))
         deliver(source, target, message)
 
@@ -417,11 +422,11 @@
         world = World(instant)
         machine = world.machine("a:1")
         identity = MemberIdentity("a:1", True, ("a:1", "b:1", "c:1"))
-        witness = Witness(Register(identity, machine.files, world.random), machine.clock(), LEASE_S)
+        witness = Acceptor(AcceptorStateFile(identity, machine.files, world.random), machine.clock(), LEASE_S)
         world.at_instant(world.instants + instant, lambda one=machine: one.kill(power=True))
         with pytest.raises(ProcessEnded):
             witness.prepare(Prepare(5, "b:1#0"), Position(0, 0))
-        assert Register(identity, machine.files, world.random).state.promised == 5
+        assert AcceptorStateFile(identity, machine.files, world.random).state.promised == 5
 
 
 # A second loss -----------------------------------------------------------------------------------------
@@ -518,7 +523,7 @@
         group.world.heal()
         member = group.members[cut]
         leader = group.wait_for_leader()
-        assert member.me not in leader.record.witnesses
+        assert member.me not in leader.record.voters
         assert group.world.run_until(lambda m=member, r=leader.record: m.record == r, 1.0), seed
         lost = next(a for a in group.seeds if a not in (cut, address_of(leader.me)))
         group.kill(lost, wipe=True)
@@ -538,9 +543,9 @@
 
 def test_the_register_is_read_as_it_was_written():
     machine = World(1).machine("a:1")
-    register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, machine.world.random)
+    register = AcceptorStateFile(MemberIdentity("a:1", True, ("a:1",)), machine.files, machine.world.random)
     assert msgspec.json.encode(register.state)
-    again = Register(MemberIdentity("a:1", False, ()), machine.files, machine.world.random)
+    again = AcceptorStateFile(MemberIdentity("a:1", False, ()), machine.files, machine.world.random)
     assert again.state == register.state and again.restored and not register.restored
 
 
--- a/tests/test_tier_group.py
+++ b/tests/test_tier_group.py
@@ -68,7 +68,7 @@
     member = group.start(wiped)
     assert group.world.run_until(lambda: member.me in leader.record.in_sync, 4.0)
     assert member.store.values.keys() == {"a"}
-    assert len(leader.record.witnesses) == 3
+    assert len(leader.record.voters) == 3
 
 
 def test_a_member_at_another_address_takes_the_place_of_one_gone_for_good():
@@ -80,7 +80,7 @@
     group.world.run(group.world.time + 1)
     member = group.start("10.0.0.9:7000")
     assert group.world.run_until(lambda: member.me in leader.record.in_sync, 4.0)
-    assert gone not in [address_of(one) for one in leader.record.witnesses]
+    assert gone not in [address_of(one) for one in leader.record.voters]
 
 
 def test_a_primary_cut_off_stops_before_another_begins():
@@ -151,7 +151,7 @@
     leader.retiring = frozenset({f"node-{retiring}"})
     assert group.world.run_until(lambda: extra.me in leader.record.in_sync, 4.0)
     group.world.run(group.world.time + 0.5)
-    assert retiring not in [address_of(one) for one in (*leader.record.witnesses, *leader.record.in_sync)]
+    assert retiring not in [address_of(one) for one in (*leader.record.voters, *leader.record.in_sync)]
 
 
 def test_a_version_written_whole_holds_the_batch_that_led_to_it(monkeypatch):
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -5,9 +5,9 @@
 from lab.tier.group import Group
 from lab.tier.takeover import Case, silence
 from lab.tier.world import World
-from lynxscale.coordination.acceptor import Witness
-from lynxscale.coordination.acceptor_state import REGISTER_FILE, MemberIdentity, Register, RegisterState
-from lynxscale.coordination.checksummed_file import SECOND_COPY
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.acceptor_state import ACCEPTOR_STATE_FILE, AcceptorState, AcceptorStateFile, MemberIdentity
+from lynxscale.coordination.checksummed_file import SECOND_FILE_SUFFIX
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     EpochRecord,
@@ -20,7 +20,7 @@
     Promise,
     address_of,
 )
-from lynxscale.coordination.vote_deference import Support
+from lynxscale.coordination.vote_deference import VoteDeference
 
 
 def started(seed: int = 1, size: int = 5, tolerated: int = 2, sync_s: float = 0.0) -> Group:
@@ -64,10 +64,10 @@
     group = started()
     leader = group.wait_for_leader()
     backup = next(one for one in group.members.values() if one is not leader)
-    epoch, promised = leader.record.epoch, backup.witness.state.promised
+    epoch, promised = leader.record.epoch, backup.acceptor.state.promised
     group.world.cut(address_of(leader.me), address_of(backup.me), both_ways=False)
     group.world.run(group.world.time + 5)
-    assert leader.leads() and backup.witness.state.promised in (promised, leader.record.epoch)
+    assert leader.leads() and backup.acceptor.state.promised in (promised, leader.record.epoch)
     assert leader.record.epoch <= epoch + 2  # it left the in-sync set, no more
     group.world.heal()
     assert group.put("a", 1)
@@ -78,9 +78,9 @@
     world = World(1)
     machine = world.machine("a:1")
     record = EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
-    register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
-    register.save(RegisterState("a#0", record, 3, "p#0"))
-    support = Support(Witness(register, machine.clock(), LEASE_S), machine.clock())
+    register = AcceptorStateFile(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
+    register.save(AcceptorState("a#0", record, 3, "p#0"))
+    support = VoteDeference(Acceptor(register, machine.clock(), LEASE_S), machine.clock())
     world.run(LEASE_S)
     allowed = []
     for _ in range(40):
@@ -100,9 +100,9 @@
     world = World(1)
     machine = world.machine("a:1")
     record = EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
-    register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
-    register.save(RegisterState("a#0", record, 3, "p#0"))
-    support = Support(Witness(register, machine.clock(), LEASE_S), machine.clock())
+    register = AcceptorStateFile(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
+    register.save(AcceptorState("a#0", record, 3, "p#0"))
+    support = VoteDeference(Acceptor(register, machine.clock(), LEASE_S), machine.clock())
     world.run(LEASE_S)
     support.prefer("c#0")
     assert support.bound_for("b#0") <= 0
@@ -140,9 +140,9 @@
     world = World(1)
     machine = world.machine("a:1")
     record = EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
-    register = Register(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
-    register.save(RegisterState("a#0", record, 3, "b#0"))
-    witness = Witness(register, machine.clock(), LEASE_S)
+    register = AcceptorStateFile(MemberIdentity("a:1", True, ("a:1",)), machine.files, world.random)
+    register.save(AcceptorState("a#0", record, 3, "b#0"))
+    witness = Acceptor(register, machine.clock(), LEASE_S)
     assert isinstance(witness.prepare(Prepare(4, "b#0"), Position(0, 0)), Promise)
     assert witness.grant(LeaseRequest(record, 1))
     assert isinstance(witness.prepare(Prepare(5, "c#0"), Position(0, 0)), PrepareRejected)
@@ -155,10 +155,10 @@
     """Else a promise made from the first file alone would be forgotten where that one is damaged later."""
     machine = World(1).machine("a:1")
     identity = MemberIdentity("a:1", True, ("a:1",))
-    register = Register(identity, machine.files, machine.world.random)
-    before = machine.files.read(REGISTER_FILE + SECOND_COPY)
-    register.save(RegisterState("a#0", register.state.accepted, 7, "b#0"))
-    machine.files._files[REGISTER_FILE + SECOND_COPY] = before
-    assert Register(identity, machine.files, machine.world.random).state.promised == 7
-    machine.files.tear(REGISTER_FILE, machine.world.random)
-    assert Register(identity, machine.files, machine.world.random).state.promised == 7
+    register = AcceptorStateFile(identity, machine.files, machine.world.random)
+    before = machine.files.read(ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX)
+    register.save(AcceptorState("a#0", register.state.accepted, 7, "b#0"))
+    machine.files._files[ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX] = before
+    assert AcceptorStateFile(identity, machine.files, machine.world.random).state.promised == 7
+    machine.files.tear(ACCEPTOR_STATE_FILE, machine.world.random)
+    assert AcceptorStateFile(identity, machine.files, machine.world.random).state.promised == 7
