--- a/lab/bench_lists.py
+++ b/lab/bench_lists.py
@@ -17,7 +17,7 @@
 from lynxscale.relay.upstream import files
 from lynxscale.relay.upstream.model import Entry
 from lynxscale.relay.upstream.state import Lists
-from lynxscale.scheduling.interface import Lifecycle
+from lynxscale.scheduling.events import Lifecycle
 
 PATIENCE = 60.0
 RATE = 250.0  # messages a second under which effects are timed
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -19,7 +19,7 @@
 from lab.standins import hold_port, port_of
 from lynxscale.relay.upstream import files
 from lynxscale.relay.upstream.model import Entry
-from lynxscale.scheduling.interface import Lifecycle
+from lynxscale.scheduling.events import Lifecycle
 
 ROOT = Path(__file__).parent.parent
 CONF = ROOT / "deploy" / "lynxscale.conf"
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -136,7 +136,7 @@
 
 
 def _row(entry: Entry) -> dict[str, Any]:
-    from lynxscale.scheduling.interface import Lifecycle
+    from lynxscale.scheduling.events import Lifecycle
 
     return {
         "endpoint": entry.id,
@@ -333,7 +333,7 @@
     """Write a list, with its checksum, from another one and changes; it is checked before it is written."""
     from lynxscale.relay.upstream import files
     from lynxscale.relay.upstream.model import Destination, finish
-    from lynxscale.scheduling.interface import Lifecycle
+    from lynxscale.scheduling.events import Lifecycle
 
     conf = _conf(conf_path)
     entries: dict[str, Entry] = {}
--- a/lynxscale/relay/bundle.py
+++ b/lynxscale/relay/bundle.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable, Sequence
 
-from lynxscale.scheduling.interface import Result
+from lynxscale.scheduling.events import Result
 
 PATH = "/events/bundle"
 ENDS = {
--- a/lynxscale/relay/conf/platform.py
+++ b/lynxscale/relay/conf/platform.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.settings import Settings
 from lynxscale.scheduling.settings_reader import SettingsError, settings_from
 
 SOCKETS, DISK_MB, MEMORY_MB = 1024, 3.0, 64.0
@@ -37,7 +37,7 @@
     sockets: int
     disk_bytes: int
     known: dict
-    settings: api.Settings
+    settings: Settings
     by_platform: bool = True
     admin: Address | None = None  # for operators alone
     memory_bytes: int = 64_000_000
--- a/lynxscale/relay/core.py
+++ b/lynxscale/relay/core.py
@@ -20,9 +20,21 @@
 from lynxscale.relay.fleet.tally import Tally
 from lynxscale.relay.journal import Entry, Journal, JournalFull
 from lynxscale.relay.slot_table import Slots
-from lynxscale.scheduling import interface as api
-from lynxscale.scheduling.interface import Effect, Result
+from lynxscale.scheduling.actions import (
+    Attempt,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Note,
+    Probe,
+    Refuse,
+    SetTimer,
+    Subscribe,
+)
+from lynxscale.scheduling.events import Message, Outcome, Result, TimerDue, Withdrawn
 from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.settings import Effect, Settings
 
 log = structlog.get_logger()
 
@@ -143,7 +155,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         seed: int,
         loop: Loop,
         deadlines: Deadlines,
@@ -229,9 +241,7 @@
         self._offered.append(held)
         if self.trace is not None:
             self.trace.message(now, held.number, envelope, envelope.cls, envelope.tenant, envelope.time_left)
-        self.put(
-            api.Message(held.number, envelope.dest, envelope.cls, envelope.tenant, self._last_call(held, now) / 1000)
-        )
+        self.put(Message(held.number, envelope.dest, envelope.cls, envelope.tenant, self._last_call(held, now) / 1000))
 
     def held_back(self, key: int) -> float:
         """For how many ms more this relay, in any of its processes, was told to send nothing there."""
@@ -264,7 +274,7 @@
         if self.trace is not None:
             self.trace.ended(self.loop.now(), number, "delivered")
         self._forget(held)
-        self.put(api.Withdrawn(number))
+        self.put(Withdrawn(number))
 
     def going(self, number: int) -> bool:
         """A try is about to be written: keep that first. Where that fails, it must not go."""
@@ -325,7 +335,7 @@
             self._forget(held)
         elif not finished and result in NEVER_RAN:
             self._keep(self.journal.not_run, number, recorded)
-        self.put(api.Outcome(number, attempt, endpoint, result, spent / 1000, finished, wait_ms, report))
+        self.put(Outcome(number, attempt, endpoint, result, spent / 1000, finished, wait_ms, report))
 
     def _count(self, dest: int, result: Result, wait_ms: float, report: tuple[float, ...]) -> None:
         self.tally.add(dest, result.name.lower())
@@ -402,7 +412,7 @@
 
     def _admit(self, offered: list[Held], actions: list, now: int) -> None:
         """Answer each new message before anything else is done: rejected, or kept and taken."""
-        ended = {action.id: action for action in actions if type(action) in (api.Refuse, api.Fail)}
+        ended = {action.id: action for action in actions if type(action) in (Refuse, Fail)}
         for held in offered:
             answers, held.answers = held.answers, None
             verdict, again = self._verdict(held, ended.get(held.number))
@@ -410,7 +420,7 @@
             for answer in answers:
                 self._alone(answer, verdict, again)
 
-    def _verdict(self, held: Held, end: api.Refuse | api.Fail | None) -> tuple[Verdict, float]:
+    def _verdict(self, held: Held, end: Refuse | Fail | None) -> tuple[Verdict, float]:
         if end is not None:
             self._drop(held, "module")
             return Verdict.REJECTED, getattr(end, "retry_after", 0.0)
@@ -419,7 +429,7 @@
         except JournalFull as error:
             log.warning("message_rejected", id=held.entry.id, error=str(error))
             self._drop(held, "disk_full")
-            self.put(api.Withdrawn(held.number))
+            self.put(Withdrawn(held.number))
             return Verdict.DISK_FULL, BUSY_RETRY_MS
         self.counters.add("taken", held.entry.cls)
         self._backstop(held)
@@ -431,31 +441,31 @@
 
     def _act(self, action, now: int) -> None:
         kind = type(action)
-        if kind is api.Attempt:
+        if kind is Attempt:
             self._attempt(action)
-        elif kind is api.SetTimer:
+        elif kind is SetTimer:
             # Rounded up: the module ignores what comes before its time.
-            self.deadlines.at(int(action.at * 1000) + 1, self.put, api.TimerDue(action.mark))
-        elif kind is api.Refuse:
+            self.deadlines.at(int(action.at * 1000) + 1, self.put, TimerDue(action.timer_id))
+        elif kind is Refuse:
             self._end(action.id, "deferred", int(action.retry_after))
-        elif kind is api.Fail:
+        elif kind is Fail:
             self._end(action.id, "undeliverable", 0)
-        elif kind is api.Cancel:
+        elif kind is Cancel:
             self.tries.cancel(action.id, action.attempt)
-        elif kind is api.CloseIdle:
+        elif kind is CloseIdle:
             self.tries.close_idle(action.endpoint)
-        elif kind is api.Subscribe:
+        elif kind is Subscribe:
             self.group.watch(action.active)
-        elif kind is api.FetchList:
+        elif kind is FetchList:
             self.group.fetch()
-        elif kind is api.Probe:
+        elif kind is Probe:
             if self.trace is not None:
                 self.trace.probe_started(now, action.endpoint)
             self.tries.probe(action.endpoint)
-        elif kind is api.Note:
+        elif kind is Note:
             log.info("module", text=action.text)
 
-    def _attempt(self, action: api.Attempt) -> None:
+    def _attempt(self, action: Attempt) -> None:
         held = self.held.get(action.id)
         if held is None or held.ended:
             # Rejected in this very turn, as the journal is full: its first and only try gives back its slot.
@@ -486,7 +496,7 @@
         """
         numbers = []
         for held in [one for one in self.held.items() if not (one.out or one.ended or one.answers is not None)]:
-            self.put(api.Withdrawn(held.number))
+            self.put(Withdrawn(held.number))
             self.deadlines.cancel(held.backstop)
             numbers.append(self.journal.release(held.number))
             self.held.remove(held.number)
@@ -537,7 +547,7 @@
             self.counters.add("module", "overdue")
             log.error("message_overdue", id=held.entry.id)
             self._end(number, "undeliverable", 0)
-            self.put(api.Withdrawn(number))
+            self.put(Withdrawn(number))
 
     def _drop(self, held: Held, reason: str) -> None:
         self.counters.add("reject", reason)
@@ -625,7 +635,7 @@
             expires = self._last_call(held, now)
             maybe = (now + min(entry.maybe) - unix) / 1000 if entry.maybe else 0.0
             self.put(
-                api.Message(
+                Message(
                     held.number,
                     entry.dest,
                     held.cls,
@@ -633,7 +643,7 @@
                     expires / 1000,
                     inherited=True,
                     attempts=entry.tries,
-                    maybe_at=maybe,
+                    maybe_executed_at=maybe,
                 )
             )
         if again:
--- a/lynxscale/relay/net/discovery.py
+++ b/lynxscale/relay/net/discovery.py
@@ -21,7 +21,7 @@
 from lynxscale.relay.upstream.group import DISCOVERY, Group
 from lynxscale.relay.upstream.model import DESTINATION_MOST, Candidate, Changes, Entry, Outcome, Verdict, finish
 from lynxscale.relay.upstream.validation import Teller
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.events import Lifecycle, MembershipKind
 
 log = structlog.get_logger()
 
@@ -36,7 +36,7 @@
 PUSHED_WAIT_MS, PUSHED_SLACK_MS, PUSHED_AGAIN_MS = 1000, 500, 250
 SILENT_WAIT_MS, SILENT_SLACK_MS = 50, 200
 WHOLE_MS = 5000  # for the whole list, which waits for nothing: one that is overbooked gives up sooner
-LIFECYCLES = {"ready": api.Lifecycle.READY, "draining": api.Lifecycle.DRAINING}
+LIFECYCLES = {"ready": Lifecycle.READY, "draining": Lifecycle.DRAINING}
 GONE = "gone"
 
 
@@ -70,7 +70,7 @@
         rows = known.get("instances")
         changes = self._changes(rows if isinstance(rows, list) else [])
         self._version = known.get("generation", 0)
-        self._group.take(DISCOVERY, api.ListKind.CACHED, self._version, changes)
+        self._group.take(DISCOVERY, MembershipKind.CACHED, self._version, changes)
         if self._pushed:
             self.watch(True)
 
@@ -170,7 +170,7 @@
             found = finish(compare(known if whole else {id_: known[id_] for id_, _ in changes if id_ in known}, new))
             if found:
                 self._tell(Outcome.APPLIED, version, response.body, [], found)
-            kind = api.ListKind.FULL if whole else api.ListKind.DELTA
+            kind = MembershipKind.FULL if whole else MembershipKind.DELTA
             self._group.take(DISCOVERY, kind, version, changes, asked)
         else:
             self._group.told = True
--- a/lynxscale/relay/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -22,8 +22,7 @@
 from lynxscale.relay.net import connection as link
 from lynxscale.relay.net.connection import Broken, Link
 from lynxscale.relay.slot_table import Slots
-from lynxscale.scheduling import interface as api
-from lynxscale.scheduling.interface import Result
+from lynxscale.scheduling.events import HealthChecked, Result
 
 if TYPE_CHECKING:
     from lynxscale.relay.core import Held, Relay
@@ -400,7 +399,7 @@
         spent = self._loop.now() - work.begun
         if work.held is None:
             self._relay.counters.add("probes", result.name.lower())
-            self._relay.put(api.Probed(work.endpoint, int(result), spent / 1000, report))
+            self._relay.put(HealthChecked(work.endpoint, int(result), spent / 1000, report))
             return
         self._by_key.pop((work.number, work.attempt))
         self._relay.outcome(
--- a/lynxscale/relay/upstream/decide.py
+++ b/lynxscale/relay/upstream/decide.py
@@ -12,7 +12,7 @@
 
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.relay.upstream.model import SLICE, Candidate, Changes, Entry, Outcome, Shards, Slices, Verdict
-from lynxscale.scheduling.interface import Lifecycle
+from lynxscale.scheduling.events import Lifecycle
 
 REASONS_MOST = 20  # told of one version; the rest is counted
 
--- a/lynxscale/relay/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -29,7 +29,7 @@
     Slices,
     line_of,
 )
-from lynxscale.scheduling.interface import Lifecycle
+from lynxscale.scheduling.events import Lifecycle
 
 VERSION = 1
 FILE_MOST = 16 << 20  # bytes: guards against a device or a log named by mistake
--- a/lynxscale/relay/upstream/group.py
+++ b/lynxscale/relay/upstream/group.py
@@ -14,7 +14,8 @@
 from lynxscale.relay.upstream.model import SLICE, Entry, Slices
 from lynxscale.relay.upstream.slow_start import Ramps
 from lynxscale.relay.upstream.table import Table
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.events import Lifecycle, Member, MembershipKind, MembershipUpdate
+from lynxscale.scheduling.settings import Settings
 
 FILES, DISCOVERY = "files", "discovery"
 SOURCES = (FILES, DISCOVERY)
@@ -36,7 +37,7 @@
 
     def __init__(
         self,
-        settings: api.Settings,
+        settings: Settings,
         deadlines: Deadlines,
         put: Callable[[object], None],
         on_gone: Callable[[int], None],
@@ -92,7 +93,7 @@
     def takes(self, endpoint: int) -> bool:
         """May something new be written to it, by the list in force?"""
         entry = self.table.entry(endpoint)
-        return entry is not None and entry.lifecycle == api.Lifecycle.READY
+        return entry is not None and entry.lifecycle == Lifecycle.READY
 
     def address_of(self, endpoint: int) -> tuple[str, int] | None:
         entry = self.table.entry(endpoint)
@@ -114,12 +115,12 @@
 
     def failed(self, version: int) -> None:
         """A source could not be asked: the module asks again."""
-        self._put(api.Membership(api.ListKind.FAILED, version, []))
+        self._put(MembershipUpdate(MembershipKind.FAILED, version, []))
 
     def take(
         self,
         name: str,
-        kind: api.ListKind,
+        kind: MembershipKind,
         version: int,
         changes: Iterable[tuple[str, Entry | None]],
         always: bool = False,
@@ -130,21 +131,21 @@
         told of it even where nothing is new.
         """
         changes = list(changes)
-        if kind != api.ListKind.CACHED:
+        if kind != MembershipKind.CACHED:
             self.told = True
-        if kind != api.ListKind.DELTA:
+        if kind != MembershipKind.DELTA:
             named = {id_ for id_, _entry in changes}
             changes += [(id_, None) for id_ in self._lists[name] if id_ not in named]
         members = self._apply(self._effective(name, changes))
-        if kind != api.ListKind.DELTA and len(self._sources) == 1:
-            self._put(api.Membership(kind, version, self.table.members()))
+        if kind != MembershipKind.DELTA and len(self._sources) == 1:
+            self._put(MembershipUpdate(kind, version, self.table.members()))
             return
-        if kind == api.ListKind.FULL:
-            kind = api.ListKind.DELTA  # the other source's endpoints are not in it
+        if kind == MembershipKind.FULL:
+            kind = MembershipKind.DELTA  # the other source's endpoints are not in it
         for at in range(0, len(members), MEMBERS_MOST):
-            self._put(api.Membership(kind, version, members[at : at + MEMBERS_MOST]))
-        if not members and (always or kind == api.ListKind.CACHED):
-            self._put(api.Membership(kind, version, []))
+            self._put(MembershipUpdate(kind, version, members[at : at + MEMBERS_MOST]))
+        if not members and (always or kind == MembershipKind.CACHED):
+            self._put(MembershipUpdate(kind, version, []))
 
     def replace(self, name: str, version: int, old: Mapping[str, Entry], new: Mapping[str, Entry]) -> Slices[None]:
         """In slices: what was ``old`` of a source's list is ``new`` from now on; drains and ends go first."""
@@ -156,7 +157,7 @@
             before = old.get(id_)
             if before is entry or before == entry:
                 continue
-            (early if entry.lifecycle == api.Lifecycle.DRAINING else late).append((id_, entry))
+            (early if entry.lifecycle == Lifecycle.DRAINING else late).append((id_, entry))
         for place, id_ in enumerate(old):
             if not place % SLICE:
                 yield
@@ -168,7 +169,7 @@
                 del changes[-MEMBERS_MOST:]  # as they go, as to free all of them at once would take long
                 members = self._apply(self._effective(name, part))
                 if members:
-                    self._put(api.Membership(api.ListKind.DELTA, version, members))
+                    self._put(MembershipUpdate(MembershipKind.DELTA, version, members))
                 yield
 
     # Precedence ----------------------------------------------------------------------------------
@@ -220,7 +221,7 @@
             own[id_] = entry
             listed[entry.destination] = listed.get(entry.destination, 0) + 1
 
-    def _apply(self, changes: list[tuple[str, Entry | None]]) -> list[api.Member]:
+    def _apply(self, changes: list[tuple[str, Entry | None]]) -> list[Member]:
         members, gone = self.table.apply(changes, self._deadlines.now())
         for number in gone:
             self._on_gone(number)
@@ -232,7 +233,7 @@
     def _rise(self) -> None:
         members = self.table.rise(self._deadlines.now())
         for at in range(0, len(members), MEMBERS_MOST):
-            self._put(api.Membership(api.ListKind.DELTA, 0, members[at : at + MEMBERS_MOST]))
+            self._put(MembershipUpdate(MembershipKind.DELTA, 0, members[at : at + MEMBERS_MOST]))
         self._rising = len(self._ramps) > 0
         if self._rising:
             self._deadlines.after(self._ramps.every, self._rise)
--- a/lynxscale/relay/upstream/model.py
+++ b/lynxscale/relay/upstream/model.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple, TypeVar
 
 from lynxscale.relay.conf.lexer import Fault
-from lynxscale.scheduling.interface import Lifecycle
+from lynxscale.scheduling.events import Lifecycle
 
 WEIGHT_MOST = 1_000_000.0  # calls a second: what no partner takes is a slip of the pen
 DESTINATION_MOST = 1 << 31
--- a/lynxscale/relay/upstream/table.py
+++ b/lynxscale/relay/upstream/table.py
@@ -13,7 +13,7 @@
 
 from lynxscale.relay.upstream.model import Entry
 from lynxscale.relay.upstream.slow_start import Ramps
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.events import Lifecycle, Member
 
 LEFT_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
 
@@ -54,7 +54,7 @@
         """All of it, by id."""
         return {entry.id: entry for entry in self._by_number.values()}
 
-    def apply(self, changes: Iterable[tuple[str, Entry | None]], now: int) -> tuple[list[api.Member], list[int]]:
+    def apply(self, changes: Iterable[tuple[str, Entry | None]], now: int) -> tuple[list[Member], list[int]]:
         """Take changes over, each an id and its entry, None where it goes.
 
         Returns the module's members, drains and ends first, and the numbers that have gone.
@@ -64,7 +64,7 @@
             number = self._numbers.get(id_)
             before = self._by_number[number] if number is not None else None
             if before is not None and (entry is None or not entry.same_place(before)):
-                first.append(self._member(number, before, api.Lifecycle.GONE))
+                first.append(self._member(number, before, Lifecycle.GONE))
                 self._remove(number, before, now)
                 gone.append(number)
                 before = None
@@ -75,16 +75,16 @@
             elif entry.weight != before.weight:
                 self.ramps.aim(number, now, before.weight, entry.weight)
             self._by_number[number] = entry
-            (first if entry.lifecycle == api.Lifecycle.DRAINING else last).append(
+            (first if entry.lifecycle == Lifecycle.DRAINING else last).append(
                 self._member(number, entry, entry.lifecycle)
             )
         return first + last, gone
 
-    def members(self) -> list[api.Member]:
+    def members(self) -> list[Member]:
         """All of it."""
         return [self._member(number, entry, entry.lifecycle) for number, entry in self._by_number.items()]
 
-    def rise(self, now: int) -> list[api.Member]:
+    def rise(self, now: int) -> list[Member]:
         """The members whose weight has come a step nearer to the list's."""
         return [
             self._member(number, entry, entry.lifecycle)
@@ -105,8 +105,8 @@
             del self._listed[entry.destination]
             self._left[entry.destination] = now
 
-    def _member(self, number: int, entry: Entry, life: api.Lifecycle) -> api.Member:
-        return api.Member(
+    def _member(self, number: int, entry: Entry, life: Lifecycle) -> Member:
+        return Member(
             number,
             life,
             entry.destination,
--- a/lynxscale/scheduling/connection_reuse.py
+++ b/lynxscale/scheduling/connection_reuse.py
@@ -8,7 +8,7 @@
 import math
 from typing import Protocol
 
-from lynxscale.scheduling.interface import Result
+from lynxscale.scheduling.events import Result
 
 INF = math.inf
 SHARE, MEMORY_MS = 0.5, 30_000.0  # of the idle age that failed: older connections are not reused; for so long
--- a/lynxscale/scheduling/scheduler.py
+++ b/lynxscale/scheduling/scheduler.py
@@ -1,6 +1,6 @@
 """All decisions of a relay: what to send, hold, cut, restart, refuse or fail.
 
-Types, settings, events and actions are in interface.py. One ``Sender`` serves one instance: ``step(now,
+Settings, events and actions are in modules of those names. One ``Sender`` serves one instance: ``step(now,
 events)`` returns the actions. It has no clock, no I/O and no state outside itself; times are milliseconds.
 The ordinary path is the restart mechanism of van Moorsel and Wolter: docs/design.md.
 """
@@ -14,11 +14,21 @@
 from itertools import count, islice
 from random import Random
 
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.actions import Attempt, Cancel, CloseIdle, Fail, Note, Refuse, SetTimer, Subscribe
 from lynxscale.scheduling.connection_reuse import Reuse, Tables
-from lynxscale.scheduling.interface import Effect, Result
+from lynxscale.scheduling.events import (
+    Lifecycle,
+    MembershipKind,
+    MembershipUpdate,
+    Message,
+    Outcome,
+    Result,
+    TimerDue,
+    Withdrawn,
+)
 from lynxscale.scheduling.rate_limits import Share
 from lynxscale.scheduling.restart_timeout import LEAST_FINISHED, TrySample
+from lynxscale.scheduling.settings import Effect, Settings
 
 # Sample and time-out
 RESTART_SHARE = 0.1  # restarts earned by a success: cut calls may run on, so they are rationed
@@ -131,9 +141,9 @@
 
 
 class Held:
-    def __init__(self, event: api.Message, dest: Dest, seq: int) -> None:
+    def __init__(self, event: Message, dest: Dest, seq: int) -> None:
         self.id, self.cls, self.key, self.expires = event.id, event.cls, event.key, event.expires
-        self.dest, self.seq, self.attempts, self.maybe_at = dest, seq, event.attempts, event.maybe_at
+        self.dest, self.seq, self.attempts, self.maybe_at = dest, seq, event.attempts, event.maybe_executed_at
         self.aim_at = self.rest_from = self.restarts = self.version = 0
         self.owed = event.inherited and not event.attempts  # its first call, as a restart found it untried
         self.over = self.queued = self.dead = self.late = False
@@ -143,7 +153,7 @@
 class Sender:
     """One delivery node's decisions: events in, actions out."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: Settings, seed: int) -> None:
         self.s, self.random, self.now = settings, Random(seed), 0.0
         self.actions, self.timers, self.freed, self.steps = [], [], [], 0
         self.endpoints, self.dests, self.active = {}, {}, {}  # all by number; active: with messages queued
@@ -168,15 +178,15 @@
         self.now, self.actions, self.freed, self.steps = now, [], [], self.steps + 1
         for event in events:
             kind = type(event)
-            if kind is api.Message:
+            if kind is Message:
                 self.take(event)
-            elif kind is api.Outcome:
+            elif kind is Outcome:
                 self.outcome(event)
-            elif kind is api.TimerDue:
+            elif kind is TimerDue:
                 self.armed = self.armed if self.armed > now + 1 else INF  # the clock may be rounded
-            elif kind is api.Membership:
+            elif kind is MembershipUpdate:
                 self.membership(event)
-            elif kind is api.Withdrawn and event.id in self.held:
+            elif kind is Withdrawn and event.id in self.held:
                 self.end(self.held[event.id])
         while self.timers and self.timers[0][0] <= self.now:
             _, _, act, what = heappop(self.timers)
@@ -188,12 +198,12 @@
         for endpoint in self.freed:
             if endpoint.idle and self.tables.crowded(endpoint.kind):
                 endpoint.idle.clear()
-                self.actions.append(api.CloseIdle(endpoint.number))
+                self.actions.append(CloseIdle(endpoint.number))
         while self.timers and getattr(self.timers[0][3], "dead", False):
             heappop(self.timers)  # its message or call has ended: no need to wake for it
         if self.timers and self.timers[0][0] < self.armed:
             self.armed = self.timers[0][0]
-            self.actions.append(api.SetTimer(self.number() & 0xFFFFFFFF, self.armed))
+            self.actions.append(SetTimer(self.number() & 0xFFFFFFFF, self.armed))
         return self.actions
 
     def timer(self, at: float, act: Callable, what: object) -> None:
@@ -201,28 +211,28 @@
 
     # Membership --------------------------------------------------------------------------------
 
-    def membership(self, event: api.Membership) -> None:
-        if event.kind == api.ListKind.FAILED:
+    def membership(self, event: MembershipUpdate) -> None:
+        if event.kind == MembershipKind.FAILED:
             self.ask_again(self.ask_gap * self.random.uniform(0.7, 1.3))
             most = min(ASK_ROUNDS * self.ask_spread, 3 * (self.s.ask_within_ms or INF))  # four pass
             self.ask_gap = min(self.ask_gap * 2, max(ASK_MOST_MS, most))
             return
-        touched = [] if event.kind == api.ListKind.DELTA else list(self.endpoints.values())
+        touched = [] if event.kind == MembershipKind.DELTA else list(self.endpoints.values())
         for endpoint in touched:
             endpoint.ready, endpoint.gone = False, True
         for m in event.members:
-            endpoint = self.endpoints.get(m.endpoint) or m.lifecycle != api.Lifecycle.GONE and self.join(m)
+            endpoint = self.endpoints.get(m.endpoint) or m.lifecycle != Lifecycle.GONE and self.join(m)
             if endpoint:
-                endpoint.ready, endpoint.gone = m.lifecycle == api.Lifecycle.READY, not m.lifecycle  # GONE: 0
+                endpoint.ready, endpoint.gone = m.lifecycle == Lifecycle.READY, not m.lifecycle  # GONE: 0
                 error = {"nominal": 1.0, "rough": WEIGHT_ERROR}.get(self.s.weights, INF)
                 endpoint.weight = max(0.0, m.weight) / error
                 endpoint.lane.share.told(endpoint.lane.limit or endpoint.lane.weight())
                 touched.append(endpoint)
         for endpoint in touched:  # and not all there are: a list may have tens of thousands
             self.leave(endpoint)
-        if event.kind == api.ListKind.CACHED and self.s.asks_for_members:
+        if event.kind == MembershipKind.CACHED and self.s.asks_for_members:
             self.ask_again(self.random.random() * self.ask_spread)
-        elif event.kind != api.ListKind.CACHED and self.asked:
+        elif event.kind != MembershipKind.CACHED and self.asked:
             self.ask_gap, self.ask_at = max(ASK_FIRST_MS, self.ask_spread), INF
         for dest in self.dests.values():
             self.rouse(dest)
@@ -230,7 +240,7 @@
     def subscribe(self, asked_for: float) -> None:
         if asked_for == self.ask_at:
             self.asked = True
-            self.actions.append(api.Subscribe(True))
+            self.actions.append(Subscribe(True))
             self.ask_again(ASK_UNHEARD_MS)
 
     def ask_again(self, after: float) -> None:
@@ -311,7 +321,7 @@
         elif not self.restarts_lost(out):
             return
         msg.restarts, out.cut = msg.restarts + 1, True
-        self.actions.append(api.Cancel(msg.id, out.number))
+        self.actions.append(Cancel(msg.id, out.number))
 
     def restarts_lost(self, out: Try) -> bool:
         """Beyond the budget for slow calls: is this one lost, or its answer? Else it is looked at later."""
@@ -368,7 +378,7 @@
     def turn(self, endpoint: Endpoint, health: Health, state: str) -> None:
         health.state = state
         what = f"dest {endpoint.lane.dest.number}" if health is endpoint.lane.health else "its"
-        self.actions.append(api.Note(f"{what} endpoint {endpoint.number} {state}"))
+        self.actions.append(Note(f"{what} endpoint {endpoint.number} {state}"))
 
     def good(self, endpoint: Endpoint, health: Health, quick: bool) -> None:  # a success there
         age = self.now - health.first_bad
@@ -485,7 +495,7 @@
 
     # Queue and order ---------------------------------------------------------------------------
 
-    def take(self, event: api.Message) -> None:
+    def take(self, event: Message) -> None:
         grade = self.s.classes[event.cls]
         dest = self.dests.setdefault(event.destination, Dest(event.destination))
         msg = Held(event, dest, self.number())
@@ -599,11 +609,11 @@
         grade = self.s.classes[msg.cls]
         dropped = grade.effect == Effect.KEYED and grade.group == "all"
         if msg.maybe_at and not dropped and grade.effect != Effect.IDEMPOTENT:
-            self.actions.append(api.Fail(msg.id))
+            self.actions.append(Fail(msg.id))
         else:
             most = (self.s.max_retry_after_ms or 0.0) if self.s.may_advise_retry else 0.0
             advice = max(LEAST_ADVICE_MS, self.closed_for(msg.dest))
-            self.actions.append(api.Refuse(msg.id, min(advice, most)))
+            self.actions.append(Refuse(msg.id, min(advice, most)))
         self.end(msg)
 
     def end(self, msg: Held) -> None:  # answered: the next of its key may go
@@ -657,7 +667,7 @@
         for place, out in enumerate(look):
             if not out.cut and (place < most or self.lost(out.call)):
                 out.cut = True
-                self.actions.append(api.Cancel(out.msg.id, out.number))
+                self.actions.append(Cancel(out.msg.id, out.number))
 
     def offer(self, heap: list, dest: Dest) -> None:
         if (row := self.head(dest)) is not None:
@@ -780,7 +790,7 @@
         tau = lane.tau * self.ratio(msg.cls)
         if self.s.may_cancel and tau < timeout:
             self.timer(self.now + tau, self.cut, out)
-        self.actions.append(api.Attempt(msg.id, endpoint.number, timeout, call.fresh))
+        self.actions.append(Attempt(msg.id, endpoint.number, timeout, call.fresh))
 
     def too_old(self, endpoint: Endpoint, unsafe: bool) -> bool:  # even its connection used last?
         return bool(endpoint.idle) and self.now - endpoint.idle[-1] >= self.reuse.most(self.now, unsafe)
@@ -789,12 +799,12 @@
         """Take an idle connection, for how long it was idle; close those that are likely dead."""
         if self.too_old(endpoint, False):
             endpoint.idle.clear()
-            self.actions.append(api.CloseIdle(endpoint.number))
+            self.actions.append(CloseIdle(endpoint.number))
         return self.now - endpoint.idle.pop() if endpoint.idle else 0.0
 
     # Outcomes ----------------------------------------------------------------------------------
 
-    def outcome(self, event: api.Outcome) -> None:
+    def outcome(self, event: Outcome) -> None:
         out = self.tries.pop((event.id, event.attempt), None)
         if out is None:
             return
--- a/lynxscale/scheduling/settings_reader.py
+++ b/lynxscale/scheduling/settings_reader.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.settings import Effect, MessageClass, Settings, Tenant
 
 EFFECTS = {
-    "idempotent": api.Effect.IDEMPOTENT,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": Effect.IDEMPOTENT,
+    "deduplicated": Effect.KEYED,
+    "at_most_once": Effect.UNSAFE,
 }
 
 
@@ -54,15 +54,15 @@
     return value
 
 
-def _message_class(row: Any, place: int) -> api.MessageClass:
+def _message_class(row: Any, place: int) -> MessageClass:
     path = f"grades[{place}]."
     if not isinstance(row, dict):
         raise SettingsError(f"setting grades[{place}] has the wrong form")
     effect = row.get("effect")
     if effect not in EFFECTS:
         raise SettingsError(f"setting {path}effect is missing or unknown: {effect!r}")
-    keyed = EFFECTS[effect] == api.Effect.KEYED
-    return api.MessageClass(
+    keyed = EFFECTS[effect] == Effect.KEYED
+    return MessageClass(
         name=str(row.get("name", place)),
         aim_ms=_number(row, path, "goal_time_ms", needed=True),
         deadline_ms=_number(row, path, "deadline_ms", needed=True, least=1),
@@ -76,11 +76,11 @@
     )
 
 
-def _tenant(row: Any, place: int) -> api.Tenant:
+def _tenant(row: Any, place: int) -> Tenant:
     path = f"orgs[{place}]."
     if not isinstance(row, dict):
         raise SettingsError(f"setting orgs[{place}] has the wrong form")
-    return api.Tenant(
+    return Tenant(
         name=str(row.get("name", place)),
         quota_per_s=_number(row, path, "quota_per_s"),
         share=_number(row, path, "share"),
@@ -110,7 +110,7 @@
     return values
 
 
-def settings_from(conf: Any) -> api.Settings:
+def settings_from(conf: Any) -> Settings:
     """The settings of one instance, from the users' nested object."""
     if not isinstance(conf, dict):
         raise SettingsError("the settings are not a JSON object")
@@ -124,7 +124,7 @@
     per_call = [int(v) for v in _numbers(info, "per_call")]
     if any(not 1 <= v <= COUNT_MOST for v in per_call):
         raise SettingsError(f"setting family_info.per_call is not of use: {per_call}, want 1 at least of each kind")
-    return api.Settings(
+    return Settings(
         slots=_count(info, "family_info.", "max_calls", needed=True),
         senders=_count(conf, "", "balancers", needed=True),
         me=int(_number(conf, "", "me") or 0),
--- a/lynxscale/scheduling/simulator_adapter.py
+++ b/lynxscale/scheduling/simulator_adapter.py
@@ -8,9 +8,36 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from lynxscale.scheduling import interface as api
 from lynxscale.scheduling import settings_reader as reader
+from lynxscale.scheduling.actions import (
+    Attempt,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Note,
+    Probe,
+    Refuse,
+    SendToPeer,
+    SetTimer,
+    Subscribe,
+)
+from lynxscale.scheduling.events import (
+    HealthChecked,
+    Lifecycle,
+    Member,
+    MembershipKind,
+    MembershipUpdate,
+    Message,
+    Outcome,
+    PeerMessage,
+    ResponseStarted,
+    Result,
+    TimerDue,
+    Withdrawn,
+)
 from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.settings import Settings
 
 BATCH_HEAD = struct.Struct("<IId")
 REPLY_HEAD = struct.Struct("<II")
@@ -39,7 +66,7 @@
     """The other side sent something that is not on the wire's terms."""
 
 
-def settings_from(text: bytes) -> api.Settings:
+def settings_from(text: bytes) -> Settings:
     """The settings of one instance, from the wire's JSON."""
     try:
         return reader.settings_from(json.loads(text))
@@ -72,57 +99,57 @@
         raise WireError(f"unknown {what} {value}") from None
 
 
-def _lines(frame: bytes, at: int, tail: int) -> list[api.Member]:
+def _lines(frame: bytes, at: int, tail: int) -> list[Member]:
     offset, count = CENSUS.unpack_from(frame, at + 4)
     raw = _tail(frame, tail, offset, count * LINE.size)
     return [
-        api.Member(endpoint, _enum(api.Lifecycle, life, "lifecycle"), dest, zone, kind, share)
+        Member(endpoint, _enum(Lifecycle, life, "lifecycle"), dest, zone, kind, share)
         for life, endpoint, zone, _since, dest, share, kind in LINE.iter_unpack(raw)
     ]
 
 
-def _message(frame: bytes, at: int, _tail_at: int) -> api.Message:
+def _message(frame: bytes, at: int, _tail_at: int) -> Message:
     txn, billing, band, expires, key, attrs, dest, hint = CALL.unpack_from(frame, at + 4)
-    return api.Message(
+    return Message(
         id=txn,
         destination=int(dest),
         cls=band,
         tenant=billing,
         expires=expires,
         key=key,
-        again=bool(attrs & AGAIN),
+        marked_retry=bool(attrs & AGAIN),
         write=bool(attrs & WRITE),
         inherited=bool(attrs & INHERITED),
         work_hint=hint if attrs & HINT else None,
     )
 
 
-def _outcome(frame: bytes, at: int, _tail_at: int) -> api.Outcome:
+def _outcome(frame: bytes, at: int, _tail_at: int) -> Outcome:
     txn, leg, endpoint, code, spent, finished, wait = VERDICT.unpack_from(frame, at + 4)
-    result = _enum(api.Result, code, "outcome")
-    return api.Outcome(txn, leg, endpoint, result, spent, bool(finished), wait, _report(frame, at + 28))
+    result = _enum(Result, code, "outcome")
+    return Outcome(txn, leg, endpoint, result, spent, bool(finished), wait, _report(frame, at + 28))
 
 
-def _withdrawn(frame: bytes, at: int, _tail_at: int) -> api.Withdrawn:
-    return api.Withdrawn(U32.unpack_from(frame, at + 4)[0])
+def _withdrawn(frame: bytes, at: int, _tail_at: int) -> Withdrawn:
+    return Withdrawn(U32.unpack_from(frame, at + 4)[0])
 
 
-def _due(frame: bytes, at: int, _tail_at: int) -> api.TimerDue:
-    return api.TimerDue(U32.unpack_from(frame, at + 4)[0])
+def _due(frame: bytes, at: int, _tail_at: int) -> TimerDue:
+    return TimerDue(U32.unpack_from(frame, at + 4)[0])
 
 
-def _begun(frame: bytes, at: int, _tail_at: int) -> api.AnswerBegun:
-    return api.AnswerBegun(*HEADERS.unpack_from(frame, at + 4))
+def _begun(frame: bytes, at: int, _tail_at: int) -> ResponseStarted:
+    return ResponseStarted(*HEADERS.unpack_from(frame, at + 4))
 
 
-def _probed(frame: bytes, at: int, _tail_at: int) -> api.Probed:
+def _probed(frame: bytes, at: int, _tail_at: int) -> HealthChecked:
     spent, endpoint, outcome = PROBED.unpack_from(frame, at + 4)
-    return api.Probed(endpoint, outcome, spent, _report(frame, at + 18))
+    return HealthChecked(endpoint, outcome, spent, _report(frame, at + 18))
 
 
-def _peer(frame: bytes, at: int, tail: int) -> api.PeerSaid:
+def _peer(frame: bytes, at: int, tail: int) -> PeerMessage:
     author, offset, size = PEER.unpack_from(frame, at + 4)
-    return api.PeerSaid(author, _tail(frame, tail, offset, size))
+    return PeerMessage(author, _tail(frame, tail, offset, size))
 
 
 E_GONE, E_PROBED, E_HELLO, E_HEADERS, E_CENSUS, E_PEER = 256, 257, 258, 259, 260, 261
@@ -144,28 +171,28 @@
 def encode(node: int, action: Any, tail_at: int) -> tuple[bytes, bytes]:
     """One action as its record (unpadded) and what it adds to the tail."""
     kind = type(action)
-    if kind is api.Attempt:
+    if kind is Attempt:
         return struct.pack("<HHIId", 257, node, action.id, action.endpoint, action.timeout), b""
-    if kind is api.SetTimer:
-        return struct.pack("<HHId", 262, node, action.mark, action.at), b""
-    if kind is api.Refuse:
+    if kind is SetTimer:
+        return struct.pack("<HHId", 262, node, action.timer_id, action.at), b""
+    if kind is Refuse:
         return struct.pack("<HHId", 256, node, action.id, action.retry_after), b""
-    if kind is api.Fail:
+    if kind is Fail:
         return struct.pack("<HHI", 258, node, action.id), b""
-    if kind is api.Cancel:
+    if kind is Cancel:
         return struct.pack("<HHIB", 267, node, action.id, action.attempt), b""
-    if kind is api.Note:
+    if kind is Note:
         text = action.text.encode()
         return struct.pack("<HHII", 261, node, tail_at, len(text)), text
-    if kind is api.Subscribe:
+    if kind is Subscribe:
         return struct.pack("<HHB", 266, node, action.active), b""
-    if kind is api.FetchList:
+    if kind is FetchList:
         return struct.pack("<HH", 265, node), b""
-    if kind is api.CloseIdle:
+    if kind is CloseIdle:
         return struct.pack("<HHI", 264, node, action.endpoint), b""
-    if kind is api.Probe:
+    if kind is Probe:
         return struct.pack("<HHI", 260, node, action.endpoint), b""
-    if kind is api.TellPeer:
+    if kind is SendToPeer:
         peer = EVERY_PEER if action.peer is None else action.peer
         return struct.pack("<HHIII", 263, node, peer, tail_at, len(action.payload)), action.payload
     raise TypeError(f"no such action: {action!r}")
@@ -190,7 +217,7 @@
 
     def __init__(self) -> None:
         self.senders: dict[int, Sender] = {}
-        self.tables: dict[int, list[api.Member]] = {}
+        self.tables: dict[int, list[Member]] = {}
 
     def reply(self, frame: bytes) -> bytes:
         """The reply to one whole batch."""
@@ -240,14 +267,14 @@
         else:
             pending.setdefault(node, []).append(READERS[code](frame, at, tail))
 
-    def _membership(self, frame: bytes, at: int) -> api.Membership:
+    def _membership(self, frame: bytes, at: int) -> MembershipUpdate:
         table, how, version = REGISTRY.unpack_from(frame, at + 4)
-        kind = _enum(api.ListKind, how, "kind of list")
-        if kind is api.ListKind.FAILED:
-            return api.Membership(kind, version, [])
+        kind = _enum(MembershipKind, how, "kind of list")
+        if kind is MembershipKind.FAILED:
+            return MembershipUpdate(kind, version, [])
         if table not in self.tables:
             raise WireError(f"list number {table} was never sent")
-        return api.Membership(kind, version, self.tables[table])
+        return MembershipUpdate(kind, version, self.tables[table])
 
     def _act(self, node: int, now: float, events: list, used: int, broken: dict) -> list:
         if node not in broken:
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -19,7 +19,9 @@
 from crc32c import crc32c
 
 from lynxscale.relay.conf.table import TraceConf
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.actions import Attempt, Cancel, CloseIdle, Fail, Note, Probe, Refuse, SetTimer, Subscribe
+from lynxscale.scheduling.events import HealthChecked, MembershipUpdate, Message, Outcome, Result, TimerDue, Withdrawn
+from lynxscale.scheduling.settings import Settings
 from lynxscale.trace import records as r
 from lynxscale.trace.frames import Frame
 from lynxscale.trace.rotation import Files
@@ -49,7 +51,7 @@
     r.STEP: 5,
     r.STOP: 3,
 }
-RESULTS = tuple(r.reason(result.name.lower()) if result else r.UNKNOWN for result in (0, *api.Result))
+RESULTS = tuple(r.reason(result.name.lower()) if result else r.UNKNOWN for result in (0, *Result))
 
 
 def sampled(id_: str, share: float) -> bool:
@@ -83,7 +85,7 @@
     def __init__(
         self,
         conf: TraceConf,
-        settings: api.Settings,
+        settings: Settings,
         relay: str,
         seed: int,
         names: Callable[[int], tuple[str, str] | None],
@@ -204,10 +206,10 @@
         """What goes into the module; lists and probes are records of their own at lower levels too."""
         for event in events:
             kind = type(event)
-            if kind is api.Membership:
+            if kind is MembershipUpdate:
                 # Named at once: an endpoint that leaves has no name any more when the record is made.
                 self._tell((now, r.LIST, event, self._members(event)))
-            elif kind is api.Probed and self._tries:
+            elif kind is HealthChecked and self._tries:
                 self._tell((now, r.PROBE_END, event))
 
     def verdict(
@@ -365,7 +367,7 @@
     def _probe_start(self, records: list, endpoint: int) -> None:
         records.append((r.PROBE_START, [self._endpoint(endpoint)]))
 
-    def _probe_end(self, records: list, event: api.Probed) -> None:
+    def _probe_end(self, records: list, event: HealthChecked) -> None:
         records.append(
             (
                 r.PROBE_END,
@@ -386,7 +388,7 @@
         if (msg := self._kept.get(number)) is not None:
             records.append((r.NOTICE_HEARD, [msg]))
 
-    def _list(self, records: list, event: api.Membership, rows: list[r.Member]) -> None:
+    def _list(self, records: list, event: MembershipUpdate, rows: list[r.Member]) -> None:
         records.append((r.LIST, [int(event.kind), event.version, len(rows)]))
         if self._tries and rows:
             records.append((r.MEMBERS, [rows]))
@@ -428,7 +430,7 @@
                 del self._endpoints[next(iter(self._endpoints))]
         return handle
 
-    def _members(self, event: api.Membership) -> list[r.Member]:
+    def _members(self, event: MembershipUpdate) -> list[r.Member]:
         rows = []
         for one in event.members:
             name = self._names(one.endpoint)
@@ -450,7 +452,7 @@
 
     def _event(self, event: Any) -> tuple[int, list]:
         kind = type(event)
-        if kind is api.Outcome:
+        if kind is Outcome:
             return r.IN_OUTCOME, [
                 self._msg(event.id),
                 event.attempt,
@@ -461,34 +463,40 @@
                 event.wait,
                 event.report,
             ]
-        if kind is api.Message:
-            return r.IN_MESSAGE, [self._msg(event.id), event.expires, event.attempts, event.maybe_at, event.inherited]
-        if kind is api.TimerDue:
-            return r.IN_TIMER, [event.mark]
-        if kind is api.Withdrawn:
+        if kind is Message:
+            return r.IN_MESSAGE, [
+                self._msg(event.id),
+                event.expires,
+                event.attempts,
+                event.maybe_executed_at,
+                event.inherited,
+            ]
+        if kind is TimerDue:
+            return r.IN_TIMER, [event.timer_id]
+        if kind is Withdrawn:
             return r.IN_WITHDRAWN, [self._msg(event.id)]
-        if kind is api.Probed:
+        if kind is HealthChecked:
             return r.IN_PROBED, [self._endpoint(event.endpoint), int(event.result), event.spent, event.report]
         return r.IN_LIST, [int(event.kind), event.version, self._members(event)]
 
     def _action(self, action: Any) -> tuple[int, list]:
         kind = type(action)
-        if kind is api.Attempt:
+        if kind is Attempt:
             return r.OUT_ATTEMPT, [self._msg(action.id), self._endpoint(action.endpoint), action.timeout, action.fresh]
-        if kind is api.SetTimer:
-            return r.OUT_TIMER, [action.mark, action.at]
-        if kind is api.Cancel:
+        if kind is SetTimer:
+            return r.OUT_TIMER, [action.timer_id, action.at]
+        if kind is Cancel:
             return r.OUT_CANCEL, [self._msg(action.id), action.attempt]
-        if kind is api.Refuse:
+        if kind is Refuse:
             return r.OUT_REFUSE, [self._msg(action.id), action.retry_after]
-        if kind is api.Fail:
+        if kind is Fail:
             return r.OUT_FAIL, [self._msg(action.id)]
-        if kind is api.Subscribe:
+        if kind is Subscribe:
             return r.OUT_SUBSCRIBE, [action.active]
-        if kind is api.CloseIdle:
+        if kind is CloseIdle:
             return r.OUT_CLOSE_IDLE, [self._endpoint(action.endpoint)]
-        if kind is api.Probe:
+        if kind is Probe:
             return r.OUT_PROBE, [self._endpoint(action.endpoint)]
-        if kind is api.Note:
+        if kind is Note:
             return r.OUT_NOTE, [action.text]
         return r.OUT_FETCH, []
--- a/lynxscale/trace/replay.py
+++ b/lynxscale/trace/replay.py
@@ -14,7 +14,31 @@
 
 import orjson
 
-from lynxscale.scheduling import interface as api
+from lynxscale.scheduling.actions import (
+    Attempt,
+    Cancel,
+    CloseIdle,
+    Fail,
+    FetchList,
+    Note,
+    Probe,
+    Refuse,
+    SetTimer,
+    Subscribe,
+)
+from lynxscale.scheduling.events import (
+    HealthChecked,
+    Lifecycle,
+    Member,
+    MembershipKind,
+    MembershipUpdate,
+    Message,
+    Outcome,
+    Result,
+    TimerDue,
+    Withdrawn,
+)
+from lynxscale.scheduling.settings import Effect, MessageClass, Settings, Tenant
 from lynxscale.trace import records as r
 from lynxscale.trace.frames import Frame
 
@@ -26,16 +50,16 @@
     """The trace does not hold what a replay needs; the text says what is missing."""
 
 
-def settings_from_json(text: str) -> api.Settings:
+def settings_from_json(text: str) -> Settings:
     """The settings as the recorder wrote them.
 
     Raises NotReplayable.
     """
     try:
         table = orjson.loads(text)
-        table["classes"] = [api.MessageClass(**row | {"effect": api.Effect(row["effect"])}) for row in table["classes"]]
-        table["tenants"] = [api.Tenant(**row) for row in table["tenants"]]
-        return api.Settings(**table)
+        table["classes"] = [MessageClass(**row | {"effect": Effect(row["effect"])}) for row in table["classes"]]
+        table["tenants"] = [Tenant(**row) for row in table["tenants"]]
+        return Settings(**table)
     except (ValueError, KeyError, TypeError) as error:
         raise NotReplayable(f"the settings cannot be read: {error}") from error
 
@@ -44,11 +68,11 @@
     """An event of the module from its record; None where the record is none."""
     if number == r.IN_OUTCOME:
         msg, attempt, endpoint, result, spent, finished, wait, report = values[:8]
-        return api.Outcome(msg.number, attempt, endpoint[0], api.Result(result), spent, finished, wait, report)
+        return Outcome(msg.number, attempt, endpoint[0], Result(result), spent, finished, wait, report)
     if number == r.IN_MESSAGE:
         msg, expires, attempts, maybe = values[:4]
         inherited = len(values) > 4 and bool(values[4])  # not told by older ones
-        return api.Message(
+        return Message(
             msg.number,
             msg.dest,
             msg.cls[0],
@@ -56,23 +80,21 @@
             expires,
             inherited=inherited,
             attempts=attempts,
-            maybe_at=maybe,
+            maybe_executed_at=maybe,
         )
     if number == r.IN_TIMER:
-        return api.TimerDue(values[0])
+        return TimerDue(values[0])
     if number == r.IN_WITHDRAWN:
-        return api.Withdrawn(values[0].number)
+        return Withdrawn(values[0].number)
     if number == r.IN_PROBED:
-        return api.Probed(values[0][0], values[1], values[2], values[3])
+        return HealthChecked(values[0][0], values[1], values[2], values[3])
     if number == r.IN_LIST:
         kind, version, rows = values[:3]
-        return api.Membership(
-            api.ListKind(kind),
+        return MembershipUpdate(
+            MembershipKind(kind),
             version,
             [
-                api.Member(
-                    row.endpoint[0], api.Lifecycle(row.lifecycle), row.dest, row.zone[0], row.kind[0], row.weight
-                )
+                Member(row.endpoint[0], Lifecycle(row.lifecycle), row.dest, row.zone[0], row.kind[0], row.weight)
                 for row in rows
             ],
         )
@@ -82,16 +104,16 @@
 def action_from(number: int, values: list) -> Any:
     """An action of the module from its record; None where the record is none."""
     make: dict[int, Callable[[], Any]] = {
-        r.OUT_ATTEMPT: lambda: api.Attempt(values[0].number, values[1][0], values[2], values[3]),
-        r.OUT_CANCEL: lambda: api.Cancel(values[0].number, values[1]),
-        r.OUT_REFUSE: lambda: api.Refuse(values[0].number, values[1]),
-        r.OUT_FAIL: lambda: api.Fail(values[0].number),
-        r.OUT_TIMER: lambda: api.SetTimer(values[0], values[1]),
-        r.OUT_SUBSCRIBE: lambda: api.Subscribe(values[0]),
-        r.OUT_FETCH: lambda: api.FetchList(),
-        r.OUT_CLOSE_IDLE: lambda: api.CloseIdle(values[0][0]),
-        r.OUT_PROBE: lambda: api.Probe(values[0][0]),
-        r.OUT_NOTE: lambda: api.Note(values[0]),
+        r.OUT_ATTEMPT: lambda: Attempt(values[0].number, values[1][0], values[2], values[3]),
+        r.OUT_CANCEL: lambda: Cancel(values[0].number, values[1]),
+        r.OUT_REFUSE: lambda: Refuse(values[0].number, values[1]),
+        r.OUT_FAIL: lambda: Fail(values[0].number),
+        r.OUT_TIMER: lambda: SetTimer(values[0], values[1]),
+        r.OUT_SUBSCRIBE: lambda: Subscribe(values[0]),
+        r.OUT_FETCH: lambda: FetchList(),
+        r.OUT_CLOSE_IDLE: lambda: CloseIdle(values[0][0]),
+        r.OUT_PROBE: lambda: Probe(values[0][0]),
+        r.OUT_NOTE: lambda: Note(values[0]),
     }
     return make[number]() if number in make else None
 
@@ -154,7 +176,7 @@
 
 
 class _Process:
-    def __init__(self, frame: Frame, values: list, make: Callable[[api.Settings, int], Any], strict: bool) -> None:
+    def __init__(self, frame: Frame, values: list, make: Callable[[Settings, int], Any], strict: bool) -> None:
         if values[3] != "decisions":
             raise NotReplayable(f"{frame.source}: it was recorded at level {values[3]}; a replay needs decisions")
         if not values[7]:
@@ -190,7 +212,7 @@
         played.steps += 1
         played.events += len(events)
         played.actions += len(recorded)
-        played.messages += sum(type(event) is api.Message for event in events)
+        played.messages += sum(type(event) is Message for event in events)
         try:
             replayed, broke = list(self.sender.step(frame.time / 1000, events)), False
         except Exception:  # as the relay does: what it did before counts
@@ -211,7 +233,7 @@
         for place in range(max(len(recorded), len(replayed), 1)):
             one = recorded[place] if place < len(recorded) else None
             other = replayed[place] if place < len(replayed) else None
-            if type(one) is api.Note and type(other) is api.Note and not one.text:
+            if type(one) is Note and type(other) is Note and not one.text:
                 self.played.anonymised = True
                 continue
             if one != other or fault:
@@ -223,11 +245,11 @@
     def _keep(self, action: Any, place: int) -> None:
         """What was decided of a message: where it went first, and whether it was given up."""
         kind = type(action)
-        if kind not in (api.Attempt, api.Refuse, api.Fail):
+        if kind not in (Attempt, Refuse, Fail):
             return
         did = self.did.setdefault(action.id, ["", ""])
-        if kind is not api.Attempt:
-            did[place] = "refused" if kind is api.Refuse else "failed"
+        if kind is not Attempt:
+            did[place] = "refused" if kind is Refuse else "failed"
         elif not did[place]:
             did[place] = f"sent to endpoint {action.endpoint}"
         if len(self.did) > MESSAGES_MOST:
@@ -247,7 +269,7 @@
         return self.played
 
 
-def replay(frames: Iterable[Frame], make: Callable[[api.Settings, int], Any], strict: bool = True) -> list[Played]:
+def replay(frames: Iterable[Frame], make: Callable[[Settings, int], Any], strict: bool = True) -> list[Played]:
     """Play every process in these frames, which must be whole from each one's start.
 
     ``make`` gives a module from settings and seed. ``strict`` compares action by action up to the first difference;
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -11,7 +11,7 @@
 
 from lab.standins import PATIENCE, message, reply, row, settings, until
 from lynxscale.relay import bundle
-from lynxscale.scheduling.interface import Result
+from lynxscale.scheduling.events import Result
 from tests.node import NodeCase
 
 IDS = ["a1", "b2", "c3"]
