--- a/Makefile
+++ b/Makefile
@@ -62,10 +62,10 @@
 # Small machines in every order, a further loss in every instant of a change of the group, drawn histories of whole tiers,
 # ten thousand, and the mistakes put in on purpose that these must find. Hours on eight cores; each command runs by itself.
 sim-tier: build
-	$(PYTHON) -m lab.tier.orders
-	$(PYTHON) -m lab.tier.second_loss
+	$(PYTHON) -m lab.tier.models
+	$(PYTHON) -m lab.tier.second_failure
 	seq 1 1250 8751 | xargs -P 8 -I{} sh -c '$(PYTHON) -m lab.tier.histories {} $$(({} + 1249))'
-	$(PYTHON) -m lab.tier.mistakes
+	$(PYTHON) -m lab.tier.mutations
 
 # A small tier of real processes on loopback serves programs while its primary is killed.
 demo-tier: build
--- a/features/steps/tier_steps.py
+++ b/features/steps/tier_steps.py
@@ -3,14 +3,14 @@
 import msgspec
 from behave import given, then, when
 
-from lab.tier.cluster import Tier, default_configuration
+from lab.tier.simulated_tier import SimulatedTier, default_configuration
 from lab.tier.world import World
 
 SEED = 7
 OUTPUT = b"word1\nword2\nword3\nword4\n"
 
 
-def primary_host(tier: Tier) -> str:
+def primary_host(tier: SimulatedTier) -> str:
     """Where the primary runs."""
     assert tier.world.run_until(lambda: tier.primary() is not None, 5.0), f"no primary in time (seed {SEED})"
     return tier.primary().publisher.address.partition(":")[0]
@@ -18,7 +18,7 @@
 
 @given("a tier of {controls:d} control members and {relays:d} relays that serves")
 def a_tier(context, controls, relays):
-    context.tier = Tier(World(SEED), relays=relays, controls=controls).settle()
+    context.tier = SimulatedTier(World(SEED), relays=relays, controls=controls).settle()
     context.answers = {}
 
 
--- a/lab/cluster/check.py
+++ b/lab/cluster/check.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field, replace
 
 from lab.cluster.mistakes import Spoilt, spoil
-from lab.explorer import Breach, search
+from lab.model_checker import InvariantViolation, search
 from lynxscale.relay.cluster.membership_table import Identity, Sight
 from lynxscale.relay.cluster.messages import (
     Accept,
@@ -169,13 +169,13 @@
         self._acts: dict[tuple[int, int], bool] = {}
 
     def run(self) -> int:
-        """The number of states. Raises Breach with the way there, TooManyStates (a RuntimeError)."""
+        """The number of states. Raises InvariantViolation with the way there, TooManyStatesError (a RuntimeError)."""
         # Depth first finds a breach of leases far sooner; without time to end it, a mistake may lead on for ever.
         depth_first = bool(self.terms.lease)
         try:
             self.states = search(self._first(), self._nexts, self._judge, self._told, self.most, depth_first)
-        except Breach as breach:
-            raise Breach(f"{self.scenario.name}: {breach}") from breach
+        except InvariantViolation as breach:
+            raise InvariantViolation(f"{self.scenario.name}: {breach}") from breach
         return self.states
 
     def _at(self, time: int) -> int:
@@ -349,23 +349,25 @@
         )
 
     def _judge(self, state: State) -> State:
-        """The state with the views that were met. Raises Breach."""
+        """The state with the views that were met. Raises InvariantViolation."""
         ids, said, time, left, past = state
         locals_ = [self._locals[id_] for id_ in ids]
         for local in locals_:
             if local.views.split:
-                raise Breach(local.views.split)
+                raise InvariantViolation(local.views.split)
             if local.digest is not None and local.digest not in past:
                 for other in past:
                     if self.views[other].number == local.number:
-                        raise Breach(f"view {local.number} is {self.views[other]} and {local.views.view}")
+                        raise InvariantViolation(f"view {local.number} is {self.views[other]} and {local.views.view}")
                 past |= {local.digest}
         if self.terms.lease:
             acting = [local for id_, local in zip(ids, locals_, strict=True) if self._may_act(id_, local, time)]
             for one in acting:
                 for other in acting:
                     if other.number > one.number and one.me not in other.views.view.members:
-                        raise Breach(f"{one.me} acts in view {one.number} while {other.me} acts in {other.number}")
+                        raise InvariantViolation(
+                            f"{one.me} acts in view {one.number} while {other.me} acts in {other.number}"
+                        )
         return ids, said, time, left, past
 
     def _may_act(self, id_: int, local: Local, time: int) -> bool:
@@ -472,7 +474,7 @@
         check = Check(scenario, most=20_000_000)
         try:
             check.run()
-        except Breach as breach:
+        except InvariantViolation as breach:
             print(f"breach: {breach}")
             sys.exit(1)
         print(
--- a/lab/cluster/explore.py
+++ b/lab/cluster/explore.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from lab.explorer import Breach
+from lab.model_checker import InvariantViolation
 from lynxscale.relay.cluster.membership_table import Identity, Rumour, Sight, State
 from lynxscale.relay.cluster.messages import Kept, Step, View
 from lynxscale.relay.cluster.view_change import Persist, Say, Terms, Views
@@ -240,7 +240,7 @@
         if view is not None:
             known = self.decided.setdefault(view.number, view)
             if known != view:
-                raise Breach(f"view {view.number} is {known} and {view}")
+                raise InvariantViolation(f"view {view.number} is {known} and {view}")
         acting = [
             (other.views.view, other.views.me)
             for other in self.places.values()
@@ -249,17 +249,21 @@
         for one, me in acting:
             for later, other in acting:
                 if later.number > one.number and me not in later.members:
-                    raise Breach(f"{me} acts in view {one.number} while {other} acts in view {later.number}")
+                    raise InvariantViolation(
+                        f"{me} acts in view {one.number} while {other} acts in view {later.number}"
+                    )
 
 
 def walk(nodes: int, seed: int, steps: int = 1200, mistake: Callable[[Views], None] | None = None) -> Walk:
-    """One seeded walk. Raises Breach, with the seed and the last steps."""
+    """One seeded walk. Raises InvariantViolation, with the seed and the last steps."""
     one = Walk(nodes, seed, mistake)
     try:
         for _ in range(steps):
             one.step()
-    except Breach as breach:
-        raise Breach(f"walk {seed}, {nodes} nodes: {breach}; the last steps: {'; '.join(one.trail[-12:])}") from breach
+    except InvariantViolation as breach:
+        raise InvariantViolation(
+            f"walk {seed}, {nodes} nodes: {breach}; the last steps: {'; '.join(one.trail[-12:])}"
+        ) from breach
     return one
 
 
@@ -272,7 +276,7 @@
     for seed in range(first, last + 1):
         try:
             views += max(walk(int(sys.argv[3]) if len(sys.argv) > 3 else 3 + seed % 3, seed).decided)
-        except Breach as breach:
+        except InvariantViolation as breach:
             print(f"breach: {breach}")
             sys.exit(1)
     print(f"{last - first + 1} walks, seeds {first} to {last}: no breach, {views} views decided")
--- a/lab/cluster/simulate.py
+++ b/lab/cluster/simulate.py
@@ -13,7 +13,7 @@
 from itertools import count
 from time import process_time
 
-from lab.explorer import Breach
+from lab.model_checker import InvariantViolation
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster.core import Core
 from lynxscale.relay.cluster.durable_state import Pending
@@ -118,7 +118,7 @@
         heappush(self._heap, (max(when, self.now), next(self._order), act, args))
 
     def run(self, until: int) -> None:
-        """Go on until then. Raises Breach."""
+        """Go on until then. Raises InvariantViolation."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, act, args = heappop(self._heap)
             act(*args)
@@ -317,12 +317,12 @@
         views = process.core.views
         view = views.view
         if views.split:
-            raise Breach(f"{machine.name}: {views.split}")
+            raise InvariantViolation(f"{machine.name}: {views.split}")
         if view is None:
             return
         known = self.digests.setdefault(view.number, view)
         if known != view:
-            raise Breach(f"view {view.number} is {view} at {machine.name}, and was {known}")
+            raise InvariantViolation(f"view {view.number} is {view} at {machine.name}, and was {known}")
         now = machine.local(self.now)
         if not views.may_act(now):
             return
@@ -332,7 +332,7 @@
             self._without(view)
         for number, when in self.acted.items():
             if number > view.number and process.core.me not in self.digests[number].members:
-                raise Breach(
+                raise InvariantViolation(
                     f"{machine.name} may act in view {view.number} until {until}, and someone acted in view "
                     f"{number}, which is without it, at {when}"
                 )
@@ -349,7 +349,9 @@
                 and process.core.me not in view.members
                 and theirs.may_act(other.local(self.now))
             ):
-                raise Breach(f"{other.name} may act in view {theirs.number} while view {view.number} is acted in")
+                raise InvariantViolation(
+                    f"{other.name} may act in view {theirs.number} while view {view.number} is acted in"
+                )
 
     def agreed(self, names: list[str]) -> bool:
         """Are these, and no others, one view, and members with a lease each?"""
@@ -493,14 +495,14 @@
 
 
 def history(nodes: int, seed: int, seconds: int = 15, mistake: Callable[[Core], None] | None = None) -> World:
-    """One seeded history, to its end. Raises Breach, with the seed."""
+    """One seeded history, to its end. Raises InvariantViolation, with the seed."""
     world = World(nodes, seed, mistake=mistake)
     more = EACH * max(0, nodes - 16)
     try:
         for name in world.names:
             world.at(world.chance.randrange(SECOND), world.start, name)
         if not world.until_agreed(world.names, int((FORM + more) * SECOND)):
-            raise Breach(f"no first view: {_said(world)}")
+            raise InvariantViolation(f"no first view: {_said(world)}")
         trouble(world, seconds)
         world.run(world.now + (seconds + 12) * SECOND)
         for path in world.paths.values():
@@ -511,9 +513,9 @@
         if not world.until_agreed(world.names, int((CALM + more) * SECOND)):
             world.undecidable = not _others_remember(world, "")
             if not world.undecidable:
-                raise Breach(f"not one view after the calm: {_said(world)}")
-    except Breach as breach:
-        raise Breach(f"seed {seed}, {nodes} nodes, at {world.now / SECOND:.3f} s: {breach}") from breach
+                raise InvariantViolation(f"not one view after the calm: {_said(world)}")
+    except InvariantViolation as breach:
+        raise InvariantViolation(f"seed {seed}, {nodes} nodes, at {world.now / SECOND:.3f} s: {breach}") from breach
     return world
 
 
@@ -550,7 +552,7 @@
         nodes = int(sys.argv[3]) if len(sys.argv) > 3 else 3 + seed % 5
         try:
             undecidable += history(nodes, seed).undecidable
-        except Breach as breach:
+        except InvariantViolation as breach:
             print(f"breach: {breach}")
             sys.exit(1)
     print(f"{last - first + 1} histories, seeds {first} to {last}: no breach; in {undecidable} no majority remembered")
--- a/lab/disk.py
+++ b/lab/fake_disk.py
@@ -1,7 +1,7 @@
 """A stand-in for a folder's files behind the journal's port: it counts operations and fails, tears or dies at any one.
 
-What was written outlasts a killed process. ``Killed`` is raised at the operation that the process dies in, and at every
-one after it.
+What was written outlasts a killed process. ``ProcessKilled`` is raised at the operation in which the process dies, and
+at every later one.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 from collections.abc import Callable
 
 
-class Killed(BaseException):
+class ProcessKilled(BaseException):
     """The process is no more."""
 
 
-class Disk:
+class FakeDisk:
     """``most``: bytes that all files may hold, in blocks of 4 KiB. ``dies_at``: the operation in which the process
     ends; ``torn``: how many bytes of that write are kept, and whether another operation is done at all. ``fails``:
     called with an operation's name and number, it may raise OSError.
@@ -40,7 +40,7 @@
         """Is this the one it dies in?"""
         number = len(self.operations)
         if self.dies_at is not None and number > self.dies_at:
-            raise Killed
+            raise ProcessKilled
         self.operations.append((what, size))
         if number == self.dies_at:
             return True
@@ -50,7 +50,7 @@
     def _done(self, dies: bool) -> None:
         self.peak = max(self.peak, self.blocks())
         if dies:
-            raise Killed
+            raise ProcessKilled
 
     # The port ------------------------------------------------------------------------------------
 
@@ -69,7 +69,7 @@
     def create(self, name: str) -> int:
         dies = self._operation("create")
         if dies and not self.torn:
-            raise Killed
+            raise ProcessKilled
         self.files[name] = bytearray()
         self._done(dies)
         return self._handle(name)
@@ -77,7 +77,7 @@
     def append_to(self, name: str, size: int) -> int:
         dies = self._operation("append_to")
         if dies and not self.torn:
-            raise Killed
+            raise ProcessKilled
         del self.files[name][size:]
         self._done(dies)
         return self._handle(name)
@@ -112,7 +112,7 @@
     def truncate(self, handle: int, size: int) -> None:
         dies = self._operation("truncate")
         if dies and not self.torn:
-            raise Killed
+            raise ProcessKilled
         del self.files[self._handles[handle]][size:]
         self._done(dies)
 
@@ -122,7 +122,7 @@
     def rename(self, old: str, new: str) -> None:
         dies = self._operation("rename")
         if dies and not self.torn:
-            raise Killed
+            raise ProcessKilled
         self.files[new] = self.files.pop(old)
         for handle, name in self._handles.items():
             if name == old:
@@ -132,6 +132,6 @@
     def unlink(self, name: str) -> None:
         dies = self._operation("unlink")
         if dies and not self.torn:
-            raise Killed
+            raise ProcessKilled
         del self.files[name]
         self._done(dies)
--- a/lab/explorer.py
+++ b/lab/model_checker.py
@@ -18,11 +18,11 @@
 Event = tuple
 
 
-class Breach(AssertionError):
+class InvariantViolation(AssertionError):
     """Something promised did not hold."""
 
 
-class TooManyStates(RuntimeError):
+class TooManyStatesError(RuntimeError):
     """The bounds of a model are too wide to be searched."""
 
 
@@ -34,9 +34,10 @@
     most: int,
     depth_first: bool = False,
 ) -> int:
-    """The number of states. ``judge`` gives the state as it counts, or raises Breach; ``told`` makes a way readable.
+    """The number of states. ``judge`` gives the state as it counts, or raises InvariantViolation.
 
-    Raises Breach with the way there, TooManyStates where there are more than ``most``.
+    ``told`` makes a path of events readable. Raises InvariantViolation with the path to the state, TooManyStatesError
+    where there are more than ``most`` states.
     """
     seen: set[State] = {first}
     waiting: deque[tuple[State, tuple | None]] = deque([(first, None)])
@@ -45,12 +46,12 @@
         for event, after in nexts(state):
             try:
                 met = judge(after)
-            except Breach as breach:
-                raise Breach(f"{breach}; by {told(_events((event, way)))}") from breach
+            except InvariantViolation as breach:
+                raise InvariantViolation(f"{breach}; by {told(_events((event, way)))}") from breach
             if met not in seen:
                 seen.add(met)
                 if len(seen) > most:
-                    raise TooManyStates(f"more than {most} states")
+                    raise TooManyStatesError(f"more than {most} states")
                 waiting.append((met, (event, way)))
     return len(seen)
 
@@ -63,7 +64,7 @@
     return events[::-1]
 
 
-class Machine(Protocol):
+class StateMachine(Protocol):
     """A machine that can be searched. Its events and keys must follow from what was done alone."""
 
     def events(self) -> list[Event]:
@@ -76,7 +77,7 @@
         """Equal where all that may follow is equal."""
 
     def judge(self) -> None:
-        """Raises Breach."""
+        """Raises InvariantViolation."""
 
 
 @dataclass(frozen=True)
@@ -87,10 +88,10 @@
     events: tuple[Event, ...] = field(compare=False)
 
 
-def explore(make: Callable[[], Machine], most: int = 200_000, depth_first: bool = False) -> int:
-    """The number of states of a machine. Raises Breach, TooManyStates."""
+def explore(make: Callable[[], StateMachine], most: int = 200_000, depth_first: bool = False) -> int:
+    """The number of states of a machine. Raises InvariantViolation, TooManyStatesError."""
 
-    def reached(events: tuple[Event, ...]) -> Machine:
+    def reached(events: tuple[Event, ...]) -> StateMachine:
         machine = make()
         for event in events:
             machine.do(event)
--- a/lab/tier/group.py
+++ b/lab/tier/control_group.py
@@ -15,7 +15,7 @@
 FLUSH_S = 0.05  # between its release and a process's end
 
 
-class Group:
+class ControlGroup:
     """``size`` founders, and whoever is started later."""
 
     def __init__(self, world: World, size: int = 3, tolerated: int = 1) -> None:
--- a/lab/tier/takeover.py
+++ b/lab/tier/failover_time.py
@@ -1,4 +1,4 @@
-"""How long nobody serves when a primary is lost, on simulated disks: ``python -m lab.tier.takeover``.
+"""How long nobody serves when a primary is lost, on simulated disks: ``python -m lab.tier.failover_time``.
 
 A group writes all the time; its primary is killed, loses its disk or is cut off, and what is measured is the time from
 there until a write that began afterwards is committed. Each seed draws the instant, the delays of links and the loss.
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from lab.tier.group import Group
+from lab.tier.control_group import ControlGroup
 from lab.tier.world import World
 from lynxscale.coordination.messages import address_of
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Case:
+class FailoverCase:
     """One loss of a primary. ``sync_s``: of one sync; ``busy``: does the group write meanwhile?"""
 
     seed: int
@@ -36,11 +36,11 @@
     busy: bool = True
 
 
-def silence(case: Case) -> float:
+def failover_time_s(case: FailoverCase) -> float:
     """Seconds from the loss until another primary has committed a write; ``LONGEST_S`` where it takes longer."""
     world = World(case.seed, delay_s=WAY_S)
     draws = Random(case.seed)
-    group = Group(world, case.size, case.tolerated)
+    group = ControlGroup(world, case.size, case.tolerated)
     for address in group.seeds:
         world.machine(address).sync_s = case.sync_s
     group.start_all()
@@ -57,7 +57,7 @@
     return world.time - begun
 
 
-def _lose(group: Group, address: str, how: str) -> None:
+def _lose(group: ControlGroup, address: str, how: str) -> None:
     if how in ("kill", "power", "wipe"):
         group.kill(address, power=how != "kill", wipe=how == "wipe")
         return
@@ -68,14 +68,14 @@
             group.world.cut(other, address, both_ways=False)
 
 
-def _keep_writing(group: Group) -> None:
+def _keep_writing(group: ControlGroup) -> None:
     for leader in group.leaders():
         for number in range(2):
             group.submit(leader, f"key{number}", group.world.time, lambda committed: None)
     group.world.at(group.world.time + 2 * WRITE_EVERY_S, lambda: _keep_writing(group))
 
 
-def _try_to_write(group: Group, lost: str, committed: list[bool]) -> None:
+def _try_to_write(group: ControlGroup, lost: str, committed: list[bool]) -> None:
     """Ask every primary but the lost one, again and again."""
     for leader in group.leaders():
         if address_of(leader.me) != lost:
@@ -100,14 +100,16 @@
 
 def measure(seeds: int, sync_ms: float, how: str) -> Distribution:
     """One loss of a primary with each seed from 1 on."""
-    times = sorted((silence(Case(seed, sync_ms / 1000.0, how=how)), seed) for seed in range(1, seeds + 1))
+    times = sorted(
+        (failover_time_s(FailoverCase(seed, sync_ms / 1000.0, how=how)), seed) for seed in range(1, seeds + 1)
+    )
     seconds = [time for time, _ in times]
     at_95 = seconds[min(seeds - 1, int(0.95 * seeds))]
     return Distribution(seeds, statistics.median(seconds), at_95, *times[-1])
 
 
 def main() -> int:
-    """Exit code 1 where a silence took over ``--most`` seconds."""
+    """Exit code 1 where a failover took over ``--most`` seconds."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--sync-ms", default="0,9.2,30", help="by commas, of one sync")
--- a/lab/tier/standins.py
+++ b/lab/tier/fakes.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lab.tier.streams import Streams
+from lab.tier.simulated_tcp import SimulatedTcp
 from lab.tier.world import World
 from lynxscale.coordination.ports import Clock
 from lynxscale.dataplane import headers as h
@@ -22,7 +22,7 @@
 EVENT_GAP_S = 0.02
 
 
-class StandInEndpoint:
+class FakeEndpoint:
     """Answers with its stamp; streams events where the path says ``/stream``. It notes what it ran."""
 
     def __init__(self, endpoint: Endpoint, clock: Clock, listen: Listen, events: int = 4) -> None:
@@ -61,7 +61,7 @@
 class EndpointRun:
     """One request at work."""
 
-    def __init__(self, endpoint: StandInEndpoint, request: Request, responder: Responder) -> None:
+    def __init__(self, endpoint: FakeEndpoint, request: Request, responder: Responder) -> None:
         self._endpoint = endpoint
         self._request = request
         self._responder = responder
@@ -108,7 +108,7 @@
             self._endpoint.running -= 1
 
 
-class StandInPlatform:
+class FakePlatform:
     """The list of endpoints, one page."""
 
     def __init__(self, address: str, clock: Clock, listen: Listen) -> None:
@@ -126,10 +126,10 @@
         responder.respond(Response(200, Head(()), body))
 
 
-class Answer:
+class ClientResponse:
     """What a client got. Implements ResponseReceiver."""
 
-    def __init__(self, world: World, on_end: Callable[[Answer], None] | None = None) -> None:
+    def __init__(self, world: World, on_end: Callable[[ClientResponse], None] | None = None) -> None:
         self.status = 0
         self.head = Head(())
         self.body = b""
@@ -167,15 +167,15 @@
             self._on_end(self)
 
 
-def send(
+def send_request(
     world: World,
-    streams: Streams,
+    streams: SimulatedTcp,
     address: str,
     request: Request,
-    on_end: Callable[[Answer], Any] | None = None,
-) -> tuple[Answer, ClientConnection]:
+    on_end: Callable[[ClientResponse], Any] | None = None,
+) -> tuple[ClientResponse, ClientConnection]:
     """Send a request from outside on a connection of its own."""
-    answer = Answer(world, on_end)
+    answer = ClientResponse(world, on_end)
     connection = ClientConnection(address, world.machine(CLIENT).clock(), lambda connection: None)
     connection.send(request, answer)
     streams.dialer(CLIENT)(address, connection)
--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from lab.tier.cluster import CONTROL_PORT, INTERNAL_PORT, Tier, default_configuration
-from lab.tier.history_rules import MOST_TOKENS, OrderSeen, Seen, TurnSeen, judge
-from lab.tier.standins import Answer, send
+from lab.tier.fakes import ClientResponse, send_request
+from lab.tier.history_checker import MAX_TOKENS, Observations, ObservedChange, ObservedTurn, check_history
+from lab.tier.simulated_tier import CONTROL_PORT, INTERNAL_PORT, SimulatedTier, default_configuration
 from lab.tier.world import World
 from lynxscale.runtime.http_types import Head, Request
 
@@ -49,10 +49,10 @@
         self.world = World(seed, loss=0.01)
         self.random = self.world.random
         size, tolerated = SIZES[seed % len(SIZES)]
-        self.tier = Tier(self.world, controls=size, tolerated=tolerated).settle()
-        self.turns: list[TurnSeen] = []
-        self.calls: list[tuple[str, Answer]] = []
-        self.orders: list[OrderSeen] = [OrderSeen(0, default_configuration())]
+        self.tier = SimulatedTier(self.world, controls=size, tolerated=tolerated).settle()
+        self.turns: list[ObservedTurn] = []
+        self.calls: list[tuple[str, ClientResponse]] = []
+        self.orders: list[ObservedChange] = [ObservedChange(0, default_configuration())]
         self.broken: Counter[str] = Counter()
         self.draining: dict[str, float] = {}
         self._seen_versions: dict[object, int] = {}
@@ -67,7 +67,7 @@
             action()
             self.world.run(self.world.time + self.random.uniform(0.02, 0.5))
         self._recover()
-        self.broken += judge(self.tier, Seen(self.turns, self.calls, self.orders))
+        self.broken += check_history(self.tier, Observations(self.turns, self.calls, self.orders))
         return self.broken
 
     def _watch(self) -> None:
@@ -101,12 +101,12 @@
         whole = [seen for seen in self.turns if seen.program == program and seen.answer.complete]
         previous = self.random.choice([seen for seen in whole if seen.answer.status == 200] or [None])
         name, text = self._name("t"), f"say{self._number} ".encode()
-        fields = {"program": program, "budget": str(budget), "lynxscale_token_count": f"10,{MOST_TOKENS}"}
+        fields = {"program": program, "budget": str(budget), "lynxscale_token_count": f"10,{MAX_TOKENS}"}
         if previous is not None:
             fields["previous"] = previous.request_id
         answer, _ = self.tier.begin("/kept/stream", self._relay(), text, request_id=name, **fields)
         before = previous.request_id if previous else ""
-        self.turns.append(TurnSeen(name, program, before, text, answer, budget))
+        self.turns.append(ObservedTurn(name, program, before, text, answer, budget))
 
     def _call(self) -> None:
         path = self.random.choice(("/book/1", "/look/1"))
@@ -125,13 +125,13 @@
         fields = ((b"host", b"c"), (b"lynxscale-base-version", b"%d" % order.base))
         path = "/config/update" if order.update else "/config/replace"
         request = Request("POST", path, Head(fields), msgspec.json.encode(order.update or order.table))
-        answer, _ = send(self.world, self.tier.streams, f"{host}:{CONTROL_PORT}", request)
+        answer, _ = send_request(self.world, self.tier.streams, f"{host}:{CONTROL_PORT}", request)
         order.answers.append(answer)
 
-    def _new_order(self) -> OrderSeen:
+    def _new_order(self) -> ObservedChange:
         """One on the newest acknowledged version: a replacement, or an update where that version is one order's."""
         base = max(order.table["generation"] for order in self.orders if order.acknowledged or order.base == 0)
-        order = OrderSeen(base, default_configuration(base + self.random.randint(1, 3)))
+        order = ObservedChange(base, default_configuration(base + self.random.randint(1, 3)))
         route = order.table["routes"][0]
         route["target-latency-ms"] = 200 + len(self.orders)
         made = [one.table for one in self.orders if one.table["generation"] == base]
--- a/lab/tier/history_rules.py
+++ b/lab/tier/history_checker.py
@@ -7,36 +7,36 @@
 
 import msgspec
 
-from lab.tier.cluster import Tier
-from lab.tier.standins import Answer
+from lab.tier.fakes import ClientResponse
+from lab.tier.simulated_tier import SimulatedTier
 from lynxscale.coordination.membership_plan import MIN_VOTERS
 from lynxscale.runtime.http_types import Request
 
-MOST_TOKENS, STRIDE, EVENTS = 40, 10, 4
+MAX_TOKENS, STRIDE, EVENTS = 40, 10, 4
 OUTPUT = b"word1\nword2\nword3\nword4\n"
 WHOLE = b"".join(b"id: %d\ndata: word%d\n\n" % (number, number) for number in range(1, EVENTS + 1))
 
 
 @dataclass
-class TurnSeen:
+class ObservedTurn:
     """One try for a turn, as its client saw it."""
 
     request_id: str
     program: str
     previous: str
     text: bytes
-    answer: Answer
+    answer: ClientResponse
     budget: int
 
 
 @dataclass
-class OrderSeen:
+class ObservedChange:
     """One configuration, as the operator saw its answers. ``update``: what was sent instead of the whole."""
 
     base: int
     table: dict
     update: dict | None = None
-    answers: list[Answer] = field(default_factory=list)
+    answers: list[ClientResponse] = field(default_factory=list)
 
     @property
     def acknowledged(self) -> bool:
@@ -45,30 +45,30 @@
 
 
 @dataclass(frozen=True)
-class Seen:
+class Observations:
     """All that was seen from outside: turns, calls by path and id, and orders."""
 
-    turns: list[TurnSeen]
-    calls: list[tuple[str, Answer]]
-    orders: list[OrderSeen]
+    turns: list[ObservedTurn]
+    calls: list[tuple[str, ClientResponse]]
+    orders: list[ObservedChange]
 
 
-def judge(tier: Tier, seen: Seen) -> Counter[str]:
+def check_history(tier: SimulatedTier, seen: Observations) -> Counter[str]:
     """The rules that were broken, by name, once everybody is back and at rest."""
-    rules = HistoryRules(tier, seen)
-    rules.judge()
-    return rules.broken
+    checker = HistoryChecker(tier, seen)
+    checker.check()
+    return checker.broken
 
 
-class HistoryRules:
+class HistoryChecker:
     """Judges one history."""
 
-    def __init__(self, tier: Tier, seen: Seen) -> None:
+    def __init__(self, tier: SimulatedTier, seen: Observations) -> None:
         self.tier = tier
         self.seen = seen
         self.broken: Counter[str] = Counter()
 
-    def judge(self) -> None:
+    def check(self) -> None:
         """Count every breach."""
         if self.tier.primary() is None:
             self.broken["no_primary_in_the_end"] += 1
@@ -129,7 +129,7 @@
             if any(request.body != self._expected(seen, whole) for request in runs):
                 self.broken["unasked"] += 1
 
-    def _expected(self, seen: TurnSeen, whole: dict[str, TurnSeen]) -> bytes:
+    def _expected(self, seen: ObservedTurn, whole: dict[str, ObservedTurn]) -> bytes:
         body = seen.text
         previous = seen.previous
         while previous:
@@ -143,7 +143,7 @@
         for seen in self.seen.turns:
             handed[seen.program] += seen.answer.body.count(b"data:") * STRIDE
         for seen in self.seen.turns:
-            if handed[seen.program] > seen.budget + MOST_TOKENS:
+            if handed[seen.program] > seen.budget + MAX_TOKENS:
                 self.broken["budget"] += 1
                 return
 
--- a/lab/tier/local.py
+++ b/lab/tier/local.py
@@ -16,8 +16,8 @@
 
 import msgspec
 
-from lab.tier.cluster import MODEL, TOOLS, ZONES, default_configuration
-from lab.tier.standins import StandInEndpoint, StandInPlatform
+from lab.tier.fakes import FakeEndpoint, FakePlatform
+from lab.tier.simulated_tier import MODEL, TOOLS, ZONES, default_configuration
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.clock import LoopClock
 from lynxscale.runtime.exceptions import NoResponseError
@@ -39,8 +39,8 @@
     network: int = 77
     port: int = 7300
     processes: dict[str, subprocess.Popen] = field(default_factory=dict)
-    endpoints: list[StandInEndpoint] = field(default_factory=list)
-    platform: StandInPlatform | None = None
+    endpoints: list[FakeEndpoint] = field(default_factory=list)
+    platform: FakePlatform | None = None
 
     # Addresses ---------------------------------------------------------------------------------------
 
@@ -82,12 +82,12 @@
         def listen(address: str, factory: Callable) -> None:
             servers.append(loop.create_task(loop.create_server(factory, *split_address(address))))
 
-        self.platform = StandInPlatform(f"127.{self.network}.3.1:{ENDPOINT_PORT}", clock, listen)
+        self.platform = FakePlatform(f"127.{self.network}.3.1:{ENDPOINT_PORT}", clock, listen)
         for number in range(4):
             service = MODEL if number < 2 else TOOLS
             address = f"127.{self.network}.4.{number + 1}:{ENDPOINT_PORT}"
             endpoint = Endpoint(f"i-{number}", service, address, ZONES[number % 3], 8, "ready")
-            self.endpoints.append(StandInEndpoint(endpoint, clock, listen))
+            self.endpoints.append(FakeEndpoint(endpoint, clock, listen))
             self.platform.listed.append(endpoint)
         await asyncio.gather(*servers)
         for name in (*self.control_names, *self.relay_names):
--- a/lab/tier/orders/__main__.py
+++ b/lab/tier/models/__main__.py
@@ -6,8 +6,8 @@
 import sys
 import time
 
-from lab.explorer import Breach, explore
-from lab.tier.orders.catalogue import MODELS, Scope
+from lab.model_checker import InvariantViolation, explore
+from lab.tier.models.catalogue import MODELS, Scope
 
 MOST_STATES = 2_000_000
 
@@ -24,7 +24,7 @@
             try:
                 states = explore(lambda m=model, b=bounds: m.make(b), MOST_STATES)
                 told = f"{states} states, no breach"
-            except Breach as breach:
+            except InvariantViolation as breach:
                 broken += 1
                 told = f"BREACH: {breach}"
             print(f"{model.name} {bounds}: {told}, {time.monotonic() - begun:.0f} s", flush=True)
--- a/lab/tier/orders/admission.py
+++ b/lab/tier/models/admission.py
@@ -12,7 +12,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from lab.explorer import Breach, Event
+from lab.model_checker import Event, InvariantViolation
 from lynxscale.coordination.acceptor import majority
 from lynxscale.coordination.membership_plan import PeerView, PlanInput, can_remove, plan_next_record
 from lynxscale.coordination.messages import EpochRecord
@@ -188,15 +188,15 @@
         return self.record.primary, self.record.in_sync, self.record.voters, members, tuple(self._left.values())
 
     def judge(self) -> None:
-        """Raises Breach."""
+        """Raises InvariantViolation."""
         record = self.record
         if not set(record.in_sync) <= set(record.voters):
-            raise Breach(f"a copy counts that is no voter's: {record}")
+            raise InvariantViolation(f"a copy counts that is no voter's: {record}")
         whole = {one for one in record.voters if not self.members[one].gone}
         if not majority(record.voters, whole):
-            raise Breach(f"no majority is left of {record.voters}")
+            raise InvariantViolation(f"no majority is left of {record.voters}")
         if not any(one in whole and self.members[one].holds for one in record.in_sync):
-            raise Breach(f"no copy is left of {record.in_sync}")
+            raise InvariantViolation(f"no copy is left of {record.in_sync}")
 
 
 BOUNDS = (
--- a/lab/tier/orders/calls.py
+++ b/lab/tier/models/calls.py
@@ -13,7 +13,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from lab.explorer import Breach, Event
+from lab.model_checker import Event, InvariantViolation
 from lab.tier.world import World
 from lynxscale.dataplane import headers as h
 from lynxscale.dataplane.attempt import Attempt, Outcome
@@ -199,21 +199,21 @@
         )
 
     def judge(self) -> None:
-        """Raises Breach."""
+        """Raises InvariantViolation."""
         for number, call in enumerate(self.calls, 1):
             if len(call.outcomes) > 1:
-                raise Breach(f"call {number} has outcomes {call.outcomes}")
+                raise InvariantViolation(f"call {number} has outcomes {call.outcomes}")
             if not call.outcomes:
                 continue
             served = {what for what, during in self.sent if during == number}
             if call.outcomes[0] is Outcome.NOT_RUN:
                 written = call.id in self.transport.written[call.written_before :]
                 if written and "refusal" not in served:
-                    raise Breach(f"call {number} counts as not run, and was written")
+                    raise InvariantViolation(f"call {number} counts as not run, and was written")
             first = number == 1 and "nameless" in served
             own = call.signature == b"stamp-of-" + call.id or first
             if call.outcomes[0] is Outcome.COMPLETE and (call.body != BODY or not own):
-                raise Breach(f"call {number} is answered with {call.signature} {call.body}")
+                raise InvariantViolation(f"call {number} is answered with {call.signature} {call.body}")
 
 
 BOUNDS = (CallBounds(calls=1), CallBounds(calls=2))
--- a/lab/tier/orders/catalogue.py
+++ b/lab/tier/models/catalogue.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lab.explorer import Machine
-from lab.tier.orders import admission, calls, election, operators, transfer
+from lab.model_checker import StateMachine
+from lab.tier.models import admission, calls, election, operators, transfer
 
 
 class Scope(Enum):
@@ -22,7 +22,7 @@
     """A machine to be searched: how it is made of bounds, and which of its bounds are quick."""
 
     name: str
-    make: Callable[[object], Machine]
+    make: Callable[[object], StateMachine]
     all_bounds: tuple
     quick: tuple[int, ...]
 
--- a/lab/tier/orders/election.py
+++ b/lab/tier/models/election.py
@@ -15,7 +15,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from lab.explorer import Breach, Event, frozen
+from lab.model_checker import Event, InvariantViolation, frozen
 from lab.tier.world import World
 from lynxscale.coordination.acceptor import Acceptor, Proposal, majority
 from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
@@ -225,13 +225,13 @@
         return nodes, links, frozen(self._left), self._steps, self._cuts, frozen(self._accepted)
 
     def judge(self) -> None:
-        """Raises Breach."""
+        """Raises InvariantViolation."""
         for epoch, records in self._accepted.items():
             if len(records) > 1:
-                raise Breach(f"two records under epoch {epoch}: {sorted(records)}")
+                raise InvariantViolation(f"two records under epoch {epoch}: {sorted(records)}")
         holders = [address for address, node in self.nodes.items() if node.primary and node.lease.held]
         if len(holders) > 1:
-            raise Breach(f"{holders} hold the lease at once")
+            raise InvariantViolation(f"{holders} hold the lease at once")
         for holder in holders:
             own = self.nodes[holder].acceptor.record.epoch
             for records in self._accepted.values():
@@ -239,7 +239,9 @@
                     record = self._records[name]
                     passed = record.epoch > own and majority(record.voters, accepted)
                     if passed and record.primary != founder(holder):
-                        raise Breach(f"{holder} holds the lease of epoch {own} while {record.epoch} is decided")
+                        raise InvariantViolation(
+                            f"{holder} holds the lease of epoch {own} while {record.epoch} is decided"
+                        )
 
 
 def founder(address: str) -> str:
--- a/lab/tier/orders/operators.py
+++ b/lab/tier/models/operators.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from lab.explorer import Breach, Event, frozen
+from lab.model_checker import Event, InvariantViolation, frozen
 from lynxscale.controlplane.operator_api import BASE_HEADER, CURRENT_KEY, OperatorApi
 from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Put, put_value
@@ -97,7 +97,7 @@
     def __init__(self) -> None:
         self.answer: Response | None = None
 
-    def whole(self, response: Response) -> None:
+    def respond(self, response: Response) -> None:
         """Part of Responder."""
         self.answer = response
 
@@ -222,16 +222,16 @@
         )
 
     def judge(self) -> None:
-        """Raises Breach."""
+        """Raises InvariantViolation."""
         on_one_base = [place for place, order in enumerate(self._orders) if order.base == "1"]
         confirmed = [place for place in on_one_base if 200 in self._given[place]]
         if len(confirmed) > 1:
-            raise Breach(f"orders {confirmed} on one version are all confirmed")
+            raise InvariantViolation(f"orders {confirmed} on one version are all confirmed")
         taken = {bytes(put.value) for puts in self._committed for put in puts if put.key == CURRENT_KEY}
         for place in range(len(self._orders)):
             refused = [status for status in self._given[place] if status in (400, 409, 412)]
             if refused and any(b'"by-%d"' % place in value for value in taken):
-                raise Breach(f"order {place} was taken and is refused with {refused}")
+                raise InvariantViolation(f"order {place} was taken and is refused with {refused}")
         versions = [
             msgspec.json.decode(put.value)["generation"]
             for puts in self._committed
@@ -239,7 +239,7 @@
             if put.key == CURRENT_KEY
         ]
         if sorted(set(versions)) != versions:
-            raise Breach(f"versions {versions} are in force one after the other")
+            raise InvariantViolation(f"versions {versions} are in force one after the other")
 
 
 BOUNDS = (
--- a/lab/tier/orders/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from lab.explorer import Breach, Event, frozen
+from lab.model_checker import Event, InvariantViolation, frozen
 from lab.tier.world import World
 from lynxscale.coordination import replica_progress
 from lynxscale.coordination.follower import Follower
@@ -204,11 +204,13 @@
         )
 
     def judge(self) -> None:
-        """Raises Breach."""
+        """Raises InvariantViolation."""
         for store in (self.follower_store, Store(self.world.machine(FOLLOWER).files)):
             expected = self._states.get(store.durable_position)
             if expected is None or values_of(store) != expected:
-                raise Breach(f"at {store.durable_position} the follower has {values_of(store)}, {expected} was written")
+                raise InvariantViolation(
+                    f"at {store.durable_position} the follower has {values_of(store)}, {expected} was written"
+                )
 
 
 def values_of(store: Store) -> dict[str, bytes]:
--- a/lab/tier/mistakes/__main__.py
+++ b/lab/tier/mutations/__main__.py
@@ -6,7 +6,7 @@
 import sys
 import time
 
-from lab.tier.mistakes import ALL, find
+from lab.tier.mutations import ALL, detect
 
 
 def main() -> int:
@@ -17,7 +17,7 @@
         if len(sys.argv) > 1 and mistake.name not in sys.argv[1:]:
             continue
         begun = time.monotonic()
-        found = find(mistake)
+        found = detect(mistake)
         unfound += not found
         print(f"{mistake.name}: {found or 'NOT FOUND'}, {time.monotonic() - begun:.0f} s", flush=True)
     return int(unfound > 0)
--- a/lab/tier/mistakes/finders.py
+++ b/lab/tier/mutations/detectors.py
@@ -1,4 +1,4 @@
-"""What a mistake is, and who has to find it: the drawn histories, or the search of a small machine in every order."""
+"""What a mistake is, and who has to detect it: the drawn histories, or the search of a small machine in every order."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 from dataclasses import dataclass
 from unittest.mock import patch
 
-from lab.explorer import Breach, TooManyStates, explore
+from lab.model_checker import InvariantViolation, TooManyStatesError, explore
 from lab.tier.histories import History
-from lab.tier.orders.catalogue import MODELS
+from lab.tier.models.catalogue import MODELS
 
-MOST_HISTORIES = 1000
-MOST_STATES = 60_000
+MAX_HISTORIES = 1000
+MAX_STATES = 60_000
 
 Patches = list[tuple[type, str, Callable]]
-Finder = Callable[[int], str]  # how many histories may be played, to what was found; empty for nothing
+Detector = Callable[[int], str]  # how many histories may be played, to what was found; empty for nothing
 
 
-def by_histories() -> Finder:
+def by_histories() -> Detector:
     """The first seed whose history breaks a rule, and the rules."""
 
-    def find(most: int) -> str:
+    def detect(most: int) -> str:
         for seed in range(1, most + 1):
             try:
                 broken = History(seed).play()
@@ -31,34 +31,34 @@
                 return f"seed {seed}, {sorted(broken)}"
         return ""
 
-    return find
+    return detect
 
 
-def by_search(name: str, places: tuple[int, ...] | None = None, depth_first: bool = False) -> Finder:
+def by_search(name: str, places: tuple[int, ...] | None = None, depth_first: bool = False) -> Detector:
     """The breach that a search of a small machine meets, within the bounds at these places or all."""
 
-    def find(most: int) -> str:
+    def detect(most: int) -> str:
         model = next(model for model in MODELS if model.name == name)
         for place, bounds in enumerate(model.all_bounds):
             if places is not None and place not in places:
                 continue
             try:
-                explore(lambda b=bounds: model.make(b), MOST_STATES, depth_first)
-            except Breach as breach:
+                explore(lambda b=bounds: model.make(b), MAX_STATES, depth_first)
+            except InvariantViolation as breach:
                 return f"{name}: {str(breach)[:160]}"
-            except TooManyStates:
+            except TooManyStatesError:
                 continue
         return ""
 
-    return find
+    return detect
 
 
 @dataclass(frozen=True)
-class Mistake:
-    """What is put in, and who has to find it."""
+class Mutation:
+    """What is put in, and who has to detect it."""
 
     put_in: Callable[[], Patches]
-    find: Finder
+    detect: Detector
 
     @property
     def name(self) -> str:
@@ -66,9 +66,9 @@
         return self.put_in.__name__
 
 
-def find(mistake: Mistake, most: int = MOST_HISTORIES) -> str:
-    """How a mistake shows, within so many histories where these have to find it; empty where it does not."""
+def detect(mistake: Mutation, most: int = MAX_HISTORIES) -> str:
+    """How a mistake shows, within so many histories where these have to detect it; empty where it does not."""
     with ExitStack() as stack:
         for owner, name, value in mistake.put_in():
             stack.enter_context(patch.object(owner, name, value))
-        return mistake.find(most)
+        return mistake.detect(most)
--- a/lab/tier/mistakes/epochs.py
+++ b/lab/tier/mutations/epochs.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lab.tier.mistakes.finders import Patches
+from lab.tier.mutations.detectors import Patches
 from lynxscale.coordination import acceptor_state
 from lynxscale.coordination.acceptor import Acceptor, Proposal, majority
 from lynxscale.coordination.leadership import Leadership
--- a/lab/tier/mistakes/orders.py
+++ b/lab/tier/mutations/operator_changes.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lab.tier.mistakes.finders import Patches
+from lab.tier.mutations.detectors import Patches
 from lynxscale.controlplane import operator_api
 from lynxscale.coordination.distribution_tree import Publisher
 from lynxscale.coordination.messages import TopicUpdate
--- a/lab/tier/mistakes/replication.py
+++ b/lab/tier/mutations/replication.py
@@ -4,8 +4,8 @@
 
 from bisect import bisect_right
 
-from lab.tier.mistakes.finders import Patches
-from lab.tier.orders import admission
+from lab.tier.models import admission
+from lab.tier.mutations.detectors import Patches
 from lynxscale.coordination import membership_plan
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.membership_plan import PlanInput
--- a/lab/tier/mistakes/turns.py
+++ b/lab/tier/mutations/turns.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from lab.tier.mistakes.finders import Patches
+from lab.tier.mutations.detectors import Patches
 from lynxscale.controlplane.ledger import Ledger, Turn
 from lynxscale.coordination.messages import Reply, TurnAdmitted
 from lynxscale.dataplane.attempt import Attempt, Outcome
--- a/lab/tier/second_loss.py
+++ b/lab/tier/second_failure.py
@@ -4,7 +4,7 @@
 sync done. Then it is played again for each instant and each member, which loses its power or its disk right there.
 Judged: nothing acknowledged is lost, and the group has a primary that commits as soon as the tolerance allows it.
 
-``python -m lab.tier.second_loss [EVERY]``: every instant, or each EVERYth.
+``python -m lab.tier.second_failure [EVERY]``: every instant, or each EVERYth.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from lab.tier.group import Group
+from lab.tier.control_group import ControlGroup
 from lab.tier.world import World
 from lynxscale.coordination.messages import address_of
 
@@ -43,7 +43,7 @@
     """What the operators do to a group. ``lost``: machines that are gone by it, and count until they are replaced."""
 
     name: str
-    begin: Callable[[Group], None]
+    begin: Callable[[ControlGroup], None]
     lost: int = 0
     takes_one: bool = False  # for good, without a machine that comes for it
 
@@ -72,46 +72,46 @@
 SIZES = (Size(3, 0, 1), Size(3, 1, 1), Size(4, 1, 1), Size(5, 0, 2), Size(5, 2, 2))
 
 
-def leave(place: int) -> Callable[[Group], None]:
+def leave(place: int) -> Callable[[ControlGroup], None]:
     """The member at a place, 0 for the primary, is asked to stop and does not come back."""
 
-    def begin(group: Group) -> None:
+    def begin(group: ControlGroup) -> None:
         group.leave(members_by_place(group)[place])
 
     return begin
 
 
-def restart(place: int) -> Callable[[Group], None]:
+def restart(place: int) -> Callable[[ControlGroup], None]:
     """The member at a place is asked to stop, and starts again."""
 
-    def begin(group: Group) -> None:
+    def begin(group: ControlGroup) -> None:
         address = members_by_place(group)[place]
         group.leave(address, then=lambda: group.world.at(group.world.time + RESTART_S, lambda: group.start(address)))
 
     return begin
 
 
-def replace(place: int) -> Callable[[Group], None]:
+def replace(place: int) -> Callable[[ControlGroup], None]:
     """The member at a place is gone with its disk; an empty one comes at another address."""
 
-    def begin(group: Group) -> None:
+    def begin(group: ControlGroup) -> None:
         group.kill(members_by_place(group)[place], power=True, wipe=True)
         group.world.at(group.world.time + 0.3, lambda: group.start(NEWCOMER))
 
     return begin
 
 
-def replace_as_planned(group: Group) -> None:
+def replace_as_planned(group: ControlGroup) -> None:
     """An empty member comes, then a backup is asked to stop for good."""
     backup = members_by_place(group)[1]
     group.start(NEWCOMER)
     group.world.at(group.world.time + 0.3, lambda: group.leave(backup) if backup in group.members else None)
 
 
-def wipe(place: int) -> Callable[[Group], None]:
+def wipe(place: int) -> Callable[[ControlGroup], None]:
     """The member at a place comes back without its disk."""
 
-    def begin(group: Group) -> None:
+    def begin(group: ControlGroup) -> None:
         address = members_by_place(group)[place]
         group.kill(address, power=True, wipe=True)
         group.world.at(group.world.time + 0.3, lambda: group.start(address))
@@ -119,7 +119,7 @@
     return begin
 
 
-def retire(group: Group) -> None:
+def retire(group: ControlGroup) -> None:
     """A backup's machine is to be emptied."""
     node = f"node-{members_by_place(group)[1]}"
     for member in group.members.values():
@@ -127,7 +127,7 @@
     group.retiring = frozenset({node})
 
 
-def add(group: Group) -> None:
+def add(group: ControlGroup) -> None:
     """An empty member is added."""
     group.start(NEWCOMER)
 
@@ -147,7 +147,7 @@
 )
 
 
-def members_by_place(group: Group) -> list[str]:
+def members_by_place(group: ControlGroup) -> list[str]:
     """Addresses of the present voters, the primary first."""
     leader = group.wait_for_leader()
     voters = [address_of(one) for one in leader.record.voters]
@@ -159,7 +159,7 @@
     """One group through one change, with one further loss or none."""
 
     def __init__(self, size: Size, change: Change, loss: Loss | None, seed: int) -> None:
-        self.group = Group(World(seed), size.founders, size.tolerated)
+        self.group = ControlGroup(World(seed), size.founders, size.tolerated)
         self.world = self.group.world
         self.change = change
         self.size = size
--- a/lab/tier/streams.py
+++ b/lab/tier/simulated_tcp.py
@@ -10,7 +10,7 @@
 RESET_AFTER_S = 1.5  # a connection whose bytes cannot pass is reset
 
 
-class Transport:
+class SimulatedTransport:
     """One end of a connection. Bytes arrive in order after the link's delay, or the connection breaks."""
 
     def __init__(self, world: World, own: str, other: str, protocol: Any) -> None:
@@ -18,7 +18,7 @@
         self.own = own
         self.other = other
         self.protocol = protocol
-        self.peer: Transport | None = None
+        self.peer: SimulatedTransport | None = None
         self.life = world.machine(own).life
         self._closing = False
         self._arrival = 0.0
@@ -61,7 +61,7 @@
         if self.world.machine(self.own).life == self.life:
             self.protocol.connection_lost(error)
 
-    def _carry(self, act: Callable[[Transport], None]) -> None:
+    def _carry(self, act: Callable[[SimulatedTransport], None]) -> None:
         peer = self.peer
         self._arrival = max(self._arrival, self.world.time + self.world.delay_s)
 
@@ -75,7 +75,7 @@
         self.world.at(self._arrival, arrive, self.world.machine(peer.own))
 
 
-class Streams:
+class SimulatedTcp:
     """Listeners of all machines. A machine is named by its internal address, a listener by its own."""
 
     def __init__(self, world: World) -> None:
@@ -105,8 +105,8 @@
                 self.world.at(self.world.time + 1.0, connection.on_connect_failed)
                 return
             server = factory()
-            near = Transport(self.world, source, target, connection)
-            far = Transport(self.world, target, source, server)
+            near = SimulatedTransport(self.world, source, target, connection)
+            far = SimulatedTransport(self.world, target, source, server)
             near.peer, far.peer = far, near
             server.connection_made(far)
             connection.connection_made(near)
--- a/lab/tier/cluster.py
+++ b/lab/tier/simulated_tier.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from lab.tier.standins import PLATFORM, Answer, StandInEndpoint, StandInPlatform, send
-from lab.tier.streams import Streams
+from lab.tier.fakes import PLATFORM, ClientResponse, FakeEndpoint, FakePlatform, send_request
+from lab.tier.simulated_tcp import SimulatedTcp
 from lab.tier.world import World
 from lynxscale.controlplane.service import ControlService
 from lynxscale.dataplane.service import RelayService
@@ -46,14 +46,14 @@
     }
 
 
-class Tier:
+class SimulatedTier:
     """Starts with everything up; ``settle`` waits until relays are ready."""
 
     def __init__(self, world: World, relays: int = 3, controls: int = 3, tolerated: int = 1) -> None:
         self.world = world
-        self.streams = Streams(world)
-        self.platform = StandInPlatform(PLATFORM, world.machine(PLATFORM).clock(), self.listener(PLATFORM))
-        self.endpoints: dict[str, StandInEndpoint] = {}
+        self.streams = SimulatedTcp(world)
+        self.platform = FakePlatform(PLATFORM, world.machine(PLATFORM).clock(), self.listener(PLATFORM))
+        self.endpoints: dict[str, FakeEndpoint] = {}
         self.controls: dict[str, ControlService] = {}
         self.relays: dict[str, RelayService] = {}
         self.tolerated = tolerated
@@ -69,12 +69,12 @@
 
     # Machines ----------------------------------------------------------------------------------------
 
-    def add_endpoint(self, service: str, address: str, name: str, slots: int) -> StandInEndpoint:
+    def add_endpoint(self, service: str, address: str, name: str, slots: int) -> FakeEndpoint:
         """Start an endpoint and list it."""
         zone = ZONES[len(self.endpoints) % len(ZONES)]
         endpoint = Endpoint(name, service, address, zone, slots, "ready")
         clock = self.world.machine(address).clock()
-        self.endpoints[name] = StandInEndpoint(endpoint, clock, self.listener(address))
+        self.endpoints[name] = FakeEndpoint(endpoint, clock, self.listener(address))
         self.platform.listed.append(endpoint)
         return self.endpoints[name]
 
@@ -160,25 +160,25 @@
         """The control process that leads."""
         return next((one for one in self.controls.values() if one.member.leads()), None)
 
-    def operator_call(self, method: str, target: str, body: bytes = b"", base: str | None = None) -> Answer:
+    def operator_call(self, method: str, target: str, body: bytes = b"", base: str | None = None) -> ClientResponse:
         """One call to the primary, to its end."""
         assert self.world.run_until(lambda: self.primary() is not None, 5.0), "no primary in time"
         host = self.primary().publisher.address.partition(":")[0]
         fields = ((b"host", b"control"),) + (((b"lynxscale-base-version", base.encode()),) if base else ())
         request = Request(method, target, Head(fields), body)
-        answer, _ = send(self.world, self.streams, f"{host}:{CONTROL_PORT}", request)
+        answer, _ = send_request(self.world, self.streams, f"{host}:{CONTROL_PORT}", request)
         self.world.run_until(lambda: answer.ended, 4.0)
         return answer
 
-    def push(self, configuration: dict, base: int) -> Answer:
+    def push(self, configuration: dict, base: int) -> ClientResponse:
         """Send a configuration."""
         return self.operator_call("POST", "/config/replace", msgspec.json.encode(configuration), str(base))
 
-    def update(self, update: dict, base: int) -> Answer:
+    def update(self, update: dict, base: int) -> ClientResponse:
         """Send an update of the configuration."""
         return self.operator_call("POST", "/config/update", msgspec.json.encode(update), str(base))
 
-    def settle(self) -> Tier:
+    def settle(self) -> SimulatedTier:
         """Push the first configuration and wait until all relays are ready."""
         assert self.push(default_configuration(), 0).status == 200
         assert self.world.run_until(lambda: all(one.ready for one in self.relays.values()), 5.0), "not ready in time"
@@ -188,7 +188,7 @@
 
     def begin(
         self, path: str, relay: str = "", body: bytes = b"", method: str = "POST", request_id: str = "", **fields: str
-    ) -> tuple[Answer, ClientConnection]:
+    ) -> tuple[ClientResponse, ClientConnection]:
         """Send a client's request; field names have underscores for hyphens."""
         request_id = request_id or f"r{self._request_number()}"
         head = [(b"host", HOST.encode()), (b"lynxscale-request-id", request_id.encode())]
@@ -197,15 +197,17 @@
             head.append((b"lynxscale-deadline-ms", b"4000"))
         request = Request(method, path, Head(tuple(head)), body)
         host = relay or self.relay_hosts[0]
-        return send(self.world, self.streams, f"{host}:{FRONT_PORT}", request)
+        return send_request(self.world, self.streams, f"{host}:{FRONT_PORT}", request)
 
-    def ask(self, path: str, within: float = 6.0, **more: str) -> Answer:
+    def ask(self, path: str, within: float = 6.0, **more: str) -> ClientResponse:
         """Send a client's request and wait for its end."""
         answer, _ = self.begin(path, **more)
         assert self.world.run_until(lambda: answer.ended, within), "no end in time"
         return answer
 
-    def turn(self, program: str, budget: int, most: int = 40, path: str = "/kept/stream", **more: str) -> Answer:
+    def turn(
+        self, program: str, budget: int, most: int = 40, path: str = "/kept/stream", **more: str
+    ) -> ClientResponse:
         """One turn of a program."""
         tokens = f"100,{most}"
         return self.ask(path, program=program, budget=str(budget), lynxscale_token_count=tokens, **more)
--- a/lynxscale/relay/journal/port.py
+++ b/lynxscale/relay/journal/port.py
@@ -1,4 +1,4 @@
-"""The file operations of the journal, all of them: ``lab/disk.py`` stands in for them in tests.
+"""The file operations of the journal, all of them: ``lab/fake_disk.py`` stands in for them in tests.
 
 Names are those of files in one folder. Errors are OSError.
 """
--- a/tests/controlplane/test_check_command.py
+++ b/tests/controlplane/test_check_command.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from lab.tier.cluster import default_configuration
+from lab.tier.simulated_tier import default_configuration
 from tests.programs import controlplane_cli
 
 
--- a/tests/data/tier/generate.py
+++ b/tests/data/tier/generate.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from lab.tier.cluster import default_configuration
+from lab.tier.simulated_tier import default_configuration
 from lynxscale.controlplane import operator_api
 from lynxscale.coordination import snapshot_writer
 from lynxscale.coordination.store import Store
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from lab.tier.cluster import INTERNAL_PORT, Tier
+from lab.tier.simulated_tier import INTERNAL_PORT, SimulatedTier
 from lab.tier.world import World
 from lynxscale.controlplane import ledger, operator_api, status
 from lynxscale.coordination import acceptor_state, distribution_tree, messages
@@ -150,24 +150,24 @@
 # A whole control plane -------------------------------------------------------------------------------
 
 
-def start_tier(folder: Path) -> Tier:
+def start_tier(folder: Path) -> SimulatedTier:
     """Control members without relays, each on its machine's folder below this one, and the primary serves."""
     world = World(SEED)
     for number in range(1, CONTROLS + 1):
         host = f"10.0.0.{number}"
         world.machine(f"{host}:{INTERNAL_PORT}").files = DurableFiles(str(folder / host))
-    tier = Tier(world, relays=0, controls=CONTROLS)
+    tier = SimulatedTier(world, relays=0, controls=CONTROLS)
     assert world.run_until(lambda: tier.primary() is not None, ANSWER_S), "no primary in time"
     world.run(world.time + SETTLE_S)
     return tier
 
 
-def drive(tier: Tier, steps: list[dict]) -> list[Any]:
+def drive(tier: SimulatedTier, steps: list[dict]) -> list[Any]:
     """The answers to orders of the operator and messages of a relay, one after the other."""
     return [_step(tier, step) for step in steps]
 
 
-def _step(tier: Tier, step: dict) -> Any:
+def _step(tier: SimulatedTier, step: dict) -> Any:
     if "operator" in step:
         answer = tier.operator_call(*_order(*step["operator"]))
         return [answer.status, answer.body.decode()]
@@ -181,7 +181,7 @@
     return method, target, body.encode(), base
 
 
-def _send(tier: Tier, payload: bytes) -> list[str]:
+def _send(tier: SimulatedTier, payload: bytes) -> list[str]:
     """What the relay is answered to a message within the time for it, as sent."""
     answers: list[str] = []
     machine = tier.world.machine(RELAY)
--- a/tests/runtime/test_processes.py
+++ b/tests/runtime/test_processes.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from lab.tier.cluster import default_configuration
 from lab.tier.local import LocalTier
+from lab.tier.simulated_tier import default_configuration
 from tests.programs import controlplane_cli, dataplane_cli, run_module
 
 NETWORK = 83
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -9,7 +9,7 @@
 
 from lab.cluster import check, explore, mistakes, simulate
 from lab.cluster.simulate import SECOND, World
-from lab.explorer import Breach
+from lab.model_checker import InvariantViolation
 from lynxscale.relay.cluster import durable_state as stable
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster import messages as words
@@ -456,7 +456,7 @@
 
 @pytest.mark.parametrize("mistake", mistakes.ALL)
 def test_the_search_finds_a_mistake_put_in_on_purpose(mistake):
-    with pytest.raises(Breach, match="view 2 is|acts in"):
+    with pytest.raises(InvariantViolation, match="view 2 is|acts in"):
         check.Check(check.SCENARIOS[SHOWN_BY[mistake]], mistake).run()
 
 
@@ -485,7 +485,7 @@
     for seed in range(most):
         try:
             play(seed)
-        except Breach as breach:
+        except InvariantViolation as breach:
             return str(breach)
     return "nothing was found"
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from lab.disk import Disk, Killed
+from lab.fake_disk import FakeDisk, ProcessKilled
 from lynxscale.relay.journal import format as f
 from lynxscale.relay.journal import old
 from lynxscale.relay.journal.format import Entry, Refused
@@ -27,7 +27,7 @@
 class Bench:
     """A journal on a stand-in disk, and what it has promised."""
 
-    def __init__(self, disk: Disk, seed: int = 1) -> None:
+    def __init__(self, disk: FakeDisk, seed: int = 1) -> None:
         self.disk, self.random, self.time = disk, random.Random(seed), 1_000_000
         self.promised: dict[str, tuple] = {}  # open messages, by id, with tries that may have run and the final
         self.ended: set[str] = set()
@@ -118,7 +118,7 @@
 
 
 def test_a_history_of_a_thousand_operations_stays_within_its_budget_and_is_found_again():
-    bench = Bench(Disk())
+    bench = Bench(FakeDisk())
     bench.start()
     bench.run(4000)
     kinds = [what for what, _ in bench.disk.operations]
@@ -137,7 +137,7 @@
 
 
 def history(seed: int, steps: int) -> Bench:
-    bench = Bench(Disk(), seed)
+    bench = Bench(FakeDisk(), seed)
     bench.start()
     bench.run(steps)
     return bench
@@ -149,7 +149,7 @@
     first = history(seed, 900)
     files, total = first.disk.image(), 0
     known = dict(first.promised)
-    whole = Bench(Disk(files), seed)
+    whole = Bench(FakeDisk(files), seed)
     whole.promised, whole.next = dict(known), first.next
     whole.start()
     whole.run(120)
@@ -160,27 +160,27 @@
         if what == "write" and at % 40 == 0:
             cuts = range(size + 1)  # every byte
         for torn in cuts:
-            bench = Bench(Disk(files), seed)
+            bench = Bench(FakeDisk(files), seed)
             bench.promised, bench.ended, bench.next = dict(known), set(first.ended), first.next
             bench.disk.dies_at, bench.disk.torn = at, torn
-            with pytest.raises(Killed):
+            with pytest.raises(ProcessKilled):
                 bench.start()
                 bench.run(120)
             total += 1
             image = bench.disk.image()
-            again = Disk(image)
+            again = FakeDisk(image)
             bench.disk = again
             promised, asked, ended = dict(bench.promised), set(bench.asked), set(bench.ended)
             bench.start()
             steps = len(again.operations)
             if total % 7 == 0:
                 for second in range(steps):  # and killed as it recovers
-                    bench.disk = Disk(image)
+                    bench.disk = FakeDisk(image)
                     bench.disk.dies_at, bench.disk.torn = second, 1
                     bench.promised, bench.asked, bench.ended = dict(promised), set(asked), set(ended)
-                    with pytest.raises(Killed):
+                    with pytest.raises(ProcessKilled):
                         bench.start()
-                    bench.disk = Disk(bench.disk.image())
+                    bench.disk = FakeDisk(bench.disk.image())
                     bench.promised, bench.asked, bench.ended = dict(promised), set(asked), set(ended)
                     bench.start()
             bench.run(10)
@@ -189,7 +189,7 @@
 
 
 def test_a_full_disk_refuses_what_is_new_lets_ends_through_and_gives_room_back():
-    bench = Bench(Disk(), 3)
+    bench = Bench(FakeDisk(), 3)
     bench.start()
     bench.run(300)
     bench.disk.most = bench.disk.blocks() + 3 * 4096
@@ -225,7 +225,7 @@
 
 
 def test_a_short_write_and_a_failing_one_leave_nothing_behind():
-    bench = Bench(Disk(), 4)
+    bench = Bench(FakeDisk(), 4)
     bench.start()
     bench.run(50)
     for kind in ("write", "truncate", "create", "overwrite", "rename", "unlink"):
@@ -244,7 +244,7 @@
 
 
 def test_a_manifest_that_is_said_to_have_failed_and_is_there_closes_nothing_that_is_written_on():
-    disk = Disk()
+    disk = FakeDisk()
     journal = Journal(disk, BUDGET, lambda: 1, lambda: 1)
     journal.open()
     number = 1
@@ -268,7 +268,7 @@
         journal.tried(0, 77)
     disk.overwrite = overwrite
     journal.tried(0, 78)
-    found = Journal(Disk(disk.image()), BUDGET, lambda: 1, lambda: 1).open()
+    found = Journal(FakeDisk(disk.image()), BUDGET, lambda: 1, lambda: 1).open()
     assert {entry.id: entry.maybe for entry in found}["last"] == [78] and len(said) == 2
     assert len(found) == number
 
@@ -309,12 +309,12 @@
     image = bench.disk.image()
     gone = sorted(name for name in image if name.endswith(".seg"))[1]
     del image[gone]
-    bench.disk = Disk(image)
+    bench.disk = FakeDisk(image)
     journal = Journal(bench.disk, BUDGET, bench.now, lambda: 1)
     entries = journal.open()
     assert [gap.reason for gap in journal.gaps] == ["it is missing"]
     assert any(entry.taken in entry.maybe for entry in entries)
-    again = Journal(Disk(bench.disk.image()), BUDGET, bench.now, lambda: 1).open()  # doubts are kept, not doubled
+    again = Journal(FakeDisk(bench.disk.image()), BUDGET, bench.now, lambda: 1).open()  # doubts are kept, not doubled
     assert {entry.id: entry.maybe for entry in again} == {entry.id: entry.maybe for entry in entries}
 
 
@@ -325,12 +325,12 @@
     spoilt = {slot: image[slot][:30] + b"\xff" + image[slot][31:] for slot in slots}
     for name, files in (("version 9 of the manifest", newer), ("manifest.0: the manifest's checksum", spoilt)):
         with pytest.raises(Refused, match=name):
-            Journal(Disk(image | files), BUDGET, lambda: 1).open()
+            Journal(FakeDisk(image | files), BUDGET, lambda: 1).open()
 
 
 def test_a_body_that_looks_like_records_is_never_read_as_one():
     """Its salt is unknown to who wrote the body."""
-    bench = Bench(Disk(), 8)
+    bench = Bench(FakeDisk(), 8)
     bench.start()
     forged = b"".join(f.record(f.END, seq, f.end(seq), 0) for seq in range(1, 40))
     for number in range(3):
@@ -345,10 +345,10 @@
 
 
 def test_messages_of_an_older_form_are_taken_over_once():
-    disk = Disk()
+    disk = FakeDisk()
     older = [Entry(f"m{place}", "c", "t", "", 1, 9, b"x", tries=2, maybe=[5]) for place in range(3)]
     first = Journal(disk, BUDGET, lambda: 77, lambda: 1).open(older)
-    again = Journal(Disk(disk.image()), BUDGET, lambda: 78, lambda: 1).open(older)
+    again = Journal(FakeDisk(disk.image()), BUDGET, lambda: 78, lambda: 1).open(older)
     assert [(entry.id, entry.tries, entry.maybe, entry.taken) for entry in again] == [
         (f"m{place}", 2, [5], 77) for place in range(3)
     ] and len(first) == 3
@@ -369,7 +369,7 @@
 
 
 def test_a_record_longer_than_a_segment_has_one_of_its_own():
-    bench = Bench(Disk(), 11)
+    bench = Bench(FakeDisk(), 11)
     bench.start()
     big = Entry("big", "c", "t", "", 1, 9, bytes(40_000))
     bench.journal.take(900, big)
@@ -409,7 +409,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.bench = Bench(Disk(), 9)
+        self.bench = Bench(FakeDisk(), 9)
         self.bench.start()
 
     @rule(steps=st.integers(1, 60), seed=st.integers(0, 1 << 16))
@@ -419,7 +419,7 @@
 
     @rule()
     def start(self):
-        self.bench.disk = Disk(self.bench.disk.image())
+        self.bench.disk = FakeDisk(self.bench.disk.image())
         self.bench.start()
 
     @rule(operations=st.integers(0, 12), torn=st.integers(0, 300), seed=st.integers(0, 1 << 16))
@@ -427,9 +427,9 @@
         disk = self.bench.disk
         disk.dies_at, disk.torn = len(disk.operations) + operations, torn
         self.bench.random.seed(seed)
-        with pytest.raises(Killed):
+        with pytest.raises(ProcessKilled):
             self.bench.run(200)
-        self.bench.disk = Disk(disk.image())
+        self.bench.disk = FakeDisk(disk.image())
         self.bench.start()
 
     @invariant()
@@ -439,7 +439,7 @@
     @invariant()
     def the_account_is_that_of_a_new_reader(self):
         """What the plan counts as live is what a plan made anew from the files counts."""
-        journal = Journal(Disk(self.bench.disk.image()), BUDGET, lambda: 1, lambda: 1)
+        journal = Journal(FakeDisk(self.bench.disk.image()), BUDGET, lambda: 1, lambda: 1)
         journal.open()
         plan, mine = journal.plan, self.bench.journal.plan
         assert {one.number: one.live for one in plan.segments.values()} == {
--- a/tests/test_rare_rules.py
+++ b/tests/test_rare_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lab.disk import Disk
+from lab.fake_disk import FakeDisk
 from lab.standins import settings as table
 from lynxscale.relay import deadlines
 from lynxscale.relay.core import SPAN_SHARE, Envelope, Relay
@@ -47,7 +47,7 @@
     """One message in one relay whose module does nothing; it is killed and started anew at will."""
 
     def __init__(self, clock: Clock, effect: str, span_ms: float) -> None:
-        self.clock, self.disk = clock, Disk()
+        self.clock, self.disk = clock, FakeDisk()
         self.table = table()
         self.table["grades"] = [
             {
@@ -67,7 +67,7 @@
         self.turns.run()
 
     def start(self) -> None:
-        self.disk, self.turns = Disk(self.disk.image()), Turns()
+        self.disk, self.turns = FakeDisk(self.disk.image()), Turns()
         loop = Loop(self.turns.call_later)
         journal = Journal(self.disk, 13 * 4 * 4096, lambda: self.clock.now)
         self.relay = Relay(
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -3,9 +3,9 @@
 import msgspec
 import pytest
 
-from lab.tier import mistakes
-from lab.tier.cluster import Tier
+from lab.tier import mutations
 from lab.tier.histories import History
+from lab.tier.simulated_tier import SimulatedTier
 from lab.tier.world import World
 from lynxscale.controlplane.configuration import check
 from lynxscale.controlplane.configuration_update import apply_update, check_update
@@ -69,11 +69,11 @@
 
 
 @pytest.mark.parametrize(
-    "mistake", [one for one in mistakes.ALL if one.name in QUICKLY_FOUND], ids=lambda one: one.name
+    "mistake", [one for one in mutations.ALL if one.name in QUICKLY_FOUND], ids=lambda one: one.name
 )
 def test_a_mistake_put_in_is_found(mistake):
-    """All of them, within more histories: python -m lab.tier.mistakes."""
-    assert mistakes.find(mistake, most=20)
+    """All of them, within more histories: python -m lab.tier.mutations."""
+    assert mutations.detect(mistake, most=20)
 
 
 def test_a_witness_promises_nobody_else_while_its_lease_may_run():
@@ -175,7 +175,7 @@
 
 
 def test_a_long_list_goes_in_parts_and_a_change_costs_one():
-    one = Tier(World(6)).settle()
+    one = SimulatedTier(World(6)).settle()
     template = one.platform.listed[0]
     for number in range(350):
         one.platform.listed.append(msgspec.structs.replace(template, id=f"x{number}", address=f"10.9.0.{number}:1"))
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -3,11 +3,11 @@
 import msgspec
 import pytest
 
-from lab.explorer import explore
-from lab.tier import second_loss
-from lab.tier.cluster import Tier, default_configuration
-from lab.tier.group import Group
-from lab.tier.orders.catalogue import MODELS, Scope
+from lab.model_checker import explore
+from lab.tier import second_failure
+from lab.tier.control_group import ControlGroup
+from lab.tier.models.catalogue import MODELS, Scope
+from lab.tier.simulated_tier import SimulatedTier, default_configuration
 from lab.tier.world import ProcessEnded, World
 from lynxscale.controlplane.ledger import Ledger
 from lynxscale.coordination.acceptor import Acceptor
@@ -37,19 +37,19 @@
 NEWCOMER = "10.0.0.9:7000"
 
 
-def started(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> Group:
-    group = Group(World(seed, **world), size, tolerated)
+def started(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> ControlGroup:
+    group = ControlGroup(World(seed, **world), size, tolerated)
     group.start_all()
     group.wait_for_leader()
     return group
 
 
-def backups(group: Group) -> list[str]:
+def backups(group: ControlGroup) -> list[str]:
     leader = address_of(group.wait_for_leader().me)
     return [address for address in group.seeds if address != leader]
 
 
-def steady(group: Group, every_s: float, value: object = 1, keys: int = 50) -> None:
+def steady(group: ControlGroup, every_s: float, value: object = 1, keys: int = 50) -> None:
     """Writes go on from now on."""
     count = iter(range(10**9))
 
@@ -73,7 +73,7 @@
         group.start(NEWCOMER)
         assert group.put("a", seed)
         group.world.run(group.world.time + 1.5)
-        places = second_loss.members_by_place(group)
+        places = second_failure.members_by_place(group)
         group.leave(places[leaves])
         group.world.run(group.world.time + gap)
         group.kill(places[lost], power=True, wipe=True)
@@ -86,7 +86,7 @@
         for place in (0, 1):
             group = started(seed)
             group.world.run(group.world.time + 2)
-            address = second_loss.members_by_place(group)[place]
+            address = second_failure.members_by_place(group)[place]
             begun = group.world.time
             group.leave(address)
             assert group.world.run_until(lambda g=group, a=address: a not in g.members, 1.3), (seed, place)
@@ -144,7 +144,7 @@
         assert group.world.run_until(lambda: member.store.intact, 6.0)  # noqa: B023
 
 
-def spoil(group: Group, address: str, how: str, where: str) -> None:
+def spoil(group: ControlGroup, address: str, how: str, where: str) -> None:
     files = group.world.machine(address).files
     batches = [name for name in files.names() if name.startswith(BATCH_PREFIX)]
     name = batches[len(batches) // 2] if where == "middle" else batches[-1]
@@ -254,7 +254,7 @@
 # Catch-up ----------------------------------------------------------------------------------------------
 
 
-def filled(group: Group, megabytes: int) -> None:
+def filled(group: ControlGroup, megabytes: int) -> None:
     value = "x" * 20_000
     for number in range(megabytes * 50):
         for leader in group.leaders():
@@ -432,11 +432,11 @@
 # A second loss -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("size", second_loss.SIZES, ids=str)
-@pytest.mark.parametrize("change", second_loss.CHANGES, ids=lambda change: change.name)
+@pytest.mark.parametrize("size", second_failure.SIZES, ids=str)
+@pytest.mark.parametrize("change", second_failure.CHANGES, ids=lambda change: change.name)
 def test_a_further_loss_in_instants_of_a_change(size, change):
-    """All instants: python -m lab.tier.second_loss."""
-    assert not list(second_loss.problems(size, change, every=101))
+    """All instants: python -m lab.tier.second_failure."""
+    assert not list(second_failure.problems(size, change, every=101))
 
 
 @pytest.mark.parametrize(("size", "tolerated", "lost"), [(3, 1, 1), (4, 1, 1), (5, 2, 2), (7, 2, 2), (9, 2, 2)])
@@ -607,7 +607,7 @@
 
 
 def test_an_admission_that_came_too_late_gives_back_what_it_reserved():
-    tier = Tier(World(3)).settle()
+    tier = SimulatedTier(World(3)).settle()
     tier.world.run(tier.world.time + 1)
     own = f"{tier.relay_hosts[0]}:7000"
     for host in tier.control_hosts:
@@ -622,7 +622,7 @@
 
 
 def test_a_retirement_is_not_taken_by_what_a_primary_only_remembers():
-    tier = Tier(World(4), controls=4).settle()
+    tier = SimulatedTier(World(4), controls=4).settle()
     tier.world.run(tier.world.time + 4)
     lead = tier.primary()
     gone, retired = [host for host in tier.control_hosts if tier.controls[host] is not lead][:2]
@@ -638,7 +638,7 @@
 
 def test_old_orders_are_forgotten_and_then_neither_refused_nor_taken(monkeypatch):
     monkeypatch.setattr("lynxscale.controlplane.operator_api.MOST_ORDERS", 8)
-    tier = Tier(World(5)).settle()
+    tier = SimulatedTier(World(5)).settle()
     for number in range(2, 21):
         assert tier.push(default_configuration(number), number - 1).status == 200
     orders = [key for key in tier.primary().member.store.values if key.startswith("order/")]
@@ -654,6 +654,6 @@
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda model: model.name)
 def test_no_order_of_a_small_machine_breaks_what_must_hold(model):
-    """Within quick bounds; the wide ones: python -m lab.tier.orders."""
+    """Within quick bounds; the wide ones: python -m lab.tier.models."""
     for bounds in model.bounds(Scope.QUICK):
         assert explore(lambda: model.make(bounds)) > 1  # noqa: B023
--- a/tests/test_tier_group.py
+++ b/tests/test_tier_group.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from lab.tier.group import Group
+from lab.tier.control_group import ControlGroup
 from lab.tier.world import World
 from lynxscale.coordination.messages import address_of
 from lynxscale.coordination.store import Store
 
 
-def started(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> Group:
-    group = Group(World(seed, **world), size, tolerated)
+def started(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> ControlGroup:
+    group = ControlGroup(World(seed, **world), size, tolerated)
     group.start_all()
     group.wait_for_leader()
     return group
@@ -272,7 +272,7 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_histories_with_kills_freezes_cuts_and_loss_keep_every_committed_write(seed):
     world = World(seed, loss=0.02)
-    group = Group(world)
+    group = ControlGroup(world)
     group.start_all()
     committed: dict[str, int] = {}
     for number in range(60):
@@ -296,7 +296,7 @@
     assert len(checksums) == 1, (seed, "the copies differ")
 
 
-def disturb(group: Group, world: World) -> None:
+def disturb(group: ControlGroup, world: World) -> None:
     """One fault that the group has to bear; the one before is over."""
     world.heal()
     for address in group.seeds:
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lab.tier.group import Group
-from lab.tier.takeover import Case, silence
+from lab.tier.control_group import ControlGroup
+from lab.tier.failover_time import FailoverCase, failover_time_s
 from lab.tier.world import World
 from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import ACCEPTOR_STATE_FILE, AcceptorState, AcceptorStateFile, MemberIdentity
@@ -23,8 +23,8 @@
 from lynxscale.coordination.vote_deference import VoteDeference
 
 
-def started(seed: int = 1, size: int = 5, tolerated: int = 2, sync_s: float = 0.0) -> Group:
-    group = Group(World(seed, delay_s=0.0015), size, tolerated)
+def started(seed: int = 1, size: int = 5, tolerated: int = 2, sync_s: float = 0.0) -> ControlGroup:
+    group = ControlGroup(World(seed, delay_s=0.0015), size, tolerated)
     for address in group.seeds:
         group.world.machine(address).sync_s = sync_s
     group.start_all()
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize(("sync_s", "median_s", "most_s"), [(0.0, 0.45, 0.6), (0.0092, 0.62, 0.85), (0.03, 1.25, 2.0)])
 def test_another_primary_serves_soon_on_fast_and_slow_disks(how, sync_s, median_s, most_s):
     """Seen on scale-1 and trouble-3 of the Stadtwerke Steyr site: 1.4 to 1.7 s, as candidates put each other aside."""
-    times = sorted(silence(Case(seed, sync_s, how=how)) for seed in range(1, 10))
+    times = sorted(failover_time_s(FailoverCase(seed, sync_s, how=how)) for seed in range(1, 10))
     assert times[len(times) // 2] <= median_s and times[-1] <= most_s, times
 
 
--- a/tests/test_tier_whole.py
+++ b/tests/test_tier_whole.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from lab.tier.cluster import HOST, INTERNAL_PORT, MODEL, Tier, default_configuration
+from lab.tier.simulated_tier import HOST, INTERNAL_PORT, MODEL, SimulatedTier, default_configuration
 from lab.tier.world import World
 from lynxscale.coordination.messages import Message, Reply, TurnAdmitted
 from lynxscale.runtime.http_types import Request
@@ -14,11 +14,11 @@
 OUTPUT = b"word1\nword2\nword3\nword4\n"
 
 
-def tier(seed: int = 1, **more) -> Tier:
-    return Tier(World(seed), **more).settle()
+def tier(seed: int = 1, **more) -> SimulatedTier:
+    return SimulatedTier(World(seed), **more).settle()
 
 
-def runs(one: Tier, request_id: str) -> list[str]:
+def runs(one: SimulatedTier, request_id: str) -> list[str]:
     """Endpoints that ran a request."""
     wanted = request_id.encode()
     return [
@@ -49,7 +49,7 @@
 def test_no_route_is_404_and_no_configuration_waits_and_is_503():
     one = tier()
     assert one.ask("/nowhere/").status == 404
-    empty = Tier(World(2))
+    empty = SimulatedTier(World(2))
     empty.world.run(2.0)
     answer = empty.ask("/look/1")
     assert answer.status == 503
@@ -57,7 +57,7 @@
 
 
 def test_a_request_that_came_before_the_configuration_is_served_once_it_is_there():
-    one = Tier(World(3))
+    one = SimulatedTier(World(3))
     one.world.run(1.5)
     answer, _ = one.begin("/look/1")
     one.world.run(one.world.time + 0.1)
@@ -170,7 +170,7 @@
 
 def test_requests_wait_where_an_endpoints_memory_would_not_hold_them():
     """Seen on a day with an endpoint less: hundreds of requests were preempted and read again."""
-    one = Tier(World(4))
+    one = SimulatedTier(World(4))
     table = default_configuration()
     table["services"][0]["engine"]["kv-capacity-tokens"] = 1000
     assert one.push(table, 0).status == 200
@@ -224,7 +224,7 @@
     assert sent.body == b"hello " + OUTPUT + b"more"
 
 
-def run_of(one: Tier, request_id: str) -> Request:
+def run_of(one: SimulatedTier, request_id: str) -> Request:
     """The request of that id as an endpoint ran it."""
     runs = [request for endpoint in one.endpoints.values() for request in endpoint.ran]
     return next(request for request in runs if request.head.text(b"lynxscale-request-id") == request_id)
@@ -395,7 +395,7 @@
 
 
 def test_an_update_may_be_the_first_configuration():
-    one = Tier(World(1))
+    one = SimulatedTier(World(1))
     table = default_configuration()
     items = {"routes": table["routes"], "services": table["services"]}
     assert one.update({"generation": 4, "remove": {"routes": ["look"]}}, 0).status == 400
