--- a/lab/tier/fakes.py
+++ b/lab/tier/fakes.py
@@ -10,7 +10,7 @@
 from lab.tier.simulated_tcp import SimulatedTcp
 from lab.tier.world import World
 from lynxscale.coordination.ports import Clock
-from lynxscale.dataplane import headers as h
+from lynxscale.dataplane import headers
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
 from lynxscale.runtime.http_server import Responder, ServerConnection, ServerLimits
@@ -39,10 +39,10 @@
         listen(endpoint.address, lambda: ServerConnection(self._handle, ServerLimits(), clock, set()))
 
     def _handle(self, request: Request, responder: Responder) -> EndpointRun | None:
-        if request.head.text(h.EXPECT_INSTANCE) != self.endpoint.id:
+        if request.head.text(headers.EXPECT_INSTANCE) != self.endpoint.id:
             responder.respond(self._answer(request, 421, b"", stamped=False))
         elif self.refuses:
-            fields = Head(((h.NOT_EXECUTED, b"1"), (h.REQUEST_ID, request.head.get(h.REQUEST_ID))))
+            fields = Head(((headers.NOT_EXECUTED, b"1"), (headers.REQUEST_ID, request.head.get(headers.REQUEST_ID))))
             responder.respond(Response(503, fields))
         else:
             self.ran.append(request)
@@ -52,9 +52,9 @@
         return None
 
     def _answer(self, request: Request, status: int, body: bytes, stamped: bool = True) -> Response:
-        fields = [(h.REQUEST_ID, request.head.get(h.REQUEST_ID) or b"")]
+        fields = [(headers.REQUEST_ID, request.head.get(headers.REQUEST_ID) or b"")]
         if stamped:
-            fields.append((h.SIGNATURE, self.endpoint.id.encode()))
+            fields.append((headers.RESPONSE_SIGNATURE, self.endpoint.id.encode()))
         return Response(status, Head(tuple(fields)), body)
 
 
@@ -65,7 +65,7 @@
         self._endpoint = endpoint
         self._request = request
         self._responder = responder
-        self._number = int(request.head.text(h.LAST_EVENT_ID) or 0)
+        self._number = int(request.head.text(headers.LAST_EVENT_ID) or 0)
         self._over = False
         endpoint._clock.call_later(endpoint.work_s, self._begin)
 
--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -75,7 +75,7 @@
         if leaders > 1:
             self.broken["two_primaries"] += 1
         for relay in self.tier.relays.values():
-            version = relay._table.generation if relay._table else 0
+            version = relay.route_table.generation if relay.route_table else 0
             if version < self._seen_versions.get(relay, 0):
                 self.broken["version_went_back"] += 1
             self._seen_versions[relay] = version
--- a/lab/tier/history_checker.py
+++ b/lab/tier/history_checker.py
@@ -158,5 +158,5 @@
         if current not in [order.table for order in self.seen.orders]:
             self.broken["configuration_differs"] += 1
         for relay in self.tier.relays.values():
-            if relay._table is None or relay._table.generation != current["generation"]:
+            if relay.route_table is None or relay.route_table.generation != current["generation"]:
                 self.broken["not_applied"] += 1
--- a/lab/tier/models/calls.py
+++ b/lab/tier/models/calls.py
@@ -15,9 +15,9 @@
 
 from lab.model_checker import Event, InvariantViolation
 from lab.tier.world import World
-from lynxscale.dataplane import headers as h
-from lynxscale.dataplane.attempt import Attempt, Outcome
-from lynxscale.dataplane.endpoints import EndpointState
+from lynxscale.dataplane import headers
+from lynxscale.dataplane.attempt import Attempt, AttemptOutcome
+from lynxscale.dataplane.endpoint_state import EndpointState
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_types import Head, Request
 
@@ -39,11 +39,11 @@
     """An answer's bytes; an empty id leaves the field out."""
     fields = [b"content-length: %d" % len(BODY)]
     if request_id:
-        fields.append(h.REQUEST_ID + b": " + request_id)
+        fields.append(headers.REQUEST_ID + b": " + request_id)
     if refusal:
-        fields.append(h.NOT_EXECUTED + b": 1")
+        fields.append(headers.NOT_EXECUTED + b": 1")
     else:
-        fields.append(h.SIGNATURE + b": " + own)
+        fields.append(headers.RESPONSE_SIGNATURE + b": " + own)
     return b"HTTP/1.1 %d OK\r\n" % status + b"\r\n".join(fields) + b"\r\n\r\n" + BODY
 
 
@@ -67,25 +67,25 @@
 
 
 class Call:
-    """One try, as its relay sees it. Implements Listener."""
+    """One try, as its relay sees it. Implements AttemptListener."""
 
     def __init__(self, number: int) -> None:
         self.id = b"r%d" % number
-        self.outcomes: list[Outcome] = []
+        self.outcomes: list[AttemptOutcome] = []
         self.body = b""
         self.signature = b""
         self.written_before = 0
 
-    def on_answer(self, attempt: Attempt, status: int, head: Head) -> None:
-        """Part of Listener."""
-        self.signature = head.get(h.SIGNATURE)
+    def on_response_head(self, attempt: Attempt, status: int, head: Head) -> None:
+        """Part of AttemptListener."""
+        self.signature = head.get(headers.RESPONSE_SIGNATURE)
 
-    def on_body(self, attempt: Attempt, data: bytes) -> None:
-        """Part of Listener."""
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
+        """Part of AttemptListener."""
         self.body += data
 
-    def on_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Part of Listener."""
+    def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Part of AttemptListener."""
         self.outcomes.append(outcome)
 
 
@@ -116,7 +116,7 @@
         call = Call(len(self.calls) + 1)
         call.written_before = len(self.transport.written)
         self.calls.append(call)
-        request = Request("POST", "/", Head(((b"host", b"h"), (h.REQUEST_ID, call.id))), b"x")
+        request = Request("POST", "/", Head(((b"host", b"h"), (headers.REQUEST_ID, call.id))), b"x")
         self.attempts.append(Attempt(self.state, request, call, self._clock, 0))
 
     @property
@@ -206,13 +206,13 @@
             if not call.outcomes:
                 continue
             served = {what for what, during in self.sent if during == number}
-            if call.outcomes[0] is Outcome.NOT_RUN:
+            if call.outcomes[0] is AttemptOutcome.NOT_EXECUTED:
                 written = call.id in self.transport.written[call.written_before :]
                 if written and "refusal" not in served:
                     raise InvariantViolation(f"call {number} counts as not run, and was written")
             first = number == 1 and "nameless" in served
             own = call.signature == b"stamp-of-" + call.id or first
-            if call.outcomes[0] is Outcome.COMPLETE and (call.body != BODY or not own):
+            if call.outcomes[0] is AttemptOutcome.COMPLETE and (call.body != BODY or not own):
                 raise InvariantViolation(f"call {number} is answered with {call.signature} {call.body}")
 
 
--- a/lab/tier/mutations/turns.py
+++ b/lab/tier/mutations/turns.py
@@ -7,7 +7,7 @@
 from lab.tier.mutations.detectors import Patches
 from lynxscale.controlplane.ledger import Ledger, Turn
 from lynxscale.coordination.messages import Reply, TurnAdmitted
-from lynxscale.dataplane.attempt import Attempt, Outcome
+from lynxscale.dataplane.attempt import Attempt, AttemptOutcome
 from lynxscale.dataplane.forwarding import ForwardedRequest
 from lynxscale.dataplane.headers import NOT_EXECUTED, REQUEST_ID
 from lynxscale.dataplane.turns import Turn as RelayTurn
@@ -80,8 +80,8 @@
     """A call that may have run counts as not run."""
 
     def on_failure(self: Attempt, failure) -> None:  # noqa: ANN001
-        self.state.failed()
-        self._end(Outcome.NOT_RUN)
+        self.endpoint.on_failure()
+        self._end(AttemptOutcome.NOT_EXECUTED)
 
     return [(Attempt, "on_failure", on_failure)]
 
@@ -90,10 +90,10 @@
     """What may have run is answered 503."""
 
     def broken(self: ForwardedRequest) -> None:
-        self._runs = 0
+        self._executions = 0
         self._give_up()
 
-    return [(ForwardedRequest, "_broken", broken)]
+    return [(ForwardedRequest, "_attempt_broken", broken)]
 
 
 def given_up_dial_was_not_sent() -> Patches:
@@ -118,7 +118,7 @@
 
     def on_head(self: Attempt, status: int, head: Head) -> None:
         if head.get(NOT_EXECUTED) is not None:
-            self._refusal = True
+            self._rejected = True
         else:
             original(self, status, head)
 
--- a/lynxscale/dataplane/attempt.py
+++ b/lynxscale/dataplane/attempt.py
@@ -1,4 +1,4 @@
-"""One try of a request at one endpoint, from its sending to one outcome."""
+"""One attempt of a request at one endpoint, from its send to exactly one outcome."""
 
 from __future__ import annotations
 
@@ -6,129 +6,136 @@
 from typing import Protocol
 
 from lynxscale.coordination.ports import Clock
-from lynxscale.dataplane import headers as h
-from lynxscale.dataplane.endpoints import EndpointState
+from lynxscale.dataplane import headers
+from lynxscale.dataplane.endpoint_state import EndpointState
 from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
 from lynxscale.runtime.http_types import Head, Request
 
-MISDIRECTED = 421
-SERVER_ERROR = 500
+FIRST_REDIRECT_STATUS = 300
+MISDIRECTED_REQUEST = 421  # RFC 9110, section 15.5.20
+FIRST_SERVER_ERROR = 500
 
 
-class Outcome(Enum):
-    """How a try ended."""
+class AttemptOutcome(Enum):
+    """How an attempt ended, by what is certain of its execution."""
 
-    COMPLETE = "complete"  # a whole answer of the endpoint
-    NOT_RUN = "not_run"  # for certain
-    MAY_HAVE_RUN = "may_have_run"
+    COMPLETE = "complete"  # a complete response of the endpoint
+    NOT_EXECUTED = "not_executed"  # for certain: it may go to another endpoint whatever its kind
+    MAY_HAVE_EXECUTED = "may_have_executed"
 
 
-class Listener(Protocol):
-    """The request that a try belongs to."""
+class AttemptListener(Protocol):
+    """The request that an attempt belongs to."""
 
-    def on_answer(self, attempt: Attempt, status: int, head: Head) -> None:
-        """The endpoint's own answer begins."""
+    def on_response_head(self, attempt: Attempt, status: int, head: Head) -> None:
+        """The endpoint's own response begins."""
 
-    def on_body(self, attempt: Attempt, data: bytes) -> None:
-        """A piece of its body."""
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
+        """A chunk of its body."""
 
-    def on_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """The try has ended."""
+    def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """The attempt has ended."""
 
 
 class Attempt:
-    """Implements ResponseReceiver of one connection. After an outcome or ``cancel`` the listener hears nothing more."""
-
-    def __init__(self, state: EndpointState, request: Request, listener: Listener, clock: Clock, tokens: int) -> None:
-        self.state = state
-        self.sent_at = clock.now()
-        self.answered = False
-        self._request_id = request.head.get(h.REQUEST_ID)
-        self._listener: Listener | None = listener
+    """Implements ResponseReceiver of one connection. After an outcome or ``cancel`` the listener hears no more."""
+
+    def __init__(
+        self, endpoint: EndpointState, request: Request, listener: AttemptListener, clock: Clock, max_tokens: int
+    ) -> None:
+        """Sends the request; ``max_tokens`` count against the endpoint's KV cache until the attempt ends."""
+        self.endpoint = endpoint
+        self.response_started = False
+        self._request_id = request.head.get(headers.REQUEST_ID)
+        self._listener: AttemptListener | None = listener
         self._clock = clock
-        self._refusal = False
+        self._sent_at = clock.now()
+        self._rejected = False
         self._status = 0
-        self._first_latency_ms = 0.0
-        self._tokens = tokens
-        state.in_flight += 1
-        state.tokens_in_flight += tokens
-        self._connection: ClientConnection = state.connection()
+        self._first_byte_latency_ms = 0.0
+        self._max_tokens = max_tokens
+        endpoint.in_flight += 1
+        endpoint.tokens_in_flight += max_tokens
+        self._connection: ClientConnection = endpoint.connections.acquire()
         self._connection.send(request, self)
 
     @property
     def elapsed_ms(self) -> float:
-        """Since the try was sent."""
-        return (self._clock.now() - self.sent_at) * 1000.0
+        """Since the attempt was sent."""
+        return (self._clock.now() - self._sent_at) * 1000.0
 
     def on_head(self, status: int, head: Head) -> None:
-        """Part of ResponseReceiver. An answer to another request ends the try: its connection is out of step.
+        """Part of ResponseReceiver. A response to another request ends the attempt: the connection is out of step.
 
-        An answer without an id may be an earlier request's where the connection carried one.
+        A response without an id may be an earlier request's where the connection carried one.
         """
-        answered = head.get(h.REQUEST_ID)
-        if answered != self._request_id and (answered is not None or self._connection.used):
-            self._spoilt()
+        answered_id = head.get(headers.REQUEST_ID)
+        if answered_id != self._request_id and (answered_id is not None or self._connection.used):
+            self._reject_response()
             return
-        load = h.server_load(head)
+        load = headers.server_load(head)
         if load is not None:
-            self.state.told_load(*load)
-        if head.get(h.NOT_EXECUTED) is not None or status == MISDIRECTED:
-            self._refusal = True
-            if status == MISDIRECTED:
-                self.state.gone()
+            self.endpoint.on_load_report(load)
+        if head.get(headers.NOT_EXECUTED) is not None or status == MISDIRECTED_REQUEST:
+            self._rejected = True
+            if status == MISDIRECTED_REQUEST:
+                self.endpoint.mark_unavailable()
             return
-        if status < 300 and head.get(h.SIGNATURE) is None:
-            self._spoilt()
+        if status < FIRST_REDIRECT_STATUS and head.get(headers.RESPONSE_SIGNATURE) is None:
+            self._reject_response()
             return
-        self.answered = True
+        self.response_started = True
         self._status = status
-        self._listener.on_answer(self, status, head)
+        if self._listener is not None:
+            self._listener.on_response_head(self, status, head)
 
     def on_data(self, data: bytes) -> None:
         """Part of ResponseReceiver."""
-        if not self._first_latency_ms:
-            self._first_latency_ms = self.elapsed_ms
-        if not self._refusal and self._listener is not None:
-            self._listener.on_body(self, data)
+        if not self._first_byte_latency_ms:
+            self._first_byte_latency_ms = self.elapsed_ms
+        if not self._rejected and self._listener is not None:
+            self._listener.on_response_data(self, data)
 
     def on_end(self) -> None:
         """Part of ResponseReceiver."""
-        if self._refusal:
-            self.state.refused()
-            self._end(Outcome.NOT_RUN)
-        else:
-            self.state.succeeded(self._first_latency_ms or self.elapsed_ms)
-            if self._status >= SERVER_ERROR:
-                self.state.errored()
-            self._end(Outcome.COMPLETE)
+        if self._rejected:
+            self.endpoint.on_rejected()
+            self._end(AttemptOutcome.NOT_EXECUTED)
+            return
+        self.endpoint.on_success(self._first_byte_latency_ms or self.elapsed_ms)
+        if self._status >= FIRST_SERVER_ERROR:
+            self.endpoint.on_error_response()
+        self._end(AttemptOutcome.COMPLETE)
 
     def on_failure(self, failure: ResponseFailure) -> None:
         """Part of ResponseReceiver."""
-        if self._refusal:
-            self.state.refused()
-            self._end(Outcome.NOT_RUN)
+        if self._rejected:
+            self.endpoint.on_rejected()
+            self._end(AttemptOutcome.NOT_EXECUTED)
             return
-        self.state.failed()
-        self._end(Outcome.NOT_RUN if failure is ResponseFailure.NOT_CONNECTED else Outcome.MAY_HAVE_RUN)
+        self.endpoint.on_failure()
+        not_sent = failure is ResponseFailure.NOT_CONNECTED
+        self._end(AttemptOutcome.NOT_EXECUTED if not_sent else AttemptOutcome.MAY_HAVE_EXECUTED)
 
     def cancel(self) -> None:
-        """End the try at the endpoint too; nobody is told."""
+        """End the attempt at the endpoint too, without an outcome."""
         if self._listener is not None:
             self._listener = None
-            self._leave()
+            self._release_slot()
             self._connection.close()
 
-    def _leave(self) -> None:
-        self.state.in_flight -= 1
-        self.state.tokens_in_flight -= self._tokens
+    def _release_slot(self) -> None:
+        self.endpoint.in_flight -= 1
+        self.endpoint.tokens_in_flight -= self._max_tokens
 
-    def _spoilt(self) -> None:
+    def _reject_response(self) -> None:
+        """Another request's response, or one that nobody signed: the connection cannot be trusted any more."""
         self._connection.close()
-        self.state.failed()
-        self._end(Outcome.MAY_HAVE_RUN)
+        self.endpoint.on_failure()
+        self._end(AttemptOutcome.MAY_HAVE_EXECUTED)
 
-    def _end(self, outcome: Outcome) -> None:
+    def _end(self, outcome: AttemptOutcome) -> None:
         listener, self._listener = self._listener, None
         if listener is not None:
-            self._leave()
-            listener.on_outcome(self, outcome)
+            self._release_slot()
+            listener.on_attempt_ended(self, outcome)
--- a/lynxscale/dataplane/cli.py
+++ b/lynxscale/dataplane/cli.py
@@ -17,7 +17,7 @@
     """Run a relay until SIGTERM."""
 
     def __call__(self) -> None:
-        """Run."""
+        """Run it; the exit code is the process's."""
         from lynxscale.dataplane.__main__ import main as run
 
         raise cappa.Exit(code=run())
@@ -32,20 +32,20 @@
     json: Annotated[bool, cappa.Arg(long=True, help="As JSON.")] = False
 
     def __call__(self) -> None:
-        """Print it."""
+        """Print it as text or JSON."""
         print_status(self.address, self.json, RelayStatus, render)
 
 
 @cappa.command(name="lynxscale-dataplane", help="Relays that take requests from clients and pass them to endpoints.")
 @dataclass
 class DataPlane:
-    """All commands."""
+    """The commands of ``lynxscale-dataplane``."""
 
     command: cappa.Subcommands[Run | CheckSettings | Status]
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Entry point."""
+    """Entry point; ``arguments`` default to those of the process."""
     cappa.invoke(DataPlane, argv=arguments)
 
 
--- /dev/null
+++ b/lynxscale/dataplane/exceptions.py
@@ -0,0 +1,13 @@
+"""Errors of the data plane."""
+
+from __future__ import annotations
+
+from lynxscale.exceptions import LynxscaleError
+
+
+class DataPlaneError(LynxscaleError):
+    """Base of the data plane's errors."""
+
+
+class UnusableConfigurationError(DataPlaneError, ValueError):
+    """A published configuration has another form than this relay knows; the text names the field."""
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -1,369 +1,339 @@
-"""One request of a client: its tries at endpoints, restarts, and its one answer.
+"""One request of a client: its life cycle from arrival to its one response.
 
-States: ADMITTING (a turn asks for its budget and history), QUEUED (waits for a place), SENT, STREAMING (bytes of the
-answer have gone to the client), SETTLING (a retained turn is made durable before its last byte goes) and ENDED.
-``_become`` is the one place of change.
+``ForwardedRequest`` is the state machine (states and transitions: ``request_state``); what it decides by is in
+``retry_policy``, the endpoint is chosen by ``load_balancer``, one send is an ``Attempt``, the response is put together
+by ``response_stream`` and turns are admitted and committed by ``turns``. ``_transition`` is the only change of state.
 """
 
 from __future__ import annotations
 
-import logging
-from enum import Enum
 from random import Random
 
 import attrs
 
 from lynxscale.coordination.ports import Clock, Timer
-from lynxscale.dataplane import headers as h
-from lynxscale.dataplane.attempt import Attempt, Outcome
-from lynxscale.dataplane.balancer import Balancer, Demand
-from lynxscale.dataplane.endpoints import EndpointState
-from lynxscale.dataplane.events import EventScanner
+from lynxscale.dataplane import headers, retry_policy
+from lynxscale.dataplane.attempt import FIRST_SERVER_ERROR, Attempt, AttemptOutcome
+from lynxscale.dataplane.endpoint_state import EndpointState
+from lynxscale.dataplane.load_balancer import EndpointDemand, LoadBalancer
+from lynxscale.dataplane.request_state import RequestState
+from lynxscale.dataplane.response_stream import ResponseStream
+from lynxscale.dataplane.responses import relay_response
 from lynxscale.dataplane.routing import Route, RouteTable
-from lynxscale.dataplane.turns import TurnLedger
+from lynxscale.dataplane.turns import Turn, TurnClient
 from lynxscale.runtime.http_server import Responder
-from lynxscale.runtime.http_types import Head, Headers, Request, Response
+from lynxscale.runtime.http_types import Head, Request, Response
 
-log = logging.getLogger(__name__)
-
-HOLD_SHARE = 0.25  # of the time left: a request that finds no place is refused after it
 RETRY_AFTER_S = 0.1
-MOST_OFFERS = 6  # endpoints asked in all, refusals included
-LEAST_LEFT_MS = 5.0
-LEAST_LEFT_MEDIANS = 1.0  # with less time than a usual answer takes nothing is sent (design)
-
-
-class State(Enum):
-    """Where a request stands."""
-
-    ADMITTING = "admitting"
-    QUEUED = "queued"
-    SENT = "sent"
-    STREAMING = "streaming"
-    SETTLING = "settling"
-    ENDED = "ended"
+BAD_GATEWAY, SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 
 
 @attrs.frozen
-class Surroundings:
+class ForwardingContext:
     """What all requests of a relay share."""
 
     clock: Clock
-    balancer: Balancer
-    turns: TurnLedger
+    balancer: LoadBalancer
+    turns: TurnClient
     random: Random
 
 
 class ForwardedRequest:
-    """Implements Exchange towards the client and Listener towards its tries."""
+    """Implements Exchange towards the client, AttemptListener towards attempts and TurnListener towards its turn."""
 
     def __init__(
-        self, request: Request, route: Route, table: RouteTable, responder: Responder, around: Surroundings
+        self, request: Request, route: Route, table: RouteTable, responder: Responder, context: ForwardingContext
     ) -> None:
-        self.state = State.QUEUED
+        self.state = RequestState.QUEUED
         self._request = request
         self._route = route
-        self._around = around
         self._responder = responder
-        self._clock = around.clock
-        self._service = route.pick_backend(around.random)
-        self._stride = table.stride(self._service)
-        self._demand = demand_of(request.head, route, table.memory(self._service))
-        client_ms = request.head.number(h.DEADLINE)
-        allowed_ms = route.timeout_ms if client_ms is None else min(client_ms, route.timeout_ms)
-        self._arrived = self._clock.now()
-        self._deadline = self._arrived + allowed_ms / 1000.0
-        self._attempt: Attempt | None = None
-        self._runs = 0  # tries that may have run
-        self._offers = 0
-        self._tried: set[str] = set()
-        self._turn = around.turns.turn(request, route)
-        self._scanner = EventScanner(keep_data=route.retained)
-        self._head: tuple[int, Head] | None = None
-        self._body = bytearray()
-        self._restart: Timer | None = None
-        self._hold: Timer | None = None
-        self._expiry: Timer = self._clock.call_later(allowed_ms / 1000.0, self._expired)
+        self._clock = context.clock
+        self._balancer = context.balancer
+        self._service = route.pick_backend(context.random)
+        self._tokens_per_event = table.tokens_per_event(self._service)
+        self._demand = endpoint_demand(request.head, route, table.kv_cache_tokens(self._service))
+        client_ms = request.head.number(headers.DEADLINE_MS)
+        timeout_s = (route.timeout_ms if client_ms is None else min(client_ms, route.timeout_ms)) / 1000.0
+        self._deadline = self._clock.now() + timeout_s
+        self._attempt: Attempt | None = None  # the one in flight
+        self._sends = 0
+        self._executions = 0
+        self._attempted: set[str] = set()  # ids of endpoints
+        self._turn = context.turns.turn_of(request, route)
+        self._response = ResponseStream(responder, route)
+        self._restart_timer: Timer | None = None
+        self._queue_wait_timer: Timer | None = None
+        self._deadline_timer: Timer = self._clock.call_later(timeout_s, self._deadline_expired)
 
     def start(self) -> None:
-        """Begin."""
+        """Admit the turn, where the request is one, and send it."""
         if self._turn is None:
             self._dispatch()
             return
-        self._become(State.ADMITTING)
-        self._turn.admit(self._left_ms / 1000.0, self._admitted)
+        self._transition(RequestState.ADMITTING)
+        self._turn.admit(self._remaining_ms / 1000.0, self)
 
     @property
-    def _left_ms(self) -> float:
+    def _remaining_ms(self) -> float:
         return (self._deadline - self._clock.now()) * 1000.0
 
-    # Admission of turns ------------------------------------------------------------------------------
+    # Admission of a turn -----------------------------------------------------------------------------
 
-    def _admitted(self, status: int, history: bytes) -> None:
-        if self.state is not State.ADMITTING:
-            if status == 200:
-                self._turn.settle(0)
-            return
-        if status != 200:
-            self._answer(h.own_answer(status, RETRY_AFTER_S if status == 503 else None))
+    def on_turn_admitted(self, turn: Turn, history: bytes) -> None:
+        """Part of TurnListener."""
+        if self.state is not RequestState.ADMITTING:
+            turn.close(0)
             return
         if history:
             self._request = attrs.evolve(self._request, body=history + self._request.body)
         self._dispatch()
 
-    # Tries --------------------------------------------------------------------------------------------
+    def on_turn_rejected(self, status: int) -> None:
+        """Part of TurnListener."""
+        if self.state is RequestState.ADMITTING:
+            self._respond(relay_response(status, RETRY_AFTER_S if status == SERVICE_UNAVAILABLE else None))
+
+    # Queueing ----------------------------------------------------------------------------------------
 
     def _dispatch(self) -> None:
-        """Send to an endpoint, or wait for one."""
-        self._become(State.QUEUED)
-        if self._left_ms < LEAST_LEFT_MS or self._offers >= MOST_OFFERS:
+        """Send to an endpoint, or wait for a slot."""
+        self._transition(RequestState.QUEUED)
+        if not retry_policy.may_send(self._sends, self._remaining_ms):
             self._give_up()
             return
-        state = self._around.balancer.choose(self._service, self._demand, self._tried)
-        if state is None:
-            self._wait()
-            return
-        if state.sample.median * LEAST_LEFT_MEDIANS > self._left_ms:
+        endpoint = self._balancer.choose(self._service, self._demand, self._attempted)
+        if endpoint is None:
+            self._enqueue()
+        elif retry_policy.can_answer_in_time(endpoint, self._remaining_ms):
+            self._send(endpoint)
+        else:
             self._give_up()
-            return
-        self._send(state)
 
-    def _wait(self) -> None:
-        if self._hold is None:
-            hold_s = HOLD_SHARE * min(self._left_ms, self._route.timeout_ms) / 1000.0
-            self._hold = self._clock.call_later(hold_s, self._held_too_long)
-        self._around.balancer.queue.wait(self._service, self, self._route.priority, self._place_free)
+    def _enqueue(self) -> None:
+        if self._queue_wait_timer is None:
+            wait_s = retry_policy.queue_wait_s(self._remaining_ms, self._route)
+            self._queue_wait_timer = self._clock.call_later(wait_s, self._queue_wait_expired)
+        self._balancer.queue.enqueue(self._service, self, self._route.priority, self._slot_may_be_free)
 
-    def _place_free(self) -> None:
-        """A place may have come free; meanwhile the request may have ended."""
-        if self.state is State.QUEUED:
+    def _slot_may_be_free(self) -> None:
+        if self.state is RequestState.QUEUED:
             self._dispatch()
 
-    def _held_too_long(self) -> None:
-        self._hold = None
-        if self.state is State.QUEUED:
+    def _queue_wait_expired(self) -> None:
+        self._queue_wait_timer = None
+        if self.state is RequestState.QUEUED:
             self._give_up()
 
-    def _send(self, state: EndpointState) -> None:
-        self._offers += 1
-        self._tried.add(state.endpoint.id)
-        resume = self._scanner.last_id if self._scanner.count else None
-        fields = h.upstream_fields(self._request, self._left_ms, state.endpoint.id, self._route.priority, resume)
-        self._head, self._body = None, bytearray()
-        self._scanner.restart()
-        if self.state is not State.STREAMING:
-            self._become(State.SENT)
+    # Attempts ----------------------------------------------------------------------------------------
+
+    def _send(self, endpoint: EndpointState) -> None:
+        self._sends += 1
+        self._attempted.add(endpoint.endpoint.id)
+        fields = headers.upstream_fields(
+            self._request, self._remaining_ms, endpoint.endpoint.id, self._route.priority, self._response.resume_after
+        )
+        self._response.begin_attempt()
+        if self.state is not RequestState.STREAMING:
+            self._transition(RequestState.SENT)
         request = attrs.evolve(self._request, head=Head(fields))
-        self._attempt = Attempt(state, request, self, self._clock, self._demand.tokens)
-        if self._may_restart():
-            tau_ms = state.sample.tau
-            if tau_ms < self._left_ms:
-                self._restart = self._clock.call_later(tau_ms / 1000.0, self._cut_at_tau)
-
-    def _may_restart(self) -> bool:
-        """May this try be cut for another one? Not the last that the route allows."""
-        return self._route.repeatable and self._runs + 1 < self._route.max_attempts
-
-    def _cut_at_tau(self) -> None:
-        """The design's restart: cut a call that lasts longer than τ, while time and the budget allow."""
-        self._restart = None
+        self._attempt = Attempt(endpoint, request, self, self._clock, self._demand.max_tokens)
+        if retry_policy.may_restart(self._route, self._executions):
+            restart_timeout_ms = endpoint.sample.tau
+            if restart_timeout_ms < self._remaining_ms:
+                self._restart_timer = self._clock.call_later(restart_timeout_ms / 1000.0, self._restart_timeout_expired)
+
+    def _restart_timeout_expired(self) -> None:
+        """Abandon an attempt that has not begun to answer, and send another one (restart, van Moorsel and Wolter)."""
+        self._restart_timer = None
         attempt = self._attempt
-        if self.state is not State.SENT or attempt is None or attempt.answered or attempt.state.restarts < 1.0:
+        if self.state is not RequestState.SENT or attempt is None or attempt.response_started:
             return
-        if self._left_ms < 2 * attempt.state.sample.median:
+        if not retry_policy.restart_is_worthwhile(attempt.endpoint, self._remaining_ms):
             return
-        attempt.state.cut(attempt.elapsed_ms)
+        attempt.endpoint.on_restart()
         attempt.cancel()
         self._attempt = None
-        self._runs += 1
-        self._around.balancer.queue.released(self._service)
+        self._executions += 1
+        self._balancer.queue.notify(self._service)
         self._dispatch()
 
-    def on_answer(self, attempt: Attempt, status: int, head: Head) -> None:
-        """Part of Listener."""
-        self._head = (status, head)
-
-    def on_body(self, attempt: Attempt, data: bytes) -> None:
-        """Part of Listener."""
-        if not self._streams_through():
-            self._body += data
-            return
-        whole = self._scanner.feed(data)
-        if whole:
-            self._pass_on(whole)
-
-    def _streams_through(self) -> bool:
-        return self._route.streaming and self._head is not None and self._head[0] == 200
-
-    def _pass_on(self, data: bytes) -> None:
-        if self.state is State.SENT:
-            self._cancel_restart()
-            status, head = self._head
-            self._become(State.STREAMING)
-            self._responder.start(status, answer_fields(head))
-        self._responder.data(data)
-
-    def on_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Part of Listener."""
+    def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
+        """Part of AttemptListener."""
         self._attempt = None
-        self._cancel_restart()
-        self._around.balancer.queue.released(self._service)
-        if outcome is Outcome.COMPLETE:
-            self._completed()
-        elif outcome is Outcome.NOT_RUN:
-            self._again()
-        else:
-            self._runs += 1
-            self._broken()
-
-    def _completed(self) -> None:
-        self._runs += 1
-        if self._streams_through():
-            if self._scanner.within_event:
-                self._broken()
-            else:
-                self._stream_ended()
+        self._cancel_restart_timer()
+        self._balancer.queue.notify(self._service)
+        if outcome is AttemptOutcome.NOT_EXECUTED:
+            self._send_again()
             return
-        status, head = self._head
-        if status >= 500 and self._may_repeat():
-            self._again()
-            return
-        self._settle_turn()
-        self._answer(Response(status, Head(without_length(answer_fields(head))), bytes(self._body)))
-
-    def _may_repeat(self) -> bool:
-        return self._route.repeatable and self._runs < self._route.max_attempts and self._left_ms > LEAST_LEFT_MS
-
-    def _broken(self) -> None:
-        """The try may have run, and there is no whole answer."""
-        if self._may_repeat():
-            self._again()
-        elif self.state is State.STREAMING:
-            self._settle_turn()
-            self._end_broken()
+        self._executions += 1
+        if outcome is AttemptOutcome.COMPLETE:
+            self._response_complete()
         else:
-            self._settle_turn()
-            self._answer(h.own_answer(502))
-
-    def _again(self) -> None:
-        if self.state is State.STREAMING:
-            state = self._around.balancer.choose(self._service, self._demand, self._tried)
-            if state is None or self._left_ms < LEAST_LEFT_MS:
-                self._settle_turn()
-                self._end_broken()
-            else:
-                self._send(state)
-            return
-        self._dispatch()
+            self._attempt_broken()
 
-    # Ends ---------------------------------------------------------------------------------------------
+    def _may_execute_again(self) -> bool:
+        return retry_policy.may_execute_again(self._route, self._executions, self._remaining_ms)
 
-    def _stream_ended(self) -> None:
-        if self.state is State.SENT:
-            status, head = self._head
-            self._responder.start(status, answer_fields(head))
-        if self._turn is None or not self._route.retained:
-            self._settle_turn()
-            self._responder.end()
-            self._become(State.ENDED)
+    def _attempt_broken(self) -> None:
+        """The attempt may have been executed, and its response is not complete."""
+        if self._may_execute_again():
+            self._send_again()
             return
-        self._become(State.SETTLING)
-        content = self._turn.input + self._scanner.content()
-        self._turn.finish(self._scanner.count * self._stride, content, self._finished)
+        self._close_turn()
+        if self.state is RequestState.STREAMING:
+            self._abort()
+        else:
+            self._respond(relay_response(BAD_GATEWAY))
+
+    def _send_again(self) -> None:
+        if self.state is RequestState.STREAMING:
+            self._resume_stream()
+        else:
+            self._dispatch()
+
+    def _resume_stream(self) -> None:
+        """Continue the stream at another endpoint; a client in the midst of a response does not wait for a slot."""
+        endpoint = self._balancer.choose(self._service, self._demand, self._attempted)
+        if endpoint is None or self._remaining_ms < retry_policy.MIN_REMAINING_MS:
+            self._close_turn()
+            self._abort()
+        else:
+            self._send(endpoint)
+
+    # The endpoint's response -------------------------------------------------------------------------
 
-    def _finished(self, durable: bool) -> None:
-        if self.state is not State.SETTLING:
+    def on_response_head(self, attempt: Attempt, status: int, head: Head) -> None:
+        """Part of AttemptListener."""
+        self._response.set_head(status, head)
+
+    def on_response_data(self, attempt: Attempt, data: bytes) -> None:
+        """Part of AttemptListener."""
+        events = self._response.receive(data)
+        if not events:
             return
-        if durable:
-            self._responder.end()
-            self._become(State.ENDED)
+        if self.state is RequestState.SENT:
+            self._cancel_restart_timer()
+            self._transition(RequestState.STREAMING)
+            self._response.start()
+        self._responder.data(events)
+
+    def _response_complete(self) -> None:
+        if self._response.streams:
+            if self._response.events.within_event:
+                self._attempt_broken()
+            else:
+                self._stream_complete()
+        elif self._response.status >= FIRST_SERVER_ERROR and self._may_execute_again():
+            self._send_again()
         else:
-            self._end_broken()
+            self._close_turn()
+            self._transition(RequestState.ENDED)
+            self._response.respond_at_once()
+
+    def _stream_complete(self) -> None:
+        if self.state is RequestState.SENT:
+            self._response.start()
+        if self._turn is None or not self._route.retained:
+            self._close_turn()
+            self._end_stream()
+            return
+        self._transition(RequestState.COMMITTING)
+        self._turn.commit(self._generated_tokens, self._response.events.content(), self)
+
+    def on_turn_committed(self) -> None:
+        """Part of TurnListener."""
+        if self.state is RequestState.COMMITTING:
+            self._end_stream()
+
+    def on_commit_timeout(self) -> None:
+        """Part of TurnListener. The client must not take a turn for complete that may be lost."""
+        if self.state is RequestState.COMMITTING:
+            self._abort()
+
+    # The end of the request --------------------------------------------------------------------------
 
     def _give_up(self) -> None:
-        """The final answer, at once: refused where it has not run, else failed."""
-        self._settle_turn()
-        if self.state is State.STREAMING:
-            self._end_broken()
-        elif self._runs:
-            self._answer(h.own_answer(502))
+        """Nothing is sent any more and no byte of a response has gone out: reject what was not executed, else fail."""
+        self._close_turn()
+        if self._executions:
+            self._respond(relay_response(BAD_GATEWAY))
         else:
-            self._answer(h.own_answer(503, RETRY_AFTER_S))
+            self._respond(relay_response(SERVICE_UNAVAILABLE, RETRY_AFTER_S))
 
-    def _expired(self) -> None:
-        """All time is used."""
-        if self.state is State.ENDED:
+    def _deadline_expired(self) -> None:
+        if self.state is RequestState.ENDED:
             return
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
-            attempt.state.timed_out()
+            attempt.endpoint.on_deadline_expired()
             attempt.cancel()
-            self._runs += 1
-            self._around.balancer.queue.released(self._service)
-        if self.state in (State.STREAMING, State.SETTLING):
-            self._settle_turn()
-            self._end_broken()
-        elif self._runs:
-            self._settle_turn()
-            self._answer(h.own_answer(504))
+            self._executions += 1
+            self._balancer.queue.notify(self._service)
+        if self.state in (RequestState.STREAMING, RequestState.COMMITTING):
+            self._close_turn()
+            self._abort()
+        elif self._executions:
+            self._close_turn()
+            self._respond(relay_response(GATEWAY_TIMEOUT))
         else:
             self._give_up()
 
     def on_client_disconnected(self) -> None:
-        """Part of Exchange: the endpoint is freed at once."""
-        if self.state is State.ENDED:
+        """Part of Exchange. The endpoint's slot is released at once; a commit goes on."""
+        if self.state is RequestState.ENDED:
             return
         attempt, self._attempt = self._attempt, None
         if attempt is not None:
             attempt.cancel()
-            self._around.balancer.queue.released(self._service)
-        if self.state is not State.SETTLING:
-            self._settle_turn()
-        self._become(State.ENDED)
-
-    def _settle_turn(self) -> None:
-        """Give back what was reserved and not handed out."""
-        if self._turn is not None and self.state not in (State.ADMITTING, State.ENDED):
-            self._turn.settle(self._scanner.count * self._stride)
-
-    def _answer(self, response: Response) -> None:
-        self._become(State.ENDED)
-        self._responder.respond(response)
+            self._balancer.queue.notify(self._service)
+        if self.state is not RequestState.COMMITTING:
+            self._close_turn()
+        self._transition(RequestState.ENDED)
 
-    def _end_broken(self) -> None:
-        self._become(State.ENDED)
-        self._responder.abort()
+    @property
+    def _generated_tokens(self) -> int:
+        return self._response.events.event_count * self._tokens_per_event
 
-    def _cancel_restart(self) -> None:
-        if self._restart is not None:
-            self._restart.cancel()
-            self._restart = None
-
-    def _become(self, state: State) -> None:
-        """The one change of state."""
-        if state is not State.QUEUED:
-            self._around.balancer.queue.leave(self._service, self)
-            if self._hold is not None:
-                self._hold.cancel()
-                self._hold = None
-        if state is State.ENDED:
-            self._expiry.cancel()
-            self._cancel_restart()
-        self.state = state
+    def _close_turn(self) -> None:
+        """Charge what was generated and release the rest of the reservation."""
+        if self._turn is not None and self.state not in (RequestState.ADMITTING, RequestState.ENDED):
+            self._turn.close(self._generated_tokens)
 
+    def _respond(self, response: Response) -> None:
+        self._transition(RequestState.ENDED)
+        self._responder.respond(response)
 
-def answer_fields(head: Head) -> Headers:
-    """The endpoint's fields that go on to the client."""
-    return head.end_to_end()
+    def _end_stream(self) -> None:
+        self._responder.end()
+        self._transition(RequestState.ENDED)
 
+    def _abort(self) -> None:
+        """End the connection, so that the response cannot be taken for complete."""
+        self._transition(RequestState.ENDED)
+        self._responder.abort()
 
-def without_length(fields: Headers) -> Headers:
-    """Fields of an answer whose length is told anew."""
-    return tuple(entry for entry in fields if entry[0] != h.CONTENT_LENGTH)
+    def _cancel_restart_timer(self) -> None:
+        if self._restart_timer is not None:
+            self._restart_timer.cancel()
+            self._restart_timer = None
+
+    def _transition(self, state: RequestState) -> None:
+        """The only change of state; timers and the place in the queue go with the states that they belong to."""
+        if state is not RequestState.QUEUED:
+            self._balancer.queue.remove(self._service, self)
+            if self._queue_wait_timer is not None:
+                self._queue_wait_timer.cancel()
+                self._queue_wait_timer = None
+        if state is RequestState.ENDED:
+            self._deadline_timer.cancel()
+            self._cancel_restart_timer()
+        self.state = state
 
 
-def demand_of(head: Head, route: Route, memory: int) -> Demand:
+def endpoint_demand(head: Head, route: Route, kv_cache_tokens: int) -> EndpointDemand:
     """What a request asks of an endpoint."""
     if not route.streaming:
-        return Demand("", 0, 0)
-    return Demand(h.affinity_key(head), h.prompt_tokens(head) + h.most_tokens(head), memory)
+        return EndpointDemand("", 0, 0)
+    max_tokens = headers.prompt_tokens(head) + headers.max_output_tokens(head)
+    return EndpointDemand(headers.affinity_key(head), max_tokens, kv_cache_tokens)
--- a/lynxscale/dataplane/history_cache.py
+++ b/lynxscale/dataplane/history_cache.py
@@ -1,40 +1,40 @@
-"""A relay's cache of conversations that it has served: what it holds need not come from the primary again.
+"""A relay's cache of the conversations that it has served, so that the primary sends only what is missing here.
 
-A kept turn never changes, so a history that was durable once stays true for as long as the primary knows its turn.
+A retained turn never changes, so a history that was durable once stays valid for as long as the primary has its turn.
 """
 
 from __future__ import annotations
 
 from attrs import frozen
 
-MOST_BYTES = 4_000_000
+DEFAULT_MAX_BYTES = 4_000_000
 
 
 @frozen
 class CachedHistory:
-    """All inputs and outputs of a chain up to and with one turn, and the session of that turn."""
+    """All inputs and outputs of a chain of turns up to and including one turn, and that turn's session."""
 
     session: str
     content: bytes
 
 
 class HistoryCache:
-    """Histories by their last turn. Those unused for longest go first, where there are more than so many bytes."""
+    """Histories by the id of their last turn, bounded by the bytes of their content; least recently used go first."""
 
-    def __init__(self, most_bytes: int = MOST_BYTES) -> None:
-        self._most_bytes = most_bytes
+    def __init__(self, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
+        self._max_bytes = max_bytes
         self._bytes = 0
-        self._histories: dict[str, CachedHistory] = {}  # by turn, the latest used last
-        self._latest: dict[str, str] = {}  # the newest turn of a session
+        self._histories: dict[str, CachedHistory] = {}  # by turn, the most recently used last
+        self._newest_turn: dict[str, str] = {}  # by session
 
-    def best_for(self, session: str, previous: str) -> str:
-        """The cached turn that is likeliest in the chain of one that goes on from ``previous``; empty for none."""
-        if not previous:
+    def best_match(self, session: str, previous_turn: str) -> str:
+        """The cached turn that is most likely in the chain that ends with ``previous_turn``; empty for none."""
+        if not previous_turn:
             return ""
-        return previous if previous in self._histories else self._latest.get(session, "")
+        return previous_turn if previous_turn in self._histories else self._newest_turn.get(session, "")
 
     def get(self, turn: str) -> bytes | None:
-        """The history up to and with a turn, None where it is not cached any more."""
+        """The history up to and including a turn, None where it is not cached."""
         found = self._histories.pop(turn, None)
         if found is None:
             return None
@@ -42,18 +42,18 @@
         return found.content
 
     def put(self, session: str, turn: str, content: bytes) -> None:
-        """A turn has ended and is durable."""
-        self._forget(turn)
+        """Add the history that ends with a turn; the turn is durable."""
+        self._evict(turn)
         self._histories[turn] = CachedHistory(session, content)
-        self._latest[session] = turn
+        self._newest_turn[session] = turn
         self._bytes += len(content)
-        while self._bytes > self._most_bytes:
-            self._forget(next(iter(self._histories)))
+        while self._bytes > self._max_bytes:
+            self._evict(next(iter(self._histories)))
 
-    def _forget(self, turn: str) -> None:
-        gone = self._histories.pop(turn, None)
-        if gone is None:
+    def _evict(self, turn: str) -> None:
+        evicted = self._histories.pop(turn, None)
+        if evicted is None:
             return
-        self._bytes -= len(gone.content)
-        if self._latest.get(gone.session) == turn:
-            del self._latest[gone.session]
+        self._bytes -= len(evicted.content)
+        if self._newest_turn.get(evicted.session) == turn:
+            del self._newest_turn[evicted.session]
--- a/lynxscale/dataplane/routing.py
+++ b/lynxscale/dataplane/routing.py
@@ -1,4 +1,8 @@
-"""The configuration as a relay uses it: routes by host and longest path prefix, services, limits."""
+"""The configuration as a relay uses it: routes by host and longest path prefix, services, limits.
+
+Fields are named as in the operators' configuration (``docs/operators/configuration.md``), in kebab case there. Times
+are in the unit of each name.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +10,20 @@
 
 import msgspec
 
+from lynxscale.dataplane.exceptions import UnusableConfigurationError
+
+STREAMING, SAFE = "streaming", "safe"  # route types; every other one is executed once at most
+
 
 class WeightedBackend(msgspec.Struct, frozen=True):
-    """One service of a split route."""
+    """One service of a route that is split by weight."""
 
     backend: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, rename="kebab"):
-    """One route."""
+    """One route: which requests it takes, and how they are forwarded."""
 
     name: str
     host: str
@@ -34,24 +42,24 @@
 
     @property
     def streaming(self) -> bool:
-        """Is the answer a series of events?"""
-        return self.route_type == "streaming"
+        """Is the response a stream of events?"""
+        return self.route_type == STREAMING
 
     @property
-    def repeatable(self) -> bool:
-        """May a request run more than once?"""
-        return self.route_type == "safe" or (self.streaming and self.resumable)
+    def idempotent(self) -> bool:
+        """May a request be executed more than once?"""
+        return self.route_type == SAFE or (self.streaming and self.resumable)
 
     def pick_backend(self, random: Random) -> str:
-        """The service for one request, by weight."""
+        """The service for one request, drawn by weight; draws nothing where there is one service."""
         if not self.weighted_backends:
             return self.backend
-        weights = [part.weight for part in self.weighted_backends]
+        weights = [backend.weight for backend in self.weighted_backends]
         return random.choices(self.weighted_backends, weights)[0].backend
 
 
 class Engine(msgspec.Struct, frozen=True, rename="kebab"):
-    """A service's model engine."""
+    """A service's model engine; ``stream_stride``: tokens in each event."""
 
     slots: int = 1
     stream_stride: int = 1
@@ -76,7 +84,7 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, rename="kebab"):
-    """A whole configuration; the control plane has checked it."""
+    """A complete configuration; the control plane has validated it."""
 
     generation: int
     routes: tuple[Route, ...]
@@ -91,30 +99,37 @@
         self.generation = configuration.generation
         self.limits = configuration.limits
         self.services = {service.name: service for service in configuration.services}
-        self._by_host: dict[str, list[Route]] = {}
+        self.routes_by_host: dict[str, list[Route]] = {}  # the longest path prefix first
         for route in configuration.routes:
-            self._by_host.setdefault(route.host, []).append(route)
-        for routes in self._by_host.values():
+            self.routes_by_host.setdefault(route.host, []).append(route)
+        for routes in self.routes_by_host.values():
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix of the path."""
-        for route in self._by_host.get(host.partition(":")[0].lower(), ()):
+        """The host's route with the longest prefix of the path; ``host`` may have a port and be in any case."""
+        for route in self.routes_by_host.get(host.partition(":")[0].lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
-    def stride(self, service: str) -> int:
+    def tokens_per_event(self, service: str) -> int:
         """Tokens in each event of a service's streams."""
-        engine = self.services[service].engine if service in self.services else None
+        engine = self._engine(service)
         return engine.stream_stride if engine else 1
 
-    def memory(self, service: str) -> int:
-        """Tokens that each endpoint of a service can hold, 0 where it is no engine."""
-        engine = self.services[service].engine if service in self.services else None
+    def kv_cache_tokens(self, service: str) -> int:
+        """Tokens that the KV cache of each endpoint of a service can hold, 0 where it has no engine."""
+        engine = self._engine(service)
         return engine.kv_capacity_tokens if engine else 0
 
+    def _engine(self, service: str) -> Engine | None:
+        found = self.services.get(service)
+        return found.engine if found else None
+
 
-def decode_table(value: msgspec.Raw) -> RouteTable:
-    """The table of a configuration as it was published."""
-    return RouteTable(msgspec.json.decode(value, type=Configuration))
+def decode_route_table(value: msgspec.Raw) -> RouteTable:
+    """The table of a configuration as it was published. Raises UnusableConfigurationError."""
+    try:
+        return RouteTable(msgspec.json.decode(value, type=Configuration))
+    except msgspec.ValidationError as error:
+        raise UnusableConfigurationError(str(error)) from error
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -1,4 +1,4 @@
-"""One relay: topics from the tree, the ring's heartbeats, and requests of clients."""
+"""One relay: topics from the distribution tree, heartbeats of the ring, and requests of clients."""
 
 from __future__ import annotations
 
@@ -12,13 +12,14 @@
 from lynxscale.coordination.messages import Message
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.primary_calls import PrimaryCalls
-from lynxscale.dataplane import headers as h
-from lynxscale.dataplane.balancer import Balancer
-from lynxscale.dataplane.forwarding import ForwardedRequest, Surroundings
-from lynxscale.dataplane.parking import Parking
-from lynxscale.dataplane.routing import RouteTable, decode_table
-from lynxscale.dataplane.status import NEVER_S, EndpointStatus, RelayStatus, tau
-from lynxscale.dataplane.turns import TurnLedger
+from lynxscale.dataplane.exceptions import UnusableConfigurationError
+from lynxscale.dataplane.forwarding import ForwardedRequest, ForwardingContext
+from lynxscale.dataplane.load_balancer import LoadBalancer
+from lynxscale.dataplane.pending_until_configured import PendingUntilConfigured
+from lynxscale.dataplane.responses import relay_response
+from lynxscale.dataplane.routing import ClientLimits, RouteTable, decode_route_table
+from lynxscale.dataplane.status import UNKNOWN_AGE_S, RelayStatus, endpoint_status
+from lynxscale.dataplane.turns import TurnClient
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.discovery.endpoint_poller import EndpointPoller
 from lynxscale.discovery.topics import (
@@ -35,9 +36,9 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_EVERY_S = 0.2
-OWN_READ_EVERY_S = 0.8
-RATE_SHARE = 0.5  # of the platform's rate, for all relays together
+ISOLATION_CHECK_INTERVAL_S = 0.2
+MIN_DIRECT_POLL_INTERVAL_S = 0.8
+DIRECT_POLL_RATE_SHARE = 0.5  # of the platform's rate limit, for all relays together
 
 
 class RelayService:
@@ -47,7 +48,8 @@
         address = settings.internal_address
         self.limits = ServerLimits()
         self.stopping = False
-        self.balancer = Balancer(settings.zone, clock, dial)
+        self.route_table: RouteTable | None = None  # None until there is a configuration
+        self.balancer = LoadBalancer(settings.zone, clock, dial)
         self.tree = Subscriber(address, settings.zone, settings.contacts, clock, network, self._on_topics)
         self.ring = RingMember(address, settings.heartbeat_ms / 1000.0, clock, network)
         self.calls = PrimaryCalls(
@@ -55,25 +57,29 @@
         )
         self._seeds = settings.contacts
         self._members: tuple[str, ...] = ()
-        self._reader = EndpointPoller(settings.cloud.address, clock, dial, self._on_own_list)
-        self._reading = False
         self._clock = clock
-        self._rate_per_s = max(1.0, settings.cloud.rate_per_s)
-        clock.call_later(LOOK_EVERY_S, self._look)
-        self.parking = Parking(clock, self._serve)
-        self._table: RouteTable | None = None
-        self._around = Surroundings(clock, self.balancer, TurnLedger(self.calls, lambda: self.alone), random)
+        self._endpoint_poller = EndpointPoller(settings.cloud.address, clock, dial, self.balancer.update_endpoints)
+        self._polls_endpoints = False
+        self._platform_rate_per_s = max(1.0, settings.cloud.rate_per_s)
+        clock.call_later(ISOLATION_CHECK_INTERVAL_S, self._check_isolation)
+        self._pending = PendingUntilConfigured(clock, self._forward)
+        turns = TurnClient(self.calls, lambda: self.isolated)
+        self._context = ForwardingContext(clock, self.balancer, turns, random)
 
     @property
     def ready(self) -> bool:
         """May clients be sent here?"""
-        return self._table is not None and self.balancer.known and not self.stopping and not self.alone
+        return self._configured and not self.stopping and not self.isolated
 
     @property
-    def alone(self) -> bool:
-        """Has no primary vouched for what this relay holds for long? Then others serve programs better."""
+    def isolated(self) -> bool:
+        """Has no primary confirmed this relay's topics for long? Then other relays serve programs better."""
         return self.tree.alone
 
+    @property
+    def _configured(self) -> bool:
+        return self.route_table is not None and self.balancer.has_endpoint_list
+
     def receive(self, message: Message) -> None:
         """Handle a message of another node."""
         primary = self.tree.primary
@@ -83,19 +89,34 @@
             self.calls.primary_changed()
 
     def settings_changed(self, settings: Settings) -> None:
-        """The settings file has changed: other seeds."""
+        """The settings file has changed; its seeds are all that a running relay takes from it."""
         self._seeds = settings.contacts
-        self._set_contacts()
+        self._update_contacts()
 
-    def _set_contacts(self) -> None:
-        self.tree.contacts = list(dict.fromkeys((*self._members, *self._seeds)))
+    # Requests ----------------------------------------------------------------------------------------
 
     def handle_readiness(self, request: Request, responder: Responder) -> None:
-        """Answer the platform's question whether clients may be sent here."""
+        """Answer the platform's health check and requests for the status."""
         if request.path == "/status":
             responder.respond(Response(200, Head(()), msgspec.json.encode(self.status())))
         else:
-            responder.respond(h.own_answer(200 if self.ready else 503))
+            responder.respond(relay_response(200 if self.ready else 503))
+
+    def handle_request(self, request: Request, responder: Responder) -> Exchange | None:
+        """Begin to serve a client's request."""
+        if not self._configured:
+            return self._pending.add(request, responder)
+        return self._forward(request, responder)
+
+    def _forward(self, request: Request, responder: Responder) -> Exchange | None:
+        assert self.route_table is not None  # nothing is forwarded before the relay is configured
+        route = self.route_table.find(request.head.text(b"host"), request.path)
+        if route is None:
+            responder.respond(relay_response(404))
+            return None
+        exchange = ForwardedRequest(request, route, self.route_table, responder, self._context)
+        exchange.start()
+        return exchange
 
     def status(self) -> RelayStatus:
         """What this relay knows."""
@@ -103,82 +124,76 @@
             address=self.tree.address,
             ready=self.ready,
             stopping=self.stopping,
-            configuration=self._table.generation if self._table else 0,
-            vouched_s=min(self.tree.age, NEVER_S),
-            place=self.tree.place.value,
+            generation=self.route_table.generation if self.route_table else 0,
+            confirmed_age_s=min(self.tree.age, UNKNOWN_AGE_S),
+            tree_position=self.tree.place.value,
             primary=self.tree.primary,
-            endpoints=[
-                EndpointStatus(name, state.endpoint.backend, state.ready, state.in_flight, state.window, tau(state))
-                for name, state in sorted(self.balancer.states.items())
-            ],
+            endpoints=[endpoint_status(name, state) for name, state in sorted(self.balancer.states.items())],
         )
 
-    def handle_request(self, request: Request, responder: Responder) -> Exchange | None:
-        """Begin to serve a client's request."""
-        if self._table is None or not self.balancer.known:
-            return self.parking.park(request, responder)
-        return self._serve(request, responder)
+    # Without a primary -------------------------------------------------------------------------------
 
-    def _serve(self, request: Request, responder: Responder) -> Exchange | None:
-        route = self._table.find(request.head.text(b"host"), request.path)
-        if route is None:
-            responder.respond(h.own_answer(404))
-            return None
-        exchange = ForwardedRequest(request, route, self._table, responder, self._around)
-        exchange.start()
-        return exchange
+    def _check_isolation(self) -> None:
+        """While no primary is reachable, read the platform's endpoint list directly and end client connections."""
+        self._clock.call_later(ISOLATION_CHECK_INTERVAL_S, self._check_isolation)
+        isolated = self.route_table is not None and self.isolated
+        self.limits.closing = isolated or self.stopping
+        if isolated and not self._polls_endpoints:
+            log.info("event=polling_endpoints_directly")
+            self._endpoint_poller.start(interval_s=self._direct_poll_interval_s())
+        elif self._polls_endpoints and not isolated:
+            self._endpoint_poller.stop()
+        self._polls_endpoints = isolated
 
-    def _look(self) -> None:
-        """Without word from any primary for too long, the relay reads the platform's list itself."""
-        self._clock.call_later(LOOK_EVERY_S, self._look)
-        alone = self._table is not None and self.alone
-        self.limits.closing = alone or self.stopping
-        if alone and not self._reading:
-            log.info("event=reads_the_list_itself")
-            relays = max(1, len(self.tree.roster))
-            self._reader.start(interval_s=max(OWN_READ_EVERY_S, relays / (RATE_SHARE * self._rate_per_s)))
-        elif self._reading and not alone:
-            self._reader.stop()
-        self._reading = alone
-
-    def _on_own_list(self, endpoints: list[Endpoint]) -> None:
-        self.balancer.take_list(endpoints)
+    def _direct_poll_interval_s(self) -> float:
+        """Seconds between two polls, so that all relays together stay within their share of the platform's rate."""
+        relays = max(1, len(self.tree.roster))
+        return max(MIN_DIRECT_POLL_INTERVAL_S, relays / (DIRECT_POLL_RATE_SHARE * self._platform_rate_per_s))
+
+    # Topics ------------------------------------------------------------------------------------------
 
     def _on_topics(self, names: list[str]) -> None:
+        """New versions of these topics have arrived."""
         topics = self.tree.publisher.topics
         if CONFIGURATION_TOPIC in names:
-            self._take_configuration(topics[CONFIGURATION_TOPIC].value)
+            self._apply_configuration(topics[CONFIGURATION_TOPIC].value)
         if any(name.startswith(ENDPOINTS_TOPIC) for name in names):
-            self._take_endpoints()
+            self._apply_endpoints()
         if MEMBERS_TOPIC in names:
             self._members = msgspec.json.decode(topics[MEMBERS_TOPIC].value, type=tuple[str, ...])
-            self._set_contacts()
+            self._update_contacts()
         if ROSTER in names:
             self.ring.set_roster(self.tree.roster)
-        if self._table is not None and self.balancer.known:
-            self.parking.release()
+        if self._configured:
+            self._pending.serve_all()
 
-    def _take_endpoints(self) -> None:
-        """Take the list once all of its parts are there."""
-        publisher = self.tree.publisher
-        if ENDPOINTS_TOPIC not in publisher.topics:
-            return
-        count = msgspec.json.decode(publisher.topics[ENDPOINTS_TOPIC].value, type=int)
-        publisher.drop(lambda name: is_stale_shard_topic(name, count))
-        parts = [publisher.topics.get(shard_topic(count, number)) for number in range(count)]
-        if all(parts):
-            listed = [msgspec.json.decode(part.value, type=list[Endpoint]) for part in parts]
-            self.balancer.take_list([endpoint for part in listed for endpoint in part])
-
-    def _take_configuration(self, value: msgspec.Raw) -> None:
+    def _apply_configuration(self, value: msgspec.Raw) -> None:
         try:
-            self._table = decode_table(value)
-        except msgspec.ValidationError as error:
+            self.route_table = decode_route_table(value)
+        except UnusableConfigurationError as error:
             log.error("event=configuration_unusable error=%s", error)
             return
-        limits = self._table.limits
+        self._apply_limits(self.route_table.limits)
+        log.info("event=configuration version=%d", self.route_table.generation)
+
+    def _apply_limits(self, limits: ClientLimits) -> None:
         self.limits.header_bytes = limits.max_header_bytes
         self.limits.body_bytes = limits.max_body_bytes
         self.limits.header_timeout_s = limits.header_timeout_ms / 1000.0
         self.limits.idle_timeout_s = limits.idle_timeout_ms / 1000.0
-        log.info("event=configuration version=%d", self._table.generation)
+
+    def _apply_endpoints(self) -> None:
+        """Apply the endpoint list once all of its shards are there."""
+        topics = self.tree.publisher.topics
+        if ENDPOINTS_TOPIC not in topics:
+            return
+        count = msgspec.json.decode(topics[ENDPOINTS_TOPIC].value, type=int)
+        self.tree.publisher.drop(lambda name: is_stale_shard_topic(name, count))
+        shards = [shard_topic(count, number) for number in range(count)]
+        if not all(shard in topics for shard in shards):
+            return
+        lists = [msgspec.json.decode(topics[shard].value, type=list[Endpoint]) for shard in shards]
+        self.balancer.update_endpoints([endpoint for endpoints in lists for endpoint in endpoints])
+
+    def _update_contacts(self) -> None:
+        self.tree.contacts = list(dict.fromkeys((*self._members, *self._seeds)))
--- a/lynxscale/dataplane/status.py
+++ b/lynxscale/dataplane/status.py
@@ -1,4 +1,7 @@
-"""What a relay tells of itself: ``GET /status`` at its readiness address."""
+"""A relay's status report: ``GET /status`` at its readiness address.
+
+Fields keep the JSON names that operators read; where a name here differs, ``msgspec.field`` gives the one in JSON.
+"""
 
 from __future__ import annotations
 
@@ -6,38 +9,43 @@
 
 import msgspec
 
-from lynxscale.dataplane.endpoints import EndpointState
+from lynxscale.dataplane.endpoint_state import EndpointState
 
-NEVER_S = 1e6  # stands for an age without end
+UNKNOWN_AGE_S = 1e6  # JSON has no infinity
 
 
 class EndpointStatus(msgspec.Struct, frozen=True):
-    """One endpoint, by this relay's own calls. ``restart_ms``: τ, None while too few tries have finished."""
+    """One endpoint, by this relay's own attempts.
+
+    ``restart_timeout_ms`` is None while too few attempts have completed.
+    """
 
     id: str
     service: str
     ready: bool
     in_flight: int
     window: int
-    restart_ms: float | None
+    restart_timeout_ms: float | None = msgspec.field(name="restart_ms")
 
 
 class RelayStatus(msgspec.Struct, frozen=True):
-    """One relay. ``vouched_s``: how long ago the primary vouched for the versions held here."""
+    """One relay. ``confirmed_age_s``: how long ago the primary confirmed the versions of topics held here."""
 
     address: str
     ready: bool
     stopping: bool
-    configuration: int
-    vouched_s: float
-    place: str
+    generation: int = msgspec.field(name="configuration")
+    confirmed_age_s: float = msgspec.field(name="vouched_s")
+    tree_position: str = msgspec.field(name="place")
     primary: str
     endpoints: list[EndpointStatus]
 
 
-def tau(state: EndpointState) -> float | None:
-    """An endpoint's restart time in ms, None for none."""
-    return state.sample.tau if math.isfinite(state.sample.tau) else None
+def endpoint_status(endpoint_id: str, state: EndpointState) -> EndpointStatus:
+    """The status of one endpoint."""
+    restart_timeout_ms = state.sample.tau if math.isfinite(state.sample.tau) else None
+    service = state.endpoint.backend
+    return EndpointStatus(endpoint_id, service, state.ready, state.in_flight, state.window, restart_timeout_ms)
 
 
 def render(status: RelayStatus) -> str:
@@ -45,14 +53,17 @@
     condition = "stopping" if status.stopping else "ready" if status.ready else "not ready"
     lines = [
         f"relay          {status.address}, {condition}",
-        f"configuration  {status.configuration}, vouched for {status.vouched_s:.1f} s ago",
-        f"tree           {status.place}, primary {status.primary or 'unknown'}",
+        f"configuration  {status.generation}, vouched for {status.confirmed_age_s:.1f} s ago",
+        f"tree           {status.tree_position}, primary {status.primary or 'unknown'}",
     ]
-    for endpoint in status.endpoints:
-        restart = "none" if endpoint.restart_ms is None else f"{endpoint.restart_ms:.0f} ms"
-        state = "ready" if endpoint.ready else "leaving"
-        lines.append(
-            f"endpoint       {endpoint.id} of {endpoint.service} {state}, in flight {endpoint.in_flight},"
-            f" window {endpoint.window}, restart time {restart}"
-        )
-    return "\n".join(lines)
+    return "\n".join((*lines, *(_endpoint_line(endpoint) for endpoint in status.endpoints)))
+
+
+def _endpoint_line(endpoint: EndpointStatus) -> str:
+    timeout_ms = endpoint.restart_timeout_ms
+    restart = "none" if timeout_ms is None else f"{timeout_ms:.0f} ms"
+    state = "ready" if endpoint.ready else "leaving"
+    return (
+        f"endpoint       {endpoint.id} of {endpoint.service} {state}, in flight {endpoint.in_flight},"
+        f" window {endpoint.window}, restart time {restart}"
+    )
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -1,45 +1,66 @@
-"""Turns of agent programs, as a client of the control plane: budgets, histories, and turns that are kept."""
+"""Turns of agent programs, as a client of the control plane: reserved budgets, histories and retained turns.
+
+A turn is admitted (its tokens are reserved and its history is read), executed, and then either committed (retained and
+durable before its last byte goes to the client) or closed (only its tokens are charged).
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Protocol
 
 from lynxscale.coordination.messages import AdmitTurn, FinishTurn, Message, TurnAdmitted, TurnRejected
 from lynxscale.coordination.primary_calls import PrimaryCalls
-from lynxscale.dataplane import headers as h
+from lynxscale.dataplane import headers
 from lynxscale.dataplane.history_cache import HistoryCache
 from lynxscale.dataplane.routing import Route
 from lynxscale.runtime.http_types import Request
 
-ADMISSION_TIMEOUT_S = 2.5  # a new primary stands well within it
-ALONE_TIMEOUT_S = 0.3  # another relay may reach one
-FINISH_TIMEOUT_S = 2.5
-SETTLE_TIMEOUT_S = 10.0  # nobody waits for it
-NO_BUDGET = -1
-UNSURE = 503
+ADMISSION_TIMEOUT_S = 2.5  # a new primary is elected well within it
+ISOLATED_ADMISSION_TIMEOUT_S = 0.3  # another relay may reach a primary
+COMMIT_TIMEOUT_S = 2.5
+CLOSE_TIMEOUT_S = 10.0  # no client waits for it
+NO_BUDGET = -1  # on the wire: the program's budget is not limited
+SERVICE_UNAVAILABLE = 503  # it is not certain whether the turn was admitted
+
+
+class TurnListener(Protocol):
+    """The request that a turn belongs to."""
+
+    def on_turn_admitted(self, turn: Turn, history: bytes) -> None:
+        """The turn's tokens are reserved; ``history`` is what goes before its own input."""
+
+    def on_turn_rejected(self, status: int) -> None:
+        """Not admitted: 402 or 404 where that is certain, else 503. Nothing stays reserved."""
 
+    def on_turn_committed(self) -> None:
+        """The turn is durable."""
 
-class TurnLedger:
-    """Makes the turns of a relay's requests."""
+    def on_commit_timeout(self) -> None:
+        """No primary has acknowledged the commit in time; whether the turn is durable is unknown."""
 
-    def __init__(self, calls: PrimaryCalls, alone: Callable[[], bool]) -> None:
-        """``alone()``: is no primary to be reached for some time already?"""
-        self.calls = calls
-        self.alone = alone
-        self.histories = HistoryCache()
 
-    def turn(self, request: Request, route: Route) -> Turn | None:
-        """The turn that a request is; None where it neither has a budget nor is kept."""
-        budget = request.head.number(h.BUDGET)
+class TurnClient:
+    """Creates the turns of a relay's requests."""
+
+    def __init__(self, calls: PrimaryCalls, isolated: Callable[[], bool]) -> None:
+        """``isolated()``: has no primary been reachable for some time?"""
+        self._calls = calls
+        self._isolated = isolated
+        self._histories = HistoryCache()
+
+    def turn_of(self, request: Request, route: Route) -> Turn | None:
+        """The turn that a request is; None where it neither has a budget nor is retained."""
+        budget = request.head.number(headers.BUDGET)
         if not route.streaming or (budget is None and not route.retained):
             return None
-        timeout_s = ALONE_TIMEOUT_S if self.alone() else ADMISSION_TIMEOUT_S
+        timeout_s = ISOLATED_ADMISSION_TIMEOUT_S if self._isolated() else ADMISSION_TIMEOUT_S
         budget_tokens = NO_BUDGET if budget is None else int(budget)
-        return Turn(self.calls, self.histories, request, route, budget_tokens, timeout_s)
+        return Turn(self._calls, self._histories, request, route, budget_tokens, timeout_s)
 
 
 class Turn:
-    """One try of a client for a turn."""
+    """One request of a client for a turn."""
 
     def __init__(
         self,
@@ -47,71 +68,75 @@
         histories: HistoryCache,
         request: Request,
         route: Route,
-        budget: int,
-        timeout_s: float,
+        budget_tokens: int,
+        admission_timeout_s: float,
     ) -> None:
-        self._histories = histories
-        self._timeout_s = timeout_s
-        self.input = request.body
         self._calls = calls
+        self._histories = histories
         self._route = route
-        self._budget = budget
-        self._program = request.head.text(h.PROGRAM)
-        self._session = f"{self._program}/{request.head.text(h.SESSION)}"
+        self._input = request.body
+        self._budget_tokens = budget_tokens
+        self._admission_timeout_s = admission_timeout_s
+        self._program = request.head.text(headers.PROGRAM)
+        self._session = f"{self._program}/{request.head.text(headers.SESSION)}"
+        self._request_id = request.head.text(headers.REQUEST_ID)
+        self._previous_turn = request.head.text(headers.PREVIOUS_TURN) if route.retained else ""
+        self._max_tokens = headers.max_output_tokens(request.head)
         self._history = b""
-        self._request_id = request.head.text(h.REQUEST_ID)
-        self._previous = request.head.text(h.PREVIOUS) if route.retained else ""
-        self._most = h.most_tokens(request.head)
-        self._settled = False
-
-    def admit(self, left_s: float, done: Callable[[int, bytes], None]) -> None:
-        """``done(status, history)``: 200, or 402 or 404 where that is certain, or 503."""
-        cached = self._histories.best_for(self._session, self._previous)
-        # Taken now: by the time of the answer it may be cached no more.
-        history = self._histories.get(cached) or b""
-
-        def answered(answer: Message | None) -> None:
-            if isinstance(answer, TurnAdmitted):
-                self._history = (history if answer.after else b"") + answer.history
-                done(200, self._history)
-            elif isinstance(answer, TurnRejected):
-                self._settled = True
-                done(answer.status, b"")
+        self._closed = False
+
+    def admit(self, remaining_s: float, listener: TurnListener) -> None:
+        """Reserve the turn's tokens and get its history."""
+        cached_turn = self._histories.best_match(self._session, self._previous_turn)
+        # Read now: by the time of the reply it may be evicted.
+        cached_history = self._histories.get(cached_turn) or b""
+
+        def on_reply(reply: Message | None) -> None:
+            if isinstance(reply, TurnAdmitted):
+                self._history = (cached_history if reply.after else b"") + reply.history
+                listener.on_turn_admitted(self, self._history)
+            elif isinstance(reply, TurnRejected):
+                self._closed = True
+                listener.on_turn_rejected(reply.status)
             else:
-                # It may be decided yet: what it reserves is given back, as nothing runs.
-                self.settle(0)
-                done(UNSURE, b"")
+                # The admission may yet be decided: what it reserves is released, as nothing is executed.
+                self.close(0)
+                listener.on_turn_rejected(SERVICE_UNAVAILABLE)
+
+        self._calls.call(self._admission(cached_turn), min(remaining_s, self._admission_timeout_s), on_reply)
+
+    def close(self, tokens: int) -> None:
+        """Charge the tokens, release the rest of the reservation, and retain nothing. Only the first call counts."""
+        if not self._closed:
+            self._closed = True
+            self._calls.call(self._finish(tokens, None), CLOSE_TIMEOUT_S, lambda reply: None)
+
+    def commit(self, tokens: int, output: bytes, listener: TurnListener) -> None:
+        """Charge the tokens and retain the turn's input and output."""
+        self._closed = True
+        content = self._input + output
+
+        def on_reply(reply: Message | None) -> None:
+            if reply is None:
+                listener.on_commit_timeout()
+                return
+            self._histories.put(self._session, self._request_id, self._history + content)
+            listener.on_turn_committed()
 
-        self._calls.call(self._admission(cached), min(left_s, self._timeout_s), answered)
+        self._calls.call(self._finish(tokens, content), COMMIT_TIMEOUT_S, on_reply)
 
-    def _admission(self, cached: str) -> AdmitTurn:
+    def _admission(self, cached_turn: str) -> AdmitTurn:
         return AdmitTurn(
             self._program,
             self._request_id,
-            self._budget,
-            self._most,
+            self._budget_tokens,
+            self._max_tokens,
             self._route.retention_s,
             self._route.retained,
-            self._previous,
-            cached,
+            self._previous_turn,
+            cached_turn,
         )
 
-    def settle(self, tokens: int) -> None:
-        """The turn has ended, and is not kept."""
-        if not self._settled:
-            self._settled = True
-            self._calls.call(self._finish(tokens, None), SETTLE_TIMEOUT_S, lambda answer: None)
-
-    def finish(self, tokens: int, content: bytes, done: Callable[[bool], None]) -> None:
-        """The turn has ended whole; ``done(True)`` once it is durable."""
-        self._settled = True
-
-        def answered(answer: Message | None) -> None:
-            if answer is not None:
-                self._histories.put(self._session, self._request_id, self._history + content)
-            done(answer is not None)
-
-        self._calls.call(self._finish(tokens, content), FINISH_TIMEOUT_S, answered)
-
     def _finish(self, tokens: int, content: bytes | None) -> FinishTurn:
-        return FinishTurn(self._program, self._request_id, tokens, self._route.retention_s, content, self._previous)
+        retention_s = self._route.retention_s
+        return FinishTurn(self._program, self._request_id, tokens, retention_s, content, self._previous_turn)
--- a/tests/test_tier_balancer.py
+++ b/tests/test_tier_balancer.py
@@ -1,24 +1,26 @@
 """Choice of an endpoint and the queue for a place, by themselves: each test fails without the mechanism it names."""
 
 from lab.tier.world import World
-from lynxscale.dataplane.balancer import Balancer, Demand
-from lynxscale.dataplane.queue import PlaceQueue
+from lynxscale.dataplane.load_balancer import EndpointDemand, LoadBalancer
+from lynxscale.dataplane.slot_queue import SlotQueue
 from lynxscale.discovery.endpoint import Endpoint
 
 SLOTS = 16
 
 
-def balancer(zones: tuple[str, ...], own: str = "north") -> Balancer:
+def balancer(zones: tuple[str, ...], own: str = "north") -> LoadBalancer:
     clock = World(1).machine("a:1").clock()
-    one = Balancer(own, clock, lambda address, connection: None)
-    one.take_list([Endpoint(f"e{n}", "model", f"10.0.0.{n}:1", zone, SLOTS, "ready") for n, zone in enumerate(zones)])
+    one = LoadBalancer(own, clock, lambda address, connection: None)
+    one.update_endpoints(
+        [Endpoint(f"e{n}", "model", f"10.0.0.{n}:1", zone, SLOTS, "ready") for n, zone in enumerate(zones)]
+    )
     for state in one.states.values():
         state.window = SLOTS
     return one
 
 
-def place(one: Balancer, key: str) -> str:
-    state = one.choose("model", Demand(key, 0, 0), set())
+def place(one: LoadBalancer, key: str) -> str:
+    state = one.choose("model", EndpointDemand(key, 0, 0), set())
     state.in_flight += 1
     return state.endpoint.id
 
@@ -52,24 +54,24 @@
 
 def test_what_was_tried_is_tried_again_only_where_nothing_else_is():
     one = balancer(("north", "north"))
-    assert one.choose("model", Demand("", 0, 0), {"e0"}).endpoint.id == "e1"
-    assert one.choose("model", Demand("", 0, 0), {"e0", "e1"}) is not None
+    assert one.choose("model", EndpointDemand("", 0, 0), {"e0"}).endpoint.id == "e1"
+    assert one.choose("model", EndpointDemand("", 0, 0), {"e0", "e1"}) is not None
 
 
 def test_the_most_urgent_that_waits_goes_first_and_all_places_are_filled():
     """A completed call frees a place and may widen the window by one: both places are to be used."""
     world = World(2)
     places, order = [0], []
-    queue = PlaceQueue(world.machine("a:1").clock(), lambda service: places[0] > 0)
+    queue = SlotQueue(world.machine("a:1").clock(), lambda service: places[0] > 0)
 
     def take(name: str) -> None:
         places[0] -= 1
         order.append(name)
 
     for name, priority in (("late", 2), ("first", 0), ("second", 0), ("later", 2)):
-        queue.wait("model", name, priority, lambda name=name: take(name))
+        queue.enqueue("model", name, priority, lambda name=name: take(name))
     places[0] = 3
-    queue.released("model")
+    queue.notify("model")
     world.run(world.time + 0.01)
     assert order == ["first", "second", "late"]
     places[0] = 1
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -37,8 +37,8 @@
 from lynxscale.coordination.netstring import Decoder, NetstringError
 from lynxscale.coordination.netstring import encode as encode_netstring
 from lynxscale.coordination.store import NO_POSITION, Store
-from lynxscale.dataplane.events import EventScanner
 from lynxscale.dataplane.history_cache import HistoryCache
+from lynxscale.dataplane.server_sent_events import EventScanner
 from lynxscale.discovery.topics import ENDPOINT_SHARD_PREFIX, shard_count
 
 
@@ -162,16 +162,18 @@
 
 
 def test_cached_histories_are_bounded_and_the_unused_go_first():
-    cache = HistoryCache(most_bytes=30)
+    cache = HistoryCache(max_bytes=30)
     for number in range(3):
         cache.put(f"s{number}", f"t{number}", b"x" * 10)
     assert cache.get("t0") == b"x" * 10
     cache.put("s3", "t3", b"y" * 10)
     assert cache.get("t1") is None and cache.get("t0") and cache.get("t3")
     assert (
-        cache.best_for("s1", "other") == "" and cache.best_for("s0", "other") == "t0" and cache.best_for("s0", "") == ""
+        cache.best_match("s1", "other") == ""
+        and cache.best_match("s0", "other") == "t0"
+        and cache.best_match("s0", "") == ""
     )
-    assert cache.best_for("s0", "t3") == "t3"
+    assert cache.best_match("s0", "t3") == "t3"
 
 
 def test_a_long_list_goes_in_parts_and_a_change_costs_one():
@@ -198,7 +200,7 @@
         for place in range(0, len(stream), size):
             passed += scanner.feed(stream[place : place + size])
         assert passed == stream.removesuffix(b"id: 3\nda")
-        assert (scanner.count, scanner.last_id, scanner.content()) == (2, b"2", b"a\nb\nc\n")
+        assert (scanner.event_count, scanner.last_event_id, scanner.content()) == (2, b"2", b"a\nb\nc\n")
         assert scanner.within_event
 
 
--- a/tests/test_tier_whole.py
+++ b/tests/test_tier_whole.py
@@ -352,7 +352,7 @@
     changed["routes"][0]["path-prefix"] = "/moved/"
     assert one.push(changed, 1).status == 200
     acknowledged = one.world.time
-    assert one.world.run_until(lambda: all(r._table.generation == 5 for r in one.relays.values()), 2.0)
+    assert one.world.run_until(lambda: all(r.route_table.generation == 5 for r in one.relays.values()), 2.0)
     assert one.world.time - acknowledged < 2.0 / 3
 
 
@@ -386,7 +386,7 @@
     wanted = default_configuration(4)
     wanted["routes"] = [route, wanted["routes"][1], wanted["routes"][3]]
     assert msgspec.json.decode(one.operator_call("GET", "/config/read").body) == wanted
-    assert one.world.run_until(lambda: all(r._table.generation == 4 for r in one.relays.values()), 2.0)
+    assert one.world.run_until(lambda: all(r.route_table.generation == 4 for r in one.relays.values()), 2.0)
     one.kill_control(one.primary().publisher.address.partition(":")[0], power=True)
     assert one.update(update, 1).status == 200
     assert one.push(default_configuration(6), 4).status == 200
@@ -441,7 +441,7 @@
         one.kill_relay(host)
         relay = one.start_relay(host)
         assert one.world.run_until(lambda started=relay: started.ready, 3.0)
-        assert relay._table.generation == 7
+        assert relay.route_table.generation == 7
 
 
 def test_a_child_whose_parent_is_lost_hears_news_in_time():
@@ -452,7 +452,7 @@
     assert inner, "no relay has children"
     one.kill_relay(inner[0])
     assert one.push(default_configuration(4), 1).status == 200
-    assert one.world.run_until(lambda: all(r._table.generation == 4 for r in one.relays.values()), 2.0)
+    assert one.world.run_until(lambda: all(r.route_table.generation == 4 for r in one.relays.values()), 2.0)
 
 
 # Endpoints and membership -----------------------------------------------------------------------------
@@ -543,4 +543,4 @@
     begun = one.world.time
     assert one.turn("p", 1000, request_id="t2", previous="t1").status == 200
     assert one.world.time - begun < 2.0
-    assert HOST in one.relays[one.relay_hosts[0]]._table._by_host
+    assert HOST in one.relays[one.relay_hosts[0]].route_table.routes_by_host
