--- a/lab/tier/control_group.py
+++ b/lab/tier/control_group.py
@@ -84,8 +84,8 @@
 
     @staticmethod
     def submit(member: ControlMember, key: str, value: object, done: Callable[[bool], None]) -> None:
-        """Hand a write to a member."""
-        member.submit((put_value(key, value),), done)
+        """Submit a write to a member; ``done(committed)``."""
+        member.submit((put_value(key, value),), lambda outcome: done(outcome.committed))
 
     def value(self, key: str) -> object:
         """What the primary holds under a key, None for nothing."""
--- a/lab/tier/models/operators.py
+++ b/lab/tier/models/operators.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Hashable
+from collections.abc import Hashable
 from dataclasses import dataclass
 
 import msgspec
@@ -18,6 +18,7 @@
 from lynxscale.controlplane.operator_api import BASE_HEADER, CURRENT_KEY, OperatorApi
 from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Put, put_value
+from lynxscale.coordination.outcomes import CommitCallback, CommitOutcome
 from lynxscale.runtime.http_types import Head, Request, Response
 
 UNCLEAR = (307, 408, 429)
@@ -43,7 +44,7 @@
     """Puts of the present primary that are not committed."""
 
     puts: tuple[Put, ...]
-    done: Callable[[bool], None]
+    on_outcome: CommitCallback
 
 
 class StubStore:
@@ -69,17 +70,17 @@
         """Always: a failover makes another stub."""
         return True
 
-    def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
+    def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
         """Part of ControlMember."""
         self.store.table.apply(puts)
-        self.submissions.append(Submission(puts, done))
+        self.submissions.append(Submission(puts, on_outcome))
 
-    def barrier(self, done: Callable[[bool], None]) -> None:
+    def barrier(self, on_outcome: CommitCallback) -> None:
         """Part of ControlMember."""
         if self.submissions:
-            self.submissions.append(Submission((), done))
+            self.submissions.append(Submission((), on_outcome))
         else:
-            done(True)
+            on_outcome(CommitOutcome.COMMITTED)
 
 
 @dataclass(frozen=True)
@@ -178,7 +179,7 @@
         elif what == "commits":
             submission = self.member.submissions.pop(0)
             self._commit(submission.puts)
-            submission.done(True)
+            submission.on_outcome(CommitOutcome.COMMITTED)
         else:
             self._fail_over(details[0])
         for place, sends in enumerate(self._sends):
@@ -204,7 +205,7 @@
             self._commit(submission.puts)
         self._lead()
         for submission in submissions:
-            submission.done(False)
+            submission.on_outcome(CommitOutcome.UNKNOWN)
 
     def key(self) -> Hashable:
         """What counts of all this."""
--- a/lab/tier/models/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -17,7 +17,7 @@
 
 from lab.model_checker import Event, InvariantViolation, frozen
 from lab.tier.world import World
-from lynxscale.coordination import replica_progress
+from lynxscale.coordination import send_window, snapshot_stream
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.messages import (
     Batch,
@@ -32,7 +32,7 @@
     encode,
     put_value,
 )
-from lynxscale.coordination.replica_progress import Copy
+from lynxscale.coordination.replica_progress import ReplicaProgress
 from lynxscale.coordination.store import Store
 
 PRIMARY, FOLLOWER = "p:1", "f:1"
@@ -93,8 +93,8 @@
 
     def _lead(self) -> None:
         network, clock = self._there, self.world.machine(PRIMARY).clock()
-        self.copy = Copy(FOLLOWER, self._epoch, self.store, clock, network, self._is_settled)
-        self.copy.on_position(self.follower_store.durable_position)
+        self.progress = ReplicaProgress(FOLLOWER, self._epoch, self.store, clock, network, self._is_settled)
+        self.progress.on_position(self.follower_store.durable_position)
 
     def _is_settled(self) -> bool:
         return not self._pending
@@ -119,12 +119,12 @@
         puts, self._pending, self._undo = tuple(self._pending), [], ()
         previous = self.store.position
         batch = Batch(previous, Position(self._epoch, previous.index + 1), puts)
-        if hasattr(self, "copy"):
-            self.copy.offer(batch)
+        if hasattr(self, "progress"):
+            self.progress.offer(batch)
         self.store.save(batch)
         self._states[self.store.position] = values_of(self.store)
-        if hasattr(self, "copy"):
-            self.copy.pump()
+        if hasattr(self, "progress"):
+            self.progress.pump()
 
     def events(self) -> list[Event]:
         """What may happen next."""
@@ -142,7 +142,10 @@
         (what,) = event
         if what in self._left:
             self._left[what] -= 1
-        with patch.multiple(replica_progress, MOST_PART_BYTES=1, LEAST_WINDOW_BYTES=1, MOST_WINDOW_BYTES=4):
+        with (
+            patch.multiple(send_window, MIN_WINDOW_BYTES=1, MAX_WINDOW_BYTES=4),
+            patch.multiple(snapshot_stream, MAX_CHUNK_BYTES=1),
+        ):
             getattr(self, "_" + what.replace(" ", "_"))()
 
     def _follower_hears(self) -> None:
@@ -159,9 +162,9 @@
         if message.epoch != self._epoch:
             return
         if isinstance(message, ReplicateAck):
-            self.copy.on_position(message.position)
+            self.progress.on_position(message.position)
         elif isinstance(message, SnapshotProgress):
-            self.copy.on_progress(message)
+            self.progress.on_progress(message)
 
     def _cut(self) -> None:
         self._there.messages.clear()
@@ -174,11 +177,11 @@
     def _pause(self) -> None:
         """Time goes by; a heartbeat tells the follower's position, as in service."""
         self.world.time += PAUSE_S
-        self.copy.tick()
+        self.progress.tick()
         self._back.send(PRIMARY, ReplicateAck(self._epoch, FOLLOWER, self.follower_store.durable_position))
 
     def _repair(self) -> None:
-        self.copy.restart()
+        self.progress.repair()
 
     def _next_lead(self) -> None:
         """What is in no batch yet is undone, as the lead that submitted it has ended."""
@@ -189,10 +192,10 @@
 
     def key(self) -> Hashable:
         """Times count as they stand to the present one."""
-        left_out = frozenset({"_clock", "_network", "_store", "_settled", "_progress_at"})
+        left_out = frozenset({"_clock", "_network", "_store", "_progress_at"})
         return (
-            frozen(self.copy, left_out),
-            round(self.world.time - self.copy._progress_at, 3),
+            frozen(self.progress, left_out),
+            round(self.world.time - self.progress._progress_at, 3),
             self.store.position,
             len(self._pending),
             self.follower_store.position,
--- a/lab/tier/mutations/replication.py
+++ b/lab/tier/mutations/replication.py
@@ -10,21 +10,21 @@
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.membership_plan import PlanInput
 from lynxscale.coordination.messages import Batch, Put, Replicate, SnapshotChunk, SnapshotProgress
-from lynxscale.coordination.replica_progress import Copy, CopyState
+from lynxscale.coordination.replica_progress import ReplicaProgress, ReplicaState
 from lynxscale.coordination.replication import Replicator
 from lynxscale.coordination.store import Store
 
 
 def acknowledged_before_stored() -> Patches:
     """A batch counts as committed as soon as the primary has written it."""
-    return [(Replicator, "lacking", property(lambda self: set()))]
+    return [(Replicator, "awaited", property(lambda self: set()))]
 
 
 def one_copy_is_enough() -> Patches:
     """The primary acknowledges alone, and members that are silent are not waited for."""
 
     def check(self: Replicator) -> None:
-        self._must_store, self._least_copies = {self.member}, 1
+        self._required, self._min_replicas = {self.member}, 1
         original(self)
 
     original = Replicator._check_commit
@@ -92,13 +92,13 @@
 
     def commits_without(self: Replicator) -> set[str]:
         lacking = original.fget(self)
-        return {one for one in lacking if self.copies[one].known and self.copies[one].stored >= self.committed}
+        return {one for one in lacking if self.replicas[one].known and self.replicas[one].stored >= self.committed}
 
-    original = Replicator.lacking
+    original = Replicator.awaited
     return [
-        (Replicator, "caught_up", lambda self, member: member in self.copies),
+        (Replicator, "caught_up", lambda self, member: member in self.replicas),
         (Replicator, "behind", lambda self: set()),
-        (Replicator, "lacking", property(commits_without)),
+        (Replicator, "awaited", property(commits_without)),
     ]
 
 
@@ -108,23 +108,24 @@
     def on_state_part(self: Follower, message: SnapshotChunk) -> None:
         if not self._follows(message.epoch) or self._transfer.installing:
             return
-        if not message.after:
+        if not message.after_key:
             self._transfer = type(self._transfer)(message.position)
         transfer = self._transfer
         transfer.table.apply(message.puts)
-        transfer.position, transfer.upto = message.position, message.upto
+        transfer.position, transfer.upto = message.position, message.last_key
         self._tell_progress(message.epoch, 0)
-        if message.last:
+        if message.final:
             self._install(message.epoch)
 
-    def resume(self: Copy, message: SnapshotProgress) -> None:
+    def resume(self: ReplicaProgress, message: SnapshotProgress) -> None:
         original(self, message)
-        if message.upto and self.state is CopyState.PARTS:
-            self._sent, self._upto = self._store.position, message.upto
-            self._cursor = bisect_right(self._keys, message.upto)
+        snapshot = self._snapshot
+        if message.last_key and self.state is ReplicaState.SNAPSHOT:
+            self._sent, snapshot.last_key = self._store.position, message.last_key
+            snapshot._cursor = bisect_right(snapshot._keys, message.last_key)
 
-    original = Copy._resume
-    return [(Follower, "on_state_part", on_state_part), (Copy, "_resume", resume)]
+    original = ReplicaProgress._resume
+    return [(Follower, "on_state_part", on_state_part), (ReplicaProgress, "_resume", resume)]
 
 
 def batches_between_parts_are_lost() -> Patches:
--- a/lab/tier/mutations/turns.py
+++ b/lab/tier/mutations/turns.py
@@ -20,7 +20,7 @@
 
     def reply(self, call, answer, puts) -> None:  # noqa: ANN001
         if puts:
-            self.member.submit(puts, lambda committed: None)
+            self.member.submit(puts, lambda outcome: None)
         self._network.send(call.caller, Reply(call.number, call.life, answer))
 
     from lynxscale.controlplane.service import ControlService
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -18,6 +18,7 @@
 from lynxscale.controlplane.configuration_update import EMPTY_CONFIGURATION, Update, apply_update, check_update
 from lynxscale.coordination.member import ControlMember
 from lynxscale.coordination.messages import Put, put_value
+from lynxscale.coordination.outcomes import CommitOutcome
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Head, Request, Response
 
@@ -70,7 +71,7 @@
         elif request.method == "POST" and request.path in ORDER_PATHS:
             self._order(ORDER_PATHS[request.path], request, responder)
         elif (request.method, request.path) == ("GET", "/config/read"):
-            self._member.barrier(lambda decided: self._read(responder, decided))
+            self._member.barrier(lambda outcome: self._read(responder, outcome))
         elif request.path.startswith("/retire/"):
             self._retire(request, responder)
         else:
@@ -147,7 +148,8 @@
             *self._forget_oldest(),
         )
 
-        def done(committed: bool) -> None:
+        def done(outcome: CommitOutcome) -> None:
+            committed = outcome.committed
             if committed:
                 self._on_commit()
             responder.respond(json_response(200, {"generation": generation}) if committed else undecided("not decided"))
@@ -174,11 +176,13 @@
 
     def _answer_when_decided(self, responder: Responder, response: Response) -> None:
         """What the answer rests on may not be committed yet."""
-        self._member.barrier(lambda decided: responder.respond(response if decided else undecided("not decided")))
+        self._member.barrier(
+            lambda outcome: responder.respond(response if outcome.committed else undecided("not decided"))
+        )
 
-    def _read(self, responder: Responder, decided: bool) -> None:
+    def _read(self, responder: Responder, outcome: CommitOutcome) -> None:
         current = self.current()
-        if not decided or current is None:
+        if not outcome.committed or current is None:
             responder.respond(undecided("no configuration yet"))
             return
         responder.respond(Response(200, Head(((b"content-type", b"application/json"),)), bytes(current.body)))
@@ -198,7 +202,9 @@
         if RETIRE_PREFIX + node in self._member.store.values:
             self._answer_when_decided(responder, json_response(200, {"state": "running"}))
         elif len(leadership.live_nodes() - {node}) >= self._member.min_members and self._is_known(node):
-            self._member.submit((put_value(RETIRE_PREFIX + node, {}),), lambda done: self._retiring(responder, done))
+            self._member.submit(
+                (put_value(RETIRE_PREFIX + node, {}),), lambda outcome: self._retiring(responder, outcome)
+            )
         else:
             self._answer_when_decided(responder, self._retirement_refused(node))
 
@@ -216,14 +222,14 @@
             return json_response(409, {"error": "too few machines would remain"})
         return undecided("some machines are silent just now")
 
-    def _retiring(self, responder: Responder, committed: bool) -> None:
-        if committed:
+    def _retiring(self, responder: Responder, outcome: CommitOutcome) -> None:
+        if outcome.committed:
             self._on_commit()
-        responder.respond(json_response(200, {"state": "running"}) if committed else undecided("not decided"))
+        responder.respond(json_response(200, {"state": "running"}) if outcome.committed else undecided("not decided"))
 
     def _read_retiring(self, node: str, responder: Responder) -> None:
-        def decided(committed: bool) -> None:
-            if not committed or not self._member.leads():
+        def decided(outcome: CommitOutcome) -> None:
+            if not outcome.committed or not self._member.leads():
                 responder.respond(undecided("not decided"))
             elif RETIRE_PREFIX + node not in self._member.store.values:
                 responder.respond(json_response(404, {"error": f"{node!r} is not to be emptied"}))
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -29,6 +29,7 @@
     Version,
     address_of,
 )
+from lynxscale.coordination.outcomes import CommitOutcome
 from lynxscale.coordination.ports import Clock, Files, Network
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.discovery.endpoint_poller import EndpointPoller
@@ -147,14 +148,14 @@
             self._reply_when_durable(call, TurnFinished(), self.ledger.finish(call.body))
 
     def _reply_when_durable(self, call: Call, answer: Message, puts: tuple[Put, ...]) -> None:
-        def done(committed: bool) -> None:
-            if committed and self.member.leads():
+        def reply(outcome: CommitOutcome) -> None:
+            if outcome.committed and self.member.leads():
                 self._network.send(call.caller, Reply(call.number, call.life, answer))
 
         if puts:
-            self.member.submit(puts, done)
+            self.member.submit(puts, reply)
         else:
-            self.member.barrier(done)
+            self.member.barrier(reply)
 
     def _on_attach(self, message: Attach) -> None:
         if not self._serving or not self.member.leads():
@@ -261,7 +262,7 @@
         if now >= self._sweep_at:
             self._sweep_at = now + SWEEP_EVERY_S
             if gone := self.ledger.expired():
-                self.member.submit(gone, lambda committed: None)
+                self.member.submit(gone, lambda outcome: None)
         if now >= self._scrub_at:
             self._scrub_at = now + SCRUB_EVERY_S
             self.member.leadership.scrub()
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -72,21 +72,21 @@
     def on_transfer_ask(self, message: SnapshotProbe) -> None:
         """Tell how far the transfer has come."""
         if self._follows(message.epoch):
-            self._tell_progress(message.epoch, message.probe)
+            self._tell_progress(message.epoch, message.probe_id)
 
     def on_state_part(self, message: SnapshotChunk) -> None:
         """Take a part of a whole state; behind the last one it takes the place of the own state. Raises OSError."""
         if not self._follows(message.epoch) or self._transfer.installing:
             return
-        if not message.after:
+        if not message.after_key:
             self._transfer = Transfer(message.position)
         transfer = self._transfer
-        if transfer.position != message.position or transfer.upto != message.after:
+        if transfer.position != message.position or transfer.upto != message.after_key:
             return
         transfer.table.apply(message.puts)
-        transfer.upto = message.upto
+        transfer.upto = message.last_key
         self._tell_progress(message.epoch, 0)
-        if message.last:
+        if message.final:
             self._install(message.epoch)
 
     def on_digest_request(self, message: DigestRequest) -> None:
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -128,12 +128,12 @@
         self.lease.discard_rounds()
         self.heartbeat()
         self.replicator.begin(record)
-        self.replicator.forget(set(record.voters))
+        self.replicator.retain_only(set(record.voters))
 
     def end(self) -> None:
         """Another may lead from now on."""
         self.lease.drop()
-        self.replicator.abandon()
+        self.replicator.abort()
 
     def tick(self) -> None:
         """Called every ``TICK_S``."""
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -51,6 +51,7 @@
     TakeOver,
     address_of,
 )
+from lynxscale.coordination.outcomes import CommitCallback, CommitOutcome
 from lynxscale.coordination.ports import Clock, Files, Network
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.store import Store
@@ -150,19 +151,21 @@
         other = self.record.primary != self.me and self.state is not State.PRIMARY
         return address_of(self.record.primary) if recent and other else ""
 
-    def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
-        """Change the state as primary; ``done`` as in Replicator.submit."""
+    def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
+        """Change the state as primary; ``on_outcome(outcome)`` once it is known what became of the change."""
         if self.leads():
-            self.leadership.replicator.submit(puts, done)
+            self.leadership.replicator.submit(puts, on_outcome)
         else:
-            done(False)
+            on_outcome(CommitOutcome.NOT_LEADER)
 
-    def barrier(self, done: Callable[[bool], None]) -> None:
-        """``done(True)`` once everything submitted before is committed and the lease still runs."""
+    def barrier(self, on_outcome: CommitCallback) -> None:
+        """``COMMITTED`` once everything submitted before is committed and the lease still runs."""
         if self.leads():
-            self.leadership.replicator.barrier(lambda committed: done(committed and self.leads()))
+            self.leadership.replicator.barrier(
+                lambda outcome: on_outcome(outcome if self.leads() else CommitOutcome.UNKNOWN)
+            )
         else:
-            done(False)
+            on_outcome(CommitOutcome.NOT_LEADER)
 
     def leave(self, on_release: Callable[[], None]) -> None:
         """The process is to stop. It votes and copies on; ``on_release()`` once nothing depends on it any more."""
--- a/lynxscale/coordination/messages/replication.py
+++ b/lynxscale/coordination/messages/replication.py
@@ -1,4 +1,7 @@
-"""Messages of primary-backup replication: batches, snapshots and the scrub."""
+"""Messages of primary-backup replication: batches, snapshots and the scrub.
+
+``tag`` and ``msgspec.field(name=...)`` keep the names that stand on the wire and in files.
+"""
 
 from __future__ import annotations
 
@@ -15,17 +18,17 @@
 
     @property
     def removes(self) -> bool:
-        """Is the key to go?"""
+        """Does this remove the key?"""
         return bytes(self.value) == b"null"
 
     @property
     def size(self) -> int:
-        """Bytes of key and value."""
+        """Size of key and value: characters of the key, bytes of the value."""
         return len(self.key) + len(bytes(self.value))
 
 
 def put_value(key: str, value: object) -> Put:
-    """A put of a value that msgspec can encode."""
+    """A put of any value that msgspec can encode as JSON."""
     return Put(key, msgspec.Raw(msgspec.json.encode(value)))
 
 
@@ -38,12 +41,12 @@
 
     @property
     def size(self) -> int:
-        """Bytes of all keys and values."""
+        """Size of all keys and values, as ``Put.size`` counts it."""
         return sum(put.size for put in self.puts)
 
 
 class Replicate(Message, frozen=True, tag="replicate"):
-    """Store the batch. ``epoch`` is the sender's, at least that of the batch."""
+    """The primary sends a batch to store. ``epoch`` is the sender's, at least that of the batch."""
 
     epoch: int
     batch: Batch
@@ -58,50 +61,50 @@
 
 
 class SnapshotProbe(Message, frozen=True, tag="transfer_ask"):
-    """How far has a transfer of the whole state come? ``probe`` comes back in the answer."""
+    """How much of a snapshot has the receiver? ``probe_id`` comes back in the answer."""
 
     epoch: int
-    probe: int
+    probe_id: int = msgspec.field(name="probe")
 
 
 class SnapshotProgress(Message, frozen=True, tag="transfer_progress"):
-    """The receiver holds all keys up to ``upto`` as they are at ``position``.
+    """The sender has all keys up to ``last_key`` as they are at ``position``.
 
-    ``probe``: of the question that this answers, 0 where a part is confirmed. ``installing``: all of it is there and
-    is being made durable.
+    ``probe_id``: of the probe that this answers, 0 for the acknowledgement of a chunk. ``installing``: the snapshot is
+    complete and is being made durable.
     """
 
     epoch: int
     member: str
-    probe: int
+    probe_id: int = msgspec.field(name="probe")
     position: Position
-    upto: str
+    last_key: str = msgspec.field(name="upto")
     installing: bool = False
 
 
 class SnapshotChunk(Message, frozen=True, tag="state_part"):
-    """The state's keys behind ``after`` up to ``upto``, as they are at the position; a new transfer begins behind "".
+    """The state's keys behind ``after_key`` up to ``last_key`` at the position; a new snapshot begins behind "".
 
-    Batches that come between parts belong to the transfer too, so all parts together are the state at one position.
+    Batches that come between chunks belong to the snapshot too, so all chunks together are the state at one position.
     """
 
     epoch: int
     position: Position
-    after: str
-    upto: str
-    last: bool
+    after_key: str = msgspec.field(name="after")
+    last_key: str = msgspec.field(name="upto")
+    final: bool = msgspec.field(name="last")
     puts: tuple[Put, ...]
 
 
 class DigestRequest(Message, frozen=True, tag="digest_request"):
-    """The scrub asks for checksums of key ranges at a position."""
+    """The scrub asks for the checksum of the state at a position."""
 
     epoch: int
     position: Position
 
 
 class DigestReply(Message, frozen=True, tag="digest_reply"):
-    """Checksum of the whole state as the sender holds it on its disk."""
+    """Checksum of the complete state that the sender had at the position."""
 
     epoch: int
     member: str
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -1,43 +1,44 @@
-"""The primary's side of primary-backup replication: batches out, acknowledgements in, copies for those behind.
+"""The primary's side of primary-backup replication: batches out, acknowledgements in, snapshots for those far behind.
 
-One batch is under way at a time; what is submitted meanwhile goes with the next. A batch is committed once every
-in-sync member has stored it, and at least ``copies`` members in all.
+One batch is in flight at a time; what is submitted meanwhile goes with the next. A batch is committed once every
+in-sync member has stored it, and at least ``min_replicas`` members in all.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from lynxscale.coordination.messages import Batch, EpochRecord, Position, Put, SnapshotProgress
+from lynxscale.coordination.outcomes import CommitCallback, CommitOutcome
 from lynxscale.coordination.ports import Clock, Network
-from lynxscale.coordination.replica_progress import Copy
+from lynxscale.coordination.replica_progress import ReplicaProgress
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import INITIAL_POSITION
 
-LAG_S = 0.4  # a member that has not stored a batch after so long is not waited for
+ACK_TIMEOUT_S = 0.4  # a member that has not stored a batch after so long is not waited for
 
 
-@dataclass(slots=True)
+@dataclass(frozen=True, slots=True)
 class Submission:
-    """Puts that wait for their batch, what undoes them, and whom to tell of the commit."""
+    """Puts that wait for their batch, the puts that undo them, and whom to notify of the outcome."""
 
     puts: tuple[Put, ...]
     undo: tuple[Put, ...]
-    done: Callable[[bool], None]
+    on_outcome: CommitCallback
 
 
-@dataclass(slots=True)
-class Outstanding:
-    """The batch under way."""
+@dataclass(frozen=True, slots=True)
+class InFlightBatch:
+    """The batch that is not committed yet, and the submissions that its commit decides."""
 
     batch: Batch
     begun_at: float
-    submissions: list[Submission] = field(default_factory=list)
+    submissions: list[Submission]
 
 
 class Replicator:
-    """Replicates one primary's batches within its epoch. It ends with ``abandon``."""
+    """Replicates the batches of one primary, through its epochs. It ends with ``abort``."""
 
     def __init__(
         self,
@@ -45,174 +46,189 @@
         store: Store,
         clock: Clock,
         network: Network,
-        copies: int,
+        min_replicas: int,
         on_disk_failure: Callable[[OSError], None],
     ) -> None:
         self.member = member
-        self._on_disk_failure = on_disk_failure
         self.committed = INITIAL_POSITION
+        self.replicas: dict[str, ReplicaProgress] = {}
         self._inherited = store.position  # what earlier primaries may have committed
-        self.copies: dict[str, Copy] = {}
         self._store = store
         self._clock = clock
         self._network = network
-        self._least_copies = copies
+        self._min_replicas = min_replicas
+        self._on_disk_failure = on_disk_failure
         self._record: EpochRecord | None = None
-        self._must_store: set[str] = set()
+        self._required: set[str] = set()  # members that must store a batch before it is committed
         self._pending: list[Submission] = []
-        self._outstanding: Outstanding | None = None
-        self._flush_due = False
+        self._in_flight: InFlightBatch | None = None
+        self._flush_scheduled = False
 
     @property
     def idle(self) -> bool:
         """Is everything that was submitted committed?"""
-        return not self._pending and self._outstanding is None
+        return not self._pending and self._in_flight is None
 
-    @property
-    def lacking(self) -> set[str]:
-        """Members without whose copy the batch under way cannot be committed."""
-        if self._outstanding is None:
-            return set()
-        position = self._outstanding.batch.position
-        return {one for one in self._must_store if one != self.member and self.copies[one].stored != position}
-
-    def lagging(self) -> set[str]:
-        """Members that have held up the batch under way for too long, whether they are heard of or not."""
-        if self._outstanding is None or self._clock.now() - self._outstanding.begun_at < LAG_S:
-            return set()
-        return self.lacking
+    # Membership --------------------------------------------------------------------------------------
 
     def begin(self, record: EpochRecord) -> None:
         """Go on in a new epoch of this primary; the first one opens with an empty batch, so positions differ."""
         first = self._record is None
         self._record = record
-        self._must_store = set(record.in_sync)
-        self._copy_to((*record.in_sync, *record.voters))
+        self._required = set(record.in_sync)
+        self._replicate_to((*record.in_sync, *record.voters))
         if first:
-            self.submit((), lambda committed: None)
-        for copy in self.copies.values():
-            copy.begin(record.epoch)
+            self.submit((), lambda outcome: None)
+        for replica in self.replicas.values():
+            replica.begin(record.epoch)
         self._check_commit()
 
     def require_also(self, members: set[str]) -> None:
-        """While a change of the in-sync set is undecided, a commit needs the copies of every set that may hold."""
-        self._must_store |= members
-        self._copy_to(members)
-
-    def forget(self, members: set[str]) -> None:
-        """Send nothing more to all but these."""
-        for one in set(self.copies) - members - self._must_store:
-            del self.copies[one]
-
-    def submit(self, puts: tuple[Put, ...], done: Callable[[bool], None]) -> None:
-        """Change the state now; ``done(True)`` once that is committed, ``done(False)`` if this cannot be told."""
-        self._pending.append(Submission(puts, self._store.undo_of(puts), done))
+        """While a change of the in-sync set is undecided, a commit needs every set that may be in force."""
+        self._required |= members
+        self._replicate_to(members)
+
+    def retain_only(self, members: set[str]) -> None:
+        """Send nothing more to members other than these and the required ones."""
+        for member in set(self.replicas) - members - self._required:
+            del self.replicas[member]
+
+    # Submissions -------------------------------------------------------------------------------------
+
+    def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
+        """Change the state now; ``on_outcome(outcome)`` once that is committed, or this lead has ended."""
+        self._pending.append(Submission(puts, self._store.undo_of(puts), on_outcome))
         self._store.apply(puts)
         self._schedule_flush()
 
-    def barrier(self, done: Callable[[bool], None]) -> None:
-        """``done(True)`` once all that was submitted before is committed."""
-        if self.idle:
-            done(True)
-        elif self._pending:
-            self._pending.append(Submission((), (), done))
+    def barrier(self, on_outcome: CommitCallback) -> None:
+        """``on_outcome(COMMITTED)`` once all that was submitted before is committed."""
+        if self._pending:
+            self._pending.append(Submission((), (), on_outcome))
+        elif self._in_flight is not None:
+            self._in_flight.submissions.append(Submission((), (), on_outcome))
         else:
-            self._outstanding.submissions.append(Submission((), (), done))
+            on_outcome(CommitOutcome.COMMITTED)
 
-    def abandon(self) -> None:
-        """Another member is primary: nobody can tell here what becomes of the submissions.
+    def abort(self) -> None:
+        """Another member is primary: this one cannot know what becomes of the submissions.
 
         Those that are in no batch yet are undone, as this member may lead again and would take them for committed.
         """
         for submission in reversed(self._pending):
             self._store.apply(submission.undo)
-        waiting = self._pending + (self._outstanding.submissions if self._outstanding else [])
-        self._pending, self._outstanding = [], None
-        for submission in waiting:
-            submission.done(False)
+        undecided = self._pending + (self._in_flight.submissions if self._in_flight else [])
+        self._pending, self._in_flight = [], None
+        for submission in undecided:
+            submission.on_outcome(CommitOutcome.UNKNOWN)
+
+    # What replicas report ----------------------------------------------------------------------------
 
     def on_position(self, member: str, position: Position) -> None:
-        """A member tells what it has stored."""
-        copy = self.copies.get(member)
-        if copy is not None:
-            copy.on_position(position)
+        """A member reports the position that it has stored."""
+        replica = self.replicas.get(member)
+        if replica is not None:
+            replica.on_position(position)
             self._check_commit()
 
     def on_progress(self, message: SnapshotProgress) -> None:
-        """A member tells how far a transfer of the whole state has come."""
-        copy = self.copies.get(message.member)
-        if copy is not None:
-            copy.on_progress(message)
+        """A member reports how much of a snapshot it has received."""
+        replica = self.replicas.get(message.member)
+        if replica is not None:
+            replica.on_progress(message)
 
     def tick(self) -> None:
         """Called several times a second."""
-        for copy in self.copies.values():
-            copy.tick()
+        for replica in self.replicas.values():
+            replica.tick()
+
+    @property
+    def awaited(self) -> set[str]:
+        """Members without whose acknowledgement the batch in flight cannot be committed."""
+        if self._in_flight is None:
+            return set()
+        position = self._in_flight.batch.position
+        return {one for one in self._required if one != self.member and self.replicas[one].stored != position}
+
+    def lagging(self) -> set[str]:
+        """Members that have delayed the batch in flight for too long, whether they are heard of or not."""
+        if self._in_flight is None or self._clock.now() - self._in_flight.begun_at < ACK_TIMEOUT_S:
+            return set()
+        return self.awaited
 
     def caught_up(self, member: str) -> bool:
         """Does the member hold all that may be committed, also by earlier primaries?"""
-        copy = self.copies.get(member)
-        if copy is None or not copy.known or copy.repairing:
+        replica = self.replicas.get(member)
+        if replica is None or not replica.known or replica.repairing:
             return False
-        return copy.stored >= max(self.committed, self._inherited) and self._store.continues_from(copy.stored)
+        must_hold = max(self.committed, self._inherited)
+        return replica.stored >= must_hold and self._store.continues_from(replica.stored)
 
     def behind(self) -> set[str]:
-        """Members whose copies may count and lack what is committed: damaged files, or one that differs."""
-        lacking = {one for one, copy in self.copies.items() if copy.known and copy.stored < self.committed}
-        return lacking | {one for one, copy in self.copies.items() if copy.repairing}
+        """Members that lack what is committed, although they may count: damaged files, or a state that differs."""
+        lacking = {one for one, replica in self.replicas.items() if replica.known and replica.stored < self.committed}
+        return lacking | {one for one, replica in self.replicas.items() if replica.repairing}
 
     def repair(self, member: str) -> None:
-        """Send a member the whole state, since its copy differs."""
-        copy = self.copies.get(member)
-        if copy is not None:
-            copy.restart()
+        """Send a member a snapshot, since its state differs."""
+        replica = self.replicas.get(member)
+        if replica is not None:
+            replica.repair()
 
-    @property
-    def _settled(self) -> bool:
-        """Is the memory the state at the store's position, with nothing that waits for its batch?"""
+    # Batches -----------------------------------------------------------------------------------------
+
+    def _memory_is_at_position(self) -> bool:
+        """Is the memory the state at the store's position, with no submission that waits for its batch?"""
         return not self._pending
 
-    def _copy_to(self, members: Iterable[str]) -> None:
-        for one in members:
-            if one != self.member and one not in self.copies:
-                epoch = self._record.epoch if self._record else 0
-                self.copies[one] = Copy(one, epoch, self._store, self._clock, self._network, lambda: self._settled)
+    def _replicate_to(self, members: Iterable[str]) -> None:
+        epoch = self._record.epoch if self._record else 0
+        for member in members:
+            if member != self.member and member not in self.replicas:
+                self.replicas[member] = ReplicaProgress(
+                    member, epoch, self._store, self._clock, self._network, self._memory_is_at_position
+                )
 
     def _schedule_flush(self) -> None:
-        if not self._flush_due:
-            self._flush_due = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self._clock.call_later(0.0, self._flush)
 
     def _flush(self) -> None:
-        self._flush_due = False
-        if self._outstanding is not None or not self._pending or self._record is None:
+        """Make one batch of everything that is pending, send it, and store it here."""
+        self._flush_scheduled = False
+        if self._in_flight is not None or not self._pending or self._record is None:
             return
         submissions, self._pending = self._pending, []
-        puts = tuple(put for submission in submissions for put in submission.puts)
-        previous = self._store.position
-        batch = Batch(previous, Position(self._record.epoch, previous.index + 1), puts)
-        self._outstanding = Outstanding(batch, self._clock.now(), submissions)
-        for copy in self.copies.values():
-            copy.offer(batch)
+        batch = self._make_batch(submissions, self._record.epoch)
+        self._in_flight = InFlightBatch(batch, self._clock.now(), submissions)
+        for replica in self.replicas.values():
+            replica.offer(batch)
         try:
             self._store.save(batch)
             self._store.complete_batch()
         except OSError as error:
-            self._pending, self._outstanding = submissions + self._pending, None
+            self._pending, self._in_flight = submissions + self._pending, None
             self._on_disk_failure(error)
             return
-        for copy in self.copies.values():
-            copy.pump()
+        for replica in self.replicas.values():
+            replica.pump()
         self._check_commit()
 
+    def _make_batch(self, submissions: list[Submission], epoch: int) -> Batch:
+        puts = tuple(put for submission in submissions for put in submission.puts)
+        previous = self._store.position
+        return Batch(previous, Position(epoch, previous.index + 1), puts)
+
     def _check_commit(self) -> None:
-        if self._outstanding is None or self._store.position != self._outstanding.batch.position:
+        in_flight = self._in_flight
+        if in_flight is None or self._store.position != in_flight.batch.position:
             return
-        if self.lacking or len(self._must_store) < self._least_copies:
+        if self.awaited or len(self._required) < self._min_replicas:
             return
-        outstanding, self._outstanding = self._outstanding, None
-        self.committed = outstanding.batch.position
-        for submission in outstanding.submissions:
-            submission.done(True)
+        self._in_flight = None
+        self.committed = in_flight.batch.position
+        for submission in in_flight.submissions:
+            submission.on_outcome(CommitOutcome.COMMITTED)
         if self._pending:
             self._schedule_flush()
