--- a/lab/bench_trace.py
+++ b/lab/bench_trace.py
@@ -112,13 +112,13 @@
             now += 1000
             one.message(now, number, envelope, number % 3, number % 3, 15_900_123)
             one.admitted(now, number, "taken", 0.0)
-            one.try_started(now, number, 0, number % 32, 1_234_567, False)
-            one.turn()
+            one.attempt_started(now, number, 0, number % 32, 1_234_567, False)
+            one.turn_ended()
             now += 1000
-            one.try_ended(now, number, 0, number % 32, 1, 20_123, 0.0, False, (0.5, 500.0))
+            one.attempt_ended(now, number, 0, number % 32, 1, 20_123, 0.0, False, (0.5, 500.0))
             one.ended(now, number, "delivered")
             one.forgotten(now, number)
-            one.turn()
+            one.turn_ended()
             if number % 20 == 19:
                 due.pop()()
         spent = time.process_time_ns() - begun
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -20,7 +20,7 @@
 from lynxscale.relay.cluster.membership_table import Identity
 from lynxscale.relay.cluster.messages import Kept, committee_of
 from lynxscale.relay.cluster.view_change import Note, Outvoted, Standing, Terms
-from lynxscale.relay.components import Host, Part
+from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf import platform
 from lynxscale.relay.conf.platform import Address, Config
 from lynxscale.relay.conf.table import ClusterConf, Conf
@@ -96,15 +96,15 @@
         deferToThread(self._store.save, *what).addBoth(done)
 
 
-class ClusterPart(Part):
+class ClusterComponent(Component):
     """Raises PlatformError where the folder is another node's, OSError where it cannot be written."""
 
     sockets = INBOUND_MOST + OUTBOUND_MOST + 4
 
-    def __init__(self, host: Host) -> None:
-        conf = self._conf = host.own.cluster
-        self._reactor, self._deadlines, self._state = host.reactor, host.deadlines, Path(host.conf.state)
-        name = host.conf.name
+    def __init__(self, context: ComponentContext) -> None:
+        conf = self._conf = context.product.cluster
+        self._reactor, self._deadlines, self._state = context.reactor, context.deadlines, Path(context.conf.state)
+        name = context.conf.name
         self._store = Store(self._state, conf.name, name)
         try:
             found = self._store.load()
@@ -117,19 +117,26 @@
         kept = stored.kept if stored is not None else None
         self._store.save(self._life, kept)
         me = Identity(name, self._life, int.from_bytes(os.urandom(8)) >> 1)
-        addresses, seed = addresses_of(conf), str(host.conf.seed)
-        self._clock = Clock(host.deadlines)
+        addresses, seed = addresses_of(conf), str(context.conf.seed)
+        self._clock = Clock(context.deadlines)
         now = self._clock.turn()
         self._core = Core(
-            me, addresses, seed, now, kept, timing_of(conf.probe), terms_of(conf.probe), settings.digests(host.own)
+            me,
+            addresses,
+            seed,
+            now,
+            kept,
+            timing_of(conf.probe),
+            terms_of(conf.probe),
+            settings.digests(context.product),
         )
         self._detector, self._views = self._core.detector, self._core.views
         self._keeper = Keeper(self._store, self._not_saved, lambda: self._driver.slow(SLOW_DISK))
         self._driver = Driver(
-            host.reactor,
-            host.deadlines,
+            context.reactor,
+            context.deadlines,
             self._clock,
-            host.counters,
+            context.counters,
             conf.name,
             platform.address(conf.listen, "listen"),
             addresses,
@@ -140,8 +147,8 @@
         )
         self._renewing = self._stopped = self._writing = False
         self._begun = now
-        host.calls[STATUS_PATH] = "GET", lambda _query: (200, self.status())
-        host.calls[FORGET_PATH] = "POST", self._forget
+        context.calls[STATUS_PATH] = "GET", lambda _query: (200, self.status())
+        context.calls[FORGET_PATH] = "POST", self._forget
 
     def start(self) -> None:
         self._driver.start()
@@ -159,10 +166,10 @@
         )
         self._write_status()
 
-    def reload(self, conf: Config, own: Conf) -> Collection[str]:
+    def reload(self, conf: Config, product: Conf) -> Collection[str]:
         """Nodes that come, go or are at another address hold at once; all else needs a restart."""
-        self._core.settings = settings.digests(own)
-        new, old = own.cluster, self._conf
+        self._core.settings = settings.digests(product)
+        new, old = product.cluster, self._conf
         if new == old or (new.name, new.listen, new.probe) != (old.name, old.listen, old.probe):
             return ()
         if self._detector.me.name not in (addresses := addresses_of(new)):
@@ -336,6 +343,3 @@
         new = path.with_suffix(".new")
         new.write_bytes(data)
         new.rename(path)
-
-
-attach = ClusterPart
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -19,7 +19,7 @@
 from lynxscale.relay.cluster.view_change import Fetch, Note, Order, Outvoted, Persist, Say
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines
-from lynxscale.relay.net import connection as link
+from lynxscale.relay.net.close_reason import CloseReason
 
 log = structlog.get_logger()
 
@@ -109,7 +109,7 @@
     def connectionLost(self, reason: Failure) -> None:
         self._driver.deadlines.cancel(self._deadline)
         self._driver.left(self)
-        log.info("connection", kind="cluster", node=self._to or None, reason=self._reason or link.FAR_CLOSED)
+        log.info("connection", kind="cluster", node=self._to or None, reason=self._reason or CloseReason.REMOTE_CLOSED)
         if self._to:
             self._driver.swapped(self._to, failed=self._reason != ANSWERED)
 
@@ -263,7 +263,7 @@
             return
         wait = max(0, self.core.due() - self._clock.turn())
         due = self.deadlines.now() + int(wait)
-        if self._timer is None or self._timer.act is None or due < self._timer.at:
+        if self._timer is None or self._timer.callback is None or due < self._timer.at:
             self.deadlines.cancel(self._timer)
             self._timer = self.deadlines.at(due, self._tick)
 
--- a/lynxscale/relay/components.py
+++ b/lynxscale/relay/components.py
@@ -1,7 +1,7 @@
-"""What a relay is put together from round its core: parts behind one small port, attached as the settings say.
+"""The optional parts of a relay around its core, each behind the same small interface.
 
-The daemon starts, reloads and stops them in one way and knows none of them. A part's module is imported only
-where it is switched on.
+The daemon starts, reloads and stops components alike and knows none of them by name. A component's module is imported
+only where the settings switch it on.
 """
 
 from __future__ import annotations
@@ -26,42 +26,49 @@
 
 log = structlog.get_logger()
 
+# An admin call: its HTTP method, and what gives its status and body by the text of the query.
+AdminCall = tuple[str, Callable[[str], tuple[int, dict]]]
 
-class Part:
-    """One part of a relay; what it does not need it leaves as it is here.
 
-    ``sockets``: descriptors that it keeps for itself, beside those of clients and peers.
+class Component:
+    """One component of a relay; a subclass overrides what it needs.
+
+    ``sockets``: file descriptors that it reserves, beside those of clients and peers.
     """
 
     sockets = 0
 
     def start(self) -> None:
-        """Begin. Nothing is served yet, and no message of an earlier process is taken over yet.
+        """Begin. No client is served yet, and no message of an earlier process is recovered yet.
 
-        Raises OSError or CannotListenError where the machine is in the way, PlatformError where a setting is.
+        Raises OSError or CannotListenError where the machine is at fault, PlatformError where a setting is.
         """
 
-    def reload(self, conf: Config, own: Conf) -> Collection[str]:
-        """New settings, checked; called at every SIGHUP, also where nothing differs.
+    def reload(self, conf: Config, product: Conf) -> Collection[str]:
+        """Apply new settings, already validated; called at every SIGHUP, also where nothing differs.
 
-        Returns the keys and sections that hold from now on without a restart.
+        Returns the keys and sections that are in force from now on without a restart.
         """
         return ()
 
     def stop(self) -> None:
-        """The process ends in this turn."""
+        """Release everything; the process ends in this turn of the loop."""
 
     def counters(self) -> Mapping[str, Mapping[str, int]]:
-        """Groups of figures beside those that it counts in the relay's own table."""
+        """Groups of counters beside those that it adds to the relay's own table."""
         return {}
 
 
 @dataclass(frozen=True, slots=True)
-class Host:
-    """What a part may use of the relay."""
+class ComponentContext:
+    """What a component may use of the relay.
+
+    ``conf`` is the configuration in force, ``product`` the settings file of lynxscale itself. ``calls`` are further
+    calls of the admin server by path, to which components add their own.
+    """
 
     conf: Config
-    own: Conf
+    product: Conf
     reactor: Any
     loop: Loop
     deadlines: Deadlines
@@ -72,41 +79,55 @@
     lifecycle: Lifecycle
     drain: Callable[[], None]
     resume: Callable[[], bool]
-    # More calls of the operators' door, where there is one: path to method and what answers, status and body, by the
-    # query's text.
-    calls: dict[str, tuple[str, Callable[[str], tuple[int, dict]]]] = field(default_factory=dict)
+    calls: dict[str, AdminCall] = field(default_factory=dict)
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """``attach`` is ``module:function``; the function takes a Host and returns a Part. ``own_only``: the platform does
-    not give what it needs, so there it is left off."""
-
-    attach: str
-    wanted: Callable[[Config, Conf], bool]
-    own_only: bool = False
-
-
-# In the order in which they start; they stop the other way round.
-KINDS = (
-    Kind("lynxscale.trace.component:attach", lambda conf, own: own.trace.folder is not None),
-    Kind("lynxscale.relay.net.components:notices", lambda conf, own: True),
-    Kind("lynxscale.relay.upstream.component:attach", lambda conf, own: bool(own.members.files)),
-    Kind("lynxscale.relay.net.components:discovery", lambda conf, own: conf.discovery is not None),
-    Kind("lynxscale.relay.net.components:door", lambda conf, own: conf.admin is not None),
-    Kind("lynxscale.relay.cluster.component:attach", lambda conf, own: own.cluster.name is not None, own_only=True),
+class ComponentSpec:
+    """One kind of component and when it is enabled.
+
+    ``factory`` is ``module:class``, called with a ComponentContext. ``standalone_only``: the platform does not provide
+    what it needs, so it stays disabled there.
+    """
+
+    factory: str
+    enabled: Callable[[Config, Conf], bool]
+    standalone_only: bool = False
+
+    def load(self) -> Callable[[ComponentContext], Component]:
+        """Import its module and return its factory."""
+        module, _, name = self.factory.partition(":")
+        return getattr(importlib.import_module(module), name)
+
+
+# In the order in which they start; they stop in reverse.
+COMPONENTS = (
+    ComponentSpec("lynxscale.trace.component:TraceComponent", lambda conf, product: product.trace.folder is not None),
+    ComponentSpec("lynxscale.relay.net.components:NoticesComponent", lambda conf, product: True),
+    ComponentSpec(
+        "lynxscale.relay.upstream.component:WatchComponent", lambda conf, product: bool(product.members.files)
+    ),
+    ComponentSpec(
+        "lynxscale.relay.net.components:DiscoveryComponent", lambda conf, product: conf.discovery is not None
+    ),
+    ComponentSpec("lynxscale.relay.net.components:AdminServerComponent", lambda conf, product: conf.admin is not None),
+    ComponentSpec(
+        "lynxscale.relay.cluster.component:ClusterComponent",
+        lambda conf, product: product.cluster.name is not None,
+        standalone_only=True,
+    ),
 )
 
 
-def attach(host: Host) -> list[Part]:
-    """The parts that the settings switch on, in the order in which they start."""
-    found = []
-    for kind in KINDS:
-        if not kind.wanted(host.conf, host.own):
+def build_components(context: ComponentContext) -> list[Component]:
+    """The components that the settings enable, in the order in which they start."""
+    components = []
+    for spec in COMPONENTS:
+        if not spec.enabled(context.conf, context.product):
             continue
-        module, _, name = kind.attach.partition(":")
-        if kind.own_only and host.conf.by_platform:
-            log.warning("part_left_off", part=module, reason="the platform runs this relay")
+        if spec.standalone_only and context.conf.by_platform:
+            module = spec.factory.partition(":")[0]
+            log.warning("component_disabled", component=module, reason="the platform runs this relay")
         else:
-            found.append(getattr(importlib.import_module(module), name)(host))
-    return found
+            components.append(spec.load()(context))
+    return components
--- a/lynxscale/relay/connection_budget.py
+++ b/lynxscale/relay/connection_budget.py
@@ -1,8 +1,8 @@
-"""Who goes first when client connections or their bytes run short: a rule without I/O.
+"""Which client connections are evicted when connections or buffered bytes run short: a policy without I/O.
 
-A connection that has brought no whole request yet stands among the *new*, one that rests after an answer among the
-*idle*; one with a request under way in neither, and is never closed for room. Half a request counts in bytes. Times are
-µs on the loop's clock.
+A connection without a complete request so far is *new*; one that waits for its next request is *idle*; one with a
+request under way is neither, and is never evicted for capacity. An incomplete request counts by its buffered bytes.
+Times are µs on the loop's clock.
 """
 
 from __future__ import annotations
@@ -10,83 +10,88 @@
 from collections import OrderedDict
 from collections.abc import Iterator
 
-YOUNG, RESTED = 50_000, 500_000  # silent, or at rest, for so long: closed for room before all others
+# A connection that is silent or idle for longer is evicted before all others, in µs.
+SILENT_GRACE, IDLE_GRACE = 50_000, 500_000
 
 
-class Room:
-    """Connections by their place. ``most``: how many there may be; ``easy``: beyond so many the rested ones go;
-    ``bytes_most``: that all unfinished requests together may take."""
+class ConnectionBudget:
+    """Client connections by slot number.
 
-    def __init__(self, bytes_most: int) -> None:
-        self.most = self.easy = 0
-        self.bytes_most, self.bytes = bytes_most, 0
-        self._new: OrderedDict[int, int] = OrderedDict()  # since when, the oldest first
-        self._idle: OrderedDict[int, int] = OrderedDict()  # the longest idle first
-        self._half: OrderedDict[int, int] = OrderedDict()  # bytes of unfinished requests, the oldest first
-
-    # What connections do -------------------------------------------------------------------------
-
-    def joined(self, place: int, now: int) -> None:
-        self._new[place] = now
-
-    def rests(self, place: int, now: int) -> None:
-        """It has its answer and asks for nothing."""
-        self._new.pop(place, None)
-        self._idle[place] = now
-        self._idle.move_to_end(place)
+    ``max_connections``: how many there may be. ``idle_limit``: beyond so many, those idle for long are evicted.
+    ``max_bytes``: what all incomplete requests together may buffer.
+    """
 
-    def works(self, place: int) -> None:
-        """It has begun to ask, or is closing."""
-        self._idle.pop(place, None)
-
-    def closing(self, place: int) -> None:
-        """It gives its place back soon: it need not be asked to."""
-        self._idle.pop(place, None)
-        self._new.pop(place, None)
-        self.holds(place, 0)
-
-    def holds(self, place: int, size: int) -> None:
-        """So many bytes of unfinished requests are kept for it."""
-        self.bytes += size - self._half.get(place, 0)
+    def __init__(self, max_bytes: int) -> None:
+        self.max_connections = self.idle_limit = 0
+        self.max_bytes, self.buffered = max_bytes, 0
+        self._new: OrderedDict[int, int] = OrderedDict()  # since when, the oldest first
+        self._idle: OrderedDict[int, int] = OrderedDict()  # since when, the longest idle first
+        self._bytes: OrderedDict[int, int] = OrderedDict()  # of incomplete requests, the oldest first
+
+    # State of the connections --------------------------------------------------------------------
+
+    def opened(self, slot: int, now: int) -> None:
+        """A connection was accepted."""
+        self._new[slot] = now
+
+    def idle(self, slot: int, now: int) -> None:
+        """It has its response, and no further request."""
+        self._new.pop(slot, None)
+        self._idle[slot] = now
+        self._idle.move_to_end(slot)
+
+    def busy(self, slot: int) -> None:
+        """A request has begun, or the connection is closing."""
+        self._idle.pop(slot, None)
+
+    def closing(self, slot: int) -> None:
+        """It frees its slot soon: it is no candidate for eviction."""
+        self._idle.pop(slot, None)
+        self._new.pop(slot, None)
+        self.buffer(slot, 0)
+
+    def buffer(self, slot: int, size: int) -> None:
+        """Its incomplete requests take so many bytes now."""
+        self.buffered += size - self._bytes.get(slot, 0)
         if size:
-            self._half[place] = size
+            self._bytes[slot] = size
         else:
-            self._half.pop(place, None)
+            self._bytes.pop(slot, None)
 
-    # Who goes ------------------------------------------------------------------------------------
+    # Candidates for eviction ---------------------------------------------------------------------
 
-    def idle(self) -> list[int]:
-        """All at rest, the longest first."""
+    def all_idle(self) -> list[int]:
+        """All idle connections, the longest idle first."""
         return list(self._idle)
 
-    def rested(self, now: int) -> Iterator[int]:
-        """At rest for long enough that a usual client has no use for it."""
-        for place, since in list(self._idle.items()):
-            if since > now - RESTED:
+    def long_idle(self, now: int) -> Iterator[int]:
+        """Idle for so long that a usual client has no more use for the connection."""
+        for slot, since in list(self._idle.items()):
+            if since > now - IDLE_GRACE:
                 return
-            yield place
+            yield slot
 
     def silent(self, now: int, age: int = 0) -> Iterator[int]:
-        """With no whole request, for so long or longer; never the youngest, which has just come."""
-        last = next(reversed(self._new), None)
-        for place, since in list(self._new.items()):
-            if since > now - age or place == last:
+        """Without a complete request for ``age`` or longer; never the youngest, which has only just been accepted."""
+        youngest = next(reversed(self._new), None)
+        for slot, since in list(self._new.items()):
+            if since > now - age or slot == youngest:
                 return
-            yield place
+            yield slot
 
-    def leavers(self, now: int) -> Iterator[int]:
-        """Who goes for a new one at the bound, the first to go first.
+    def eviction_candidates(self, now: int) -> Iterator[int]:
+        """Whom to evict for a new connection at the limit, in order.
 
-        Usual clients send at once and come back soon, so those that are silent or rest for longer go before them.
+        Usual clients send at once and come back soon, so those that are silent or idle for longer go before them.
         """
-        yield from self.silent(now, YOUNG)
-        yield from self.rested(now)
+        yield from self.silent(now, SILENT_GRACE)
+        yield from self.long_idle(now)
         yield from self.silent(now)
-        yield from self.idle()
+        yield from self.all_idle()
 
-    def heavy(self) -> Iterator[int]:
-        """Who goes because unfinished requests take too many bytes: those that came to be so first."""
-        for place in list(self._half):
-            if self.bytes <= self.bytes_most:
+    def over_buffered(self) -> Iterator[int]:
+        """Whom to evict while incomplete requests take too many bytes: those that began to buffer first."""
+        for slot in list(self._bytes):
+            if self.buffered <= self.max_bytes:
                 return
-            yield place
+            yield slot
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -1,4 +1,4 @@
-"""Start, signals, exit code, and the counters at the exit."""
+"""The daemon's process: start, signals, reload, graceful shutdown and the exit code."""
 
 from __future__ import annotations
 
@@ -14,10 +14,9 @@
 from twisted.internet import reactor
 from twisted.internet.error import CannotListenError
 
-from lynxscale.relay import components as parts
 from lynxscale.relay import logs
-from lynxscale.relay.conf import platform, reader
-from lynxscale.relay.conf import product_settings as own_conf
+from lynxscale.relay.components import Component, ComponentContext, build_components
+from lynxscale.relay.conf import platform, product_settings, reader
 from lynxscale.relay.conf.table import Conf
 from lynxscale.relay.core import Relay
 from lynxscale.relay.counters import Counters
@@ -25,9 +24,9 @@
 from lynxscale.relay.journal import Entry, Journal, JournalFull, old
 from lynxscale.relay.journal.format import Refused
 from lynxscale.relay.journal.port import Folder
-from lynxscale.relay.lifecycle import LOOK_EVERY, Lifecycle, Order
-from lynxscale.relay.net import connection as link
+from lynxscale.relay.lifecycle import CHECK_INTERVAL, Lifecycle, LifecycleAction
 from lynxscale.relay.net.clients import Clients
+from lynxscale.relay.net.close_reason import CloseReason
 from lynxscale.relay.net.peers import Peers
 from lynxscale.relay.upgrade.folders import Claim, sweep
 from lynxscale.relay.upgrade.handover import Handover
@@ -37,91 +36,111 @@
 
 log = structlog.get_logger()
 
-LOCK_FOR = 5.0  # seconds to wait for a process that has it
-OWN_SOCKETS = 32  # discovery, notices, the journal's files, the loop's own, the standard streams
-EASY_SHARE = 6  # with more than one in so many for clients, those at rest go
-PEER_SHARE = 3  # one descriptor in so many is for peers at most
-HALF_SHARE = 20  # one byte of memory in so many is for requests that are half sent
-HEIR_SHARE = 0.5  # of the disk: where an heir may come its journal always has the rest
-RESTART_KEYS = ("name", "listen", "admin", "state", "sockets", "disk_bytes", "settings")  # kept until a restart
+LOCK_TIMEOUT_S = 5.0  # to wait for a process that holds the state folder
+RESERVED_SOCKETS = 32  # discovery, notices, the journal's files, the loop's own, the standard streams
+MIN_CLIENTS = 8  # connections, whatever the other limits leave
+# One in so many of the descriptors: with more clients than that, long idle ones are evicted; peers at most.
+IDLE_LIMIT_FRACTION, PEER_FRACTION = 6, 3
+BUFFER_FRACTION = 20  # one in so many bytes of memory is for incomplete requests
+SUCCESSOR_JOURNAL_SHARE = 0.5  # of the disk: where a successor may come its journal always has the rest
+RESTART_KEYS = ("name", "listen", "admin", "state", "sockets", "disk_bytes", "settings")  # in force after a restart
 
 SIGNALS = {signal.SIGTERM: "stop", signal.SIGINT: "stop", signal.SIGHUP: "reload", signal.SIGUSR1: "print_counters"}
 
 
-class Program:
-    """The core of one relay, and the parts round it. ``again`` reads the settings anew, with the reader's errors."""
+class Daemon:
+    """The core of one relay, and the components around it.
 
-    def __init__(self, conf: platform.Config, own: Conf, again: Callable[[], tuple[platform.Config, Conf]]) -> None:
-        self.conf, self.own, self._again = conf, own, again
+    ``conf`` is the configuration in force, ``product`` the settings file of lynxscale itself; ``reread`` reads both
+    anew, with the reader's errors. Raises OSError where the state folder is not to be had.
+    """
+
+    def __init__(
+        self, conf: platform.Config, product: Conf, reread: Callable[[], tuple[platform.Config, Conf]]
+    ) -> None:
+        self.conf, self.product, self._reread = conf, product, reread
         self.counters = Counters()
         self.loop = Loop(reactor.callLater)
         self.deadlines = Deadlines(self.loop, reactor.callLater)
         self.claim = Claim(conf.state, None if conf.accept_fd is None else os.fstat(conf.accept_fd).st_ino)
-        self.claim.wait(LOCK_FOR)
+        self.claim.wait(LOCK_TIMEOUT_S)
         unix = unix_clock(conf.state)
         self.journal = Journal(Folder(self.claim.path), conf.disk_bytes, unix)
         if conf.accept_fd is not None or self.claim.earlier:
-            self.journal.plan.allot(HEIR_SHARE)
+            self.journal.plan.allot(SUCCESSOR_JOURNAL_SHARE)
         self.lifecycle = Lifecycle()
-        relay = self.relay = Relay(
-            conf.settings, conf.seed, self.loop, self.deadlines, self.journal, self.counters, unix
+        self.relay = Relay(conf.settings, conf.seed, self.loop, self.deadlines, self.journal, self.counters, unix)
+        self.loop.at_end = self.relay.turn
+        group = self.relay.group = self._create_group()
+        self.peers = self.relay.peers = self._create_peers(group)
+        self.components = self._create_components(group)
+        for component in self.components:
+            self.counters.attach(component.counters)
+        self.clients = Clients(self.deadlines, self.relay, self.lifecycle, conf.memory_bytes // BUFFER_FRACTION)
+        self._limit_sockets(1.0)
+        self.handover = Handover(
+            self.claim,
+            self.relay,
+            self.deadlines,
+            self.counters,
+            self._accept,
+            self._limit_sockets,
+            group.name_of,
+            group.number_of,
         )
-        self.loop.at_end = relay.turn
-        order = SOURCES if own.members.precedence == FILES else SOURCES[::-1]
-        group = relay.group = Group(
-            conf.settings,
+        self._check_timer: Deadline | None = None
+        self._logged_state = self.lifecycle.state
+        self._traffic_interval = product.log.traffic  # µs; 0: no such lines
+
+    def _create_group(self) -> Group:
+        members = self.product.members
+        return Group(
+            self.conf.settings,
             self.deadlines,
-            relay.put,
-            lambda endpoint: self.peers.close_idle(endpoint, link.GONE),
-            order,
-            own.members.ramp,
+            self.relay.put,
+            lambda endpoint: self.peers.close_idle(endpoint, CloseReason.ENDPOINT_REMOVED),
+            SOURCES if members.precedence == FILES else SOURCES[::-1],
+            members.ramp,
         )
-        self.peers = relay.tries = Peers(
+
+    def _create_peers(self, group: Group) -> Peers:
+        return Peers(
             reactor,
             self.loop,
             self.deadlines,
-            relay,
+            self.relay,
             group.address_of,
             0,
             group.per_call,
             group.route_of,
             group.takes,
         )
-        teller = Teller(self.loop.now, lambda: relay.trace)
-        self.parts = parts.attach(
-            parts.Host(
-                conf,
-                own,
+
+    def _create_components(self, group: Group) -> list[Component]:
+        return build_components(
+            ComponentContext(
+                self.conf,
+                self.product,
                 reactor,
                 self.loop,
                 self.deadlines,
                 self.counters,
-                relay,
+                self.relay,
                 group,
-                teller,
+                Teller(self.loop.now, lambda: self.relay.trace),
                 self.lifecycle,
                 self.drain,
                 self.resume,
             )
         )
-        for part in self.parts:
-            self.counters.attach(part.counters)
-        self.clients = Clients(self.deadlines, relay, self.lifecycle, conf.memory_bytes // HALF_SHARE)
-        self._share(1.0)
-        self.handover = Handover(
-            self.claim, relay, self.deadlines, self.counters, self._accept, self._share, group.name_of, group.number_of
-        )
-        self._looking: Deadline | None = None
-        self._told_state = self.lifecycle.state
-        self._traffic_every = own.log.traffic
-
-    def _share(self, share: float) -> None:
-        """Bound the descriptors: that share of them is this process's."""
-        most = int(self.conf.sockets * share)
-        peers = max(self.conf.settings.slots, most // PEER_SHARE)
-        own = OWN_SOCKETS + sum(part.sockets for part in self.parts)
-        self.peers.bound(peers)
-        self.clients.bound(max(8, most - peers - own), most // EASY_SHARE)
+
+    def _limit_sockets(self, share: float) -> None:
+        """Limit the descriptors: that share of them is this process's."""
+        sockets = int(self.conf.sockets * share)
+        peers = max(self.conf.settings.slots, sockets // PEER_FRACTION)
+        reserved = RESERVED_SOCKETS + sum(component.sockets for component in self.components)
+        self.peers.limit(peers)
+        self.clients.limit(max(MIN_CLIENTS, sockets - peers - reserved), sockets // IDLE_LIMIT_FRACTION)
 
     def _accept(self) -> None:
         if self.conf.accept_fd is None:
@@ -129,135 +148,158 @@
         else:
             self.clients.adopt(reactor, self.conf.accept_fd)
 
-    def start(self, begun: int) -> None:
-        """Ready only once all that an earlier process left open is taken over."""
-        entries = self._open()
-        for part in self.parts:
-            part.start()
-        self.relay.replay(entries)
+    def start(self, started: int) -> None:
+        """Ready only once all that an earlier process left open is recovered.
+
+        ``started``: when the process began to start, in µs of the monotonic clock. Raises PlatformError where a
+        setting is at fault, OSError, CannotListenError, JournalFull or Refused where the machine or its files are.
+        """
+        entries = self._open_journal()
+        for component in self.components:
+            component.start()
+        self.relay.recovery.replay(entries)
         if not self.handover.waiting:
             self._accept()
-        self.relay.listens(begun)
+        self.relay.end_times.listening(self.loop.now(), started)
         self.handover.begin()
         gc.freeze()
         gc.enable()
-        if self._traffic_every:
-            self.deadlines.after(self._traffic_every, self._tell_traffic)
+        if self._traffic_interval:
+            self.deadlines.after(self._traffic_interval, self._log_traffic)
         log.info("ready", name=self.conf.name, open=len(entries))
 
-    def _open(self) -> list[Entry]:
-        """What earlier processes left open, also those that kept one file; that goes once its messages are kept."""
+    def _open_journal(self) -> list[Entry]:
+        """What earlier processes left open, also those that kept one file; it is removed once its messages are kept."""
         file = self.conf.state / old.NAME
         older = list(old.read(file.read_bytes())[0].values()) if file.is_file() else []
         sweep(self.conf.state)
         entries = self.journal.open(older)
         if file.is_file():
-            file.unlink()  # before anything can end: else a message that has ended would be taken over again
+            file.unlink()  # before anything can end: else a message that has ended would be recovered again
         for gap in self.journal.gaps:
             log.error("journal_damaged", gap=str(gap))
         return entries
 
-    # A new configuration ------------------------------------------------------------------------
+    # Reload --------------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Read the settings anew. What may change without a restart does, at once; a bad file changes nothing."""
+        """Read the settings anew. What may change without a restart does, at once; an invalid file changes nothing."""
         try:
-            conf, own = self._again()
+            conf, product = self._reread()
         except (platform.PlatformError, reader.ConfFaults) as error:
             log.error("not_reloaded", error=str(error))
-            conf, own = self.conf, self.own  # parts still look at what they watch
-            self._reload_parts(conf, own)
+            self._reload_components(self.conf, self.product)  # they still look at the files that they watch
             return
-        applied = self._reload_parts(conf, own)
+        applied = self._reload_components(conf, product)
         if conf.by_platform:
-            kept = [key for key in RESTART_KEYS if getattr(conf, key) != getattr(self.conf, key)]
-            log.info("reloaded", discovery="{}:{}".format(*conf.discovery), for_a_restart=" ".join(kept))
-            self.conf = replace(self.conf, discovery=conf.discovery)
-            return
-        changed = [one.name for one in fields(Conf) if getattr(own, one.name) != getattr(self.own, one.name)]
+            self._reloaded_by_platform(conf)
+        else:
+            self._reloaded_product(product, applied)
+
+    def _reload_components(self, conf: platform.Config, product: Conf) -> set[str]:
+        return {name for component in self.components for name in component.reload(conf, product)}
+
+    def _reloaded_by_platform(self, conf: platform.Config) -> None:
+        kept = [key for key in RESTART_KEYS if getattr(conf, key) != getattr(self.conf, key)]
+        log.info("reloaded", discovery="{}:{}".format(*conf.discovery), for_a_restart=" ".join(kept))
+        self.conf = replace(self.conf, discovery=conf.discovery)
+
+    def _reloaded_product(self, product: Conf, applied: set[str]) -> None:
+        sections = [one.name for one in fields(Conf)]
+        changed = [name for name in sections if getattr(product, name) != getattr(self.product, name)]
         log.info(
             "reloaded",
             applied=" ".join(name for name in changed if name in applied),
             for_a_restart=" ".join(name for name in changed if name not in applied),
         )
-        self.own = replace(self.own, **{name: getattr(own, name) for name in changed if name in applied})
-
-    def _reload_parts(self, conf: platform.Config, own: Conf) -> set[str]:
-        return {name for part in self.parts for name in part.reload(conf, own)}
+        in_force = {name: getattr(product, name) for name in changed if name in applied}
+        self.product = replace(self.product, **in_force)
 
     # Drain and stop ------------------------------------------------------------------------------
 
     def drain(self) -> None:
         """An operator wants this relay to get no more clients."""
-        self.lifecycle.quiesce(self.loop.now())
-        self._look()
+        self.lifecycle.drain(self.loop.now())
+        self._advance_lifecycle()
 
     def resume(self) -> bool:
-        """An operator wants it back."""
+        """An operator wants it back; False where the process is stopping."""
         resumed = self.lifecycle.resume()
-        self._look()
+        self._advance_lifecycle()
         return resumed
 
     def stop(self) -> None:
+        """Begin a graceful shutdown."""
         if not self.lifecycle.stopping:
-            log.info("stopping", open=len(self.relay.held))
+            log.info("stopping", open=len(self.relay.pending))
         self.lifecycle.stop(self.loop.now(), self.handover.has_heir())
-        self._look()
-
-    def _look(self) -> None:
-        """Carry out what the way to drained or out asks for by now."""
-        self.deadlines.cancel(self._looking)
-        before = self._told_state
-        working = bool(len(self.relay.held) and (self.relay.sending or self.relay.out or len(self.relay.notices)))
-        for order in self.lifecycle.look(self.loop.now(), self.clients.open(), working):
-            if order is Order.PART:
-                self.clients.part()
-            elif order is Order.STOP_ACCEPTING:
-                self.clients.stop_accepting()
-                self.handover.let_go()
-            elif order is Order.RELEASE:
-                self.handover.release()
-            elif order is Order.STOP_SENDING:
-                self.relay.sending = False
-            else:
+        self._advance_lifecycle()
+
+    def _advance_lifecycle(self) -> None:
+        """Carry out what a drain or a stop asks for by now."""
+        self.deadlines.cancel(self._check_timer)
+        before = self._logged_state
+        for action in self.lifecycle.advance(self.loop.now(), self.clients.open_count(), self._is_working()):
+            if action is LifecycleAction.EXIT:
                 reactor.stop()
                 return
+            self._carry_out(action)
         if self.lifecycle.state is not before:
-            self._told_state = self.lifecycle.state
+            self._logged_state = self.lifecycle.state
             log.info(
                 "lifecycle",
-                state=self._told_state.value,
+                state=self._logged_state.value,
                 before=before.value,
-                open=len(self.relay.held),
-                clients=self.clients.open(),
+                open=len(self.relay.pending),
+                clients=self.clients.open_count(),
             )
         if not self.lifecycle.serving:
-            self._looking = self.deadlines.after(LOOK_EVERY, self._look)
-
-    def leave(self) -> None:
+            self._check_timer = self.deadlines.after(CHECK_INTERVAL, self._advance_lifecycle)
+
+    def _is_working(self) -> bool:
+        """Are there pending messages that this process can still end?"""
+        relay = self.relay
+        return bool(len(relay.pending) and (relay.sending or relay.in_flight or len(relay.notices)))
+
+    def _carry_out(self, action: LifecycleAction) -> None:
+        if action is LifecycleAction.CLOSE_IDLE_CLIENTS:
+            self.clients.close_idle()
+        elif action is LifecycleAction.STOP_ACCEPTING:
+            self.clients.stop_accepting()
+            self.handover.let_go()
+        elif action is LifecycleAction.RELEASE:
+            self.handover.release()
+        elif action is LifecycleAction.STOP_SENDING:
+            self.relay.sending = False
+
+    def exit(self) -> None:
+        """The loop has stopped: close everything."""
         self.peers.stop()
-        for part in reversed(self.parts):
-            part.stop()
+        for component in reversed(self.components):
+            component.stop()
         self.print_counters()
-        log.info("ended", left=len(self.relay.held))
+        log.info("ended", left=len(self.relay.pending))
         self.journal.close()
 
-    def _tell_traffic(self) -> None:
+    # Statistics ----------------------------------------------------------------------------------
+
+    def _log_traffic(self) -> None:
         for event, row in self.relay.traffic():
             log.info(event, **row)
-        self.deadlines.after(self._traffic_every, self._tell_traffic)
+        self.deadlines.after(self._traffic_interval, self._log_traffic)
 
     def print_counters(self) -> None:
+        """All counters, a line for each group."""
         for group, row in self.counters.table().items():
             log.info("counters", group=group, **row)
 
 
-def _settings(conf_path: str | None, again: bool = False) -> tuple[platform.Config, Conf]:
-    """The platform's word where there is a platform, else the file's."""
-    own = reader.from_environment(path=conf_path)
-    if own.relay.listen is not None and not os.environ.get("NODE_CONFIG"):
-        return own_conf.load(own), own
-    return platform.load(again=again), own
+def _read_settings(conf_path: str | None, again: bool = False) -> tuple[platform.Config, Conf]:
+    """The platform's configuration where there is a platform, else the file's."""
+    product = reader.from_environment(path=conf_path)
+    if product.relay.listen is not None and not os.environ.get("NODE_CONFIG"):
+        return product_settings.load(product), product
+    return platform.load(again=again), product
 
 
 def main(conf_path: str | None = None, begun: int | None = None) -> int:
@@ -268,33 +310,34 @@
     begun = time.monotonic_ns() // 1000 if begun is None else begun
     # Guards against a stepped wall clock, by which the loop would keep its timers: they would stand still.
     reactor.seconds = time.monotonic
-    program: Program | None = None
+    daemon: Daemon | None = None
 
     def on_signal(name: str) -> None:
-        # Signals come between two instructions of anything, also while the parts are made: only a call from
-        # the loop may touch them.
-        reactor.callFromThread(lambda: getattr(program, name)())
+        # Signals come between two instructions of anything, also while the daemon is created: only a call from the
+        # loop may touch it.
+        reactor.callFromThread(lambda: getattr(daemon, name)())
 
     for number, name in SIGNALS.items():
         signal.signal(number, lambda *_, name=name: on_signal(name))
     try:
-        conf, own = _settings(conf_path)
-        logs.configure(own.log)
-        program = Program(conf, own, lambda: _settings(conf_path, again=True))
+        conf, product = _read_settings(conf_path)
+        logs.configure(product.log)
+        daemon = Daemon(conf, product, lambda: _read_settings(conf_path, again=True))
     except (platform.PlatformError, reader.ConfFaults) as error:
-        print(f"lynxscale: {error}", file=sys.stderr)
-        return 2
+        return _startup_failed(error, 2)
     except OSError as error:
-        print(f"lynxscale: cannot start: {error}", file=sys.stderr)
-        return 1
+        return _startup_failed(f"cannot start: {error}", 1)
     try:
-        program.start(begun)
+        daemon.start(begun)
     except platform.PlatformError as error:
-        print(f"lynxscale: {error}", file=sys.stderr)
-        return 2
+        return _startup_failed(error, 2)
     except (OSError, CannotListenError, JournalFull, Refused) as error:
-        print(f"lynxscale: cannot start: {error}", file=sys.stderr)
-        return 1
-    reactor.addSystemEventTrigger("after", "shutdown", program.leave)
+        return _startup_failed(f"cannot start: {error}", 1)
+    reactor.addSystemEventTrigger("after", "shutdown", daemon.exit)
     reactor.run(installSignalHandlers=False)
     return 0
+
+
+def _startup_failed(reason: object, exit_code: int) -> int:
+    print(f"lynxscale: {reason}", file=sys.stderr)
+    return exit_code
--- a/lynxscale/relay/deadlines.py
+++ b/lynxscale/relay/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the process in one ordered structure, on one timer of the loop."""
+"""All deadlines of the process in one heap, on one timer of the event loop. Times are whole µs."""
 
 from __future__ import annotations
 
@@ -8,38 +8,41 @@
 from itertools import count
 from typing import Any
 
-LEAST_PURGE = 256  # below this many entries the dead ones are left to come up by themselves
+PURGE_SIZE = 256  # below this many entries the cancelled ones are left to come up by themselves
 
 
 class Loop:
-    """The clock, read once a turn, and the end of the turn, at which gathered events are handled."""
+    """The clock, read once a turn, and the end of the turn, at which the turn's events are handled.
+
+    ``call_later`` is the event loop's, in seconds; ``at_end`` is called at the end of each turn.
+    """
 
     def __init__(self, call_later: Callable, at_end: Callable[[], None] | None = None) -> None:
         self._call_later, self.at_end = call_later, at_end
         self._now: int | None = None
-        self._planned = False
+        self._end_scheduled = False
         self._longest = 0
 
     def now(self) -> int:
-        """Whole microseconds on the monotonic clock; the same for the rest of this turn."""
+        """Whole µs on the monotonic clock; the same for the rest of this turn."""
         if self._now is None:
             self._now = time.monotonic_ns() // 1000
             self.wake()
         return self._now
 
     def wake(self) -> None:
-        """Let a turn end soon. What is gathered while one ends is handled at the end of the next."""
-        if not self._planned:
-            self._planned = True
+        """Let a turn end soon. What is added while one ends is handled at the end of the next."""
+        if not self._end_scheduled:
+            self._end_scheduled = True
             self._call_later(0, self._end)
 
     def longest(self) -> int:
-        """The longest turn since the last call, in µs: nobody was heard meanwhile."""
+        """The longest turn since the last call, in µs: no input was read meanwhile."""
         longest, self._longest = self._longest, 0
         return longest
 
     def _end(self) -> None:
-        self._planned = False
+        self._end_scheduled = False
         try:
             if self.at_end is not None:
                 self.at_end()
@@ -50,46 +53,54 @@
 
 
 class Deadline:
-    __slots__ = ("at", "act", "args")
+    """A call that falls due at ``at``; ``callback`` is None once it was made or cancelled."""
+
+    __slots__ = ("at", "callback", "args")
 
-    def __init__(self, at: int, act: Callable | None, args: tuple) -> None:
-        self.at, self.act, self.args = at, act, args
+    def __init__(self, at: int, callback: Callable | None, args: tuple) -> None:
+        self.at, self.callback, self.args = at, callback, args
 
 
 class Deadlines:
+    """Calls by the time at which they fall due; those of the same time in the order in which they were added."""
+
     def __init__(self, loop: Loop, call_later: Callable) -> None:
         self._loop, self._call_later = loop, call_later
         self._heap: list[tuple[int, int, Deadline]] = []
         self._order = count()
         self._timer: Any = None
         self._timer_at = 0
-        self._dead = 0
+        self._cancelled = 0  # entries of the heap
 
     def __len__(self) -> int:
-        return len(self._heap) - self._dead
+        return len(self._heap) - self._cancelled
 
     def now(self) -> int:
+        """The loop's clock."""
         return self._loop.now()
 
-    def at(self, when: int, act: Callable, *args: Any) -> Deadline:
-        entry = Deadline(when, act, args)
+    def at(self, when: int, callback: Callable, *args: Any) -> Deadline:
+        """Call at that time of the loop's clock, at once where it is past."""
+        entry = Deadline(when, callback, args)
         heappush(self._heap, (when, next(self._order), entry))
         self._arm()
         return entry
 
-    def after(self, micros: int, act: Callable, *args: Any) -> Deadline:
-        return self.at(self._loop.now() + micros, act, *args)
+    def after(self, delay: int, callback: Callable, *args: Any) -> Deadline:
+        """Call after so many µs."""
+        return self.at(self._loop.now() + delay, callback, *args)
 
     def cancel(self, entry: Deadline | None) -> None:
-        if entry is None or entry.act is None:
+        """Nothing where it is None, was made or is cancelled."""
+        if entry is None or entry.callback is None:
             return
-        entry.act, entry.args = None, ()
-        self._dead += 1
-        # Guards against a heap of long deadlines that were met long ago: tries end well before theirs.
-        if len(self._heap) > LEAST_PURGE and self._dead * 2 > len(self._heap):
-            self._heap = [row for row in self._heap if row[2].act is not None]
+        entry.callback, entry.args = None, ()
+        self._cancelled += 1
+        # Guards against a heap of long deadlines that were met long ago: attempts end well before theirs.
+        if len(self._heap) > PURGE_SIZE and self._cancelled * 2 > len(self._heap):
+            self._heap = [row for row in self._heap if row[2].callback is not None]
             heapify(self._heap)
-            self._dead = 0
+            self._cancelled = 0
 
     def _arm(self) -> None:
         if not self._heap:
@@ -108,11 +119,11 @@
         try:
             while self._heap and self._heap[0][0] <= now:
                 entry = heappop(self._heap)[2]
-                if entry.act is None:
-                    self._dead -= 1
+                if entry.callback is None:
+                    self._cancelled -= 1
                     continue
-                act, args = entry.act, entry.args
-                entry.act, entry.args = None, ()
-                act(*args)
+                callback, args = entry.callback, entry.args
+                entry.callback, entry.args = None, ()
+                callback(*args)
         finally:
             self._arm()
--- a/lynxscale/relay/logs.py
+++ b/lynxscale/relay/logs.py
@@ -18,7 +18,7 @@
 
 
 def _one_line(_logger: Any, _method: str, event: dict) -> dict:
-    """Guards against a value with a line break in it, by which a far end could write lines of its own."""
+    """Guards against a value with a line break in it, by which a remote side could write lines of its own."""
     for key, value in event.items():
         if isinstance(value, str) and not value.isprintable():
             event[key] = value.encode("unicode_escape").decode("ascii")
@@ -27,8 +27,8 @@
     return event
 
 
-def _told(_logger: Any, _method: str, event: dict) -> dict:
-    """What is neither text nor number is written as Python shows it."""
+def _repr_others(_logger: Any, _method: str, event: dict) -> dict:
+    """What is neither text nor number is written as its repr."""
     for key, value in event.items():
         if value is not None and not isinstance(value, (str, int, float)):
             event[key] = repr(value)
@@ -36,7 +36,7 @@
 
 
 def configure(conf: LogConf, stream: IO[str] | None = None) -> None:
-    """Send every event of at least that level to ``stream`` (standard error), in that format."""
+    """Send every event of at least ``conf.level`` to ``stream`` (standard error), in ``conf.format``."""
     if conf.format == "json":
         render: Any = structlog.processors.JSONRenderer()
     else:
@@ -46,7 +46,7 @@
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True, key="ts"),
             structlog.processors.format_exc_info,
-            _told,
+            _repr_others,
             _one_line,
             render,
         ],
--- a/lynxscale/relay/net/admin_server.py
+++ b/lynxscale/relay/net/admin_server.py
@@ -1,14 +1,15 @@
-"""The operators' door: a listener of its own, one call to a connection.
+"""The admin server: a listener of its own for operators, one call to a connection.
 
 Its connections are few and short, so that neither a crowd of clients nor slow callers keep an operator out:
-descriptors are set aside for them, a call must have come whole in a second, and beyond the bound the longest
-without a whole call goes.
+descriptors are reserved for them, a call must be complete within a second, and beyond the limit the connection that
+has waited longest without a complete call is evicted.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from collections.abc import Callable, Mapping
+from typing import Any
 
 import orjson
 import structlog
@@ -17,98 +18,107 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from lynxscale.relay import http_parser as http
+from lynxscale.relay.components import AdminCall
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.http_parser import Request, RequestParser, response_bytes
 from lynxscale.relay.lifecycle import Lifecycle
-from lynxscale.relay.net import connection as link
+from lynxscale.relay.net.close_reason import CloseReason
+from lynxscale.relay.net.connection import SECOND_LOOK_MS, unread_byte
 
 log = structlog.get_logger()
 
-MOST = 12  # connections at once; more wait in the listen queue for a turn at most
+MAX_CONNECTIONS = 12  # at once; more wait in the listen queue for a turn of the loop at most
+LISTEN_BACKLOG = 128
 CALL_MS = 1000  # from connecting to the call's last byte
 LINGER_MS = 500  # after our last byte, for the caller to read it and close
-PAST_MOST = 64 * 1024  # read past after our last byte
+MAX_LINGER_BYTES = 64 * 1024  # discarded after our last byte
 HEALTH, QUIESCE, RESUME = "/admin/health", "/admin/quiesce", "/admin/resume"
 METHODS = {HEALTH: "GET", QUIESCE: "POST", RESUME: "POST"}
-SERVED, SLOW, SILENT = "served", "slow", "silent"
 
 
 @implementer(interfaces.IHalfCloseableProtocol)
-class DoorConnection(Protocol):
-    """One call, one answer."""
+class AdminConnection(Protocol):
+    """One call, one response."""
 
-    def __init__(self, door: Door) -> None:
-        self._door = door
+    def __init__(self, server: AdminServer) -> None:
+        self._server = server
         self.number = 0
-        self._parser = http.RequestParser()
-        self._deadline: Deadline | None = None
-        self._reason: str | None = None
-        self._past = 0
-        self._ended = False
         self.calls = 0
+        self._parser = RequestParser()
+        self._deadline: Deadline | None = None
+        self._reason: str | None = None  # set once the response is written
+        self._discarded = 0  # bytes read since our last
+        self._read_closed = False  # the caller sends no more
 
     def connectionMade(self) -> None:
+        """Part of Protocol."""
         self.transport.setTcpNoDelay(True)
-        self._deadline = self._door.deadlines.after(CALL_MS * 1000, self._late)
-        self._door.joined(self)
+        self._deadline = self._server.deadlines.after(CALL_MS * 1000, self._timed_out)
+        self._server.opened(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Part of Protocol."""
         if self._reason is not None:
-            self._past += len(data)
-            if self._past > PAST_MOST:
+            self._discarded += len(data)
+            if self._discarded > MAX_LINGER_BYTES:
                 self.transport.abortConnection()  # guards against one that sends without end
             return
         calls, fault = self._parser.feed(data), self._parser.fault
         if calls:
             self.calls = 1
-            self._answer(*self._door.serve(calls[0]), SERVED)
+            self._respond(*self._server.serve(calls[0]), CloseReason.SERVED)
         elif fault is not None:
-            self._answer(fault.status, str(fault), link.MALFORMED)
+            self._respond(fault.status, str(fault), CloseReason.MALFORMED)
 
-    def _answer(self, status: int, said: str | dict, reason: str) -> None:
-        self._door.counters.add("door", f"status_{status}")
-        told = {"said": said} if isinstance(said, str) else said
-        body = orjson.dumps({"state": self._door.lifecycle.state.value, **told}) + b"\n"
-        self.transport.write(http.answer(status, body=body, kind="application/json", close=True))
+    def _respond(self, status: int, content: str | dict, reason: str) -> None:
+        self._server.counters.add("door", f"status_{status}")
+        fields = {"said": content} if isinstance(content, str) else content
+        body = orjson.dumps({"state": self._server.lifecycle.state.value, **fields}) + b"\n"
+        self.transport.write(response_bytes(status, body=body, kind="application/json", close=True))
         self._reason = reason
-        self._door.settled(self)
+        self._server.responded(self)
         self.transport.loseWriteConnection()
-        self._door.deadlines.cancel(self._deadline)
-        self._deadline = self._door.deadlines.after(LINGER_MS * 1000, self.transport.abortConnection)
+        self._server.deadlines.cancel(self._deadline)
+        self._deadline = self._server.deadlines.after(LINGER_MS * 1000, self.transport.abortConnection)
 
-    def _late(self, looked: bool = False) -> None:
-        if not looked and link.unread(self.transport):
-            # Guards against a call that has come, and that the loop has still to read: that goes first, once.
-            self._deadline = self._door.deadlines.after(link.CROSSED_MS * 1000, self._late, True)
+    def _timed_out(self, second_look: bool = False) -> None:
+        if not second_look and unread_byte(self.transport):
+            # Guards against a call that has arrived, and that the loop has still to read: that goes first, once.
+            self._deadline = self._server.deadlines.after(SECOND_LOOK_MS * 1000, self._timed_out, True)
             return
         # Guards against half a call that would hold a descriptor for nothing.
-        self._answer(408, "the call did not come in time", SILENT if self._parser.idle else SLOW)
+        reason = CloseReason.SILENT if self._parser.idle else CloseReason.SLOW
+        self._respond(408, "the call did not come in time", reason)
 
     def readConnectionLost(self) -> None:
-        """The caller sends no more. Guards against the loss of the answer to a call that has come whole."""
-        self._ended = True
+        """Part of IHalfCloseableProtocol. Guards against the loss of the response to a call that is complete."""
+        self._read_closed = True
         if self._reason is None:
             self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        if self._ended:
+        """Part of IHalfCloseableProtocol."""
+        if self._read_closed:
             self.transport.loseConnection()
 
-    def crowd_out(self) -> None:
-        self._reason = link.CROWDED
+    def evict(self) -> None:
+        """Close at once, for another caller's sake."""
+        self._reason = CloseReason.EVICTED
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:
-        self._door.deadlines.cancel(self._deadline)
-        self._door.left(self)
-        log.info("connection", kind="door", reason=self._reason or link.FAR_CLOSED, calls=self.calls)
+        """Part of Protocol."""
+        self._server.deadlines.cancel(self._deadline)
+        self._server.closed(self)
+        log.info("connection", kind="door", reason=self._reason or CloseReason.REMOTE_CLOSED, calls=self.calls)
 
 
-class Door(Factory):
-    """``drain`` and ``resume`` are called once an operator wants it; ``resume`` gives False where it cannot be.
+class AdminServer(Factory):
+    """Health, drain and resume, and the calls that components add.
 
-    ``calls``: those of other parts, as ``parts.Host`` has them.
+    ``drain`` and ``resume`` are called on an operator's call; ``resume`` returns False where the process is stopping.
+    ``calls``: those of components, by path.
     """
 
     noisy = False
@@ -118,57 +128,61 @@
         deadlines: Deadlines,
         counters: Counters,
         lifecycle: Lifecycle,
-        drain,
-        resume,
-        calls: Mapping[str, tuple[str, Callable[[str], tuple[int, dict]]]],
+        drain: Callable[[], None],
+        resume: Callable[[], bool],
+        calls: Mapping[str, AdminCall],
     ) -> None:
         self._calls = calls
         self.deadlines, self.counters, self.lifecycle = deadlines, counters, lifecycle
         self._drain, self._resume = drain, resume
-        self._open: OrderedDict[int, DoorConnection] = OrderedDict()  # without a whole call first, the oldest first
-        self._number = 0
-        self._port = None
+        self._open: OrderedDict[int, AdminConnection] = OrderedDict()  # without a complete call first, oldest first
+        self._last_number = 0
+        self._port: Any = None
 
-    def listen(self, reactor, where: tuple[str, int]) -> None:
-        """Raises CannotListenError where the address cannot be had."""
-        self._port = reactor.listenTCP(where[1], self, backlog=128, interface=where[0])
+    def listen(self, reactor: Any, address: tuple[str, int]) -> None:
+        """Raises CannotListenError where the address cannot be bound."""
+        self._port = reactor.listenTCP(address[1], self, backlog=LISTEN_BACKLOG, interface=address[0])
 
     def stop(self) -> None:
+        """Listen no more."""
         if self._port is not None:
             port, self._port = self._port, None
             port.stopListening()
 
-    def buildProtocol(self, _address) -> DoorConnection:
-        return DoorConnection(self)
+    def buildProtocol(self, _address: object) -> AdminConnection:
+        """Part of Factory."""
+        return AdminConnection(self)
 
-    # Connections ---------------------------------------------------------------------------------
+    # What connections report ---------------------------------------------------------------------
 
-    def joined(self, connection: DoorConnection) -> None:
-        self._number += 1
-        connection.number = self._number
+    def opened(self, connection: AdminConnection) -> None:
+        """A caller has connected; beyond the limit the oldest is evicted."""
+        self._last_number += 1
+        connection.number = self._last_number
         self._open[connection.number] = connection
         self.counters.add("door", "opened")
-        if len(self._open) > MOST:
-            # The oldest: one with a whole call is answered in the turn that reads it, and needs little of the bound.
-            self._open.pop(next(iter(self._open))).crowd_out()
+        if len(self._open) > MAX_CONNECTIONS:
+            # The oldest: one with a complete call is answered in the turn that reads it, and hardly ever counts here.
+            self._open.pop(next(iter(self._open))).evict()
 
-    def settled(self, connection: DoorConnection) -> None:
-        """It has its answer: it goes behind those that wait, as its caller may still be reading."""
+    def responded(self, connection: AdminConnection) -> None:
+        """It has its response: it is evicted after those that wait, as its caller may still be reading."""
         if connection.number in self._open:
             self._open.move_to_end(connection.number)
 
-    def left(self, connection: DoorConnection) -> None:
+    def closed(self, connection: AdminConnection) -> None:
+        """It is gone."""
         self._open.pop(connection.number, None)
 
     # Calls ---------------------------------------------------------------------------------------
 
-    def serve(self, call: http.Request) -> tuple[int, str | dict]:
-        """Status, and a text or what the body tells."""
+    def serve(self, call: Request) -> tuple[int, str | dict]:
+        """The status, and a text or the fields of the response's body."""
         path, _, query = call.target.partition("?")
-        methods = METHODS | {one: method for one, (method, _) in self._calls.items()}
+        methods = METHODS | {name: method for name, (method, _) in self._calls.items()}
         method = methods.get(path)
         if method is None:
-            return 404, "no such call; there are " + ", ".join(f"{way} {name}" for name, way in methods.items())
+            return 404, "no such call; there are " + ", ".join(f"{verb} {name}" for name, verb in methods.items())
         if call.method != method:
             return 405, f"want {method}"
         if path in self._calls:
--- a/lynxscale/relay/net/components.py
+++ b/lynxscale/relay/net/components.py
@@ -1,4 +1,4 @@
-"""Discovery, notices and the operators' door as parts of a relay."""
+"""Discovery, notices and the admin server as components of a relay."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from twisted.internet.error import CannotListenError
 
-from lynxscale.relay.components import Host, Part
+from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf import platform
 from lynxscale.relay.conf.platform import Config
 from lynxscale.relay.conf.table import Conf
@@ -17,82 +17,109 @@
 
 if TYPE_CHECKING:
     from lynxscale.relay.net.notices import Notices
-    from lynxscale.relay.outcome_log import FinalsFile
+    from lynxscale.relay.outcome_log import OutcomeLog
 
 
-class DiscoveryPart(Part):
-    def __init__(self, host: Host) -> None:
+class DiscoveryComponent(Component):
+    """Keeps the group's endpoint list up to date from the discovery service."""
+
+    def __init__(self, context: ComponentContext) -> None:
         from lynxscale.relay.net.discovery import Discovery
 
-        self._where, self._known = host.conf.discovery, host.conf.known
+        self._address, self._known = context.conf.discovery, context.conf.known
         self._discovery = Discovery(
-            host.reactor,
-            host.deadlines,
-            self._where,
-            host.group,
-            host.counters,
-            host.teller,
-            pushed=not host.conf.settings.asks_for_members,
-            grace_ms=host.conf.settings.drain_grace_ms,
+            context.reactor,
+            context.deadlines,
+            self._address,
+            context.group,
+            context.counters,
+            context.teller,
+            pushed=not context.conf.settings.asks_for_members,
+            grace_ms=context.conf.settings.drain_grace_ms,
         )
-        host.group.add(DISCOVERY, self._discovery)
-        self.stop = self._discovery.stop
+        context.group.add(DISCOVERY, self._discovery)
 
     def start(self) -> None:
+        """Begin from the list that this relay had last."""
         self._discovery.begin(self._known)
 
-    def reload(self, conf: Config, own: Conf) -> Collection[str]:
-        if conf.discovery != self._where:
-            self._where = conf.discovery
+    def reload(self, conf: Config, product: Conf) -> Collection[str]:
+        """Follow the service to another address."""
+        if conf.discovery != self._address:
+            self._address = conf.discovery
             self._discovery.move(conf.discovery)
         return ("discovery",)
 
+    def stop(self) -> None:
+        """Close its connection."""
+        self._discovery.stop()
+
 
-class NoticesPart(Part):
-    """Notices to the platform or to an address, or a file of lines."""
+class NoticesComponent(Component):
+    """Reports final outcomes: as notices to the platform or to an HTTP address, or as lines of a file."""
 
-    def __init__(self, host: Host) -> None:
-        self._where = host.conf.discovery
-        self._notices = host.relay.notices = self._made(host)
-        self.stop = self._notices.stop
+    def __init__(self, context: ComponentContext) -> None:
+        self._address = context.conf.discovery
+        self._notices = context.relay.notices = self._create(context)
 
-    def _made(self, host: Host) -> Notices | FinalsFile:
-        done, finals = host.relay.notified, host.own.finals
-        if not host.conf.by_platform and finals.file is not None:
-            from lynxscale.relay.outcome_log import FinalsFile
+    def _create(self, context: ComponentContext) -> Notices | OutcomeLog:
+        acknowledged, finals = context.relay.notified, context.product.finals
+        if not context.conf.by_platform and finals.file is not None:
+            from lynxscale.relay.outcome_log import OutcomeLog
 
-            return FinalsFile(
-                Path(finals.file), finals.size, finals.files, host.deadlines, done, host.counters, time.time
+            return OutcomeLog(
+                Path(finals.file),
+                finals.size,
+                finals.files,
+                context.deadlines,
+                acknowledged,
+                context.counters,
+                time.time,
             )
         from lynxscale.relay.net.notices import Notices
 
-        if host.conf.by_platform:
-            return Notices(host.reactor, host.deadlines, self._where, done, host.counters)
+        if context.conf.by_platform:
+            return Notices(context.reactor, context.deadlines, self._address, acknowledged, context.counters)
         return Notices(
-            host.reactor, host.deadlines, platform.address(finals.http, "http"), done, host.counters, finals.path
+            context.reactor,
+            context.deadlines,
+            platform.address(finals.http, "http"),
+            acknowledged,
+            context.counters,
+            finals.path,
         )
 
-    def reload(self, conf: Config, own: Conf) -> Collection[str]:
-        if conf.by_platform and conf.discovery != self._where:
-            self._where = conf.discovery
+    def reload(self, conf: Config, product: Conf) -> Collection[str]:
+        """Follow the platform to another address."""
+        if conf.by_platform and conf.discovery != self._address:
+            self._address = conf.discovery
             self._notices.move(conf.discovery)
         return ()
 
+    def stop(self) -> None:
+        """Close its connection; what is not acknowledged stays in the journal."""
+        self._notices.stop()
+
 
-class DoorPart(Part):
-    def __init__(self, host: Host) -> None:
-        from lynxscale.relay.net import admin_server as door
+class AdminServerComponent(Component):
+    """The operators' HTTP listener."""
 
-        self.sockets = door.MOST + 2
-        self._reactor, self._where = host.reactor, host.conf.admin
-        self._door = door.Door(host.deadlines, host.counters, host.lifecycle, host.drain, host.resume, host.calls)
-        self.stop = self._door.stop
+    def __init__(self, context: ComponentContext) -> None:
+        from lynxscale.relay.net.admin_server import MAX_CONNECTIONS, AdminServer
+
+        self.sockets = MAX_CONNECTIONS + 2
+        self._reactor, self._address = context.reactor, context.conf.admin
+        self._server = AdminServer(
+            context.deadlines, context.counters, context.lifecycle, context.drain, context.resume, context.calls
+        )
 
     def start(self) -> None:
+        """Listen. Raises PlatformError where the address cannot be bound."""
         try:
-            self._door.listen(self._reactor, self._where)
+            self._server.listen(self._reactor, self._address)
         except CannotListenError as error:
             raise platform.PlatformError(f"admin_addr (NODE_ADMIN_ADDR): {error}") from error
 
-
-discovery, notices, door = DiscoveryPart, NoticesPart, DoorPart
+    def stop(self) -> None:
+        """Listen no more."""
+        self._server.stop()
--- /dev/null
+++ b/lynxscale/relay/net/connection_pool.py
@@ -0,0 +1,106 @@
+"""The connections to peers: idle ones are kept by endpoint for the next call, within a budget of descriptors."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.net.close_reason import CloseReason
+from lynxscale.relay.net.connection import Address, OutboundConnection
+from lynxscale.relay.slot_table import SlotTable
+
+
+class ConnectionPool:
+    """All connections to peers, busy or idle.
+
+    ``address_of`` gives the address of an endpoint while it is listed; ``idle_timeout`` is in µs.
+    ``max_connections``: beyond so many the longest idle one is closed.
+    """
+
+    def __init__(
+        self,
+        deadlines: Deadlines,
+        address_of: Callable[[int], Address | None],
+        idle_timeout: int,
+        max_connections: int,
+    ) -> None:
+        self._deadlines, self._address_of, self._idle_timeout = deadlines, address_of, idle_timeout
+        self.max_connections = max_connections
+        self._connections: SlotTable = SlotTable()
+        self._idle: dict[int, list[OutboundConnection]] = {}  # by endpoint, the one used last at the end
+        self._sweep_timer: Deadline | None = None
+
+    def __len__(self) -> int:
+        return len(self._connections)
+
+    def take(self, endpoint: int, address: Address) -> OutboundConnection | None:
+        """An idle connection to that endpoint that can carry a call, the one used last first."""
+        idle = self._idle.get(endpoint)
+        while idle:
+            connection = idle.pop()
+            if not connection.up:
+                continue
+            if connection.remote[1] != address:
+                connection.drop(CloseReason.ADDRESS_CHANGED)
+            elif connection.stale():
+                connection.drop(CloseReason.REMOTE_CLOSED)
+            else:
+                return connection
+        return None
+
+    def add(self, connection: OutboundConnection, endpoint: int, address: Address) -> None:
+        """A new connection, for a call."""
+        connection.remote = (endpoint, address)
+        connection.slot = self._connections.add(connection)
+
+    def release(self, connection: OutboundConnection) -> None:
+        """Its call is over: keep it for the next one."""
+        if not connection.up:
+            return
+        endpoint = connection.remote[0]
+        if self._address_of(endpoint) is None:
+            connection.drop(CloseReason.ENDPOINT_REMOVED)
+            return
+        connection.idle_since = self._deadlines.now()
+        self._idle.setdefault(endpoint, []).append(connection)
+        if len(self._connections) > self.max_connections:
+            self._evict_longest_idle()
+        if self._sweep_timer is None:
+            self._sweep_timer = self._deadlines.after(self._idle_timeout, self._sweep)
+
+    def close_idle(self, endpoint: int, reason: str) -> None:
+        """Close all idle connections of an endpoint."""
+        for connection in self._idle.pop(endpoint, []):
+            connection.drop(reason)
+
+    def close_all_idle(self, reason: str) -> None:
+        """Close all idle connections."""
+        for endpoint in list(self._idle):
+            self.close_idle(endpoint, reason)
+
+    def lost(self, connection: OutboundConnection) -> None:
+        """A connection is closed."""
+        self._connections.remove(connection.slot)
+        endpoint = connection.remote[0]
+        idle = self._idle.get(endpoint, [])
+        if connection in idle:
+            idle.remove(connection)
+            if not idle:
+                del self._idle[endpoint]
+
+    def _evict_longest_idle(self) -> None:
+        """Guards against the descriptor limit."""
+        longest_idle = min((idle[0] for idle in self._idle.values() if idle), key=lambda one: one.idle_since)
+        self._idle[longest_idle.remote[0]].remove(longest_idle)
+        longest_idle.drop(CloseReason.EVICTED)
+
+    def _sweep(self) -> None:
+        """Close what has been idle for too long, before the peer does and a call is lost on it."""
+        self._sweep_timer, now, oldest = None, self._deadlines.now(), None
+        for idle in self._idle.values():
+            while idle and (not idle[0].up or idle[0].idle_since + self._idle_timeout <= now):
+                idle.pop(0).drop(CloseReason.IDLE)
+            if idle and (oldest is None or idle[0].idle_since < oldest):
+                oldest = idle[0].idle_since
+        if oldest is not None:
+            self._sweep_timer = self._deadlines.at(oldest + self._idle_timeout, self._sweep)
--- a/lynxscale/relay/net/notices.py
+++ b/lynxscale/relay/net/notices.py
@@ -1,123 +1,130 @@
-"""Notices to the platform: each is sent again until it is answered with 204."""
+"""Notices of final outcomes to the platform: each is resent until it is acknowledged with status 204."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from typing import Any
 
 import orjson
 import structlog
 from twisted.python.failure import Failure
 
-from lynxscale.relay import http_parser as http
 from lynxscale.relay.conf.platform import Address
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines
-from lynxscale.relay.net import connection as link
-from lynxscale.relay.net.connection import Caller, Late
+from lynxscale.relay.exceptions import CallTimedOutError
+from lynxscale.relay.http_parser import Response, request_bytes
+from lynxscale.relay.net.close_reason import CloseReason
+from lynxscale.relay.net.serial_client import SerialClient
 
 log = structlog.get_logger()
 
 PATH = "/v2/finals"
-BATCH = 100
-# An answer comes at once, so that silence tells of a connection that has died unseen: what is owed goes again on a
-# new one while its end is still in time. Longer from one silence to the next, as the platform may just be slow.
-FIRST_WAIT_MS, MOST_WAIT_MS = 200, 1000
-FIRST_REST_MS, MOST_REST_MS = 20, 500
-IDLE_MS = 4000  # the platform may close an idle connection; ours goes first
+MAX_BATCH = 100  # notices in one call
+# A response comes at once, so that a time-out tells of a connection that has died unseen: pending notices are resent on
+# a new one while their outcome is still in time. The timeout doubles with each in a row, as the platform may just be
+# slow.
+INITIAL_TIMEOUT_MS, MAX_TIMEOUT_MS = 200, 1000
+INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 20, 500
+IDLE_MS = 4000  # the platform may close an idle connection; ours is closed first
 
 
 class Notices:
+    """Notices in batches, one call at a time. ``on_acknowledged`` is called with the number of each message."""
+
     def __init__(
         self,
-        reactor,
+        reactor: Any,
         deadlines: Deadlines,
-        where: Address,
-        on_done: Callable[[int], None],
+        address: Address,
+        on_acknowledged: Callable[[int], None],
         counters: Counters,
         path: str = PATH,
     ) -> None:
         self._reactor, self._deadlines, self._path = reactor, deadlines, path
-        self._caller = Caller(reactor, deadlines, where, "notices")
-        self._on_done, self._counters = on_done, counters
-        self._owed: dict[int, bytes] = {}  # by message, oldest first
-        self._batch: list[int] = []  # on its way
-        self._most = BATCH
+        self._client = SerialClient(reactor, deadlines, address, "notices")
+        self._on_acknowledged, self._counters = on_acknowledged, counters
+        self._pending: dict[int, bytes] = {}  # by message, oldest first
+        self._batch: list[int] = []  # in flight
+        self._batch_limit = MAX_BATCH
         self._idle: Deadline | None = None
-        self._rest, self._wait = FIRST_REST_MS, FIRST_WAIT_MS
-        self._planned = False
+        self._backoff_ms, self._timeout_ms = INITIAL_BACKOFF_MS, INITIAL_TIMEOUT_MS
+        self._scheduled = False
 
     def __len__(self) -> int:
-        return len(self._owed)
+        return len(self._pending)
 
-    def owe(self, number: int, id: str, status: str, again_ms: int) -> None:
+    def enqueue(self, number: int, id: str, status: str, again_ms: int) -> None:
+        """Report how a message ended. ``again_ms``: when to submit it again, or 0."""
         notice: dict = {"id": id, "status": status}
         if again_ms > 0:
             notice["again_ms"] = again_ms
-        self._owed[number] = orjson.dumps(notice) + b"\n"
-        self._plan(0)
+        self._pending[number] = orjson.dumps(notice) + b"\n"
+        self._schedule(0)
 
-    def move(self, where: Address) -> None:
-        """The platform listens elsewhere from now on. What was on its way may not be heard: it goes again."""
-        self._caller.close(link.MOVED)
+    def move(self, address: Address) -> None:
+        """The platform listens elsewhere from now on. A batch in flight may be lost: it is resent."""
+        self._client.close(CloseReason.ADDRESS_CHANGED)
         self._deadlines.cancel(self._idle)
-        self._caller = Caller(self._reactor, self._deadlines, where, "notices")
-        self._batch, self._rest = [], FIRST_REST_MS
-        if self._owed:
-            self._plan(0)
+        self._client = SerialClient(self._reactor, self._deadlines, address, "notices")
+        self._batch, self._backoff_ms = [], INITIAL_BACKOFF_MS
+        if self._pending:
+            self._schedule(0)
 
     def stop(self) -> None:
-        self._caller.close(link.STOPPING)
+        """What is not acknowledged stays in the journal."""
+        self._client.close(CloseReason.STOPPING)
 
-    def _plan(self, micros: int) -> None:
-        if not self._planned and not self._batch:
-            self._planned = True
-            self._deadlines.after(micros, self._go)
+    def _schedule(self, delay: int) -> None:
+        if not self._scheduled and not self._batch:
+            self._scheduled = True
+            self._deadlines.after(delay, self._send_batch)
 
-    def _go(self) -> None:
-        self._planned = False
-        if self._batch or not self._owed:
+    def _send_batch(self) -> None:
+        self._scheduled = False
+        if self._batch or not self._pending:
             return
-        self._batch = list(self._owed)[: self._most]
-        body = b"".join(self._owed[number] for number in self._batch)
-        kind = ("Content-Type", "application/x-ndjson")
-        data = http.request("POST", self._path, self._caller.host, (kind,), body)
+        self._batch = list(self._pending)[: self._batch_limit]
+        body = b"".join(self._pending[number] for number in self._batch)
+        content_type = ("Content-Type", "application/x-ndjson")
+        data = request_bytes("POST", self._path, self._client.host, (content_type,), body)
         self._deadlines.cancel(self._idle)
-        answer = self._caller.call(data, self._wait * 1000)
-        answer.addCallbacks(self._answered, self._failed)
+        response = self._client.call(data, self._timeout_ms * 1000)
+        response.addCallbacks(self._answered, self._failed)
 
-    def _answered(self, response: http.Response) -> None:
-        done, self._batch = self._batch, []
-        self._wait = FIRST_WAIT_MS
+    def _answered(self, response: Response) -> None:
+        batch, self._batch = self._batch, []
+        self._timeout_ms = INITIAL_TIMEOUT_MS
         if response.status != 204:
-            self._unheard(response.status, done)
+            self._not_acknowledged(response.status, batch)
             return
-        self._rest = FIRST_REST_MS
-        for number in done:
-            self._owed.pop(number)
+        self._backoff_ms = INITIAL_BACKOFF_MS
+        for number in batch:
+            self._pending.pop(number)
             self._counters.add("notices", "delivered")
-            self._on_done(number)
-        if self._owed:
-            self._plan(0)
+            self._on_acknowledged(number)
+        if self._pending:
+            self._schedule(0)
         else:
-            self._most = BATCH
-            self._idle = self._deadlines.after(IDLE_MS * 1000, self._caller.close_idle, link.IDLE)
+            self._batch_limit = MAX_BATCH
+            self._idle = self._deadlines.after(IDLE_MS * 1000, self._client.close_idle, CloseReason.IDLE)
 
-    def _unheard(self, status: int, batch: list[int]) -> None:
-        log.warning("notices_unheard", status=status, notices=len(batch))
+    def _not_acknowledged(self, status: int, batch: list[int]) -> None:
+        log.warning("notices_not_acknowledged", status=status, notices=len(batch))
         if status == 400:
-            # Guards against one that cannot be read holding up all others: singly, and it goes last.
-            self._most = 1
+            # Guards against one that cannot be read and blocks all others: singly, and it goes last.
+            self._batch_limit = 1
             if len(batch) == 1:
-                self._owed[batch[0]] = self._owed.pop(batch[0])
-        self._again()
+                self._pending[batch[0]] = self._pending.pop(batch[0])
+        self._retry()
 
     def _failed(self, failure: Failure) -> None:
         self._batch = []
-        if failure.check(Late):
-            self._wait = min(self._wait * 2, MOST_WAIT_MS)
-        self._again()
+        if failure.check(CallTimedOutError):
+            self._timeout_ms = min(self._timeout_ms * 2, MAX_TIMEOUT_MS)
+        self._retry()
 
-    def _again(self) -> None:
+    def _retry(self) -> None:
         self._counters.add("notices", "sent_again")
-        self._plan(self._rest * 1000)
-        self._rest = min(self._rest * 2, MOST_REST_MS)
+        self._schedule(self._backoff_ms * 1000)
+        self._backoff_ms = min(self._backoff_ms * 2, MAX_BACKOFF_MS)
--- a/lynxscale/relay/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -1,455 +1,387 @@
-"""Peer connections, calls, tries and probes.
+"""Attempts and health checks over connections to peers.
 
-A call carries one try, or, where a kind of endpoint takes several messages in one call, all that the module orders to
-that endpoint in one turn. Each try has its own time and its own outcome; the call's connection is theirs together.
+A call carries one attempt, or, where a kind of endpoint takes several messages in one call, all that the scheduler
+orders to that endpoint in one turn. Each attempt has its own timeout and its own outcome; they share the call's
+connection.
 """
 
 from __future__ import annotations
 
-import re
 import zlib
 from collections.abc import Callable
-from dataclasses import dataclass, field
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import structlog
 from twisted.internet.defer import Deferred
 from twisted.python.failure import Failure
 
 from lynxscale.relay import bundle
-from lynxscale.relay import http_parser as http
-from lynxscale.relay.deadlines import Deadline, Deadlines, Loop
-from lynxscale.relay.net import connection as link
-from lynxscale.relay.net.connection import Broken, Link
-from lynxscale.relay.slot_table import Slots
+from lynxscale.relay.deadlines import Deadlines, Loop
+from lynxscale.relay.exceptions import CallFailedError
+from lynxscale.relay.http_parser import MAX_BODY_BYTES, Response, request_bytes
+from lynxscale.relay.net.calls import Attempt, Call
+from lynxscale.relay.net.close_reason import CloseReason
+from lynxscale.relay.net.connection import SECOND_LOOK_MS, Address, OutboundConnection, dial, unread_byte
+from lynxscale.relay.net.connection_pool import ConnectionPool
+from lynxscale.relay.net.peer_responses import GONE, NOT_READ, RESULT_BY_STATUS, load_report, milliseconds
+from lynxscale.relay.slot_table import SlotTable
 from lynxscale.scheduling.events import HealthChecked, Result
 
 if TYPE_CHECKING:
-    from lynxscale.relay.core import Held, Relay
+    from lynxscale.relay.core import Relay
+    from lynxscale.relay.message import PendingMessage
 
 log = structlog.get_logger()
 
-IDLE_SHARE = 0.9  # of the time after which a peer closes an idle connection: ours goes first
-IDLE_MS = 15_000.0  # where the settings tell none
-DIAL_MS, PROBE_MS = 1500.0, 1500.0
-NEVER_RAN_STATUS = {429: Result.FULL, 503: Result.FULL, 504: Result.MOOT, 410: Result.MOOT}
+IDLE_SHARE = 0.9  # of the time after which a peer closes an idle connection: ours is closed first
+IDLE_MS = 15_000.0  # where the settings name none
+CONNECT_TIMEOUT_MS = 1500.0  # where the settings name none
+HEALTH_CHECK_TIMEOUT_MS = 1500.0
+MESSAGE_PATH, HEALTH_CHECK_PATH = "/events", "/_load"
 
 
-NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")  # Python's own reading takes nan, inf, signs and 1_0
-LONGEST_WAIT_MS = 3_600_000.0  # guards against a wait by which a destination would never be called again
-
-
-def seconds(text: str | None) -> float:
-    """Seconds with decimals as milliseconds; 0 where absent or malformed."""
-    value = float(text) if text and NUMBER.fullmatch(text) else 0.0
-    return min(value * 1000, LONGEST_WAIT_MS)
-
-
-@dataclass(slots=True, eq=False)
-class Call:
-    """What goes to one endpoint at once. ``link``: what it was written to."""
-
-    endpoint: int
-    fresh: bool = False
-    tries: list[Try] = field(default_factory=list)
-    size: int = 0  # bytes of its body
-    link: Link | None = None
-
-
-@dataclass(slots=True, eq=False)
-class Try:
-    """One attempt, from its order to its outcome. ``held`` is None for a probe."""
-
-    number: int
-    attempt: int
-    call: Call
-    held: Held | None
-    begun: int
-    ends: int
-    place: int = 0
-    deadline: Deadline | None = None
-    recorded: bool = False
-    done: bool = False
-
-    @property
-    def endpoint(self) -> int:
-        return self.call.endpoint
+class Peers:
+    """The relay's port to its peers.
 
+    ``address_of``: of an endpoint, None once it has left the list. ``per_call``: how many messages it takes in one
+    call. ``route_of``: its route, where a wait binds that instead of the destination. ``takes``: does it still get new
+    messages? Times are µs on the loop's clock.
+    """
 
-class Peers:
     def __init__(
         self,
-        reactor,
+        reactor: Any,
         loop: Loop,
         deadlines: Deadlines,
         relay: Relay,
-        address_of: Callable[[int], tuple[str, int] | None],
-        idle_most: int,
+        address_of: Callable[[int], Address | None],
+        max_connections: int,
         per_call: Callable[[int], int] = lambda _endpoint: 1,
         route_of: Callable[[int], str | None] = lambda _endpoint: None,
         takes: Callable[[int], bool] = lambda _endpoint: True,
     ) -> None:
         self._reactor, self._loop, self._deadlines, self._relay = reactor, loop, deadlines, relay
-        self._address_of, self._idle_most, self._per_call = address_of, idle_most, per_call
+        self._address_of, self._per_call = address_of, per_call
         self._route_of, self._takes = route_of, takes
         settings = relay.settings
-        self._copies = settings.second_copies
-        self._joining: dict[int, Call] = {}  # by endpoint: this turn's call that more may join
-        self._calls: list[Call] = []
-        self._idle_for = int((settings.idle_close_ms or IDLE_MS) * IDLE_SHARE * 1000)
-        self._dial_for = int((settings.connect_timeout_ms or DIAL_MS) * 1000)
-        self._columns = settings.report_columns
-        self._tries: Slots = Slots()
-        self._by_key: dict[tuple[int, int], Try] = {}
-        self._idle: dict[int, list[Link]] = {}  # by endpoint, the one used last at the end
-        self._links: Slots = Slots()
-        self._sweep_at: Deadline | None = None
-
-    # Orders of the module ------------------------------------------------------------------------
-
-    def start(self, number: int, attempt: int, held: Held, endpoint: int, timeout: int, fresh: bool) -> None:
+        self._hedges = settings.second_copies
+        self._connect_timeout = int((settings.connect_timeout_ms or CONNECT_TIMEOUT_MS) * 1000)
+        self._report_columns = settings.report_columns
+        self._joinable: dict[int, Call] = {}  # by endpoint: this turn's call that more attempts may join
+        self._unsent: list[Call] = []
+        self._attempts: SlotTable = SlotTable()
+        self._by_key: dict[tuple[int, int], Attempt] = {}  # by message number and attempt index
+        idle_timeout = int((settings.idle_close_ms or IDLE_MS) * IDLE_SHARE * 1000)
+        self._pool = ConnectionPool(deadlines, address_of, idle_timeout, max_connections)
+
+    # Actions of the scheduler --------------------------------------------------------------------
+
+    def start(self, number: int, index: int, message: PendingMessage, endpoint: int, timeout: int, fresh: bool) -> None:
+        """Begin an attempt; ``timeout`` in µs, ``fresh``: on a new connection."""
         now = self._loop.now()
-        most = self._per_call(endpoint)
-        call = self._joining.get(endpoint) if most > 1 else None
-        size = bundle.size_of(held.entry.id, held.entry.key, held.entry.body)
-        if call is None or len(call.tries) >= most or call.size + size > http.BODY_MOST:
+        limit = self._per_call(endpoint)
+        call = self._joinable.get(endpoint) if limit > 1 else None
+        size = bundle.size_of(message.entry.id, message.entry.key, message.entry.body)
+        if call is None or len(call.attempts) >= limit or call.size + size > MAX_BODY_BYTES:
             call = Call(endpoint)
-            if most > 1:
-                self._joining[endpoint] = call
-                self._calls.append(call)
+            if limit > 1:
+                self._joinable[endpoint] = call
+                self._unsent.append(call)
         call.fresh |= fresh
         call.size += size
-        work = self._add(Try(number, attempt, call, held, now, now + max(0, timeout)))
-        self._by_key[number, attempt] = work
-        if most == 1:
+        attempt = self._add(Attempt(number, index, call, message, now, now + max(0, timeout)))
+        self._by_key[number, index] = attempt
+        if limit == 1:
             self._begin(call)
 
-    def knows(self, number: int, attempt: int) -> bool:
-        """Is this try under way? Then its outcome comes, by its time-out at the latest."""
-        return (number, attempt) in self._by_key
+    def is_in_flight(self, number: int, index: int) -> bool:
+        """Is this attempt under way? Then its outcome follows, by its timeout at the latest."""
+        return (number, index) in self._by_key
 
-    def turned(self) -> None:
-        """All orders of this turn are in: what goes to one endpoint together goes now."""
-        calls, self._calls = self._calls, []
-        self._joining.clear()
+    def flush(self) -> None:
+        """All actions of this turn are in: what goes to one endpoint together is sent now."""
+        calls, self._unsent = self._unsent, []
+        self._joinable.clear()
         for call in calls:
             self._begin(call)
 
-    def probe(self, endpoint: int) -> None:
+    def check_health(self, endpoint: int) -> None:
+        """Begin a health check; its outcome goes to the scheduler."""
         now = self._loop.now()
         call = Call(endpoint)
-        self._add(Try(0, 0, call, None, now, now + int(PROBE_MS * 1000)))
+        self._add(Attempt(0, 0, call, None, now, now + int(HEALTH_CHECK_TIMEOUT_MS * 1000)))
         self._begin(call)
 
-    def cancel(self, number: int, attempt: int) -> None:
-        if (work := self._by_key.get((number, attempt))) is None:
+    def cancel(self, number: int, index: int) -> None:
+        """Give up an attempt."""
+        if (attempt := self._by_key.get((number, index))) is None:
             return
         if (
-            work.call.link is not None
-            and not self._copies
-            and not all(self._relay.repeatable(one.held) for one in self._left(work.call) if one is not work)
+            attempt.call.connection is not None
+            and not self._hedges
+            and not all(
+                self._relay.may_repeat(other.message) for other in attempt.call.open_attempts() if other is not attempt
+            )
         ):
-            # Guards the others of its call: cut along they may have run, and must not go again. The call's answer, or
-            # its time-out, is the end of this one too.
+            # Guards the others of its call: cancelled along they may have run, and must not be retried. The call's
+            # response, or its timeout, ends this one too.
             self._relay.counters.add("tries", "not_cut")
             return
-        # Guards against a second copy: the connection is closed before another try can be written.
-        self._late(work.place, Result.CANCELLED, link.CANCELLED)
+        # Guards against a duplicate: the connection is closed before another attempt can be written.
+        self._timed_out(attempt.slot, Result.CANCELLED, CloseReason.CANCELLED)
 
-    def close_idle(self, endpoint: int, reason: str = link.CROWDED) -> None:
-        for idle in self._idle.pop(endpoint, []):
-            idle.drop(reason)
+    def close_idle(self, endpoint: int, reason: str = CloseReason.EVICTED) -> None:
+        """Close the idle connections to an endpoint."""
+        self._pool.close_idle(endpoint, reason)
 
     def stop(self) -> None:
-        for endpoint in list(self._idle):
-            for idle in self._idle.pop(endpoint):
-                idle.drop(link.STOPPING)
+        """The process ends: close all idle connections."""
+        self._pool.close_all_idle(CloseReason.STOPPING)
 
-    def bound(self, most: int) -> None:
-        """Hold so many connections at most from now on, before idle ones go."""
-        self._idle_most = most
+    def limit(self, max_connections: int) -> None:
+        """Hold so many connections at most from now on, before idle ones are closed."""
+        self._pool.max_connections = max_connections
 
-    def connections(self) -> int:
-        """How many are held, idle ones too."""
-        return len(self._links)
+    def connection_count(self) -> int:
+        """How many connections are open, idle ones too."""
+        return len(self._pool)
 
     # A call --------------------------------------------------------------------------------------
 
-    def _add(self, work: Try) -> Try:
-        work.place = self._tries.add(work)
-        work.call.tries.append(work)
-        work.deadline = self._deadlines.at(work.ends, self._late, work.place)
-        return work
+    def _add(self, attempt: Attempt) -> Attempt:
+        attempt.slot = self._attempts.add(attempt)
+        attempt.call.attempts.append(attempt)
+        attempt.deadline = self._deadlines.at(attempt.timeout_at, self._timed_out, attempt.slot)
+        return attempt
 
     def _begin(self, call: Call) -> None:
-        if not self._left(call):
+        if not call.open_attempts():
             return  # given up in the turn that ordered it
         address = self._address_of(call.endpoint)
         if address is None:
-            self._all(call, Result.CONNECT_FAILED)
+            self._end_all(call, Result.CONNECT_FAILED)
             return
-        ready = None if call.fresh else self._take_idle(call.endpoint, address)
-        if ready is not None:
-            self._write(call, ready)
+        connection = None if call.fresh else self._pool.take(call.endpoint, address)
+        if connection is not None:
+            self._write(call, connection)
             return
         self._relay.counters.add("connections", "peer_opened")
-        dialled = link.dial(self._reactor, self._deadlines, self._dial_for, address, self._make)
-        dialled.addCallbacks(self._connected, self._failed, (call, address), None, (call,))
-
-    @staticmethod
-    def _left(call: Call) -> list[Try]:
-        """Those of its tries that have no outcome."""
-        return [work for work in call.tries if not work.done]
-
-    def _all(self, call: Call, result: Result, **more) -> None:
-        for work in self._left(call):
-            self._end(work, result, **more)
-
-    def _make(self) -> Link:
-        return Link("peer", self._deadlines, self._lost)
-
-    def _take_idle(self, endpoint: int, address: tuple[str, int]) -> Link | None:
-        links = self._idle.get(endpoint)
-        while links:
-            ready = links.pop()
-            if not ready.up:
-                continue
-            if ready.home[1] != address:
-                ready.drop(link.MOVED)
-            elif ready.stale():
-                ready.drop(link.FAR_CLOSED)
-            else:
-                return ready
-        return None
-
-    def _connected(self, ready: Link, call: Call, address: tuple[str, int]) -> None:
-        ready.home = (call.endpoint, address)
-        ready.place = self._links.add(ready)
-        if self._left(call):
-            self._write(call, ready)
+        connecting = dial(self._reactor, self._deadlines, self._connect_timeout, address, self._create)
+        connecting.addCallbacks(self._connected, self._connect_failed, (call, address), None, (call,))
+
+    def _create(self) -> OutboundConnection:
+        return OutboundConnection("peer", self._deadlines, self._pool.lost)
+
+    def _connected(self, connection: OutboundConnection, call: Call, address: Address) -> None:
+        self._pool.add(connection, call.endpoint, address)
+        if call.open_attempts():
+            self._write(call, connection)
         else:
-            self._pool(ready)  # it was given up meanwhile; the next one finds it open
+            self._pool.release(connection)  # it was given up meanwhile; the next one finds it open
 
-    def _failed(self, _failure: Failure, call: Call) -> None:
-        self._all(call, Result.CONNECT_FAILED)
+    def _connect_failed(self, _failure: Failure, call: Call) -> None:
+        self._end_all(call, Result.CONNECT_FAILED)
 
-    def _write(self, call: Call, ready: Link) -> None:
-        host = "{}:{}".format(*ready.home[1])
-        if call.tries[0].held is None:
-            data = http.request("GET", "/_load", host)
+    def _write(self, call: Call, connection: OutboundConnection) -> None:
+        host = "{}:{}".format(*connection.remote[1])
+        if call.attempts[0].message is None:
+            data = request_bytes("GET", HEALTH_CHECK_PATH, host)
         else:
-            going = [work for work in self._left(call) if self._goes(work)]
-            # The longest first: a partner that takes a call's time from its first message sees the one that is told in
-            # the head, to which the answer is waited for.
-            going.sort(key=lambda work: -work.ends)
-            if not going:
-                self._pool(ready)
+            sendable = [attempt for attempt in call.open_attempts() if self._prepare(attempt)]
+            # The longest first: a peer that takes a call's time from its first message then sees the one that is in
+            # the head, until which the response is waited for.
+            sendable.sort(key=lambda attempt: -attempt.timeout_at)
+            if not sendable:
+                self._pool.release(connection)
                 return
-            data = self._request(going, host)
-        call.link = ready
-        together = len(call.tries) > 1 and len(self._left(call)) > 1
-        answer: Deferred = ready.call(data)
-        answer.addCallbacks(self._answered, self._broke, (call, ready, together), None, (call, together))
-
-    def _goes(self, work: Try) -> bool:
-        """May it be written now? It is on record then."""
-        if not self._takes(work.endpoint):
+            data = self._request(sendable, host)
+        call.connection = connection
+        bundled = len(call.attempts) > 1 and len(call.open_attempts()) > 1
+        response: Deferred = connection.call(data)
+        response.addCallbacks(self._answered, self._call_failed, (call, connection, bundled), None, (call, bundled))
+
+    def _prepare(self, attempt: Attempt) -> bool:
+        """May it be written now? It is in the journal then; else it has its outcome."""
+        if not self._takes(attempt.endpoint):
             # Guards against a list that came while the connection was coming up: what drains gets nothing new.
             self._relay.counters.add("tries", "left_the_list")
-            self._end(work, Result.MOOT)
+            self._end(attempt, Result.MOOT)
             return False
-        if (wait := self._relay.held_back(self._wait_key(work))) > 0:
-            # Told after this try was ordered, to it or to another process of this relay: it binds all.
-            self._end(work, Result.FULL, wait=wait)
+        if (wait_ms := self._relay.backpressure.wait_ms(self._backpressure_key(attempt))) > 0:
+            # Received after this attempt was ordered, by it or by another process of this relay: it binds all.
+            self._end(attempt, Result.FULL, wait_ms=wait_ms)
             return False
-        if not self._relay.going(work.number):
-            self._end(work, Result.MOOT)
+        if not self._relay.record_attempt(attempt.number):
+            self._end(attempt, Result.MOOT)
             return False
-        work.recorded = True
+        attempt.recorded = True
         return True
 
-    def _request(self, going: list[Try], host: str) -> bytes:
+    def _request(self, sendable: list[Attempt], host: str) -> bytes:
         now = self._loop.now()
-        waits = ("Req-Deadline", f"{max(0, *(work.ends - now for work in going)) / 1e6:.3f}")
-        if len(going) > 1:
+        longest = max(0, *(attempt.timeout_at - now for attempt in sendable))
+        deadline = ("Req-Deadline", f"{longest / 1e6:.3f}")
+        if len(sendable) > 1:
             self._relay.counters.add("tries", "bundles")
-            entries = [work.held.entry for work in going]
+            entries = [attempt.message.entry for attempt in sendable]
             body = bundle.body((entry.id, entry.key, entry.body) for entry in entries)
-            return http.request("POST", bundle.PATH, host, (waits,), body)
-        entry = going[0].held.entry
-        headers = [("Req-Id", entry.id), waits]
+            return request_bytes("POST", bundle.PATH, host, (deadline,), body)
+        entry = sendable[0].message.entry
+        headers = [("Req-Id", entry.id), deadline]
         if entry.key:
             headers.append(("Idempotency-Key", entry.key))
-        return http.request("POST", "/events", host, tuple(headers), entry.body)
+        return request_bytes("POST", MESSAGE_PATH, host, tuple(headers), entry.body)
+
+    # Timeouts and cancellation -------------------------------------------------------------------
 
-    def _late(
-        self, place: int, result: Result = Result.TIMEOUT, reason: str = link.TIMED_OUT, looked: bool = False
+    def _timed_out(
+        self,
+        slot: int,
+        result: Result = Result.TIMEOUT,
+        reason: str = CloseReason.TIMED_OUT,
+        second_look: bool = False,
     ) -> None:
-        if (work := self._tries.get(place)) is None:
+        if (attempt := self._attempts.get(slot)) is None:
             return
-        used = work.call.link
-        if used is not None and not looked and link.unread(used.transport):
-            # Guards against an answer that came by this very instant: the loop reads it first, once.
-            self._deadlines.cancel(work.deadline)
-            work.deadline = self._deadlines.after(link.CROSSED_MS * 1000, self._late, place, result, reason, True)
+        connection = attempt.call.connection
+        if connection is not None and not second_look and unread_byte(connection.transport):
+            # Guards against a response that arrived in this very instant: the loop reads it first, once.
+            self._deadlines.cancel(attempt.deadline)
+            attempt.deadline = self._deadlines.after(SECOND_LOOK_MS * 1000, self._timed_out, slot, result, reason, True)
             return
-        self._give_up(work, result, reason)
-
-    def _give_up(self, work: Try, result: Result, reason: str) -> None:
-        call = work.call
-        used = call.link
-        if used is None:
-            # Not written: it never ran. A dial goes on, its connection serves a later try.
-            self._end(work, Result.CONNECT_FAILED if result == Result.TIMEOUT else Result.MOOT)
+        self._give_up(attempt, result, reason)
+
+    def _give_up(self, attempt: Attempt, result: Result, reason: str) -> None:
+        call = attempt.call
+        connection = call.connection
+        if connection is None:
+            # Not written: it never ran. Connecting goes on, for a later attempt.
+            self._end(attempt, Result.CONNECT_FAILED if result == Result.TIMEOUT else Result.MOOT)
             return
-        others = [one for one in self._left(call) if one is not work]
-        if others and (result == Result.TIMEOUT or self._copies):
-            # The others' answer is still of use, and no second copy of this one goes that may not.
-            self._end(work, result)
+        others = [other for other in call.open_attempts() if other is not attempt]
+        if others and (result == Result.TIMEOUT or self._hedges):
+            # The response is still of use to the others, and a duplicate of this one is sent only where that is safe.
+            self._end(attempt, result)
             return
-        used.forsake()
-        used.drop(reason)
-        self._end(work, Result.OK if used.said_ok and len(call.tries) == 1 else result)
-        for one in others:
-            self._end(one, Result.RESET)
-
-    def _broke(self, failure: Failure, call: Call, together: bool) -> None:
-        """No whole answer: true all the same where its first line says 200, else the tries may have run."""
-        failure.trap(Broken)
-        broken = failure.value
-        if broken.said_ok and not together:
+        connection.ignore_response()
+        connection.drop(reason)
+        self._end(attempt, Result.OK if connection.status_ok and len(call.attempts) == 1 else result)
+        for other in others:
+            self._end(other, Result.RESET)
+
+    # Responses -----------------------------------------------------------------------------------
+
+    def _call_failed(self, failure: Failure, call: Call, bundled: bool) -> None:
+        """No complete response: a success all the same where its status line says 200, else it may have run."""
+        failure.trap(CallFailedError)
+        error = failure.value
+        assert isinstance(error, CallFailedError)
+        if error.status_ok and not bundled:
             result = Result.OK
-        elif not broken.written:
+        elif not error.written:
             result = Result.CONNECT_FAILED
         else:
-            result = Result.ERROR if broken.spoilt or broken.said_ok else Result.RESET
-        if broken.spoilt:
+            result = Result.ERROR if error.malformed or error.status_ok else Result.RESET
+        if error.malformed:
             self._relay.counters.add("tries", "spoilt")
-        self._all(call, result)
+        self._end_all(call, result)
 
-    def _answered(self, response: http.Response, call: Call, used: Link, together: bool) -> None:
-        if used.up:
-            self._pool(used)
+    def _answered(self, response: Response, call: Call, connection: OutboundConnection, bundled: bool) -> None:
+        if connection.up:
+            self._pool.release(connection)
         status, headers = response.status, response.headers
-        result = Result.OK if status == 200 else NEVER_RAN_STATUS.get(status, Result.ERROR)
-        wait = 0.0
+        result = RESULT_BY_STATUS.get(status, Result.ERROR)
+        wait_ms = 0.0
         if result == Result.FULL and "x-no-slot" in headers:
             result = Result.MOOT
             self._relay.counters.add("tries", "no_slot")
-        elif result == Result.FULL or together:
-            wait = seconds(headers.get("retry-after"))
-        if wait and call.tries[0].held is not None:
-            key = self._wait_key(call.tries[0])
-            self._relay.told_wait(key, wait)
-            self._hold_back(key)
-        report = self._report(headers)
-        if together and status == 200:
-            self._each(call, response.body, wait, report)
-        else:
-            if together and status in (400, 413):
-                # It could not be read, so none of it ran; it is no use to send the same again at once.
-                log.error("bundle_not_read", endpoint=call.endpoint, status=status, messages=len(call.tries))
-                result = Result.FULL
-            self._all(call, result, over=status == 410, wait=wait if result == Result.FULL else 0.0, report=report)
-
-    def _each(self, call: Call, body: bytes, wait: float, report: tuple[float, ...]) -> None:
-        """An answer that tells how each message ended."""
-        ids = {work.held.entry.id: work for work in call.tries if work.recorded}
-        found, good = bundle.ends(body, list(ids))
-        if not good:
+        elif result == Result.FULL or bundled:
+            wait_ms = milliseconds(headers.get("retry-after"))
+        if wait_ms and call.attempts[0].message is not None:
+            key = self._backpressure_key(call.attempts[0])
+            self._relay.backpressure.received(key, wait_ms)
+            self._withdraw_unwritten(key)
+        report = load_report(headers, self._report_columns)
+        if bundled and status == 200:
+            self._end_each(call, response.body, wait_ms, report)
+            return
+        if bundled and status in NOT_READ:
+            # None of it ran; it is no use to send the same again at once.
+            log.error("bundle_not_read", endpoint=call.endpoint, status=status, messages=len(call.attempts))
+            result = Result.FULL
+        wait_ms = wait_ms if result == Result.FULL else 0.0
+        self._end_all(call, result, over=status == GONE, wait_ms=wait_ms, report=report)
+
+    def _end_each(self, call: Call, body: bytes, wait_ms: float, report: tuple[float, ...]) -> None:
+        """A response that says how each message of a bundle ended."""
+        by_id = {attempt.message.entry.id: attempt for attempt in call.attempts if attempt.recorded}
+        outcomes, well_formed = bundle.ends(body, list(by_id))
+        if not well_formed:
             self._relay.counters.add("tries", "spoilt")
-            log.warning("bundle_answer", endpoint=call.endpoint, messages=len(ids), text=repr(body[:200]))
-        for id_, work in ids.items():
-            result, over = found[id_]
-            if work.done:
+            log.warning("bundle_answer", endpoint=call.endpoint, messages=len(by_id), text=repr(body[:200]))
+        for id_, attempt in by_id.items():
+            result, over = outcomes[id_]
+            if attempt.done:
                 if result == Result.OK:
-                    self._relay.ran(work.number)  # after its time, or while another copy was thought better
+                    self._relay.delivered_late(attempt.number)  # after its timeout, or cancelled for another attempt
             else:
-                self._end(work, result, over=over, wait=wait if result == Result.FULL else 0.0, report=report)
-
-    def _wait_key(self, work: Try) -> int:
-        """What a told wait binds: the destination, or the endpoint where each is a route of its own."""
-        route = self._route_of(work.endpoint)
-        return work.held.entry.dest if route is None else -1 - zlib.crc32(route.encode())
-
-    def _hold_back(self, key: int) -> None:
-        """Guards against a try that was ordered before the wait was told and would be written in it."""
-        for work in list(self._by_key.values()):
-            if work.call.link is None and not work.done and self._wait_key(work) == key:
-                self._end(work, Result.MOOT)
-
-    def _report(self, headers: dict[str, str]) -> tuple[float, ...]:
-        text = headers.get("srv-load")
-        if not text:
-            return ()
-        told = dict(part.strip().partition("=")[::2] for part in text.split(","))
-        fields = [told.get(name, "") for name in self._columns]
-        if not all(NUMBER.fullmatch(field) for field in fields):
-            return ()  # not the fields that the settings name, or no numbers
-        return tuple(float(field) for field in fields)
+                attempt_wait_ms = wait_ms if result == Result.FULL else 0.0
+                self._end(attempt, result, over=over, wait_ms=attempt_wait_ms, report=report)
+
+    def _backpressure_key(self, attempt: Attempt) -> int:
+        """What a wait binds: the destination, or below 0 the endpoint's route where that is apart."""
+        route = self._route_of(attempt.endpoint)
+        return attempt.message.entry.dest if route is None else -1 - zlib.crc32(route.encode())
+
+    def _withdraw_unwritten(self, key: int) -> None:
+        """Guards against an attempt that was ordered before a wait was received and would be written during it."""
+        for attempt in list(self._by_key.values()):
+            if attempt.call.connection is None and not attempt.done and self._backpressure_key(attempt) == key:
+                self._end(attempt, Result.MOOT)
+
+    # Outcomes ------------------------------------------------------------------------------------
+
+    def _end_all(
+        self,
+        call: Call,
+        result: Result,
+        *,
+        over: bool = False,
+        wait_ms: float = 0.0,
+        report: tuple[float, ...] = (),
+    ) -> None:
+        for attempt in call.open_attempts():
+            self._end(attempt, result, over=over, wait_ms=wait_ms, report=report)
 
     def _end(
-        self, work: Try, result: Result, *, over: bool = False, wait: float = 0.0, report: tuple[float, ...] = ()
+        self,
+        attempt: Attempt,
+        result: Result,
+        *,
+        over: bool = False,
+        wait_ms: float = 0.0,
+        report: tuple[float, ...] = (),
     ) -> None:
-        if work.done:
+        """The attempt's outcome goes to the core. ``over``: nothing more is owed for its message."""
+        if attempt.done:
             return
-        work.done = True
-        self._deadlines.cancel(work.deadline)
-        self._tries.remove(work.place)
-        spent = self._loop.now() - work.begun
-        if work.held is None:
+        attempt.done = True
+        self._deadlines.cancel(attempt.deadline)
+        self._attempts.remove(attempt.slot)
+        spent = self._loop.now() - attempt.started
+        if attempt.message is None:
             self._relay.counters.add("probes", result.name.lower())
-            self._relay.put(HealthChecked(work.endpoint, int(result), spent / 1000, report))
+            self._relay.put(HealthChecked(attempt.endpoint, int(result), spent / 1000, report))
             return
-        self._by_key.pop((work.number, work.attempt))
-        self._relay.outcome(
-            work.number,
-            work.attempt,
-            work.endpoint,
+        self._by_key.pop((attempt.number, attempt.index))
+        self._relay.attempt_ended(
+            attempt.number,
+            attempt.index,
+            attempt.endpoint,
             result,
             spent,
-            work.recorded,
+            attempt.recorded,
             over=over,
-            wait_ms=wait,
+            wait_ms=wait_ms,
             report=report,
         )
-
-    # Idle connections ----------------------------------------------------------------------------
-
-    def _pool(self, ready: Link) -> None:
-        if not ready.up:
-            return
-        if self._address_of(ready.home[0]) is None:
-            ready.drop(link.GONE)  # its endpoint has left the list
-            return
-        ready.since = self._loop.now()
-        self._idle.setdefault(ready.home[0], []).append(ready)
-        if len(self._links) > self._idle_most:
-            self._drop_oldest()
-        if self._sweep_at is None:
-            self._sweep_at = self._deadlines.after(self._idle_for, self._sweep)
-
-    def _drop_oldest(self) -> None:
-        """Guards against the descriptor limit: beyond the budget the longest idle connection goes."""
-        first = min((links[0] for links in self._idle.values() if links), key=lambda one: one.since)
-        self._idle[first.home[0]].remove(first)
-        first.drop(link.CROWDED)
-
-    def _sweep(self) -> None:
-        """Close what has been idle for long, before the peer does and a call is lost on it."""
-        self._sweep_at, now, oldest = None, self._loop.now(), None
-        for links in self._idle.values():
-            while links and (not links[0].up or links[0].since + self._idle_for <= now):
-                links.pop(0).drop(link.IDLE)
-            if links and (oldest is None or links[0].since < oldest):
-                oldest = links[0].since
-        if oldest is not None:
-            self._sweep_at = self._deadlines.at(oldest + self._idle_for, self._sweep)
-
-    def _lost(self, gone: Link) -> None:
-        self._links.remove(gone.place)
-        links = self._idle.get(gone.home[0], [])
-        if gone in links:
-            links.remove(gone)
-            if not links:
-                del self._idle[gone.home[0]]
--- /dev/null
+++ b/lynxscale/relay/net/serial_client.py
@@ -0,0 +1,95 @@
+"""An HTTP client for one address, for discovery and notices: one connection, one call at a time."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
+
+from lynxscale.relay.deadlines import Deadline, Deadlines
+from lynxscale.relay.exceptions import CallTimedOutError
+from lynxscale.relay.http_parser import MAX_LIST_BYTES, Response
+from lynxscale.relay.net.close_reason import CloseReason
+from lynxscale.relay.net.connection import Address, OutboundConnection, dial
+
+
+class SerialClient:
+    """Calls to one address, over one connection that is opened when needed."""
+
+    def __init__(self, reactor: Any, deadlines: Deadlines, address: Address, kind: str) -> None:
+        self._reactor, self._deadlines, self._address, self._kind = reactor, deadlines, address, kind
+        self.host = f"{address[0]}:{address[1]}"
+        self._connection: OutboundConnection | None = None
+        self._response: Deferred | None = None  # of the call under way
+        self._call_number = 0  # what belongs to an earlier call is ignored
+        self._deadline: Deadline | None = None
+
+    def call(self, data: bytes, timeout: int) -> Deferred:
+        """The Response within ``timeout`` µs, else a failure. An earlier call is dropped and never fires.
+
+        Fails with CallTimedOutError, CallFailedError or Twisted's errors of the connection.
+        """
+        self.drop(CloseReason.CANCELLED)
+        response = self._response = Deferred()
+        number = self._call_number
+        self._deadline = self._deadlines.after(timeout, self._timed_out, number)
+        connection = self._connection
+        if connection is not None and connection.up and not connection.stale():
+            self._send(connection, data, number)
+            return response
+        if connection is not None:
+            connection.drop(CloseReason.REMOTE_CLOSED)
+        connecting = dial(self._reactor, self._deadlines, timeout, self._address, self._create)
+        connecting.addCallbacks(self._connected, self._failed, (data, number), None, (number,))
+        return response
+
+    def drop(self, reason: str) -> None:
+        """End the call under way, if any."""
+        self._call_number += 1
+        self._response = None
+        self._deadlines.cancel(self._deadline)
+        if self._connection is not None and self._connection.busy:
+            self._connection.ignore_response()
+            self._connection.drop(reason)
+
+    def close(self, reason: str) -> None:
+        """End the call under way and close the connection."""
+        self.drop(reason)
+        self.close_idle(reason)
+
+    def close_idle(self, reason: str) -> None:
+        """Close the connection, unless a call is under way."""
+        if self._connection is not None and not self._connection.busy:
+            self._connection.drop(reason)
+
+    def _create(self) -> OutboundConnection:
+        return OutboundConnection(self._kind, self._deadlines, max_body=MAX_LIST_BYTES, stall_between_reads=True)
+
+    def _connected(self, connection: OutboundConnection, data: bytes, number: int) -> None:
+        if number != self._call_number:
+            connection.drop(CloseReason.CANCELLED)
+            return
+        self._connection = connection
+        self._send(connection, data, number)
+
+    def _send(self, connection: OutboundConnection, data: bytes, number: int) -> None:
+        connection.call(data).addCallbacks(self._answered, self._failed, (number,), None, (number,))
+
+    def _answered(self, result: Response, number: int) -> None:
+        if number == self._call_number:
+            response, self._response = self._response, None
+            self._deadlines.cancel(self._deadline)
+            response.callback(result)
+
+    def _failed(self, failure: Failure, number: int) -> None:
+        if number == self._call_number:
+            response = self._response
+            self.drop(CloseReason.RESET)
+            response.errback(failure)
+
+    def _timed_out(self, number: int) -> None:
+        if number == self._call_number:
+            response = self._response
+            self.drop(CloseReason.TIMED_OUT)
+            response.errback(CallTimedOutError(False))
--- /dev/null
+++ b/lynxscale/relay/recovery.py
@@ -0,0 +1,119 @@
+"""Messages that pass from one process of a relay to another: at a restart, and at an upgrade while both run."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+import structlog
+
+from lynxscale.relay.journal import Entry, JournalFull
+from lynxscale.relay.message import PendingMessage
+from lynxscale.scheduling.events import Message, Withdrawn
+
+if TYPE_CHECKING:
+    from lynxscale.relay.core import Relay
+
+log = structlog.get_logger()
+
+
+class Recovery:
+    """Takes over what other processes of this relay left open, and releases to them."""
+
+    def __init__(self, relay: Relay) -> None:
+        self._relay = relay
+
+    def replay(self, entries: Iterable[Entry]) -> None:
+        """Take over what an earlier process left open in this journal: each is still owed its end."""
+        messages = [self._restore(entry) for entry in entries]
+        self._relay.journal.begin({message.number: message.entry for message in messages})
+        self._resume(messages)
+
+    def adopt(self, entries: Iterable[Entry], on_journaled: Callable[[], None]) -> int:
+        """Take over what another process left open in a journal of its own; how many were not here yet.
+
+        ``on_journaled`` is called once this journal has them all, before anything is sent. Raises JournalFull or
+        OSError where there is no room: then nothing is taken over, and what the journal has of them already counts as
+        its own at the next start.
+        """
+        relay = self._relay
+        messages: list[PendingMessage] = []
+        try:
+            for entry in entries:
+                if entry.id not in relay.by_id:
+                    message = self._restore(entry)
+                    messages.append(message)
+                    relay.journal.adopt(message.number, entry)
+            on_journaled()
+        except (JournalFull, OSError):
+            for message in messages:
+                relay.write_journal(relay.journal.forgo, message.number)
+                relay.pending.remove(message.number)
+                del relay.by_id[message.entry.id]
+            raise
+        self._resume(messages)
+        return len(messages)
+
+    def release(self) -> list[int]:
+        """Release all messages without an attempt in flight to another process; their numbers in the journal.
+
+        Nothing is written: in the journal they stay open until the other one has them in its own.
+        """
+        relay = self._relay
+        numbers = []
+        for message in [one for one in relay.pending.items() if _can_be_released(one)]:
+            relay.put(Withdrawn(message.number))
+            relay.deadlines.cancel(message.backstop)
+            numbers.append(relay.journal.release(message.number))
+            relay.pending.remove(message.number)
+            del relay.by_id[message.entry.id]
+            relay.released.add(message.entry.id)
+        return numbers
+
+    def _restore(self, entry: Entry) -> PendingMessage:
+        relay = self._relay
+        cls, tenant = relay.class_number(entry.cls), relay.tenant_number(entry.tenant)
+        if cls is None and entry.final is None:
+            entry.final = ("undeliverable", 0)  # its class has left the settings: nobody can judge it
+        now = relay.loop.now()
+        message = PendingMessage(entry, cls=cls or 0, tenant=tenant or 0, attempts=entry.tries, accepted_at=now)
+        relay.register(message)
+        return message
+
+    def _resume(self, messages: list[PendingMessage]) -> None:
+        """Go on with messages of another process, which this journal has."""
+        relay = self._relay
+        now, unix = relay.loop.now(), relay.unix_now()
+        notices = 0
+        for message in messages:
+            entry = message.entry
+            if relay.trace is not None:
+                left = entry.expires - unix
+                relay.trace.message(now, message.number, entry, message.cls, message.tenant, left, entry.tries)
+            if entry.final is not None:
+                message.ended = True
+                notices += 1
+                relay.notices.enqueue(message.number, entry.id, *entry.final)
+                continue
+            relay.arm_backstop(message)
+            relay.put(self._message_event(message, now, unix))
+        if messages:
+            relay.counters.add("taken", "replayed", len(messages))
+            log.info("replayed", open=len(messages), notices=notices)
+
+    def _message_event(self, message: PendingMessage, now: int, unix: int) -> Message:
+        entry = message.entry
+        return Message(
+            message.number,
+            entry.dest,
+            message.cls,
+            message.tenant,
+            self._relay.end_times.end_time(message, now) / 1000,
+            inherited=True,
+            attempts=entry.tries,
+            maybe_executed_at=(now + min(entry.maybe) - unix) / 1000 if entry.maybe else 0.0,
+        )
+
+
+def _can_be_released(message: PendingMessage) -> bool:
+    return not (message.in_flight or message.ended or message.admission_callbacks is not None)
--- a/lynxscale/relay/slot_table.py
+++ b/lynxscale/relay/slot_table.py
@@ -1,16 +1,16 @@
-"""A table of numbered slots: a number names one tenancy of a slot and is never given out twice."""
+"""A generational slot table: a number names one use of a slot, and is never handed out twice."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from typing import Any
 
-PLACE_BITS = 20
-PLACE_MASK = (1 << PLACE_BITS) - 1
+INDEX_BITS = 20
+INDEX_MASK = (1 << INDEX_BITS) - 1
 
 
-class Slots:
-    """Items by number. The low bits tell the place, the high bits how often it was taken before."""
+class SlotTable:
+    """Items by number: the low bits are the slot's index, the high bits its generation."""
 
     def __init__(self) -> None:
         self._items: list[Any] = []
@@ -22,32 +22,35 @@
         return self._used
 
     def items(self) -> Iterator[Any]:
+        """All items, in the order of their slots."""
         return (item for item in self._items if item is not None)
 
     def add(self, item: Any) -> int:
+        """Store an item; its number."""
         if self._free:
-            place = self._free.pop()
+            index = self._free.pop()
         else:
-            place = len(self._items)
+            index = len(self._items)
             self._items.append(None)
-            self._numbers.append(place)
-        self._items[place] = item
+            self._numbers.append(index)
+        self._items[index] = item
         self._used += 1
-        return self._numbers[place]
+        return self._numbers[index]
 
     def get(self, number: int) -> Any:
-        """The item of that number, or None once it has left."""
-        place = number & PLACE_MASK
-        if place < len(self._items) and self._numbers[place] == number:
-            return self._items[place]
+        """The item of that number, or None once it is removed."""
+        index = number & INDEX_MASK
+        if index < len(self._items) and self._numbers[index] == number:
+            return self._items[index]
         return None
 
     def remove(self, number: int) -> Any:
+        """Remove and return the item of that number; None where it is removed already."""
         item = self.get(number)
         if item is not None:
-            place = number & PLACE_MASK
-            self._items[place] = None
-            self._numbers[place] += PLACE_MASK + 1  # a late event for the old number finds nothing
-            self._free.append(place)
+            index = number & INDEX_MASK
+            self._items[index] = None
+            self._numbers[index] += INDEX_MASK + 1  # a late event for the old number finds nothing
+            self._free.append(index)
             self._used -= 1
         return item
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -51,7 +51,7 @@
         self._estate: Estate | None = None  # of the predecessor, while it lives
         self._released_at, self._heir = 0, -1
         if claim.half is not None:
-            relay.board = self
+            relay.attach_board(self)
 
     @property
     def waiting(self) -> bool:
@@ -93,7 +93,7 @@
 
     def release(self) -> None:
         """Let the heir have what waits; nothing where the folder has no room to say so."""
-        numbers = self._relay.release()
+        numbers = self._relay.recovery.release()
         if numbers:
             try:
                 release(self._claim.path, numbers)
@@ -103,14 +103,14 @@
 
     # The board, for the core ---------------------------------------------------------------------
 
-    def tell(self, dest: int, until: int, now: int) -> None:
-        self._claim.half.tell(dest, until, now)
+    def publish_wait(self, key: int, until: int, now: int) -> None:
+        self._claim.half.tell(key, until, now)
 
-    def wait_until(self, dest: int) -> int:
-        return self._claim.other.wait_until(dest) if self._other[0] is not Stage.NONE else 0
+    def wait_until(self, key: int) -> int:
+        return self._claim.other.wait_until(key) if self._other[0] is not Stage.NONE else 0
 
-    def holds(self, id_: str) -> bool:
-        """Does the other process hold this message?"""
+    def owns(self, id_: str) -> bool:
+        """Is a message of this id pending in the other process?"""
         return self._follower is not None and self._follower.holds(id_)
 
     # Looks ---------------------------------------------------------------------------------------
@@ -134,7 +134,7 @@
     def _look(self) -> None:
         out = self._read()
         claim = self._claim
-        claim.half.out(self._relay.out)
+        claim.half.out(self._relay.in_flight)
         # Both together fill the slots; the other's are as old as a look at most.
         self._relay.settings.slots = max(1, self._slots - out)
         for order in self._succession.look(*self._other):
@@ -213,7 +213,9 @@
     def _give(self, estate: Estate, part: list) -> bool:
         """These are this process's from now on; False where there is no room to keep them."""
         try:
-            new = self._relay.adopt([entry for _uid, entry in part], lambda: estate.mark([uid for uid, _ in part]))
+            new = self._relay.recovery.adopt(
+                [entry for _uid, entry in part], lambda: estate.mark([uid for uid, _ in part])
+            )
         except (JournalFull, OSError) as error:
             log.warning("taking_over_waits", folder=estate.path.name, left=len(part), error=str(error))
             return False
--- a/lynxscale/relay/upstream/component.py
+++ b/lynxscale/relay/upstream/component.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Collection
 
-from lynxscale.relay.components import Host, Part
+from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf.platform import Config
 from lynxscale.relay.conf.table import Conf
 from lynxscale.relay.upstream.group import FILES
@@ -13,25 +13,22 @@
 from lynxscale.relay.upstream.watch import Watch
 
 
-class WatchPart(Part):
-    def __init__(self, host: Host) -> None:
-        members, settings = host.own.members, host.conf.settings
+class WatchComponent(Component):
+    def __init__(self, context: ComponentContext) -> None:
+        members, settings = context.product.members, context.conf.settings
         self._watch = Watch(
-            host.reactor,
-            host.deadlines,
+            context.reactor,
+            context.deadlines,
             members,
             rules_of(members, settings.kinds, settings.zones),
-            host.group,
-            Lists(host.conf.state),
-            host.teller,
-            host.counters,
+            context.group,
+            Lists(context.conf.state),
+            context.teller,
+            context.counters,
         )
-        host.group.add(FILES, self._watch)
+        context.group.add(FILES, self._watch)
         self.start, self.stop = self._watch.start, self._watch.stop
 
-    def reload(self, conf: Config, own: Conf) -> Collection[str]:
+    def reload(self, conf: Config, product: Conf) -> Collection[str]:
         self._watch.poke()
         return ()
-
-
-attach = WatchPart
--- a/lynxscale/relay/upstream/watch.py
+++ b/lynxscale/relay/upstream/watch.py
@@ -189,7 +189,7 @@
 
     def _plan(self, micros: int) -> None:
         when = self._deadlines.now() + micros
-        if self._next is not None and self._next.act is not None:
+        if self._next is not None and self._next.callback is not None:
             if self._next.at <= when:
                 return
             self._deadlines.cancel(self._next)
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -155,7 +155,7 @@
         """A message that the core has numbered. ``envelope``: its id, dest and body."""
         self._tell((now, r.MESSAGE, number, envelope.id, envelope.dest, len(envelope.body), cls, tenant, left, tries))
 
-    def turned_away(self, now: int, envelope: Any, verdict: str, again_ms: float) -> None:
+    def rejected(self, now: int, envelope: Any, verdict: str, again_ms: float) -> None:
         """A message that the core did not get as far as numbering."""
         self._away += 1
         self.message(now, self._away, envelope, envelope.cls, envelope.tenant, envelope.time_left)
@@ -171,11 +171,11 @@
         """Nothing more is owed."""
         self._tell((now, GONE, number))
 
-    def try_started(self, now: int, number: int, attempt: int, endpoint: int, timeout: int, fresh: bool) -> None:
+    def attempt_started(self, now: int, number: int, attempt: int, endpoint: int, timeout: int, fresh: bool) -> None:
         if self._tries:
             self._tell((now, r.TRY_START, number, attempt, endpoint, timeout, fresh))
 
-    def try_ended(
+    def attempt_ended(
         self,
         now: int,
         number: int,
@@ -190,15 +190,15 @@
         if self._tries:
             self._tell((now, r.TRY_END, number, attempt, endpoint, result, spent, wait_ms, over, report))
 
-    def probe_started(self, now: int, endpoint: int) -> None:
+    def health_check_started(self, now: int, endpoint: int) -> None:
         if self._tries:
             self._tell((now, r.PROBE_START, endpoint))
 
-    def noticed(self, now: int, number: int, status: str, again_ms: int) -> None:
+    def notice_queued(self, now: int, number: int, status: str, again_ms: int) -> None:
         if self._tries:
             self._tell((now, r.NOTICE, number, status, again_ms))
 
-    def notice_heard(self, now: int, number: int) -> None:
+    def notice_acknowledged(self, now: int, number: int) -> None:
         if self._tries:
             self._tell((now, r.NOTICE_HEARD, number))
 
@@ -230,7 +230,7 @@
         """One step of the module, to the last bit."""
         self._tell((now, r.STEP, events, actions, failed))
 
-    def turn(self) -> None:
+    def turn_ended(self) -> None:
         """The end of a turn."""
         if len(self._told) > self._most:
             self._cut()
--- a/tests/golden_relay.py
+++ b/tests/golden_relay.py
@@ -16,7 +16,7 @@
 
 from lynxscale.relay import wall_clock as wall
 from lynxscale.relay.counters import Counters
-from lynxscale.relay.outcome_log import FinalsFile
+from lynxscale.relay.outcome_log import OutcomeLog
 from lynxscale.relay.upgrade import folders, kept
 from lynxscale.relay.upgrade.board import Board, Stage
 from lynxscale.relay.upstream.files import digest_of
@@ -62,7 +62,7 @@
     _write_lists(state)
     _write_finals(state)
     _write_upgrade(state)
-    wall._note(state / wall.FILE, BOOT, ZERO)
+    wall._save(state / wall.FILE, BOOT, ZERO)
     with mock.patch.object(time, "time_ns", lambda: UNIX_NS):
         kept.keep(state, learned()[0], ENDPOINTS.get, NOW)
 
@@ -77,9 +77,9 @@
 
 def _write_finals(state: Path) -> None:
     due = AtOnce()
-    finals = FinalsFile(state / FINALS, 1 << 20, 1, due, lambda number: None, Counters(), lambda: 1_800_000_000.1234)
-    finals.owe(1, "m-1", "expired", 0)
-    finals.owe(2, "m-2", "refused", 1500)
+    finals = OutcomeLog(state / FINALS, 1 << 20, 1, due, lambda number: None, Counters(), lambda: 1_800_000_000.1234)
+    finals.enqueue(1, "m-1", "expired", 0)
+    finals.enqueue(2, "m-2", "refused", 1500)
     for call in due.calls:
         call()
 
--- a/tests/node.py
+++ b/tests/node.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from lab.standins import PATIENCE, Client, Discovery, Server, hold_port, port_of, reply, row, settings, until
-from lynxscale.relay.core import FIRST_READS
+from lynxscale.relay.end_times import FIRST_READS
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_cluster_conf.py
+++ b/tests/test_cluster_conf.py
@@ -137,7 +137,7 @@
         without, sockets = self._started(CONF.read_text())
         self.log.write_text("")
         with_, sockets_with = self._started(TEXT)
-        self.assertIn("event=part_left_off part=lynxscale.relay.cluster.component", self.log.read_text())
+        self.assertIn("event=component_disabled component=lynxscale.relay.cluster.component", self.log.read_text())
         self.assertIn("lynxscale.relay", without)
         self.assertEqual(without, with_)
         self.assertFalse([name for name in with_ if name.startswith(("lynxscale.relay.cluster", "msgspec", "lab"))])
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -3,22 +3,27 @@
 import tempfile
 import unittest
 from pathlib import Path
+from typing import Any
 
 from structlog.testing import capture_logs
 
 from lab.standins import settings
-from lynxscale.relay.core import Envelope, Relay, Verdict
+from lynxscale.relay.core import Relay
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
 from lynxscale.relay.journal import Journal
 from lynxscale.relay.journal.port import Folder
-from lynxscale.relay.slot_table import Slots
+from lynxscale.relay.message import Envelope, Verdict
+from lynxscale.relay.slot_table import SlotTable
 from lynxscale.scheduling.events import Lifecycle, Member, MembershipKind, MembershipUpdate, Message, Result
 from lynxscale.scheduling.settings_reader import settings_from
 
 
 class Ports:
-    """Stands for tries, group and notices: keeps what it was told."""
+    """Stands for peers, group and notices: records the calls."""
+
+    start: Any
+    is_in_flight: Any
 
     def __init__(self) -> None:
         self.told = []
@@ -58,14 +63,14 @@
             settings_from(settings()), 1, loop, Deadlines(loop, self.turns.call_later), self.journal, Counters()
         )
         loop.at_end = self.relay.turn
-        self.relay.tries = self.relay.group = self.relay.notices = self.ports
-        self.relay.replay(self.journal.open())
+        self.relay.peers = self.relay.group = self.relay.notices = self.ports
+        self.relay.recovery.replay(self.journal.open())
         member = Member(7, Lifecycle.READY, 1, 0, 0, 20.0)
         self.relay.put(MembershipUpdate(MembershipKind.FULL, 1, [member]))
         self.turns.run()
 
-    def offer(self, id: str, left: float = 16.0, cls: int = 0) -> None:
-        self.relay.offer(
+    def submit(self, id: str, left: float = 16.0, cls: int = 0) -> None:
+        self.relay.submit(
             Envelope(id, cls, 0, "", 1, int(left * 1e6), b"body"),
             lambda verdict, _again: self.answers.append((id, verdict)),
         )
@@ -75,62 +80,63 @@
 
     def test_answered_before_the_try_goes(self):
         self.ports.start = lambda *args: self.answers.append("try")
-        self.offer("m1")
+        self.submit("m1")
         self.assertEqual(self.answers, [])
         self.turns.run()
-        self.assertEqual(self.answers, [("m1", Verdict.TAKEN), "try"])
+        self.assertEqual(self.answers, [("m1", Verdict.ACCEPTED), "try"])
 
     def test_the_module_is_told_an_end_before_the_time_is_up(self):
         """A message read late by a process at its start is over for the platform before the relay would end it."""
         seen = []
         self.relay.sender.step = lambda _now, events: seen.extend(events) or []
-        self.offer("m1")
-        self.offer("m2", left=0.2)
+        self.submit("m1")
+        self.submit("m2", left=0.2)
         begun = self.relay.loop.now() / 1000
         self.turns.run()
         ends = [event.expires - begun for event in seen if type(event) is Message]
         self.assertEqual([round(end) for end in ends], [16_000 - 400, 100])
 
     def test_first_requests_may_have_waited_for_as_long_as_the_start_took(self):
-        self.relay.listens(self.relay.loop.now() - 1_500_000)
-        self.offer("m1", left=1.2)
+        now = self.relay.loop.now()
+        self.relay.end_times.listening(now, now - 1_500_000)
+        self.submit("m1", left=1.2)
         self.turns.run()
         self.assertEqual(self.answers, [("m1", Verdict.REJECTED)])
         seen = []
         self.relay.sender.step = lambda _now, events: seen.extend(events) or []
-        self.offer("m2")
+        self.submit("m2")
         begun = self.relay.loop.now() / 1000
         self.turns.run()
         self.assertEqual(round(seen[0].expires - begun), 16_000 - 1500)
 
     def test_an_outcome_that_comes_at_once_reaches_the_module(self):
         """A try can end as it is ordered: no later event may be needed for the module to hear of it."""
-        self.ports.start = lambda number, attempt, _held, endpoint, *_: self.relay.outcome(
+        self.ports.start = lambda number, attempt, _message, endpoint, *_: self.relay.attempt_ended(
             number, attempt, endpoint, Result.CONNECT_FAILED, 0, False
         )
-        self.offer("m1")
+        self.submit("m1")
         self.turns.run()
         self.turns.run()
-        self.assertEqual((self.relay.sender.tries, self.relay.out), ({}, 0))
+        self.assertEqual((self.relay.sender.tries, self.relay.in_flight), ({}, 0))
 
     def test_twice_in_one_turn_is_answered_twice_and_taken_once(self):
-        self.offer("m1", left=0.0)
-        self.offer("m1", left=0.0)
+        self.submit("m1", left=0.0)
+        self.submit("m1", left=0.0)
         self.turns.run()
         self.assertEqual(self.answers, [("m1", Verdict.REJECTED)] * 2)
-        self.assertEqual(len(self.relay.held), 0)
+        self.assertEqual(len(self.relay.pending), 0)
 
     def test_a_repeat_whose_connection_came_up_too_late_does_not_go(self):
         """Ordered within its key's span, 7.5 s, and written behind it; what may not be repeated never goes again."""
         for cls, after, goes in ((1, 6.9, True), (1, 7.3, False), (2, 0.1, False), (0, 9.0, True)):
             with self.subTest(cls=cls, after=after):
-                self.offer(f"m{cls}-{after}", cls=cls)
+                self.submit(f"m{cls}-{after}", cls=cls)
                 self.turns.run()
                 number = self.relay.by_id[f"m{cls}-{after}"]
-                self.assertTrue(self.relay.going(number))
-                self.relay.outcome(number, 0, 7, Result.ERROR, 0, True)
-                self.relay.held.get(number).entry.maybe[0] -= int(after * 1e6)
-                self.assertEqual(self.relay.going(number), goes)
+                self.assertTrue(self.relay.record_attempt(number))
+                self.relay.attempt_ended(number, 0, 7, Result.ERROR, 0, True)
+                self.relay.pending.get(number).entry.maybe[0] -= int(after * 1e6)
+                self.assertEqual(self.relay.record_attempt(number), goes)
 
     def test_a_fault_of_the_module_loses_no_message(self):
         """What it lost track of is taken, kept, and ended once its time is up."""
@@ -141,15 +147,15 @@
 
         step, self.relay.sender.step = self.relay.sender.step, fault
         with capture_logs() as seen:
-            self.offer("m1", left=0.001)
+            self.submit("m1", left=0.001)
             self.turns.run()
         self.relay.sender.step = step
         self.assertEqual(seen[-1]["event"], "module_failed")
-        self.assertEqual(self.answers, [("m1", Verdict.TAKEN)])
+        self.assertEqual(self.answers, [("m1", Verdict.ACCEPTED)])
         with capture_logs() as seen:
-            while not self.told("owe"):
+            while not self.told("enqueue"):
                 self.turns.run(within=1.0)
-        self.assertEqual(self.told("owe")[0][2:4], ("m1", "undeliverable"))
+        self.assertEqual(self.told("enqueue")[0][2:4], ("m1", "undeliverable"))
         self.assertEqual(seen[-1]["event"], "message_overdue")
 
     def test_a_fault_in_one_thing_of_a_turn_takes_nothing_else_along(self):
@@ -167,14 +173,14 @@
 
         self.ports.start = start
         with capture_logs() as seen:
-            self.relay.offer(Envelope("m0", 0, 0, "", 1, 16_000_000, b"body"), fault)
+            self.relay.submit(Envelope("m0", 0, 0, "", 1, 16_000_000, b"body"), fault)
             for name in ("m1", "m2"):
-                self.offer(name)
+                self.submit(name)
             self.turns.run()
-        self.assertEqual(self.answers, [("m1", Verdict.TAKEN), ("m2", Verdict.TAKEN)])
+        self.assertEqual(self.answers, [("m1", Verdict.ACCEPTED), ("m2", Verdict.ACCEPTED)])
         self.assertEqual([row["event"] for row in seen if row["log_level"] == "error"], ["turn_failed"] * 2)
-        self.assertEqual(len(self.relay.held), 3)
-        self.assertIn(("turned",), self.ports.told)
+        self.assertEqual(len(self.relay.pending), 3)
+        self.assertIn(("flush",), self.ports.told)
 
     def fails_as_it_starts(self, known: bool) -> bool:
         """Is the try of a message still out, when its start failed and the port says whether it knows of it?"""
@@ -184,15 +190,15 @@
             started.append(args)
             raise ZeroDivisionError
 
-        self.ports.start, self.ports.knows = start, lambda *_: known
+        self.ports.start, self.ports.is_in_flight = start, lambda *_: known
         with capture_logs() as seen:
-            self.offer("m1")
+            self.submit("m1")
             self.turns.run()
         self.assertEqual([row["event"] for row in seen if row["log_level"] == "error"], ["turn_failed"])
         self.turns.run()
         self.assertEqual(len(started), 1)
-        out = self.relay.held.get(self.relay.by_id["m1"]).out
-        self.assertEqual((len(self.relay.sender.tries), self.relay.out), (out, out))
+        out = self.relay.pending.get(self.relay.by_id["m1"]).in_flight
+        self.assertEqual((len(self.relay.sender.tries), self.relay.in_flight), (out, out))
         return out
 
     def test_a_try_that_fails_as_it_starts_gives_its_slot_back(self):
@@ -204,26 +210,26 @@
 
     def overdue(self) -> int:
         """The number of a message with a try under way whose last resort falls due, for the first time."""
-        self.offer("m1", left=0.2)
+        self.submit("m1", left=0.2)
         self.turns.run()
         number = self.relay.by_id["m1"]
-        self.assertTrue(self.relay.held.get(number).out)
+        self.assertTrue(self.relay.pending.get(number).in_flight)
         self.relay._overdue(number)
-        self.assertFalse(self.relay.held.get(number).ended)
+        self.assertFalse(self.relay.pending.get(number).ended)
         return number
 
     def test_an_outcome_that_is_due_goes_before_the_last_resort(self):
         """The loop was held up over both."""
         number = self.overdue()
-        self.relay.outcome(number, 0, 7, Result.OK, 0, True)
-        self.assertIsNone(self.relay.held.get(number))
+        self.relay.attempt_ended(number, 0, 7, Result.OK, 0, True)
+        self.assertIsNone(self.relay.pending.get(number))
         self.assertEqual(self.relay.counters.table()["ends"], {"delivered": 1})
 
     def test_a_try_without_an_outcome_puts_off_the_last_resort_once(self):
         number = self.overdue()
         with capture_logs() as seen:
             self.relay._overdue(number, True)
-        self.assertEqual(self.told("owe")[0][2:4], ("m1", "undeliverable"))
+        self.assertEqual(self.told("enqueue")[0][2:4], ("m1", "undeliverable"))
         self.assertEqual(seen[-1]["event"], "message_overdue")
         self.assertEqual(self.relay.counters.table()["ends"], {"undeliverable": 1})
 
@@ -245,7 +251,7 @@
 
 class Tables(unittest.TestCase):
     def test_an_old_number_finds_nothing(self):
-        table = Slots()
+        table = SlotTable()
         first = table.add("a")
         table.remove(first)
         second = table.add("b")
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -10,7 +10,7 @@
 from contextlib import suppress
 
 from lab.standins import PATIENCE, Client, reply, until
-from lynxscale.relay.net.admin_server import MOST
+from lynxscale.relay.net.admin_server import MAX_CONNECTIONS
 from tests.node import ROOT, NodeCase
 
 
@@ -85,7 +85,7 @@
 
     def test_slow_callers_delay_nobody_and_are_sent_away(self):
         self.open_door()
-        slow = [Client(self.admin) for _ in range(3 * MOST)]
+        slow = [Client(self.admin) for _ in range(3 * MAX_CONNECTIONS)]
         for client in slow:
             with suppress(OSError):  # the first ones have gone already
                 client.socket.sendall(b"GET /admin/health HT")
--- a/tests/test_golden_relay.py
+++ b/tests/test_golden_relay.py
@@ -43,7 +43,7 @@
 
 
 def test_the_clock_goes_on(state, monkeypatch):
-    monkeypatch.setattr(wall, "_boot", lambda: relay.BOOT)
+    monkeypatch.setattr(wall, "_boot_id", lambda: relay.BOOT)
     monkeypatch.setattr(wall, "_since_boot", lambda: 17)
     assert wall.unix_clock(state)() == relay.ZERO + 17
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -5,37 +5,37 @@
 from hypothesis import strategies as st
 
 from lynxscale.relay.lifecycle import (
-    HAND_PART_AT,
-    LEAVE_AT,
-    PART_AT,
+    CLOSE_IDLE_AT,
+    EXIT_AT,
+    HANDOVER_CLOSE_IDLE_AT,
     STOP_ACCEPTING_AT,
     STOP_SENDING_AT,
     Lifecycle,
-    Order,
+    LifecycleAction,
     State,
 )
 
 WAYS = {  # how to come there: each step a call, or a look after so many µs with so many clients
     State.SERVING: [],
-    State.TELLING: ["quiesce"],
-    State.CLOSING: ["quiesce", (PART_AT, 1)],
-    State.DRAINED: ["quiesce", (PART_AT, 0)],
-    State.HANDING: ["hand"],
-    State.STOP_TELLING: ["stop"],
-    State.STOP_CLOSING: ["stop", (PART_AT, 1)],
+    State.NOT_READY: ["drain"],
+    State.CLOSING_CLIENTS: ["drain", (CLOSE_IDLE_AT, 1)],
+    State.DRAINED: ["drain", (CLOSE_IDLE_AT, 0)],
+    State.HANDING_OVER: ["hand"],
+    State.STOP_NOT_READY: ["stop"],
+    State.STOP_CLOSING_CLIENTS: ["stop", (CLOSE_IDLE_AT, 1)],
     State.STOP_FINISHING: ["stop", (STOP_ACCEPTING_AT, 1)],
-    State.LEFT: ["stop", (STOP_ACCEPTING_AT, 1), (0, 0)],
+    State.EXITED: ["stop", (STOP_ACCEPTING_AT, 1), (0, 0)],
 }
 AFTER = {  # quiesce, resume, stop
-    State.SERVING: (State.TELLING, State.SERVING, State.STOP_TELLING),
-    State.TELLING: (State.TELLING, State.SERVING, State.STOP_TELLING),
-    State.CLOSING: (State.CLOSING, State.SERVING, State.STOP_CLOSING),
-    State.DRAINED: (State.DRAINED, State.SERVING, State.STOP_CLOSING),
-    State.HANDING: (State.HANDING,) * 3,
-    State.STOP_TELLING: (State.STOP_TELLING,) * 3,
-    State.STOP_CLOSING: (State.STOP_CLOSING,) * 3,
+    State.SERVING: (State.NOT_READY, State.SERVING, State.STOP_NOT_READY),
+    State.NOT_READY: (State.NOT_READY, State.SERVING, State.STOP_NOT_READY),
+    State.CLOSING_CLIENTS: (State.CLOSING_CLIENTS, State.SERVING, State.STOP_CLOSING_CLIENTS),
+    State.DRAINED: (State.DRAINED, State.SERVING, State.STOP_CLOSING_CLIENTS),
+    State.HANDING_OVER: (State.HANDING_OVER,) * 3,
+    State.STOP_NOT_READY: (State.STOP_NOT_READY,) * 3,
+    State.STOP_CLOSING_CLIENTS: (State.STOP_CLOSING_CLIENTS,) * 3,
     State.STOP_FINISHING: (State.STOP_FINISHING,) * 3,
-    State.LEFT: (State.LEFT,) * 3,
+    State.EXITED: (State.EXITED,) * 3,
 }
 
 
@@ -43,18 +43,18 @@
     life, now = Lifecycle(), 1_000_000
     for step in WAYS[state]:
         if step == "hand":
-            life.stop(now, heir=True)
+            life.stop(now, successor=True)
         elif isinstance(step, str):
             getattr(life, step)(now)
         else:
             now += step[0]
-            life.look(now, step[1], bool(step[1]))
+            life.advance(now, step[1], bool(step[1]))
     assert life.state is state
     return life, now
 
 
 @pytest.mark.parametrize("state", list(State))
-@pytest.mark.parametrize("place,event", enumerate(("quiesce", "resume", "stop")))
+@pytest.mark.parametrize("place,event", enumerate(("drain", "resume", "stop")))
 def test_each_call_in_each_state(state, place, event):
     life, now = come_to(state)
     said = life.resume() if event == "resume" else getattr(life, event)(now)
@@ -64,42 +64,52 @@
 
 
 def test_a_stop_takes_its_steps_in_their_time():
-    life, now = come_to(State.STOP_TELLING)
-    told = [(at, order) for at in range(0, LEAVE_AT + 1, 50_000) for order in life.look(now + at, 1, True)]
+    life, now = come_to(State.STOP_NOT_READY)
+    told = [(at, order) for at in range(0, EXIT_AT + 1, 50_000) for order in life.advance(now + at, 1, True)]
     firsts = {order: next(at for at, other in told if other is order) for order in {order for _, order in told}}
     assert firsts == {
-        Order.PART: PART_AT,
-        Order.STOP_ACCEPTING: STOP_ACCEPTING_AT,
-        Order.STOP_SENDING: STOP_SENDING_AT,
-        Order.LEAVE: LEAVE_AT,
+        LifecycleAction.CLOSE_IDLE_CLIENTS: CLOSE_IDLE_AT,
+        LifecycleAction.STOP_ACCEPTING: STOP_ACCEPTING_AT,
+        LifecycleAction.STOP_SENDING: STOP_SENDING_AT,
+        LifecycleAction.EXIT: EXIT_AT,
     }
-    assert [order for _, order in told].count(Order.STOP_SENDING) == 1
+    assert [order for _, order in told].count(LifecycleAction.STOP_SENDING) == 1
 
 
 def test_with_an_heir_the_listener_goes_first_and_kept_connections_have_time():
-    life, now = come_to(State.HANDING)
+    life, now = come_to(State.HANDING_OVER)
     assert life.ready and not life.serving
-    assert life.look(now, 2, True) == [Order.STOP_ACCEPTING]
-    assert life.look(now + HAND_PART_AT - 1, 2, False) == [Order.RELEASE]  # messages that wait are the heir's
-    assert life.look(now + HAND_PART_AT, 1, False) == [Order.PART, Order.RELEASE]
-    assert life.look(now + HAND_PART_AT + 1, 0, True) == [Order.PART, Order.RELEASE]
-    assert life.look(now + HAND_PART_AT + 2, 0, False) == [Order.PART, Order.LEAVE] and life.state is State.LEFT
-    life, now = come_to(State.HANDING)
-    life.look(now, 2, True)
-    assert Order.LEAVE in life.look(now + LEAVE_AT, 2, True)
+    assert life.advance(now, 2, True) == [LifecycleAction.STOP_ACCEPTING]
+    assert life.advance(now + HANDOVER_CLOSE_IDLE_AT - 1, 2, False) == [
+        LifecycleAction.RELEASE
+    ]  # messages that wait are the heir's
+    assert life.advance(now + HANDOVER_CLOSE_IDLE_AT, 1, False) == [
+        LifecycleAction.CLOSE_IDLE_CLIENTS,
+        LifecycleAction.RELEASE,
+    ]
+    assert life.advance(now + HANDOVER_CLOSE_IDLE_AT + 1, 0, True) == [
+        LifecycleAction.CLOSE_IDLE_CLIENTS,
+        LifecycleAction.RELEASE,
+    ]
+    assert (
+        life.advance(now + HANDOVER_CLOSE_IDLE_AT + 2, 0, False)
+        == [LifecycleAction.CLOSE_IDLE_CLIENTS, LifecycleAction.EXIT]
+        and life.state is State.EXITED
+    )
+    life, now = come_to(State.HANDING_OVER)
+    life.advance(now, 2, True)
+    assert LifecycleAction.EXIT in life.advance(now + EXIT_AT, 2, True)
 
 
 def test_a_drained_relay_stays_so_while_it_is_asked_and_sends_the_askers_away():
     life, now = come_to(State.DRAINED)
-    assert life.look(now + 1, 1, True) == [Order.PART] and life.state is State.DRAINED
+    assert life.advance(now + 1, 1, True) == [LifecycleAction.CLOSE_IDLE_CLIENTS] and life.state is State.DRAINED
 
 
 @settings(max_examples=300, deadline=None)
 @given(
     st.lists(
-        st.one_of(
-            st.sampled_from(["quiesce", "resume", "stop"]), st.tuples(st.integers(0, 800_000), st.integers(0, 2))
-        ),
+        st.one_of(st.sampled_from(["drain", "resume", "stop"]), st.tuples(st.integers(0, 800_000), st.integers(0, 2))),
         max_size=30,
     )
 )
@@ -112,10 +122,10 @@
             stopped = now if step == "stop" and stopped is None else stopped
             continue
         now += step[0]
-        orders = life.look(now, step[1], True)
-        assert (Order.PART in orders) <= (not life.serving)
+        orders = life.advance(now, step[1], True)
+        assert (LifecycleAction.CLOSE_IDLE_CLIENTS in orders) <= (not life.serving)
         assert (stopped is None) == (not life.stopping)
-        if life.state in (State.CLOSING, State.DRAINED) and step[1]:
-            assert orders == [Order.PART]
-        if stopped is not None and now >= stopped + LEAVE_AT:
-            assert life.look(now, 1, True) == [] or life.state is State.LEFT
+        if life.state in (State.CLOSING_CLIENTS, State.DRAINED) and step[1]:
+            assert orders == [LifecycleAction.CLOSE_IDLE_CLIENTS]
+        if stopped is not None and now >= stopped + EXIT_AT:
+            assert life.advance(now, 1, True) == [] or life.state is State.EXITED
--- a/tests/test_own.py
+++ b/tests/test_own.py
@@ -19,7 +19,7 @@
 from lynxscale.relay.conf import reader
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
-from lynxscale.relay.outcome_log import FinalsFile
+from lynxscale.relay.outcome_log import OutcomeLog
 from lynxscale.scheduling.settings_reader import settings_from
 
 TEXT = CONF.read_text()
@@ -105,9 +105,9 @@
         pass
 
 
-def finals(tmp_path, done: list, size: int = 1 << 20, keep: int = 2) -> tuple[FinalsFile, Hand]:
+def finals(tmp_path, done: list, size: int = 1 << 20, keep: int = 2) -> tuple[OutcomeLog, Hand]:
     hand = Hand()
-    return FinalsFile(
+    return OutcomeLog(
         tmp_path / "sub" / "finals.jsonl", size, keep, hand.deadlines, done.append, Counters(), lambda: 12.5
     ), hand
 
@@ -115,13 +115,13 @@
 def test_finals_that_cannot_be_written_are_kept_and_written_once_they_can(tmp_path, monkeypatch):
     done: list = []
     out, hand = finals(tmp_path, done)
-    out.owe(1, "a", "deferred", 700)
+    out.enqueue(1, "a", "deferred", 700)
     (tmp_path / "sub").write_text("in the way")
     hand.fire()
     hand.fire()
     assert done == [] and len(out) == 1
     (tmp_path / "sub").unlink()
-    out.owe(2, "b", "undeliverable", 0)
+    out.enqueue(2, "b", "undeliverable", 0)
     hand.fire()
     rows = [json.loads(line) for line in (tmp_path / "sub" / "finals.jsonl").read_text().splitlines()]
     assert rows == [
@@ -137,11 +137,11 @@
     path = tmp_path / "sub" / "finals.jsonl"
     path.parent.mkdir()
     path.write_bytes(b'{"id": "torn')
-    out.owe(0, "whole", "deferred", 0)
+    out.enqueue(0, "whole", "deferred", 0)
     hand.fire()
     assert json.loads(path.read_bytes().splitlines()[-1])["id"] == "whole"
     for number in range(1, 301):
-        out.owe(number, f"{number:032}", "deferred", 0)
+        out.enqueue(number, f"{number:032}", "deferred", 0)
         hand.fire()
     names = sorted(one.name for one in path.parent.iterdir())
     assert set(names) <= {"finals.jsonl", "finals.jsonl.1", "finals.jsonl.2"} and "finals.jsonl.2" in names
--- a/tests/test_rare_rules.py
+++ b/tests/test_rare_rules.py
@@ -12,10 +12,11 @@
 from lab.fake_disk import FakeDisk
 from lab.standins import settings as table
 from lynxscale.relay import deadlines
-from lynxscale.relay.core import SPAN_SHARE, Envelope, Relay
+from lynxscale.relay.core import SPAN_SHARE, Relay
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
 from lynxscale.relay.journal import Journal
+from lynxscale.relay.message import Envelope
 from lynxscale.scheduling.events import Message, Result
 from lynxscale.scheduling.settings import Effect, MessageClass
 from lynxscale.scheduling.settings_reader import settings_from
@@ -63,7 +64,7 @@
         ]
         self.relay: Relay | None = None
         self.start()
-        self.relay.offer(Envelope("m1", 0, 0, "k", 1, int(ALL_MS * 1000), b"body"), lambda *_: None)
+        self.relay.submit(Envelope("m1", 0, 0, "k", 1, int(ALL_MS * 1000), b"body"), lambda *_: None)
         self.turns.run()
 
     def start(self) -> None:
@@ -74,9 +75,9 @@
             settings_from(self.table), 1, loop, Deadlines(loop, self.turns.call_later), journal, Counters()
         )
         loop.at_end = self.relay.turn
-        self.relay.tries = self.relay.group = self.relay.notices = Ports()
+        self.relay.peers = self.relay.group = self.relay.notices = Ports()
         self.relay.sender.step = lambda _now, _events: []
-        self.relay.replay(journal.open())
+        self.relay.recovery.replay(journal.open())
         self.turns.run()
 
     def number(self) -> int:
@@ -136,13 +137,13 @@
                 or EFFECTS[effect] == Effect.IDEMPOTENT
                 or (EFFECTS[effect] == Effect.KEYED and clock.now - first < SPAN_SHARE * 1000 * span_ms)
             )
-            assert life.relay.going(life.number()) == may, (what, ran)
+            assert life.relay.record_attempt(life.number()) == may, (what, ran)
             if not may:
                 continue
             if what == "killed in a try":
                 life.start()
             else:
-                life.relay.outcome(life.number(), attempt, 7, value, 0, True)
+                life.relay.attempt_ended(life.number(), attempt, 7, value, 0, True)
                 attempt += 1
                 life.turns.run()
             if value not in (Result.FULL, Result.CONNECT_FAILED, Result.MOOT):
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -10,59 +10,59 @@
 from hypothesis import strategies as st
 
 from lab.standins import Client, message, reply, until
-from lynxscale.relay.connection_budget import RESTED, YOUNG, Room
+from lynxscale.relay.connection_budget import IDLE_GRACE, SILENT_GRACE, ConnectionBudget
 from tests.node import NodeCase
 
 
 def test_the_order():
-    room = Room(100)
+    budget = ConnectionBudget(100)
     for place, at in ((1, 0), (2, 10), (3, 900_000), (4, 990_000)):
-        room.joined(place, at)
-    room.joined(5, 100)
-    room.rests(5, 200_000)
-    room.joined(6, 100)
-    room.rests(6, 990_000)
-    room.joined(7, 995_000)
-    room.works(6)
-    room.rests(6, 999_000)
+        budget.opened(place, at)
+    budget.opened(5, 100)
+    budget.idle(5, 200_000)
+    budget.opened(6, 100)
+    budget.idle(6, 990_000)
+    budget.opened(7, 995_000)
+    budget.busy(6)
+    budget.idle(6, 999_000)
     now = 1_000_000
-    assert list(room.silent(now, YOUNG)) == [1, 2, 3] and list(room.rested(now)) == [5]
-    leavers = list(dict.fromkeys(room.leavers(now)))
+    assert list(budget.silent(now, SILENT_GRACE)) == [1, 2, 3] and list(budget.long_idle(now)) == [5]
+    leavers = list(dict.fromkeys(budget.eviction_candidates(now)))
     assert leavers == [1, 2, 3, 5, 4, 6]  # the youngest, 7, has just come
-    room.closing(1)
-    assert next(room.leavers(now)) == 2
-    room.holds(3, 60)
-    room.holds(4, 30)
-    assert list(room.heavy()) == []
-    room.holds(3, 80)
-    assert next(room.heavy()) == 3
-    room.closing(3)
-    assert (room.bytes, list(room.heavy())) == (30, [])
+    budget.closing(1)
+    assert next(budget.eviction_candidates(now)) == 2
+    budget.buffer(3, 60)
+    budget.buffer(4, 30)
+    assert list(budget.over_buffered()) == []
+    budget.buffer(3, 80)
+    assert next(budget.over_buffered()) == 3
+    budget.closing(3)
+    assert (budget.buffered, list(budget.over_buffered())) == (30, [])
 
 
 @given(
     st.lists(
-        st.tuples(st.sampled_from(["joined", "rests", "works", "closing", "holds"]), st.integers(0, 5)), max_size=60
+        st.tuples(st.sampled_from(["opened", "idle", "busy", "closing", "buffer"]), st.integers(0, 5)), max_size=60
     )
 )
 def test_bytes_add_up_and_nobody_at_work_is_a_leaver(steps):
-    room, held, at_work, now = Room(50), {}, set(), 0
+    budget, held, at_work, now = ConnectionBudget(50), {}, set(), 0
     for what, place in steps:
         now += 40_000
-        if what == "holds":
+        if what == "buffer":
             held[place] = (now // 40_000) % 30
-            room.holds(place, held[place])
-        elif what in ("joined", "rests"):
-            getattr(room, what)(place, now)
+            budget.buffer(place, held[place])
+        elif what in ("opened", "idle"):
+            getattr(budget, what)(place, now)
             at_work.discard(place)
         else:
-            getattr(room, what)(place)
+            getattr(budget, what)(place)
             if what == "closing":
                 held.pop(place, None)
                 at_work.add(place)
-    assert room.bytes == sum(held.values())
-    assert not at_work & set(room.leavers(now + RESTED))
-    assert (room.bytes > 50) == bool(list(room.heavy())[:1])
+    assert budget.buffered == sum(held.values())
+    assert not at_work & set(budget.eviction_candidates(now + IDLE_GRACE))
+    assert (budget.buffered > 50) == bool(list(budget.over_buffered())[:1])
 
 
 class LessRoom(NodeCase):
--- a/tests/test_spoilt.py
+++ b/tests/test_spoilt.py
@@ -6,7 +6,7 @@
 
 from lab.standins import reply, row, until
 from lynxscale.relay.http_parser import ResponseParser
-from lynxscale.relay.net.peers import seconds
+from lynxscale.relay.net.peer_responses import milliseconds
 from tests.node import NodeCase
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -99,7 +99,7 @@
             self.client().hand_in(f"m{number}", "once", dest=number)
         self.delivered(len(waits))
         self.assertNotIn("failed", self.counters().get("module", {}))
-        self.assertEqual(seconds("9" * 9), 3_600_000.0)
+        self.assertEqual(milliseconds("9" * 9), 3_600_000.0)
 
     def test_a_list_that_cannot_be_read(self):
         whole = self.discovery._list
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -201,7 +201,7 @@
         one.admitted(now, number, "taken", 0.0)
         one.ended(now, number, "delivered")
         one.forgotten(now, number)
-        one.turn()
+        one.turn_ended()
 
 
 def kept(folder: Path) -> list[tuple]:
@@ -266,7 +266,7 @@
     one = recorder(tmp_path, memory=16 << 10)
     for number in range(200):
         one.message(5, number, Envelope(f"{number:016x}"), 0, 0, 1000)
-    one.turn()
+    one.turn_ended()
     tell(one, 1, 900)
     one.stop(9, 0)
     told = kept(tmp_path)
--- a/tests/test_wall.py
+++ b/tests/test_wall.py
@@ -24,7 +24,7 @@
         with capture_logs() as seen:
             assert abs(apart(tmp_path) - step) < 1_000_000
         assert [row["event"] for row in seen] == ["wall_clock_stepped"]
-    monkeypatch.setattr(wall, "_boot", lambda: "another boot")
+    monkeypatch.setattr(wall, "_boot_id", lambda: "another boot")
     assert abs(apart(tmp_path)) < 1_000_000
     assert orjson.loads((tmp_path / wall.FILE).read_bytes())["boot"] == "another boot"
 
@@ -43,4 +43,4 @@
 def test_a_folder_that_cannot_be_written_leaves_the_wall_clock(tmp_path):
     with capture_logs() as seen:
         assert abs(apart(tmp_path / "none")) < 1_000_000
-    assert [row["event"] for row in seen] == ["clock_not_noted"]
+    assert [row["event"] for row in seen] == ["clock_not_saved"]
