--- a/Makefile
+++ b/Makefile
@@ -1,7 +1,7 @@
 PYTHON := .venv/bin/python
 
 .PHONY: build test lint run bench-trace soak-trace bench-list soak-list bench-journal soak-journal soak-upgrade bench-operation \
-	bench-cluster soak-cluster sim-cluster check-cluster soak-rare soak-faults sim-tier demo-tier
+	bench-cluster soak-cluster sim-cluster check-cluster soak-rare soak-faults sim-tier demo-tier upgrade-tier
 
 build: .venv/ready
 
@@ -71,6 +71,10 @@
 demo-tier: build
 	$(PYTHON) -m lab.tier.demo
 
+# A tier of real processes under load goes from the checkout that OTHER names to this one and back: OTHER=PATH, SEED=N.
+upgrade-tier: build
+	$(PYTHON) -m lab.tier.rolling_upgrade $(OTHER) $(if $(SEED),--seed $(SEED))
+
 # Every order of what may happen to the views, within each scenario's bounds.
 check-cluster: build
 	$(PYTHON) -m lab.cluster.check
--- /dev/null
+++ b/tests/test_rolling_upgrade.py
@@ -0,0 +1,58 @@
+"""The tool that upgrades a tier of real processes under load, on this checkout against itself."""
+
+import asyncio
+import sys
+from random import Random
+
+from lab.tier.rolling_upgrade import THIS_CHECKOUT, Checkout, Upgrade, UpgradeTier, run
+from lab.tier.upgrade_load import ClientAnswer, Load
+from lab.tier.upgrade_rules import failures, judge_requests, judge_stored
+
+NETWORK = 92
+SEED = 1
+
+
+async def replace_a_copy_and_a_relay(upgrade: Upgrade, group: asyncio.TaskGroup) -> None:
+    await upgrade.start(group)
+    primary = await upgrade.tier.primary()
+    copy = next(name for name in upgrade.tier.control_names if name != primary)
+    for name in (copy, "relay-1"):
+        await upgrade.replace(name, upgrade.new)
+    await upgrade.check()
+
+
+def test_a_copy_and_a_relay_are_replaced_under_load(tmp_path):
+    print(f"seed {SEED}")
+    old, new = (Checkout(label, THIS_CHECKOUT, sys.executable) for label in ("old", "new"))
+    upgrade = Upgrade(UpgradeTier(tmp_path, NETWORK, old), old, new, Random(SEED))
+    asyncio.run(run(upgrade, replace_a_copy_and_a_relay))
+    print(upgrade.report())
+    assert upgrade.reasons == []
+    assert upgrade.pairs["old primary, new copy"] and upgrade.pairs["old primary, new relay"]
+    assert not upgrade.tier.processes
+    check_that_losses_are_found(upgrade)
+
+
+def check_that_losses_are_found(upgrade: Upgrade) -> None:
+    """What the run left is right; each thing spoilt in it is told."""
+    load = upgrade.load
+    assert judge_requests(upgrade.tier.endpoints, load) == []
+    last = load.conversations[0].whole[-1]
+    stored = judge_stored('{"key": "config/current", "value": {"body": 0}}', load)
+    assert f"{last.request_id} was acknowledged and is not stored" in stored
+    assert "the configuration stored is not the one acknowledged last" in stored
+    assert any(reason.startswith("program-0: clients count") for reason in stored)
+    check_request_losses_are_found(upgrade, load)
+
+
+def check_request_losses_are_found(upgrade: Upgrade, load: Load) -> None:
+    ran = next(endpoint.ran for endpoint in upgrade.tier.endpoints if endpoint.ran)
+    ran.append(next(one for one in ran if one.target == "/kept/stream"))
+    load.calls.append(("/book/1 nobody", ClientAnswer(200, b"done")))
+    reasons = judge_requests(upgrade.tier.endpoints, load)
+    assert reasons == ["rule answered_but_not_run broken 1 times", "rule twice broken 1 times"]
+    windows = [(step.begin, step.end) for step in upgrade.steps]
+    load.sent.append(type(load.sent[0])("turn", "late", "relay-1", 1.0, 2.0, 502))
+    assert failures(load, windows)[1] == ["turn late at relay-1 failed outside all windows: 502"]
+    within, outside = failures(load, [*windows, (1.5, 1.6)])
+    assert within["turn 502"] == 1 and not outside
