--- a/lab/tier/rolling_upgrade.py
+++ b/lab/tier/rolling_upgrade.py
@@ -39,8 +39,8 @@
 APPLIED_WITHIN_S = 5.0
 COMMAND_WITHIN_S = 30.0
 TURNS_A_RELAY = 10  # whole turns through each relay before the next process is replaced
-MOST_REASONS = 20
-MOST_UNEXPLAINED = 10  # changes of primary in a run: leases are 0.4 s, and a busy machine stalls a process for longer
+MAX_REASONS = 20
+MAX_UNEXPLAINED = 10  # changes of primary in a run: leases are 0.4 s, and a busy machine stalls a process for longer
 LOG_TROUBLE = (
     "Traceback",
     "bad_message",
@@ -226,7 +226,7 @@
         self.reasons += self.load.faults + self._log_lines(LOG_TROUBLE)
         self.reasons += failures(self.load, self.windows)[1]
         changes = len(self._unexplained_changes())
-        if changes > MOST_UNEXPLAINED:
+        if changes > MAX_UNEXPLAINED:
             self.reasons.append(f"{changes} changes of primary that no step explains")
 
     @property
@@ -373,9 +373,9 @@
         lines.append(f"conversations: {len(self.load.conversations)}, orders: {len(self.load.orders) - 1}")
         lines.append(f"orders sent again as undecided: {sum(one.undecided for one in self.load.sent)}")
         lines.append(f"changes of primary that no step explains: {len(self._unexplained_changes())}")
-        lines += [f"WRONG: {reason}" for reason in self.reasons[:MOST_REASONS]]
-        if len(self.reasons) > MOST_REASONS:
-            lines.append(f"WRONG: and {len(self.reasons) - MOST_REASONS} more")
+        lines += [f"WRONG: {reason}" for reason in self.reasons[:MAX_REASONS]]
+        if len(self.reasons) > MAX_REASONS:
+            lines.append(f"WRONG: and {len(self.reasons) - MAX_REASONS} more")
         return "\n".join(lines)
 
 
--- a/lab/tier/upgrade_load.py
+++ b/lab/tier/upgrade_load.py
@@ -16,14 +16,14 @@
 
 import msgspec
 
-from lab.tier.cluster import default_configuration
-from lab.tier.history_rules import MOST_TOKENS, OrderSeen, TurnSeen
+from lab.tier.history_checker import MAX_TOKENS, ObservedChange, ObservedTurn
 from lab.tier.local import LocalTier
+from lab.tier.simulated_tier import default_configuration
 from lynxscale.runtime.http_types import Response
 
 TALKERS, CALLERS = 6, 2
 NEW_CONVERSATIONS = 6  # in each phase
-LARGE_BUDGET, SMALL_BUDGET = 10_000_000, 5 * MOST_TOKENS
+LARGE_BUDGET, SMALL_BUDGET = 10_000_000, 5 * MAX_TOKENS
 SPENT = 402
 UNDECIDED = 503
 RETENTION_S = 900.0  # longer than any run
@@ -65,7 +65,7 @@
 
     program: str
     budget: int
-    whole: list[TurnSeen] = field(default_factory=list)
+    whole: list[ObservedTurn] = field(default_factory=list)
     busy: bool = False
     exhausted: bool = False
 
@@ -99,10 +99,10 @@
         self.tier = tier
         self.random = random
         self.conversations: list[Conversation] = []
-        self.turns: list[TurnSeen] = []
+        self.turns: list[ObservedTurn] = []
         self.calls: list[tuple[str, ClientAnswer]] = []
         self.streams: list[tuple[str, ClientAnswer]] = []
-        self.orders: list[OrderSeen] = [OrderSeen(0, default_configuration())]
+        self.orders: list[ObservedChange] = [ObservedChange(0, default_configuration())]
         self.sent: list[Sent] = []
         self.faults: list[str] = []
         self.primaries: list[tuple[float, str]] = []  # each change of primary, with its time
@@ -176,7 +176,7 @@
         if idle:
             await self.turn(self.random.choice(idle))
 
-    async def turn(self, conversation: Conversation) -> TurnSeen:
+    async def turn(self, conversation: Conversation) -> ObservedTurn:
         """The next turn of a conversation, which goes on from its last or, at times, from an earlier one."""
         conversation.busy = True
         whole = conversation.whole
@@ -185,10 +185,10 @@
             previous = self.random.choice(whole).request_id
         name = self._name("turn")
         fields = {"program": conversation.program, "budget": str(conversation.budget)}
-        fields |= {"lynxscale-token-count": f"10,{MOST_TOKENS}"} | ({"previous": previous} if previous else {})
+        fields |= {"lynxscale-token-count": f"10,{MAX_TOKENS}"} | ({"previous": previous} if previous else {})
         text = f"say {name} ".encode()
         answer = await self._ask("turn", name, "/kept/stream", text, fields)
-        seen = TurnSeen(name, conversation.program, previous, text, answer, conversation.budget)
+        seen = ObservedTurn(name, conversation.program, previous, text, answer, conversation.budget)
         self.turns.append(seen)
         if answer.status == 200:
             whole.append(seen)
@@ -255,14 +255,14 @@
 
         await until(acknowledged, ORDER_WITHIN_S, f"the order on version {order.base} is acknowledged", ORDER_AGAIN_S)
 
-    def _new_order(self) -> OrderSeen:
+    def _new_order(self) -> ObservedChange:
         """The first is a replacement; from it on all configurations differ in their first route alone."""
         base = self.in_force["generation"]
         table = default_configuration(base + self.random.randint(1, 3))
         route = table["routes"][0]
         route["retention-s"] = RETENTION_S
         route["target-latency-ms"] = 200 + len(self.orders)
-        order = OrderSeen(base, table)
+        order = ObservedChange(base, table)
         if len(self.orders) > 1 and len(self.orders) % 2:
             order.update = {"generation": table["generation"], "upsert": {"routes": [route]}}
         return order
--- a/lab/tier/upgrade_rules.py
+++ b/lab/tier/upgrade_rules.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from lab.tier.history_rules import MOST_TOKENS, OUTPUT, STRIDE, WHOLE, HistoryRules, Seen, TurnSeen
-from lab.tier.standins import StandInEndpoint
+from lab.tier.fakes import FakeEndpoint
+from lab.tier.history_checker import MAX_TOKENS, OUTPUT, STRIDE, WHOLE, HistoryChecker, Observations, ObservedTurn
 from lab.tier.upgrade_load import Conversation, Load
 
 MAY_HAVE_RUN = (0, 502, 504)
@@ -18,18 +18,18 @@
 class Endpoints:
     """All that the rules of histories need of a tier of processes."""
 
-    endpoints: dict[str, StandInEndpoint]
+    endpoints: dict[str, FakeEndpoint]
 
 
-class UpgradeRules(HistoryRules):
+class UpgradeChecker(HistoryChecker):
     """The rules of histories on what clients and endpoints saw; the members' state is judged by their folders."""
 
-    def __init__(self, endpoints: list[StandInEndpoint], load: Load) -> None:
+    def __init__(self, endpoints: list[FakeEndpoint], load: Load) -> None:
         by_id = {one.endpoint.id: one for one in endpoints}
-        super().__init__(Endpoints(by_id), Seen(load.turns, load.calls, load.orders))
+        super().__init__(Endpoints(by_id), Observations(load.turns, load.calls, load.orders))
         self.load = load
 
-    def judge(self) -> None:
+    def check(self) -> None:
         """Count every breach, while nothing is under way."""
         ran = self._runs()
         self._check_calls(ran)
@@ -48,10 +48,10 @@
         self.broken["stream_differs"] += sum(answer.body != WHOLE for answer in answers)
 
 
-def judge_requests(endpoints: list[StandInEndpoint], load: Load) -> list[str]:
+def judge_requests(endpoints: list[FakeEndpoint], load: Load) -> list[str]:
     """Reasons why what clients and endpoints saw is wrong."""
-    rules = UpgradeRules(endpoints, load)
-    rules.judge()
+    rules = UpgradeChecker(endpoints, load)
+    rules.check()
     return [f"rule {name} broken {count} times" for name, count in sorted(rules.broken.items()) if count]
 
 
@@ -71,7 +71,7 @@
     return found
 
 
-def _stored_content(seen: TurnSeen) -> str:
+def _stored_content(seen: ObservedTurn) -> str:
     """A turn's input and output, as they stand in an export."""
     return base64.b64encode(seen.text + OUTPUT).decode()
 
@@ -80,12 +80,12 @@
     """Does the control side count what the client does? A turn without a clear end may count for up to its most."""
     tried = [seen for seen in load.turns if seen.program == conversation.program]
     counted = sum(seen.answer.body.count(b"data:") * STRIDE for seen in tried)
-    unclear = sum(MOST_TOKENS for seen in tried if seen.answer.status in MAY_HAVE_RUN)
+    unclear = sum(MAX_TOKENS for seen in tried if seen.answer.status in MAY_HAVE_RUN)
     program = stored.get(f"program/{conversation.program}", {"spent": 0, "open": {}})
     if not {"spent", "open"} <= program.keys():
         return [f"{conversation.program} is stored in another form: {program}"]
     told = program["spent"] + sum(program["open"].values())
-    if conversation.exhausted and not unclear and counted + MOST_TOKENS <= conversation.budget:
+    if conversation.exhausted and not unclear and counted + MAX_TOKENS <= conversation.budget:
         return [f"{conversation.program}: refused with {counted} of {conversation.budget} tokens spent"]
     if counted <= told <= counted + unclear:
         return []
