--- a/Makefile
+++ b/Makefile
@@ -95,5 +95,6 @@
 soak-rare: build
 	seed=$${SEED:-1}; end=$$(($$(date +%s) + 60 * $${MINUTES:-60})); while [ $$(date +%s) -lt $$end ]; do \
 		echo "seed $$seed"; RARE_SEED=$$seed $(PYTHON) -m pytest -q -p no:cacheprovider -n 4 --hypothesis-seed=$$seed \
-		tests/test_moments.py tests/test_rare_rules.py tests/test_core.py tests/test_room.py || exit 1; \
+		tests/relay/test_race_conditions.py tests/relay/test_restart_rules.py tests/relay/test_core.py \
+		tests/relay/test_deadlines.py tests/relay/test_connection_budget.py || exit 1; \
 		seed=$$((seed + 1)); done
--- a/tests/node.py
+++ b/tests/relay/node.py
@@ -16,7 +16,7 @@
 from lab.standins import PATIENCE, Client, Discovery, Server, hold_port, port_of, reply, row, settings, until
 from lynxscale.relay.end_times import FIRST_READS
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 class NodeCase(unittest.TestCase):
--- a/tests/test_door.py
+++ b/tests/relay/test_admin_server.py
@@ -11,7 +11,7 @@
 
 from lab.standins import PATIENCE, Client, reply, until
 from lynxscale.relay.net.admin_server import MAX_CONNECTIONS
-from tests.node import ROOT, NodeCase
+from tests.relay.node import ROOT, NodeCase
 
 
 class Operators(NodeCase):
@@ -28,7 +28,7 @@
         finally:
             client.close()
 
-    def test_a_drain_and_its_end(self):
+    def test_drain_and_resume(self):
         self.open_door()
         kept, silent = self.client(), self.client()
         self.assertEqual(kept.hand_in("m1")[0], 202)
@@ -53,7 +53,7 @@
         again = self.client()
         self.assertEqual([again.hand_in(f"n{at}")[0] for at in range(3)], [202] * 3)
 
-    def test_a_caller_that_ends_its_sending_hears_the_answer(self):
+    def test_half_closed_call_is_answered(self):
         """The end of its bytes comes with them; with half a call there is nothing to answer."""
         self.open_door()
         for data, answered in ((b"GET /admin/health HTTP/1.1\r\n\r\n", True), (b"GET /admin/health", False)):
@@ -66,7 +66,7 @@
             self.assertEqual(bool(got), answered)
             self.assertLess(time.monotonic() - begun, 0.4)  # neither waits for a time-out
 
-    def test_calls_that_are_none(self):
+    def test_invalid_calls_are_rejected(self):
         self.open_door()
         for call, status in (
             ("GET /admin/quiesce", 405),
@@ -83,7 +83,7 @@
         client.close()
         self.assertEqual(self.health(), 200)
 
-    def test_slow_callers_delay_nobody_and_are_sent_away(self):
+    def test_slow_callers_delay_nobody_and_are_closed(self):
         self.open_door()
         slow = [Client(self.admin) for _ in range(3 * MAX_CONNECTIONS)]
         for client in slow:
@@ -98,7 +98,7 @@
         for client in slow:
             client.close()
 
-    def test_a_crowd_of_clients_does_not_shut_the_door(self):
+    def test_many_clients_do_not_block_the_admin_server(self):
         self.open_door(sockets=64)
         crowd = [self.client() for _ in range(200)]
         begun = time.monotonic()
@@ -109,7 +109,7 @@
         self.assertLess(time.monotonic() - begun, 4.0)
         self.assertEqual(len(crowd), 200)
 
-    def test_calls_as_the_process_ends(self):
+    def test_calls_during_shutdown(self):
         """Whole ones are answered until then; half a one neither holds the exit up nor is waited for."""
         hung = threading.Event()
         self.addCleanup(hung.set)
@@ -130,7 +130,7 @@
         self.assertEqual(self.process.wait(PATIENCE), 0)
         self.assertLess(time.monotonic() - begun, 6.0)  # 3.5 s and what a busy machine takes
 
-    def test_an_address_of_no_use_is_named(self):
+    def test_invalid_address_is_named(self):
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
--- a/tests/test_bundle.py
+++ b/tests/relay/test_bundle.py
@@ -12,13 +12,13 @@
 from lab.standins import PATIENCE, message, reply, row, settings, until
 from lynxscale.relay import bundle
 from lynxscale.scheduling.events import Result
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 IDS = ["a1", "b2", "c3"]
 OK, ERROR, LATER, GONE = (Result.OK, False), (Result.ERROR, False), (Result.FULL, False), (Result.MOOT, True)
 
 
-def test_the_body_and_its_size():
+def test_request_body_and_its_size():
     messages = [("a1", "", b"hello"), ("b2", "key", b"\r\nb2 - 1\r\n"), ("c3", "", b"")]
     body = bundle.body(messages)
     assert body == b"a1 - 5\r\nhello\r\nb2 key 10\r\n\r\nb2 - 1\r\n\r\nc3 - 0\r\n\r\n"
@@ -38,7 +38,7 @@
         (b"", (ERROR, ERROR, ERROR), False),
     ],
 )
-def test_answers(answer, ends, good):
+def test_response_outcomes(answer, ends, good):
     found, told = bundle.ends(answer, IDS)
     assert (tuple(found[name] for name in IDS), told) == (ends, good)
 
@@ -50,7 +50,7 @@
     st.binary(max_size=6),
     st.integers(0, 80),
 )
-def test_any_answer_tells_one_end_for_each(lines, noise, cut):
+def test_any_response_gives_each_message_one_outcome(lines, noise, cut):
     text = "".join(f"{name} {word}\r\n" for name, word in lines).encode()
     found, _good = bundle.ends((text[:cut] + noise + text[cut:])[:200], IDS)
     assert set(found) == set(IDS)
@@ -95,7 +95,7 @@
         for client in clients:
             client.stream.readline()
 
-    def test_what_goes_at_once_goes_in_one_call_and_each_has_its_end(self):
+    def test_messages_of_one_turn_share_a_call_with_an_outcome_each(self):
         self.start()
         words = {"m0": ["ok"], "m1": ["later", "ok"], "m2": ["error", "ok"], "m3": ["gone"]}
         self.lines = lambda id_: words[id_].pop(0) if id_ in words and words[id_] else "ok"
@@ -114,7 +114,7 @@
     def told_ids(self, call) -> list[str]:
         return re.findall(r"(m\d+) \S+ \d+\r\n", call[2].decode())
 
-    def test_what_may_have_run_is_not_sent_again_and_what_never_ran_is(self):
+    def test_only_what_never_ran_is_retried(self):
         for answer, again in ((reply(200, b""), False), (None, False), (reply(400), True), (reply(503), True)):
             with self.subTest(answer=answer):
                 self.kill()
@@ -137,7 +137,7 @@
                 if not again:
                     self.assertEqual([self.sent(name) - self.refused(name) for name in first[0]], [1] * len(first[0]))
 
-    def test_a_cut_leaves_those_of_its_call_that_may_not_go_again(self):
+    def test_cancellation_spares_a_call_with_messages_that_may_not_repeat(self):
         """Calls take 20 ms, then one hangs far beyond what is usual; with it a message that goes once at most."""
         hangs: list = []
         hung = threading.Event()
@@ -175,7 +175,7 @@
     def mixed(self, call) -> bool:
         return len({int(id_[1:]) % 2 for id_ in self.told_ids(call) if len(id_) == 5}) == 2
 
-    def test_one_whose_time_is_up_leaves_the_call_to_the_others_and_a_late_word_counts(self):
+    def test_timeout_of_one_message_leaves_the_call_to_the_others(self):
         """m0 has four seconds; the answer comes once they are over."""
         self.start()
         self.past_first_reads()
@@ -213,7 +213,7 @@
         table["membership_mode"] = "push"
         return super().configure(settings=table, **more)
 
-    def test_changes_come_without_an_order_and_after_silence(self):
+    def test_changes_are_pushed_without_a_request_and_after_a_timeout(self):
         self.start()
         self.assertEqual(self.client().hand_in("m1", dest=5)[0], 503)  # until the agent has told, it may come
         self.discovery.change(row("s-5", self.peer.at, 5))
--- a/tests/test_rude.py
+++ b/tests/relay/test_clients.py
@@ -5,7 +5,7 @@
 import time
 
 from lab.standins import Client, message, until
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 
 class BadClients(NodeCase):
@@ -17,7 +17,7 @@
         self.assertLess(time.monotonic() - begun, within, data[:80])
         return answer and answer[0]
 
-    def test_silence_and_endless_heads_end_soon(self):
+    def test_silent_clients_and_endless_heads_are_closed_soon(self):
         self.start()
         self.assertIsNone(self.ends(b"", 3.0))
         self.assertEqual(self.ends(b"POST /api HT", 3.0), 408)
@@ -25,7 +25,7 @@
         self.assertEqual(self.ends(b"POST /api HTTP/1.1\r\n" + b"X: y\r\n" * 101 + b"\r\n", 3.0), 431)
         self.assertIn("kind=client reason=silent", self.log.read_text())
 
-    def test_after_an_answer_a_connection_may_rest(self):
+    def test_connection_may_be_idle_after_a_response(self):
         """Longer than one may stay silent at first: a new one would cost its client time."""
         self.start()
         client = self.client()
@@ -33,7 +33,7 @@
         self.assertIsNone(self.ends(b"", 3.0))
         self.assertEqual(client.hand_in("m2")[0], 202)
 
-    def test_what_is_no_message(self):
+    def test_requests_that_are_no_message(self):
         self.discovery.change()  # news, so that the first call is answered at once
         self.start()
         until(lambda: self.counters().get("group", {}).get("answers"), "the list")
@@ -63,7 +63,7 @@
                 self.assertEqual(self.ends(data, 3.0), status)
         self.assertEqual((self.counters().get("taken"), self.calls()), (None, []))
 
-    def test_what_is_hidden_in_a_body_is_not_read(self):
+    def test_request_hidden_in_a_body_is_not_parsed(self):
         self.start()
         client = self.client()
         hidden = message("hidden")
@@ -87,7 +87,7 @@
             pass
         self.assertLess(sent, 60 << 20)
 
-    def test_the_same_again_and_again_is_slowed_down(self):
+    def test_repeated_invalid_requests_are_slowed_down(self):
         self.start()
         client, begun = self.client(), time.monotonic()
         for _ in range(10):
@@ -97,7 +97,7 @@
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         self.assertLess(time.monotonic() - begun, 0.4)
 
-    def test_silent_connections_yield_to_usual_clients(self):
+    def test_silent_connections_are_evicted_for_usual_clients(self):
         self.limits["sockets"] = 64
         self.start()
         usual = [self.client() for _ in range(5)]
@@ -113,7 +113,7 @@
             self.assertEqual(client.hand_in(f"v{number}")[0], 202)
         self.assertEqual(len(waiting), 150)
 
-    def test_clients_that_ask_once_and_stay_make_room_before_the_table_is_full(self):
+    def test_long_idle_clients_are_evicted_before_the_table_is_full(self):
         self.limits["sockets"] = 192  # 96 client connections at most
         self.start()
         stay = [self.client() for _ in range(60)]
@@ -129,7 +129,7 @@
         until(one_more, "the end of those at rest")
         self.assertIn(stay[-1].hand_in("last")[0], (202, 429))  # the longest at rest went first
 
-    def test_a_client_that_never_reads_does_not_keep_its_descriptor(self):
+    def test_client_that_never_reads_does_not_keep_its_descriptor(self):
         self.start()
         client = Client(self.port)
         self.addCleanup(client.close)
@@ -137,7 +137,7 @@
         client.socket.sendall(b"GET /_counters HTTP/1.1\r\n\r\n" * 10 + b"nonsense\r\n\r\n")
         until(lambda: "kind=client reason=malformed" in self.log.read_text(), "its end")
 
-    def test_an_unknown_destination_before_the_list_has_come(self):
+    def test_unknown_destination_before_the_first_list(self):
         """What is known may be old then: it is put off, not failed."""
         self.discovery.failing = True
         self.start()
@@ -149,7 +149,7 @@
 
 
 class Tables(NodeCase):
-    def test_replaced_endpoints_leave_nothing_behind(self):
+    def test_replaced_endpoints_leak_nothing(self):
         """Forty of them, each in the place of the one before; health, numbers and connections go with it."""
         self.start()
         until(lambda: len(self.discovery.calls) >= 2, "the watch")
--- /dev/null
+++ b/tests/relay/test_close_reason.py
@@ -0,0 +1,30 @@
+"""Reasons of closed connections: in either format of the log they stand as plain words."""
+
+import io
+import json
+
+import pytest
+import structlog
+
+from lynxscale.relay import logs
+from lynxscale.relay.conf.table import LogConf
+from lynxscale.relay.net.close_reason import CloseReason
+
+
+@pytest.fixture(autouse=True)
+def default_logging():
+    yield
+    structlog.reset_defaults()
+
+
+@pytest.mark.parametrize("reason", CloseReason)
+def test_reason_is_a_plain_word_in_logfmt_and_json(reason):
+    for format_ in ("logfmt", "json"):
+        out = io.StringIO()
+        logs.configure(LogConf(format=format_), out)
+        structlog.get_logger().info("connection", reason=reason)
+        line = out.getvalue()
+        if format_ == "json":
+            assert json.loads(line)["reason"] == reason.value
+        else:
+            assert f" reason={reason.value}" in line
--- a/tests/test_room.py
+++ b/tests/relay/test_connection_budget.py
@@ -11,10 +11,10 @@
 
 from lab.standins import Client, message, reply, until
 from lynxscale.relay.connection_budget import IDLE_GRACE, SILENT_GRACE, ConnectionBudget
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 
-def test_the_order():
+def test_eviction_order():
     budget = ConnectionBudget(100)
     for place, at in ((1, 0), (2, 10), (3, 900_000), (4, 990_000)):
         budget.opened(place, at)
@@ -45,7 +45,7 @@
         st.tuples(st.sampled_from(["opened", "idle", "busy", "closing", "buffer"]), st.integers(0, 5)), max_size=60
     )
 )
-def test_bytes_add_up_and_nobody_at_work_is_a_leaver(steps):
+def test_buffered_bytes_add_up_and_busy_connections_are_never_evicted(steps):
     budget, held, at_work, now = ConnectionBudget(50), {}, set(), 0
     for what, place in steps:
         now += 40_000
@@ -66,7 +66,7 @@
 
 
 class LessRoom(NodeCase):
-    def test_half_requests_by_the_hundred_do_not_fill_the_memory(self):
+    def test_hundreds_of_incomplete_requests_do_not_fill_the_memory(self):
         self.limits |= {"sockets": 1024, "memory_mb": 40}
         self.start()
         self.assertEqual(self.client().hand_in("first")[0], 202)
@@ -86,7 +86,7 @@
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         return int(next(line for line in lines if line.startswith("VmRSS")).split()[1])
 
-    def test_a_crowd_over_the_limit_leaves_a_usual_client_served(self):
+    def test_crowd_over_the_limit_leaves_a_usual_client_served(self):
         """Connections that idle or stop half way come without end; the usual one asks once in a while."""
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 4096), hard))
@@ -120,7 +120,7 @@
                 one.close()
         self.assertGreater(len(opened), 200)
 
-    def test_a_partner_that_writes_byte_by_byte(self):
+    def test_peer_that_writes_byte_by_byte(self):
         def act(_call):
             answer, link = reply(200, b"done"), next(iter(self.peer.open))
             for at in range(len(answer) - 1):
--- a/tests/test_core.py
+++ b/tests/relay/test_core.py
@@ -3,7 +3,6 @@
 import tempfile
 import unittest
 from pathlib import Path
-from typing import Any
 
 from structlog.testing import capture_logs
 
@@ -14,48 +13,16 @@
 from lynxscale.relay.journal import Journal
 from lynxscale.relay.journal.port import Folder
 from lynxscale.relay.message import Envelope, Verdict
-from lynxscale.relay.slot_table import SlotTable
 from lynxscale.scheduling.events import Lifecycle, Member, MembershipKind, MembershipUpdate, Message, Result
 from lynxscale.scheduling.settings_reader import settings_from
-
-
-class Ports:
-    """Stands for peers, group and notices: records the calls."""
-
-    start: Any
-    is_in_flight: Any
-
-    def __init__(self) -> None:
-        self.told = []
-
-    def __getattr__(self, name):
-        return lambda *args: self.told.append((name, *args))
-
-
-class Turns:
-    """A loop cranked by hand."""
-
-    def __init__(self) -> None:
-        self.planned = []
-
-    def call_later(self, seconds, act):
-        entry = [seconds, act]
-        self.planned.append(entry)
-        return type("Timer", (), {"cancel": lambda _self: self.planned.remove(entry)})()
-
-    def run(self, within: float = 0.0) -> None:
-        due = [entry for entry in self.planned if entry[0] <= within]
-        for entry in due:
-            if entry in self.planned:
-                self.planned.remove(entry)
-                entry[1]()
+from tests.relay.fakes import FakePorts, ManualLoop
 
 
 class Core(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.turns, self.ports, self.answers = Turns(), Ports(), []
+        self.turns, self.ports, self.answers = ManualLoop(), FakePorts(), []
         loop = Loop(self.turns.call_later)
         self.journal = Journal(Folder(Path(folder.name)), 1_000_000, lambda: 1)
         self.addCleanup(self.journal.close)
@@ -78,14 +45,14 @@
     def told(self, name: str) -> list:
         return [row for row in self.ports.told if row[0] == name]
 
-    def test_answered_before_the_try_goes(self):
+    def test_client_is_answered_before_the_attempt_starts(self):
         self.ports.start = lambda *args: self.answers.append("try")
         self.submit("m1")
         self.assertEqual(self.answers, [])
         self.turns.run()
         self.assertEqual(self.answers, [("m1", Verdict.ACCEPTED), "try"])
 
-    def test_the_module_is_told_an_end_before_the_time_is_up(self):
+    def test_scheduler_gets_an_end_time_before_the_deadline(self):
         """A message read late by a process at its start is over for the platform before the relay would end it."""
         seen = []
         self.relay.sender.step = lambda _now, events: seen.extend(events) or []
@@ -96,7 +63,7 @@
         ends = [event.expires - begun for event in seen if type(event) is Message]
         self.assertEqual([round(end) for end in ends], [16_000 - 400, 100])
 
-    def test_first_requests_may_have_waited_for_as_long_as_the_start_took(self):
+    def test_first_requests_may_have_waited_as_long_as_the_start_took(self):
         now = self.relay.loop.now()
         self.relay.end_times.listening(now, now - 1_500_000)
         self.submit("m1", left=1.2)
@@ -109,7 +76,7 @@
         self.turns.run()
         self.assertEqual(round(seen[0].expires - begun), 16_000 - 1500)
 
-    def test_an_outcome_that_comes_at_once_reaches_the_module(self):
+    def test_immediate_outcome_reaches_the_scheduler(self):
         """A try can end as it is ordered: no later event may be needed for the module to hear of it."""
         self.ports.start = lambda number, attempt, _message, endpoint, *_: self.relay.attempt_ended(
             number, attempt, endpoint, Result.CONNECT_FAILED, 0, False
@@ -119,14 +86,14 @@
         self.turns.run()
         self.assertEqual((self.relay.sender.tries, self.relay.in_flight), ({}, 0))
 
-    def test_twice_in_one_turn_is_answered_twice_and_taken_once(self):
+    def test_duplicate_in_one_turn_is_answered_twice_and_accepted_once(self):
         self.submit("m1", left=0.0)
         self.submit("m1", left=0.0)
         self.turns.run()
         self.assertEqual(self.answers, [("m1", Verdict.REJECTED)] * 2)
         self.assertEqual(len(self.relay.pending), 0)
 
-    def test_a_repeat_whose_connection_came_up_too_late_does_not_go(self):
+    def test_retry_whose_connection_came_up_too_late_is_not_sent(self):
         """Ordered within its key's span, 7.5 s, and written behind it; what may not be repeated never goes again."""
         for cls, after, goes in ((1, 6.9, True), (1, 7.3, False), (2, 0.1, False), (0, 9.0, True)):
             with self.subTest(cls=cls, after=after):
@@ -138,7 +105,7 @@
                 self.relay.pending.get(number).entry.maybe[0] -= int(after * 1e6)
                 self.assertEqual(self.relay.record_attempt(number), goes)
 
-    def test_a_fault_of_the_module_loses_no_message(self):
+    def test_scheduler_failure_loses_no_message(self):
         """What it lost track of is taken, kept, and ended once its time is up."""
 
         def fault(_now, _events):
@@ -158,7 +125,7 @@
         self.assertEqual(self.told("enqueue")[0][2:4], ("m1", "undeliverable"))
         self.assertEqual(seen[-1]["event"], "message_overdue")
 
-    def test_a_fault_in_one_thing_of_a_turn_takes_nothing_else_along(self):
+    def test_failure_of_one_action_leaves_the_rest_of_the_turn(self):
         """An answer that fails, and a try that fails as it starts: the others of the turn are answered and go."""
         started = []
 
@@ -201,11 +168,11 @@
         self.assertEqual((len(self.relay.sender.tries), self.relay.in_flight), (out, out))
         return out
 
-    def test_a_try_that_fails_as_it_starts_gives_its_slot_back(self):
+    def test_attempt_that_fails_to_start_frees_its_slot(self):
         """Nothing of it is under way: no time-out would bring its outcome."""
         self.assertFalse(self.fails_as_it_starts(known=False))
 
-    def test_a_try_that_fails_when_it_is_under_way_waits_for_its_outcome(self):
+    def test_attempt_that_fails_in_flight_waits_for_its_outcome(self):
         self.assertTrue(self.fails_as_it_starts(known=True))
 
     def overdue(self) -> int:
@@ -218,43 +185,17 @@
         self.assertFalse(self.relay.pending.get(number).ended)
         return number
 
-    def test_an_outcome_that_is_due_goes_before_the_last_resort(self):
+    def test_due_outcome_goes_before_the_backstop(self):
         """The loop was held up over both."""
         number = self.overdue()
         self.relay.attempt_ended(number, 0, 7, Result.OK, 0, True)
         self.assertIsNone(self.relay.pending.get(number))
         self.assertEqual(self.relay.counters.table()["ends"], {"delivered": 1})
 
-    def test_a_try_without_an_outcome_puts_off_the_last_resort_once(self):
+    def test_attempt_without_an_outcome_delays_the_backstop_once(self):
         number = self.overdue()
         with capture_logs() as seen:
             self.relay._overdue(number, True)
         self.assertEqual(self.told("enqueue")[0][2:4], ("m1", "undeliverable"))
         self.assertEqual(seen[-1]["event"], "message_overdue")
         self.assertEqual(self.relay.counters.table()["ends"], {"undeliverable": 1})
-
-
-class Times(unittest.TestCase):
-    def test_a_fault_as_one_deadline_falls_due_stalls_no_other(self):
-        turns, met = Turns(), []
-        deadlines = Deadlines(Loop(turns.call_later), turns.call_later)
-        deadlines.after(0, met.append, 1)
-        deadlines.after(1, lambda: met.append(1 / 0))
-        deadlines.after(2, met.append, 2)
-        with self.assertRaises(ZeroDivisionError):  # as the loop sees it, which logs it and goes on
-            while len(met) < 2:
-                turns.run(within=1.0)
-        while len(met) < 2:
-            turns.run(within=1.0)
-        self.assertEqual((met, len(deadlines)), ([1, 2], 0))
-
-
-class Tables(unittest.TestCase):
-    def test_an_old_number_finds_nothing(self):
-        table = SlotTable()
-        first = table.add("a")
-        table.remove(first)
-        second = table.add("b")
-        self.assertNotEqual(first, second)
-        self.assertEqual((table.get(first), table.get(second), len(table)), (None, "b", 1))
-        self.assertIsNone(table.remove(first))
--- a/tests/test_relay.py
+++ b/tests/relay/test_end_to_end.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from lab.standins import PATIENCE, Client, Server, message, reply, row, settings, until
-from tests.node import ROOT, NodeCase
+from tests.relay.node import ROOT, NodeCase
 
 
 def never(_call):
@@ -38,7 +38,7 @@
         self.delivered(1)
         self.assertEqual(self.discovery.notices, {})
 
-    def test_connections_are_used_again(self):
+    def test_connections_are_reused(self):
         self.start()
         client = self.client()
         for number in range(20):
@@ -46,7 +46,7 @@
             self.delivered(number + 1)
         self.assertEqual((len(self.calls()), self.peer.opened), (20, 1))
 
-    def test_a_request_sent_again_is_taken_once(self):
+    def test_resent_request_is_accepted_once(self):
         self.act = never
         self.start()
         for _ in range(2):
@@ -88,7 +88,7 @@
 
 
 class Rejecting(NodeCase):
-    def test_a_body_over_the_bound_is_answered_and_the_connection_lives(self):
+    def test_body_over_the_limit_is_answered_and_the_connection_stays_open(self):
         self.start()
         client = self.client()
         self.assertEqual(client.hand_in("big", body=b"x" * (64 * 1024 + 1))[0], 413)
@@ -116,7 +116,7 @@
                 self.assertEqual(self.client().ask(data)[0], status)
         self.assertEqual(self.client().hand_in("fine")[0], 202)
 
-    def test_as_many_as_may_be_held(self):
+    def test_limit_of_pending_messages(self):
         self.act = never
         self.allowed["most_held"] = 5
         self.start()
@@ -127,7 +127,7 @@
         self.assertIn(status, (429, 503))
         self.assertGreater(float(headers["retry-after"]), 0)
 
-    def test_the_module_says_when_to_come_again(self):
+    def test_scheduler_sets_retry_after(self):
         """Given up in the step that takes it: refused at once, and told when to come back."""
         self.act = lambda call: reply(200)
         self.start()
@@ -135,7 +135,7 @@
         self.assertEqual(status, 429)
         self.assertGreater(float(headers["retry-after"]), 0)
 
-    def test_a_full_folder(self):
+    def test_full_disk(self):
         """Rejected while the journal has no room, taken again once it has, and never over the limit."""
         self.limits["disk_mb"] = 0.2
         self.act = never
@@ -153,7 +153,7 @@
 
 
 class Tries(NodeCase):
-    def test_refusals_are_tried_again(self):
+    def test_rejections_are_retried(self):
         answers = [reply(503), reply(503, b"", "X-No-Slot: 1"), reply(200)]
         self.act = lambda call: answers.pop(0)
         self.start()
@@ -161,7 +161,7 @@
         self.delivered(1)
         self.assertEqual(len(self.calls("m1")), 3)
 
-    def test_a_told_wait_binds_the_destination(self):
+    def test_retry_after_binds_the_destination(self):
         answers = [reply(429, b"", "Retry-After: 0.700")]
         self.act = lambda call: answers.pop() if answers else reply(200)
         self.start()
@@ -174,21 +174,21 @@
         self.delivered(6)
         self.assertGreaterEqual(min(at for at, _ in self.peer.calls[1:]) - told, 0.7)
 
-    def test_what_may_have_run_is_not_sent_twice(self):
+    def test_message_that_may_have_run_is_not_sent_twice(self):
         self.act = lambda call: None
         self.start()
         self.client().hand_in("m1", "once")
         self.assertEqual(self.notice("m1"), {"id": "m1", "status": "undeliverable"})
         self.assertEqual(len(self.calls("m1")), 1)
 
-    def test_what_may_be_repeated_is(self):
+    def test_idempotent_message_is_retried(self):
         self.act = lambda call: None if len(self.peer.calls) == 1 else reply(200)
         self.start()
         self.client().hand_in("m1", "safe")
         self.delivered(1)
         self.assertEqual(len(self.calls("m1")), 2)
 
-    def test_time_is_up(self):
+    def test_deadline_expires(self):
         self.act = never
         self.start()
         self.past_first_reads()
@@ -200,7 +200,7 @@
         self.assertGreaterEqual(time.monotonic() - begun, 0.5)  # a margin before its time, as clocks differ
         until(lambda: not self.peer.open, "the end of the connections of what timed out")
 
-    def test_a_peer_that_refuses_connections_has_run_nothing(self):
+    def test_refused_connection_has_run_nothing(self):
         gone = Server(never)
         gone.close()
         self.discovery.rows = [row("s-1", gone.at, 1)]
@@ -217,7 +217,7 @@
         until(lambda: self.counters().get("ends", {}).get("over"), "the end")
         self.assertEqual((len(self.calls("m1")), self.discovery.notices), (1, {}))
 
-    def test_a_connection_closed_meanwhile_is_not_written_to(self):
+    def test_closed_connection_is_not_written_to(self):
         """The peer closes an idle connection; a message that must not run twice still gets through."""
         self.start()
         client = self.client()
@@ -234,7 +234,7 @@
         self.kill()
         self.start()
 
-    def test_each_open_message_is_owed_its_end(self):
+    def test_each_open_message_is_ended_after_a_restart(self):
         self.act = never
         self.discovery.rows.append(row("s-9", self.peer.at, 9, "draining"))  # nothing new goes there
         self.start()
@@ -258,7 +258,7 @@
         )
         self.assertEqual(self.calls("keyed")[1][1]["idempotency-key"], "keyed")
 
-    def test_a_refused_try_proves_that_it_never_ran(self):
+    def test_rejected_attempt_never_ran(self):
         self.act = lambda call: reply(429, b"", "Retry-After: 3")
         self.start()
         self.client().hand_in("m1", "once")
@@ -269,7 +269,7 @@
         self.delivered(1)
         self.assertEqual(self.discovery.notices, {})
 
-    def test_attempts_count_on(self):
+    def test_attempts_are_counted_over_restarts(self):
         self.allowed["attempts_cap"] = 3
         self.act = lambda call: reply(503)
         self.start()
@@ -279,7 +279,7 @@
         self.assertEqual(self.notice("m1")["status"], "deferred")
         self.assertEqual(len(self.calls("m1")), 3)
 
-    def test_a_torn_tail_costs_only_itself(self):
+    def test_torn_journal_tail_costs_only_itself(self):
         self.act = never
         self.start()
         self.client().hand_in("m1", "safe")
@@ -291,7 +291,7 @@
         self.start()
         self.delivered(1)
 
-    def test_a_notice_is_owed_until_it_is_heard(self):
+    def test_notice_is_resent_until_acknowledged(self):
         self.discovery.refusals = 10**6
         self.act = lambda call: None
         self.start()
@@ -305,7 +305,7 @@
         self.assertNotIn("taken", self.counters())
         self.assertEqual(len(self.calls("m1")), 1)
 
-    def test_a_notice_that_cannot_be_read_does_not_hold_up_the_others(self):
+    def test_unreadable_notice_does_not_block_the_others(self):
         self.discovery.unreadable = "odd"
         self.act = lambda call: None
         self.start()
@@ -345,7 +345,7 @@
         self.assertEqual(sorted({call[1]["req-id"] for call in self.calls()}), ["m1", "m2", "m3"])
         self.assertIn("event=counters group=ends delivered=3", self.log.read_text())
 
-    def test_sigterm_leaves_the_rest_in_the_journal(self):
+    def test_sigterm_leaves_unfinished_messages_in_the_journal(self):
         self.act = never
         self.start()
         self.client().hand_in("m1", "safe")
@@ -368,7 +368,7 @@
 
 
 class UpstreamGroup(NodeCase):
-    def test_nothing_new_goes_to_a_draining_peer(self):
+    def test_draining_peer_gets_nothing_new(self):
         second = Server(lambda call: reply(200))
         self.addCleanup(second.close)
         self.start()
@@ -381,7 +381,7 @@
         self.delivered(5)
         self.assertEqual((len(self.calls()), len(second.calls)), (0, 5))
 
-    def test_the_watch_goes_on_at_once_and_after_failures(self):
+    def test_watch_continues_at_once_and_after_failures(self):
         self.start()
         until(lambda: len(self.discovery.calls) >= 2, "the watch")
         answered = time.monotonic()
@@ -397,7 +397,7 @@
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         self.delivered(1)
 
-    def test_a_line_of_no_use_does_not_take_the_list_with_it(self):
+    def test_invalid_list_entry_does_not_reject_the_list(self):
         self.discovery.rows.insert(0, {"instanceId": "s-0", "lifecycle": "ready", "hostPort": "nowhere"})
         self.start()
         self.client().hand_in("m1")
@@ -411,7 +411,7 @@
         change(table)
         return json.dumps({"state": ".", "settings": table})
 
-    def test_the_faulty_key_is_named(self):
+    def test_invalid_key_is_named(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         conf = Path(folder.name) / "bad.json"
--- a/tests/test_lifecycle.py
+++ b/tests/relay/test_lifecycle.py
@@ -63,7 +63,7 @@
     assert life.serving == (life.state is State.SERVING)
 
 
-def test_a_stop_takes_its_steps_in_their_time():
+def test_stop_takes_its_steps_at_their_times():
     life, now = come_to(State.STOP_NOT_READY)
     told = [(at, order) for at in range(0, EXIT_AT + 1, 50_000) for order in life.advance(now + at, 1, True)]
     firsts = {order: next(at for at, other in told if other is order) for order in {order for _, order in told}}
@@ -76,7 +76,7 @@
     assert [order for _, order in told].count(LifecycleAction.STOP_SENDING) == 1
 
 
-def test_with_an_heir_the_listener_goes_first_and_kept_connections_have_time():
+def test_handover_closes_the_listener_first_and_idle_connections_later():
     life, now = come_to(State.HANDING_OVER)
     assert life.ready and not life.serving
     assert life.advance(now, 2, True) == [LifecycleAction.STOP_ACCEPTING]
@@ -101,7 +101,7 @@
     assert LifecycleAction.EXIT in life.advance(now + EXIT_AT, 2, True)
 
 
-def test_a_drained_relay_stays_so_while_it_is_asked_and_sends_the_askers_away():
+def test_drained_relay_stays_drained_and_closes_readiness_connections():
     life, now = come_to(State.DRAINED)
     assert life.advance(now + 1, 1, True) == [LifecycleAction.CLOSE_IDLE_CLIENTS] and life.state is State.DRAINED
 
--- a/tests/test_spoilt.py
+++ b/tests/relay/test_peer_responses.py
@@ -7,7 +7,7 @@
 from lab.standins import reply, row, until
 from lynxscale.relay.http_parser import ResponseParser
 from lynxscale.relay.net.peer_responses import milliseconds
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 OK = b"HTTP/1.1 200 OK\r\n"
 SPOILT = [  # behind a first line
@@ -31,7 +31,7 @@
         left = list(answers)
         self.act = lambda call: left.pop(0) if left else reply(200)
 
-    def test_a_first_line_with_200_is_true_whatever_follows(self):
+    def test_status_line_200_counts_whatever_follows(self):
         self.answers(*[OK + rest for rest in SPOILT])
         self.start()
         client = self.client()
@@ -41,7 +41,7 @@
         self.assertEqual((len(self.calls()), self.peer.opened), (len(SPOILT), len(SPOILT)))
         self.assertEqual(self.discovery.notices, {})
 
-    def test_any_other_spoilt_answer_has_run_maybe(self):
+    def test_any_other_malformed_response_may_have_run(self):
         spoilt = [b"\x16\x03\x01noise\r\n\r\n"] + [
             b"HTTP/1.1 %d X\r\n" % status + rest for status, rest in zip((429, 503, 504, 410) * 3, SPOILT, strict=False)
         ]
@@ -54,7 +54,7 @@
             self.assertEqual(self.notice(f"m{number}"), {"id": f"m{number}", "status": "undeliverable"})
         self.assertEqual((len(self.calls()), self.peer.opened), (len(spoilt), len(spoilt)))
 
-    def test_a_refusal_cut_short_has_run_maybe(self):
+    def test_truncated_rejection_may_have_run(self):
         def act(_call):
             link = next(iter(self.peer.open))
             link.sendall(b"HTTP/1.1 503 X\r\nContent-Length: 9\r\n\r\nxyz")
@@ -66,7 +66,7 @@
         self.assertEqual(self.notice("m1")["status"], "undeliverable")
         self.assertEqual(len(self.calls("m1")), 1)
 
-    def test_a_whole_answer_counts_whatever_is_behind_it(self):
+    def test_complete_response_counts_whatever_follows_it(self):
         """And no other call is written to that connection, whose next answer would be noise."""
         behind = [reply(200), b"\x00noise", b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", b"HTTP/9.9"]
         self.answers(*[reply(200) + more for more in behind])
@@ -77,14 +77,14 @@
             self.delivered(number + 1)
         self.assertEqual((len(self.calls()), self.peer.opened), (len(behind), len(behind)))
 
-    def test_interim_answers_in_front_are_passed_over(self):
+    def test_interim_responses_are_skipped(self):
         self.answers(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n" + reply(503))
         self.start()
         self.client().hand_in("m1", "once")
         self.delivered(1)
         self.assertEqual((len(self.calls()), self.peer.opened), (2, 1))
 
-    def test_reports_and_waits_that_are_no_numbers(self):
+    def test_load_reports_and_waits_that_are_no_numbers(self):
         reports = ["x0=nan,x1=inf", "x0=-1,x1=-1e400", "x0=1e999,x1=1_0", "=,,=;", "x0"]
         waits = ["nan", "-inf", "-1", "1e9", "0x1"]
         self.answers(
@@ -101,7 +101,7 @@
         self.assertNotIn("failed", self.counters().get("module", {}))
         self.assertEqual(milliseconds("9" * 9), 3_600_000.0)
 
-    def test_a_list_that_cannot_be_read(self):
+    def test_unreadable_list_is_rejected(self):
         whole = self.discovery._list
         spoilt = [
             reply(200, b"[]"),
@@ -117,7 +117,7 @@
         self.client().hand_in("m1")
         self.delivered(1)
 
-    def test_an_overbooked_discovery_is_heard_out(self):
+    def test_overloaded_discovery_is_waited_for(self):
         """To hang up and call anew would cost it another turn, and the first one be worked for nothing."""
         whole, calls = self.discovery._list, []
 
@@ -133,7 +133,7 @@
         self.assertNotIn("reason=timed_out", self.log.read_text())
         self.assertNotIn("outcome=rejected", self.log.read_text())
 
-    def test_an_endpoint_absent_from_a_whole_list_is_forgotten(self):
+    def test_endpoint_absent_from_a_complete_list_is_removed(self):
         """Its address is another's now: no connection of the old one carries over."""
         self.start()
         until(lambda: len(self.discovery.calls) >= 2, "the watch")
@@ -148,7 +148,7 @@
 
 
 class Parser(unittest.TestCase):
-    def test_cut_anywhere_reads_the_same(self):
+    def test_split_anywhere_parses_the_same(self):
         data = (
             b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 X\r\nTransfer-Encoding: chunked\r\n\r\n"
             b"3;x=y\r\nabc\r\n0\r\nT: x\r\n\r\nHTTP/1.1 nonsense\r\n\r\n"
--- a/tests/test_moments.py
+++ b/tests/relay/test_race_conditions.py
@@ -15,7 +15,7 @@
 from lynxscale.scheduling.actions import Subscribe
 from lynxscale.scheduling.events import MembershipKind, MembershipUpdate, Message, Result
 from tests.driver import KEYED, SAFE, UNSAFE, Driver, member
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 
 class Frozen(contextlib.AbstractContextManager):
@@ -66,7 +66,7 @@
 
 
 class Clients(NodeCase):
-    def test_a_request_that_comes_in_the_instant_of_a_time_out_is_answered(self):
+    def test_request_in_the_instant_of_a_timeout_is_answered(self):
         """A connection with no request for two seconds is closed; this one's comes as the two seconds end."""
         self.start()
         begun = time.monotonic()
@@ -80,7 +80,7 @@
         self.assertIn(" 202 ", answer[0])
         self.delivered(1)
 
-    def test_the_rest_of_a_request_that_comes_in_the_instant_of_its_time_out(self):
+    def test_last_part_of_a_request_in_the_instant_of_its_timeout(self):
         self.start()
         begun = time.monotonic()
         client, data = self.client(), message("m1")
@@ -91,7 +91,7 @@
             sleep_until(begun + 2.3)
         self.assertIn(" 202 ", read_http(client.stream)[0])
 
-    def test_a_time_out_is_put_off_once_only(self):
+    def test_timeout_is_delayed_once_only(self):
         """One of whose bytes there is always one unread at that instant goes, all the same.
 
         In each round the relay meets the deadline with a byte unread, and then reads that.
@@ -120,7 +120,7 @@
                 self.assertLess(time.monotonic(), end)
         self.assertLessEqual(rounds, 6)
 
-    def test_a_client_that_ends_its_sending_behind_its_request_hears_the_answer(self):
+    def test_half_closed_client_gets_its_response(self):
         self.start()
         client = self.client()
         client.socket.sendall(message("m1"))
@@ -133,7 +133,7 @@
         until(lambda: self.counters()["connections"]["client_opened"] >= 2, "it is asked")
         self.assertIn("kind=client reason=far_closed calls=1", self.log.read_text())
 
-    def test_what_many_bytes_drive_out_gets_the_answer_that_it_is_owed(self):
+    def test_client_evicted_for_bytes_gets_its_response(self):
         """The rest of a message, and behind it so much of the next that the connection goes for its bytes."""
         self.limits["memory_mb"] = 2  # 105 kB for requests that are half sent
         self.start()
@@ -150,7 +150,7 @@
         self.assertIn(" 202 ", answer[0])
         self.assertEqual(answer[1].get("connection"), "close")
 
-    def test_clients_that_leave_in_a_burst_as_their_messages_wait_for_admission(self):
+    def test_clients_that_disconnect_in_a_burst_before_admission(self):
         """All is read in the turn in which they have gone already: each message has its end, no connection stays."""
         self.start()
         clients = [self.client() for _ in range(20)]
@@ -162,7 +162,7 @@
         until(lambda: self.log.read_text().count("kind=client reason=far_closed calls=1") >= 20, "they are let go")
         self.assertEqual(self.client().hand_in("next")[0], 202)
 
-    def test_the_exit_waits_for_half_a_request(self):
+    def test_exit_waits_for_an_incomplete_request(self):
         """It holds nothing and listens no more, and one client has sent half of its message."""
         self.start()
         client, data = self.client(), message("m1")
@@ -176,7 +176,7 @@
         self.assertEqual(self.process.wait(PATIENCE), 0)
         self.assertEqual(len(self.calls("m1")), 1)
 
-    def test_connections_that_wait_to_be_accepted_as_it_stops_to_listen_are_heard(self):
+    def test_connections_in_the_listen_queue_are_answered_at_the_stop(self):
         self.start()
         begun = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
@@ -190,7 +190,7 @@
             self.assertIn(" 202 ", read_http(client.stream)[0])
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
-    def test_who_waits_for_room_as_it_stops_to_listen_is_heard(self):
+    def test_connections_over_the_limit_are_answered_at_the_stop(self):
         """Every descriptor is held by half a request: the queue cannot be taken in when listening is to end."""
         self.limits["sockets"] = 64  # of these eleven are for clients
         self.start()
@@ -234,7 +234,7 @@
         found = re.search(r"event=wall_clock_stepped ms=(-?[0-9]+)", self.log.read_text())
         self.assertAlmostEqual(int(found[1]), seconds * 1000, delta=500)
 
-    def test_a_clock_put_back_does_not_open_a_keys_span_again(self):
+    def test_clock_stepped_back_does_not_reopen_a_keys_span(self):
         span = settings()
         span["grades"][1]["memory_span_ms"] = 1500.0
         self.configure_more = {"settings": span}
@@ -249,7 +249,7 @@
         self.notice("m1")
         self.assertEqual(len(self.calls("m1")), 1)
 
-    def test_a_clock_put_forward_ends_nothing_untried(self):
+    def test_clock_stepped_forward_ends_nothing_without_an_attempt(self):
         self.act = lambda _call: reply(503, b"", "Retry-After: 3.000")
         self.start()
         self.assertEqual(self.client().hand_in("m0")[0], 202)
@@ -262,7 +262,7 @@
 
 
 class Operators(NodeCase):
-    def test_a_call_that_comes_in_the_instant_of_its_time_out_is_answered(self):
+    def test_admin_call_in_the_instant_of_its_timeout_is_answered(self):
         """The relay is stopped over the second that a call may take; half of a call has its 408 all the same."""
         self.admin = self.free_port()
         self.env["NODE_ADMIN_ADDR"] = f"127.0.0.1:{self.admin}"
@@ -327,7 +327,7 @@
         self.addCleanup(self.late.close)
         self.allowed["dial_timeout_ms"] = 8000.0
 
-    def test_nothing_is_written_to_what_drains_meanwhile(self):
+    def test_nothing_is_written_to_an_endpoint_that_drains_meanwhile(self):
         """The connection is ordered before the list says so, and comes up after."""
         for life in ("draining", "gone"):
             with self.subTest(life=life):
@@ -396,7 +396,7 @@
     def asked(self) -> list[float]:
         return [at for at, call in list(self.discovery.calls) if call[0].startswith("GET")]
 
-    def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts(self):
+    def test_unanswered_watch_is_reopened_before_what_it_missed_counts(self):
         """What it misses counts as told 2 s after its wait of 10 s; with a grace of 250 ms there is no more time.
 
         The new call takes 0.6 s.
@@ -416,7 +416,7 @@
         self.assertEqual(self.calls("m1"), [])
         self.assertEqual(self.counters()["group"].get("silent"), 1)
 
-    def test_a_watch_whose_answer_stops_half_way_is_opened_anew_at_once(self):
+    def test_watch_with_a_truncated_response_is_reopened_at_once(self):
         self.discovery.half = 1
         self.start()
         until(self.asked, "the watch")
@@ -425,7 +425,7 @@
         calls = self.asked()
         self.assertLess(calls[1] - calls[0], 1.0)
 
-    def test_a_list_that_comes_in_pieces_is_taken(self):
+    def test_list_that_arrives_in_pieces_is_applied(self):
         self.discovery.pieces = 5
         self.start()
         until(self.asked, "the watch")
@@ -435,7 +435,7 @@
         self.assertLess(time.monotonic() - begun, 2.0)
         self.assertIsNone(self.counters()["group"].get("failed"))
 
-    def test_answers_that_all_stop_half_way_are_not_asked_for_without_rest(self):
+    def test_truncated_responses_are_retried_with_backoff(self):
         self.discovery.half = 10_000
         self.start()
         until(self.asked, "the watch")
@@ -445,7 +445,7 @@
         sleep_until(begun + 1.5)
         self.assertLessEqual(len(self.asked()), 2 + self.asks_in_1500_ms)
 
-    def test_discovery_moves_and_says_nothing_at_its_new_address(self):
+    def test_discovery_moves_and_is_unresponsive_at_its_new_address(self):
         """What it tells once it speaks is taken, whole, and the watch goes on from there."""
         self.start()
         until(self.asked, "the watch")
@@ -468,7 +468,7 @@
 class PushedLists(Lists):
     mode, asks_in_1500_ms = "push", 6
 
-    def test_a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts(self):
+    def test_unanswered_watch_is_reopened_before_what_it_missed_counts(self):
         """What a silent agent gets counts from the moment at which it speaks again: it has to be asked by then."""
         self.start()
         until(lambda: len(self.asked()) >= 2, "the watch")
@@ -484,7 +484,7 @@
 
 
 class Ends(NodeCase):
-    def test_an_answer_that_came_by_the_instant_of_its_time_out_counts(self):
+    def test_response_in_the_instant_of_its_timeout_counts(self):
         """The relay is held up over the end of the message's time by its own reckoning, 1.1 s of the 1.5 s."""
         asked, answered = threading.Event(), threading.Event()
 
@@ -507,7 +507,7 @@
         self.assertEqual(self.counters()["ends"], {"delivered": 1})
         self.assertEqual(self.discovery.notices, {})
 
-    def test_nothing_is_written_that_the_end_of_the_process_would_cut(self):
+    def test_nothing_is_written_that_the_exit_would_interrupt(self):
         """The connection comes up behind the last try and before the exit: at 7 s, by the system's own repeats."""
         late = LateConnection()
         self.addCleanup(late.close)
@@ -536,7 +536,7 @@
             grade["deadline_ms"] = 100_000.0
         return super().configure(settings=table, **more)
 
-    def test_an_end_at_any_instant_of_the_start_keeps_what_is_held(self):
+    def test_kill_at_any_instant_of_the_start_keeps_pending_messages(self):
         """Told at fifteen instants, before the handlers are there and until it serves, and killed a moment later, as it
         takes over what is open; then a start finds it all. No call is on its way at a kill: what may have run would
         rightly not go again.
@@ -566,7 +566,7 @@
 
 
 class Owed(NodeCase):
-    def test_a_notice_that_a_dead_connection_swallowed_goes_again_in_time(self):
+    def test_notice_lost_on_a_dead_connection_is_resent_in_time(self):
         """The end of a message falls due a little before its time is up, and must be heard by 0.3 s after it."""
         heard, answer = [], self.discovery.act
 
@@ -587,7 +587,7 @@
         self.assertLess(time.monotonic() - begun, 1.3)
         self.assertEqual(len(heard), 2)
 
-    def test_what_a_restart_finds_untried_is_still_tried(self):
+    def test_message_without_an_attempt_is_attempted_after_a_restart(self):
         """The limit has fallen meanwhile: more waits than it lets through in ten seconds."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 3.000")
         self.start()
@@ -615,7 +615,7 @@
         table["grades"][1] |= {"deadline_ms": 4000.0, "goal_time_ms": 2000.0, "value": 3.0}
         return super().configure(settings=table, **more)
 
-    def test_a_call_has_the_time_of_its_first_message(self):
+    def test_bundle_has_the_timeout_of_its_longest_message(self):
         self.act = lambda _call: reply(503, b"", "Retry-After: 0.600")
         self.start()
         self.assertEqual(self.client().hand_in("m9", left=8.0)[0], 202)
@@ -632,7 +632,7 @@
         self.assertGreater(float(headers["req-deadline"]), 8.0)
 
 
-def test_after_failures_the_next_call_for_lists_comes_before_an_old_list_counts():
+def test_after_failures_the_list_is_fetched_before_an_old_one_counts():
     """With many senders the pause grew beyond four times the span after which each change counts as told."""
     for seed in range(8):
         d = Driver(seed=seed, asks_for_members=True, senders=200, ask_within_ms=5000.0)
@@ -645,7 +645,7 @@
                 assert d.now - begun <= 4 * 5000.0, f"seed {seed}: no call {d.now - begun} ms after a failure"
 
 
-def test_only_what_was_taken_over_untried_is_spared_at_the_limit():
+def test_only_recovered_messages_without_an_attempt_are_spared_at_the_limit():
     for cls in (SAFE, KEYED, UNSAFE):
         d = Driver(members=[member(11, weight=1.0)], weights="nominal")
         d.give(
@@ -656,7 +656,7 @@
         assert len(d.finals) >= 12 - 5  # as the limit's part lets five through in ten seconds
 
 
-def test_more_taken_over_than_may_be_held_is_still_tried():
+def test_more_recovered_messages_than_the_limit_are_still_attempted():
     """The bound has fallen over the restart: what waits for its first call stays, what came after it goes."""
     d = Driver(members=[member(11, dest=1), member(12, dest=2)], most_held=20)
     d.give(*(Message(100 + k, 1 + k % 2, SAFE, 0, d.now + 8000.0, inherited=True) for k in range(40)))
@@ -672,7 +672,7 @@
     assert called >= set(range(100, 140))
 
 
-def test_a_first_call_that_never_came_there_is_still_owed():
+def test_first_call_that_never_arrived_is_retried():
     """A connection that failed is no call; one that was answered is, and then it is held like any other."""
     for result, owed in ((Result.CONNECT_FAILED, True), (Result.MOOT, True), (Result.ERROR, False)):
         d = Driver(members=[member(11, weight=1.0)], weights="nominal")
@@ -681,7 +681,7 @@
         assert d.sender.held[100].owed is owed
 
 
-def test_what_was_taken_over_waits_for_a_list_and_for_a_told_wait():
+def test_recovered_messages_wait_for_a_list_and_for_retry_after():
     """With no endpoint at first, and the only one shut when it comes: its first call goes when that is over."""
     d = Driver(members=[])
     d.give(
--- a/tests/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -3,7 +3,7 @@
 import signal
 
 from lab.standins import PATIENCE, Discovery, Server, reply, row, until
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 
 class Reload(NodeCase):
@@ -19,7 +19,7 @@
         self.configure(discovery=self.other.at)
         self.reload(f"event=reloaded discovery={self.other.at}")
 
-    def test_the_file_names_another_discovery(self):
+    def test_reload_moves_to_another_discovery(self):
         """Its list is asked for whole, then watched; who is not in it gets nothing new."""
         self.start()
         until(lambda: len(self.discovery.calls) >= 2, "the watch")
@@ -40,7 +40,7 @@
         self.delivered(2)
         self.assertEqual((len(self.calls()), self.discovery.opened), (1, opened))
 
-    def test_a_new_discovery_that_fails_at_first_is_still_asked_for_the_whole_list(self):
+    def test_new_discovery_that_fails_at_first_is_asked_for_the_complete_list(self):
         self.other.failing = True
         self.start()
         self.move()
@@ -51,7 +51,7 @@
         self.assertEqual({target for target in asked if "?" not in target}, {"/catalog/members"})
         self.assertNotIn("?", asked[1])
 
-    def test_a_bad_file_changes_nothing(self):
+    def test_invalid_file_changes_nothing(self):
         self.start()
         for table, key in [
             ({"settings": {}}, "grades"),
@@ -64,13 +64,13 @@
         self.client().hand_in("m1")
         self.delivered(1)
 
-    def test_what_a_reload_cannot_change_is_named(self):
+    def test_settings_that_need_a_restart_are_named(self):
         self.start()
         self.limits["sockets"] = 200
         self.configure()
         self.reload("for_a_restart=sockets")
 
-    def test_a_notice_on_its_way_goes_to_the_new_address(self):
+    def test_notice_in_flight_is_resent_to_the_new_address(self):
         self.discovery.refusals = 10**6
         self.act = lambda call: None
         self.start()
@@ -79,7 +79,7 @@
         self.move()
         until(lambda: self.other.notices.get("m1"), "the notice at the new address")
 
-    def test_during_the_stop(self):
+    def test_reload_during_the_stop(self):
         self.discovery.refusals = 10**6
         self.act = lambda call: None
         self.start()
--- a/tests/test_rare_rules.py
+++ b/tests/relay/test_restart_rules.py
@@ -21,7 +21,7 @@
 from lynxscale.scheduling.settings import Effect, MessageClass
 from lynxscale.scheduling.settings_reader import settings_from
 from tests.driver import Driver, member
-from tests.test_core import Ports, Turns
+from tests.relay.fakes import FakePorts, ManualLoop
 
 SOAK = bool(os.environ.get("RARE_SEED"))  # then the draws are other ones each time
 
@@ -68,14 +68,14 @@
         self.turns.run()
 
     def start(self) -> None:
-        self.disk, self.turns = FakeDisk(self.disk.image()), Turns()
+        self.disk, self.turns = FakeDisk(self.disk.image()), ManualLoop()
         loop = Loop(self.turns.call_later)
         journal = Journal(self.disk, 13 * 4 * 4096, lambda: self.clock.now)
         self.relay = Relay(
             settings_from(self.table), 1, loop, Deadlines(loop, self.turns.call_later), journal, Counters()
         )
         loop.at_end = self.relay.turn
-        self.relay.peers = self.relay.group = self.relay.notices = Ports()
+        self.relay.peers = self.relay.group = self.relay.notices = FakePorts()
         self.relay.sender.step = lambda _now, _events: []
         self.relay.recovery.replay(journal.open())
         self.turns.run()
@@ -118,7 +118,7 @@
 @example(effect="at_most_once", span_ms=2000, steps=KILLED)
 @drawn(300)
 @given(effect=st.sampled_from(sorted(EFFECTS)), span_ms=st.integers(1, 8000), steps=steps)
-def test_a_repeat_goes_only_where_what_may_have_run_allows_it(effect, span_ms, steps):
+def test_retry_is_sent_only_where_earlier_attempts_allow_it(effect, span_ms, steps):
     """A plain model: when each try that may have run was written, whatever lives lie between."""
     clock = Clock()
     with patch.object(deadlines.time, "monotonic_ns", clock.ns), patch("lynxscale.relay.core.time.time_ns", clock.ns):
@@ -190,7 +190,7 @@
 
 @drawn(60)
 @given(case=restarts(), seed=st.integers(0, 1000))
-def test_what_a_restart_finds_untried_is_given_up_untried_only_when_its_time_is_up(case, seed):
+def test_recovered_message_without_an_attempt_is_given_up_only_at_its_deadline(case, seed):
     """Whatever the limits, the room and the newcomers, while partners answer."""
     classes, members, messages, slots, most_held, weights, halves, senders, newcomers = case
     d = Driver(
--- a/tests/test_wall.py
+++ b/tests/relay/test_wall_clock.py
@@ -16,7 +16,7 @@
     return time.time_ns() // 1000 - wall.unix_clock(path)()
 
 
-def test_the_first_process_notes_it_and_later_ones_go_by_that(tmp_path, monkeypatch):
+def test_first_process_stores_the_clock_and_later_ones_use_it(tmp_path, monkeypatch):
     assert abs(apart(tmp_path)) < 1_000_000
     true = time.time_ns
     for step in (HOUR, -HOUR):
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("spoil", [b"", b"[]", b"{}", b'{"version": 1, "boot": 3}', bytes(5000)])
-def test_a_file_of_no_use_is_told_and_made_anew(tmp_path, spoil):
+def test_unreadable_file_is_logged_and_rewritten(tmp_path, spoil):
     (tmp_path / wall.FILE).write_bytes(spoil)
     with capture_logs() as seen:
         assert abs(apart(tmp_path)) < 1_000_000
@@ -40,7 +40,7 @@
     assert seen == []
 
 
-def test_a_folder_that_cannot_be_written_leaves_the_wall_clock(tmp_path):
+def test_unwritable_folder_leaves_the_wall_clock(tmp_path):
     with capture_logs() as seen:
         assert abs(apart(tmp_path / "none")) < 1_000_000
     assert [row["event"] for row in seen] == ["clock_not_saved"]
--- a/tests/test_cluster_conf.py
+++ b/tests/test_cluster_conf.py
@@ -12,7 +12,7 @@
 from lab.demo import CONF, ROOT
 from lab.standins import until
 from lynxscale.relay.conf import reader
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 SECTION = """begin cluster
     name norte
--- a/tests/test_fleet_count.py
+++ b/tests/test_fleet_count.py
@@ -12,7 +12,7 @@
 from lynxscale.cli import program
 from lynxscale.relay.fleet import tally
 from lynxscale.relay.fleet.lines import parse
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 T = "2026-12-01T10:00:{:06.3f}Z"
 
--- a/tests/test_journal_live.py
+++ b/tests/test_journal_live.py
@@ -16,7 +16,7 @@
 from lab.standins import reply, until
 from lynxscale.relay.journal import old
 from lynxscale.relay.journal.plan import blocks
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 KILLS = int(os.environ.get("JOURNAL_KILLS", "30"))
 SEED = int(os.environ.get("JOURNAL_SEED", "1"))
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -21,7 +21,7 @@
 from lynxscale.trace.replay import NotReplayable, replay
 from lynxscale.trace.rotation import Files
 from tests import traces
-from tests.node import ROOT, NodeCase
+from tests.relay.node import ROOT, NodeCase
 
 
 class Recording(NodeCase):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -24,7 +24,7 @@
 from lynxscale.scheduling.events import Result
 from lynxscale.scheduling.learned_state import export, take
 from tests.driver import Driver, member
-from tests.node import NodeCase
+from tests.relay.node import NodeCase
 
 SEED = int(os.environ.get("UPGRADE_SEED", "7"))
 ROUNDS = int(os.environ.get("UPGRADE_ROUNDS", "3"))
