--- a/lab/tier/mutations/operator_changes.py
+++ b/lab/tier/mutations/operator_changes.py
@@ -6,8 +6,8 @@
 
 from lab.tier.mutations.detectors import Patches
 from lynxscale.controlplane import operator_api
-from lynxscale.coordination.distribution_tree import Publisher
 from lynxscale.coordination.messages import TopicUpdate
+from lynxscale.coordination.topic_publisher import Publisher
 from lynxscale.runtime.http_types import Head, Request
 
 
--- a/lab/tier/mutations/turns.py
+++ b/lab/tier/mutations/turns.py
@@ -21,7 +21,7 @@
     def reply(self, call, answer, puts) -> None:  # noqa: ANN001
         if puts:
             self.member.submit(puts, lambda outcome: None)
-        self._network.send(call.caller, Reply(call.number, call.life, answer))
+        self._network.send(call.caller, Reply(call.number, call.incarnation, answer))
 
     from lynxscale.controlplane.service import ControlService
 
--- a/lynxscale/controlplane/ledger.py
+++ b/lynxscale/controlplane/ledger.py
@@ -73,9 +73,9 @@
             return admitted, ()
         program = self._program(request.program) or Program(request.budget)
         if request.request not in program.open:
-            if program.committed + request.most > max(program.budget, request.budget):
+            if program.committed + request.max_tokens > max(program.budget, request.budget):
                 return TurnRejected(402), ()
-            program.open[request.request] = request.most
+            program.open[request.request] = request.max_tokens
         program.budget = max(program.budget, request.budget)
         return admitted, (self._put_program(request.program, program, request.retention_s),)
 
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -12,8 +12,6 @@
 from lynxscale.controlplane.operator_api import OperatorApi, json_response
 from lynxscale.controlplane.status import ControlStatus, ReplicaStatus
 from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
-from lynxscale.coordination.distribution_tree import ROSTER, Publisher
-from lynxscale.coordination.heartbeat_ring import Roster
 from lynxscale.coordination.member import ControlMember, MemberSettings
 from lynxscale.coordination.messages import (
     AdmitTurn,
@@ -31,6 +29,8 @@
 )
 from lynxscale.coordination.outcomes import CommitOutcome
 from lynxscale.coordination.ports import Clock, Files, Network
+from lynxscale.coordination.relay_roster import ROSTER_TOPIC, Roster
+from lynxscale.coordination.topic_publisher import Publisher
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.discovery.endpoint_poller import EndpointPoller
 from lynxscale.discovery.topics import (
@@ -125,7 +125,7 @@
         elif isinstance(message, Attach):
             self._on_attach(message)
         elif isinstance(message, Suspicion) and self._serving:
-            self.roster.suspected(message)
+            self.roster.on_suspicion(message)
 
     def settings_changed(self, settings: Settings) -> None:
         """The settings file has changed: other seeds, another address of the list."""
@@ -150,7 +150,7 @@
     def _reply_when_durable(self, call: Call, answer: Message, puts: tuple[Put, ...]) -> None:
         def reply(outcome: CommitOutcome) -> None:
             if outcome.committed and self.member.leads():
-                self._network.send(call.caller, Reply(call.number, call.life, answer))
+                self._network.send(call.caller, Reply(call.number, call.incarnation, answer))
 
         if puts:
             self.member.submit(puts, reply)
@@ -161,8 +161,8 @@
         if not self._serving or not self.member.leads():
             self._redirect(message.sender)
             return
-        self.roster.attached(message.sender, message.zone)
-        self.publisher.attach(message, self.publisher.address, self.member.record.epoch, 0.0)
+        self.roster.on_attach(message.sender, message.zone)
+        self.publisher.on_attach(message, self.publisher.address, self.member.record.epoch, 0.0)
 
     def _redirect(self, address: str) -> None:
         """Tell who is primary, now or as soon as it is known here."""
@@ -205,7 +205,7 @@
         current = self.api.current()
         if current is not None:
             topic = Topic(Version(0, current.generation), current.body)
-            self.publisher.take({CONFIGURATION_TOPIC: topic})
+            self.publisher.update({CONFIGURATION_TOPIC: topic})
         self._push()
 
     def _on_list(self, endpoints: list[Endpoint]) -> None:
@@ -220,7 +220,7 @@
         parts = shard_endpoints(self._endpoints, count)
         changed = {name: part for name, part in parts.items() if self._parts.get(name) != part}
         if len(parts) != len(self._parts):
-            self.publisher.drop(lambda name: is_stale_shard_topic(name, count))
+            self.publisher.discard(lambda name: is_stale_shard_topic(name, count))
             changed[ENDPOINTS_TOPIC] = count
         self._parts = parts
         for name, value in changed.items():
@@ -237,7 +237,7 @@
     def _set_topic(self, name: str, value: object) -> None:
         self._numbers[name] = self._numbers.get(name, 0) + 1
         version = Version(self.member.record.epoch, self._numbers[name])
-        self.publisher.take({name: Topic(version, msgspec.Raw(msgspec.json.encode(value)))})
+        self.publisher.update({name: Topic(version, msgspec.Raw(msgspec.json.encode(value)))})
 
     def _push(self) -> None:
         self.publisher.push(self.publisher.address, self.member.record.epoch, 0.0)
@@ -255,7 +255,7 @@
             self._publish(MEMBERS_TOPIC, members)
         if self._roster_dirty:
             self._roster_dirty = False
-            self._publish(ROSTER, self.roster.entries())
+            self._publish(ROSTER_TOPIC, self.roster.entries())
         self._sweep(self._clock.now())
 
     def _sweep(self, now: float) -> None:
--- a/lynxscale/coordination/checksummed_file.py
+++ b/lynxscale/coordination/checksummed_file.py
@@ -4,16 +4,13 @@
 
 import zlib
 
+from lynxscale.coordination.exceptions import StorageCorrupt
 from lynxscale.coordination.ports import Files
 
 CHECKSUM_BYTES = 8
 SECOND_FILE_SUFFIX = ".second"
 
 
-class StorageCorrupt(Exception):
-    """A file does not hold what was written to it; the text names it."""
-
-
 def append_checksum(content: bytes) -> bytes:
     """The content with its checksum behind."""
     return content + encode_checksum(zlib.crc32(content))
--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -1,130 +1,55 @@
 """Distribution: versioned topics flow from the primary down a tree that the relays build among themselves.
 
 Every relay computes its parent from the roster, itself a topic. A child asks its parent several times a second for
-what it lacks; a parent sends news on at once. Every answer tells how long ago the primary vouched for the versions,
-so a child notices a parent that is cut off, and asks the primary itself.
+the topics that it lacks; a parent sends updates on at once. Every answer says how long ago the primary confirmed the
+parent's versions, so a child detects a parent that is partitioned off, and asks the primary itself.
+
+::
+
+    state          next           when
+    SEEKING        UNDER_PRIMARY  a control member names the primary
+    UNDER_PRIMARY  UNDER_RELAY    the roster gives a parent
+                   SEEKING        the primary does not answer
+    UNDER_RELAY    UNDER_PRIMARY  the roster gives no parent, or the parent does not answer or is out of date
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from enum import Enum
 
 import msgspec
 
-from lynxscale.coordination.messages import Attach, Message, Redirect, Topic, TopicUpdate, Version
+from lynxscale.coordination.messages import Attach, Message, Redirect, RosterEntry, TopicUpdate
 from lynxscale.coordination.ports import Clock, Network
+from lynxscale.coordination.relay_roster import ROSTER_TOPIC
+from lynxscale.coordination.topic_publisher import Publisher
 
 FANOUT = 4
-ATTACH_EVERY_S = 0.25  # in a small tier
-MOST_STRETCH, STRETCH_BEYOND = 2.8, 32  # beyond so many relays each asks up to so many times less often
-SEEK_EVERY_S = 0.08  # while no primary is known
-CHILD_EXPIRES_S = 2.0
-RESEND_AFTER_S = 2.0  # what a child has not confirmed
-SILENT_INTERVALS = 2.4  # without an answer for so many, another parent is asked
-OLDEST_INTERVALS = 4.8  # a parent whose versions were vouched for longer ago is cut off itself
-ALONE_INTERVALS = 6.4  # without a word that a primary vouched for, a relay is alone
-ROOT_FOR_S = 3.0  # after trouble with its place in the tree, a relay stays with the primary so long
-ROSTER = "roster"
-
-
-class RosterEntry(msgspec.Struct, frozen=True, order=True):
-    """One relay of the roster."""
-
-    address: str
-    zone: str
+ATTACH_INTERVAL_S = 0.25  # in a small tier
+MAX_INTERVAL_FACTOR, FULL_RATE_RELAYS = 2.8, 32  # beyond so many relays each asks up to so many times less often
+SEEK_INTERVAL_S = 0.08  # while no primary is known
+PARENT_TIMEOUT_INTERVALS = 2.4  # without an answer for so many, another parent is asked
+MAX_AGE_INTERVALS = 4.8  # a parent whose versions were confirmed longer ago is partitioned off itself
+ISOLATED_AFTER_INTERVALS = 6.4  # without versions that a primary confirmed, a relay is isolated
+PRIMARY_FALLBACK_S = 3.0  # after a fault of its parent, a relay stays with the primary so long
+NEVER = -1e9
 
 
 def parent_of(roster: list[RosterEntry], address: str) -> str:
-    """The parent's address by the place in the roster; empty for the primary's own children and unknown relays.
+    """The address of a relay's parent; empty for the primary's own children and for relays not in the roster.
 
-    Each zone has a tree of its own, whose root is the primary's child: news crosses into a zone once.
+    Each zone has a tree of its own, a heap in the order of addresses, whose root is the primary's child: an update
+    crosses into a zone once.
     """
     zone = next((entry.zone for entry in roster if entry.address == address), None)
-    places = sorted(entry.address for entry in roster if entry.zone == zone)
-    place = places.index(address) if address in places else 0
-    return places[(place - 1) // FANOUT] if place > 0 else ""
-
-
-@dataclass(frozen=True, slots=True)
-class Sent:
-    """A version that is on its way."""
-
-    version: Version
-    at: float
-
+    tree = sorted(entry.address for entry in roster if entry.zone == zone)
+    index = tree.index(address) if address in tree else 0
+    return tree[(index - 1) // FANOUT] if index > 0 else ""
 
-@dataclass(slots=True)
-class Child:
-    """A relay below this node: what it told that it has, and what was sent since."""
-
-    have: dict[str, Version]
-    seen_at: float
-    sent: dict[str, Sent] = field(default_factory=dict)
-
-    def wants(self, name: str, version: Version, now: float) -> bool:
-        """Is it to be sent this version? Not while it has yet to confirm an earlier one: that would queue up behind."""
-        have = self.have.get(name, Version())
-        sent = self.sent.get(name)
-        unconfirmed = sent is not None and sent.version > have and now - sent.at < RESEND_AFTER_S
-        return have < version and not unconfirmed
-
-
-class Publisher:
-    """The topics of a node, and the children that want them. The primary and each relay have one."""
-
-    def __init__(self, address: str, clock: Clock, network: Network) -> None:
-        self.address = address
-        self.topics: dict[str, Topic] = {}
-        self.children: dict[str, Child] = {}
-        self._clock = clock
-        self._network = network
 
-    def versions(self) -> dict[str, Version]:
-        """The version of each topic."""
-        return {name: topic.version for name, topic in self.topics.items()}
-
-    def take(self, topics: dict[str, Topic]) -> list[str]:
-        """Keep what is newer than the own version; the names of these topics."""
-        newer = [name for name, topic in topics.items() if self._is_newer(name, topic)]
-        for name in newer:
-            self.topics[name] = topics[name]
-        return newer
-
-    def drop(self, unwanted: Callable[[str], bool]) -> None:
-        """Forget topics by name."""
-        self.topics = {name: topic for name, topic in self.topics.items() if not unwanted(name)}
-
-    def attach(self, request: Attach, primary: str, epoch: int, age: float) -> None:
-        """Answer a child."""
-        now = self._clock.now()
-        child = self.children.setdefault(request.sender, Child({}, now))
-        child.have, child.seen_at = request.have, now
-        self._send(request.sender, child, primary, epoch, age)
-
-    def push(self, primary: str, epoch: int, age: float) -> None:
-        """Send every child what it lacks, and forget children that ask no more."""
-        now = self._clock.now()
-        oldest = now - CHILD_EXPIRES_S
-        self.children = {one: child for one, child in self.children.items() if child.seen_at >= oldest}
-        for one, child in self.children.items():
-            if any(child.wants(name, topic.version, now) for name, topic in self.topics.items()):
-                self._send(one, child, primary, epoch, age)
-
-    def _is_newer(self, name: str, topic: Topic) -> bool:
-        own = self.topics.get(name)
-        return own is None or own.version < topic.version
-
-    def _send(self, address: str, child: Child, primary: str, epoch: int, age: float) -> None:
-        now = self._clock.now()
-        lacking = {name: topic for name, topic in self.topics.items() if child.wants(name, topic.version, now)}
-        child.sent |= {name: Sent(topic.version, now) for name, topic in lacking.items()}
-        self._network.send(address, TopicUpdate(self.address, primary, epoch, age, self.versions(), lacking))
-
-
-class Place(Enum):
-    """Where a relay stands in the tree."""
+class TreeState(Enum):
+    """Whom a relay asks for topics."""
 
     SEEKING = "seeking"
     UNDER_PRIMARY = "under_primary"
@@ -132,7 +57,11 @@
 
 
 class Subscriber:
-    """A relay's place in the tree. ``contacts``: internal addresses of control members, to ask for the primary."""
+    """A relay's place in the tree.
+
+    ``contacts``: internal addresses of control members, to ask for the primary. ``on_topics(names)`` is called with the
+    topics that have a newer version.
+    """
 
     def __init__(
         self,
@@ -144,7 +73,7 @@
         on_topics: Callable[[list[str]], None],
     ) -> None:
         self.address = address
-        self.place = Place.SEEKING
+        self.state = TreeState.SEEKING
         self.publisher = Publisher(address, clock, network)
         self.primary = ""
         self.epoch = 0
@@ -154,38 +83,40 @@
         self._network = network
         self._on_topics = on_topics
         self._parent = ""
-        self._heard_at = clock.now()
-        self._vouched_at = -1e9
-        self._root_until = -1e9
+        self._heard_at = clock.now()  # of the parent
+        self._confirmed_at = NEVER
+        self._fallback_until = NEVER
         self._next_contact = 0
         self._relays = 0
         clock.call_later(0.0, self._tick)
 
     @property
-    def age(self) -> float:
-        """Seconds since the primary vouched for the versions held here."""
-        return self._clock.now() - self._vouched_at
+    def age_s(self) -> float:
+        """Seconds since the primary confirmed the versions here."""
+        return self._clock.now() - self._confirmed_at
 
     @property
     def roster(self) -> list[RosterEntry]:
         """All relays, as far as known here."""
-        topic = self.publisher.topics.get(ROSTER)
+        topic = self.publisher.topics.get(ROSTER_TOPIC)
         return msgspec.json.decode(topic.value, type=list[RosterEntry]) if topic else []
 
     @property
-    def alone(self) -> bool:
-        """Has no primary vouched for what is held here for long?"""
-        return self.age > ALONE_INTERVALS * self._interval
+    def isolated(self) -> bool:
+        """Has no primary confirmed the versions here for long?"""
+        return self.age_s > ISOLATED_AFTER_INTERVALS * self._interval_s
 
     @property
-    def _interval(self) -> float:
-        """Seconds between two questions: a parent's cost grows with its children, not with the tier."""
-        return ATTACH_EVERY_S * min(MOST_STRETCH, max(1.0, self._relays / STRETCH_BEYOND))
+    def _interval_s(self) -> float:
+        """Seconds between two requests: a parent's cost grows with its children, not with the tier."""
+        return ATTACH_INTERVAL_S * min(MAX_INTERVAL_FACTOR, max(1.0, self._relays / FULL_RATE_RELAYS))
+
+    # Messages ----------------------------------------------------------------------------------------
 
     def receive(self, message: Message) -> bool:
-        """Handle a message of the tree; False where it is of another kind."""
+        """Handle a message of the tree; False for messages of other kinds."""
         if isinstance(message, Attach):
-            self.publisher.attach(message, self.primary, self.epoch, self.age)
+            self.publisher.on_attach(message, self.primary, self.epoch, self.age_s)
         elif isinstance(message, TopicUpdate):
             self._on_update(message)
         elif isinstance(message, Redirect):
@@ -201,60 +132,68 @@
             self.primary = message.primary or self.primary
         if message.sender == self._parent:
             self._heard_at = now
-        newer = self.publisher.take(message.topics)
-        if all(message.have.get(name, version) <= version for name, version in self.publisher.versions().items()):
-            self._vouched_at = max(self._vouched_at, now - message.age)
-        if ROSTER in newer:
+        newer = self.publisher.update(message.topics)
+        if self._confirms_all(message):
+            self._confirmed_at = max(self._confirmed_at, now - message.age_s)
+        if ROSTER_TOPIC in newer:
             self._relays = len(self.roster)
         if newer:
             self._on_topics(newer)
-            self.publisher.push(self.primary, self.epoch, self.age)
-            self._confirm(message.sender)
-        if self.place is Place.SEEKING or newer:
-            self._settle()
+            self.publisher.push(self.primary, self.epoch, self.age_s)
+            self._acknowledge(message.sender)
+        if self.state is TreeState.SEEKING or newer:
+            self._choose_parent()
+
+    def _confirms_all(self, message: TopicUpdate) -> bool:
+        """Does the sender have no topic newer than here?"""
+        sender = message.known_versions
+        return all(sender.get(name, version) <= version for name, version in self.publisher.versions().items())
 
     def _on_redirect(self, message: Redirect) -> None:
         if message.epoch >= self.epoch and message.primary:
-            moved = message.primary != self.primary
+            changed = message.primary != self.primary
             self.epoch, self.primary = message.epoch, message.primary
-            if moved and self.place is not Place.UNDER_RELAY:
-                self._move(Place.UNDER_PRIMARY, self.primary)
+            if changed and self.state is not TreeState.UNDER_RELAY:
+                self._become(TreeState.UNDER_PRIMARY, self.primary)
                 self._attach()
 
+    # Place in the tree -------------------------------------------------------------------------------
+
     def _tick(self) -> None:
-        every = SEEK_EVERY_S if self.place is Place.SEEKING else self._interval
-        self._clock.call_later(every, self._tick)
+        interval_s = SEEK_INTERVAL_S if self.state is TreeState.SEEKING else self._interval_s
+        self._clock.call_later(interval_s, self._tick)
         now = self._clock.now()
-        silent = now - self._heard_at > SILENT_INTERVALS * self._interval
-        if self.place is Place.UNDER_RELAY and (silent or self.age > OLDEST_INTERVALS * self._interval):
-            self._root_until = now + ROOT_FOR_S
-            self._settle()
-        elif self.place is Place.UNDER_PRIMARY and silent:
-            self._move(Place.SEEKING, "")
-        elif self.place is Place.UNDER_PRIMARY and now > self._root_until:
-            self._settle()
+        timed_out = now - self._heard_at > PARENT_TIMEOUT_INTERVALS * self._interval_s
+        out_of_date = self.age_s > MAX_AGE_INTERVALS * self._interval_s
+        if self.state is TreeState.UNDER_RELAY and (timed_out or out_of_date):
+            self._fallback_until = now + PRIMARY_FALLBACK_S
+            self._choose_parent()
+        elif self.state is TreeState.UNDER_PRIMARY and timed_out:
+            self._become(TreeState.SEEKING, "")
+        elif self.state is TreeState.UNDER_PRIMARY and now > self._fallback_until:
+            self._choose_parent()
         self._attach()
 
-    def _settle(self) -> None:
-        """Take the place that the roster gives."""
-        parent = parent_of(self.roster, self.address) if self._clock.now() > self._root_until else ""
+    def _choose_parent(self) -> None:
+        """Take the parent that the roster gives, or the primary."""
+        parent = parent_of(self.roster, self.address) if self._clock.now() > self._fallback_until else ""
         if parent and parent != self._parent:
-            self._move(Place.UNDER_RELAY, parent)
+            self._become(TreeState.UNDER_RELAY, parent)
         elif not parent and self.primary and self.primary != self._parent:
-            self._move(Place.UNDER_PRIMARY, self.primary)
+            self._become(TreeState.UNDER_PRIMARY, self.primary)
 
-    def _move(self, place: Place, parent: str) -> None:
-        """The one change of place."""
-        self.place, self._parent = place, parent
+    def _become(self, state: TreeState, parent: str) -> None:
+        """The one change of state."""
+        self.state, self._parent = state, parent
         self._heard_at = self._clock.now()
 
-    def _confirm(self, parent: str) -> None:
-        """Tell at once what has come, so that the newest may follow."""
+    def _acknowledge(self, parent: str) -> None:
+        """Report at once what was received, so that the newest may follow."""
         self._network.send(parent, Attach(self.address, self._zone, self.publisher.versions()))
 
     def _attach(self) -> None:
         target = self._parent
-        if self.place is Place.SEEKING:
+        if self.state is TreeState.SEEKING:
             self._next_contact = (self._next_contact + 1) % len(self.contacts)
             target = self.contacts[self._next_contact]
         self._network.send(target, Attach(self.address, self._zone, self.publisher.versions()))
--- a/lynxscale/coordination/messages/__init__.py
+++ b/lynxscale/coordination/messages/__init__.py
@@ -16,7 +16,15 @@
     TurnRejected,
 )
 from lynxscale.coordination.messages.codec import Wire, decode, encode
-from lynxscale.coordination.messages.distribution import Attach, Heartbeat, Suspicion, Topic, TopicUpdate, Version
+from lynxscale.coordination.messages.distribution import (
+    Attach,
+    Heartbeat,
+    RosterEntry,
+    Suspicion,
+    Topic,
+    TopicUpdate,
+    Version,
+)
 from lynxscale.coordination.messages.election import (
     Accept,
     Accepted,
@@ -72,6 +80,7 @@
     "Replicate",
     "ReplicateAck",
     "Reply",
+    "RosterEntry",
     "SnapshotChunk",
     "SnapshotProbe",
     "SnapshotProgress",
--- a/lynxscale/coordination/messages/codec.py
+++ b/lynxscale/coordination/messages/codec.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of messages: JSON objects whose ``type`` field tells the message's class."""
+"""Encoding and decoding of messages: JSON objects whose ``type`` field names the message's class."""
 
 from __future__ import annotations
 
@@ -65,10 +65,13 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message as JSON."""
+    """The message as JSON, without a frame."""
     return _encoder.encode(message)
 
 
 def decode(payload: bytes) -> Message:
-    """The message of a payload. Raises msgspec.DecodeError (ValidationError for a wrong shape)."""
+    """The message of a payload.
+
+    Raises msgspec.DecodeError for bytes that are no JSON, and its subclass ValidationError for a wrong shape.
+    """
     return _decoder.decode(payload)
--- a/lynxscale/coordination/messages/distribution.py
+++ b/lynxscale/coordination/messages/distribution.py
@@ -1,4 +1,7 @@
-"""Messages between relays: topics down the tree, and heartbeats round the ring."""
+"""Messages between relays: topics down the distribution tree, and heartbeats around the ring.
+
+``msgspec.field(name=...)`` keeps the names that stand on the wire.
+"""
 
 from __future__ import annotations
 
@@ -8,46 +11,53 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Versions of one topic rise by epoch, then by number."""
+    """Versions of one topic are ordered by epoch, then by number."""
 
     epoch: int = 0
     number: int = 0
 
 
 class Topic(msgspec.Struct, frozen=True):
-    """One versioned value that goes down the tree."""
+    """One versioned value, as JSON, that goes down the tree."""
 
     version: Version
     value: msgspec.Raw
 
 
+class RosterEntry(msgspec.Struct, frozen=True, order=True):
+    """One relay of the roster topic: its internal address and its zone."""
+
+    address: str
+    zone: str
+
+
 class Attach(Message, frozen=True, tag="attach"):
-    """A relay asks a parent for topics newer than its own; repeated, it keeps the place in the tree."""
+    """A relay asks a parent for topics newer than its own; repeated, it keeps its place in the tree."""
 
     sender: str
     zone: str
-    have: dict[str, Version]
+    known_versions: dict[str, Version] = msgspec.field(name="have")
 
 
 class TopicUpdate(Message, frozen=True, tag="update"):
-    """Topics that the receiver lacks. ``age`` is seconds since the primary vouched for these versions."""
+    """Topics that the receiver lacks. ``age_s``: seconds since the primary confirmed the sender's versions."""
 
     sender: str
     primary: str
     epoch: int
-    age: float
-    have: dict[str, Version]
+    age_s: float = msgspec.field(name="age")
+    known_versions: dict[str, Version] = msgspec.field(name="have")
     topics: dict[str, Topic] = {}
 
 
 class Heartbeat(Message, frozen=True, tag="heartbeat"):
-    """A relay tells a monitor on the ring that it runs."""
+    """A relay tells a monitor on the ring that it is running."""
 
     sender: str
 
 
 class Suspicion(Message, frozen=True, tag="suspicion"):
-    """A monitor has not heard of the relay for too long."""
+    """A monitor reports that the heartbeats of a relay are overdue."""
 
     sender: str
     suspect: str
--- a/lynxscale/coordination/netstring.py
+++ b/lynxscale/coordination/netstring.py
@@ -2,12 +2,10 @@
 
 from __future__ import annotations
 
-MAX_LENGTH_DIGITS = 8
-MAX_PAYLOAD = 64 * 1024 * 1024
-
+from lynxscale.coordination.exceptions import NetstringError
 
-class NetstringError(ValueError):
-    """The bytes are no netstring, or one longer than ``MAX_PAYLOAD``."""
+MAX_LENGTH_DIGITS = 8
+MAX_PAYLOAD_BYTES = 64 * 1024 * 1024
 
 
 def encode(payload: bytes) -> bytes:
@@ -16,7 +14,7 @@
 
 
 class Decoder:
-    """Cuts a byte stream into payloads."""
+    """Splits a byte stream into payloads."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
@@ -30,13 +28,14 @@
         return payloads
 
     def _next(self) -> bytes | None:
+        """The first payload in the buffer, None if it is not complete yet."""
         colon = self._buffer.find(b":", 0, MAX_LENGTH_DIGITS + 1)
         if colon < 0:
             if len(self._buffer) > MAX_LENGTH_DIGITS:
                 raise NetstringError("no length within the first bytes")
             return None
         digits = bytes(self._buffer[:colon])
-        if not digits.isdigit() or int(digits) > MAX_PAYLOAD:
+        if not digits.isdigit() or int(digits) > MAX_PAYLOAD_BYTES:
             raise NetstringError(f"bad length {digits!r}")
         end = colon + 1 + int(digits)
         if len(self._buffer) <= end:
--- a/lynxscale/coordination/primary_calls.py
+++ b/lynxscale/coordination/primary_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the primary by nodes that do not know for certain who it is. A call is repeated until it is answered."""
+"""Calls to the primary by nodes that may not know which member that is. A call is retried until it is answered."""
 
 from __future__ import annotations
 
@@ -9,26 +9,35 @@
 from lynxscale.coordination.messages import AdmitTurn, Call, FinishTurn, Message, Reply
 from lynxscale.coordination.ports import Clock, Network, Timer
 
-REPEAT_AFTER_S = 0.15
-LIFE_BITS = 48
+RETRY_INTERVAL_S = 0.15
+INCARNATION_BITS = 48
+PRIMARY_RETRY_EVERY = 3  # every so many-th retry goes to the presumed primary, the others to contacts
 
-
-Answered = Callable[[Message | None], None]
+ReplyCallback = Callable[[Message | None], None]
+"""Called with the reply's body, or None if no reply came in time."""
 
 
 @dataclass(slots=True)
-class Pending:
-    """A call without an answer."""
+class PendingCall:
+    """A call without a reply. ``deadline`` is in seconds of the clock."""
 
     call: Call
     deadline: float
-    done: Answered
+    on_reply: ReplyCallback
     timer: Timer | None = None
-    sends: int = 0
+    retries: int = 0
+
+    def cancel_retry(self) -> None:
+        """Stop the timer of the next retry."""
+        if self.timer is not None:
+            self.timer.cancel()
 
 
 class PrimaryCalls:
-    """``primary`` tells the address to try first, empty where unknown; ``contacts`` are then tried in turn."""
+    """The calls of one node.
+
+    ``primary()`` is the address to try first, empty if unknown; ``contacts()`` are then tried in turn.
+    """
 
     def __init__(
         self,
@@ -44,49 +53,50 @@
         self._network = network
         self._primary = primary
         self._contacts = contacts
-        self._pending: dict[int, Pending] = {}
-        # A restarted node must not take the answers to calls of its earlier process, whatever its clock says.
-        self._life = random.getrandbits(LIFE_BITS)
-        self._number = 0
-        self._turn = 0
-
-    def call(self, body: AdmitTurn | FinishTurn, timeout_s: float, done: Answered) -> None:
-        """``done(answer)``, or ``done(None)`` where none came in time."""
-        self._number += 1
-        message = Call(self._number, self._address, self._life, body)
-        pending = Pending(message, self._clock.now() + timeout_s, done)
-        self._pending[self._number] = pending
+        self._pending: dict[int, PendingCall] = {}
+        # A restarted node must not take the replies to calls of its earlier process, whatever its clock says.
+        self._incarnation = random.getrandbits(INCARNATION_BITS)
+        self._last_number = 0
+        self._contact_index = 0
+
+    def call(self, body: AdmitTurn | FinishTurn, timeout_s: float, on_reply: ReplyCallback) -> None:
+        """Send a request to the primary; ``on_reply(body)``, or ``on_reply(None)`` after the time-out."""
+        self._last_number += 1
+        message = Call(self._last_number, self._address, self._incarnation, body)
+        pending = PendingCall(message, self._clock.now() + timeout_s, on_reply)
+        self._pending[message.number] = pending
         self._send(pending, self._primary())
 
     def receive(self, message: Message) -> bool:
-        """Handle an answer; False for messages of other kinds."""
+        """Handle a reply; False for messages of other kinds."""
         if not isinstance(message, Reply):
             return False
-        pending = self._pending.pop(message.number, None) if message.life == self._life else None
+        own = message.incarnation == self._incarnation
+        pending = self._pending.pop(message.number, None) if own else None
         if pending is not None:
-            pending.timer.cancel()
-            pending.done(message.body)
+            pending.cancel_retry()
+            pending.on_reply(message.body)
         return True
 
     def primary_changed(self) -> None:
-        """Another primary is known: what waits goes there at once."""
+        """Another primary is known: send it all pending calls at once."""
         for pending in list(self._pending.values()):
-            pending.timer.cancel()
+            pending.cancel_retry()
             self._send(pending, self._primary())
 
-    def _send(self, pending: Pending, address: str) -> None:
+    def _send(self, pending: PendingCall, address: str) -> None:
         if not address:
             contacts = self._contacts()
-            self._turn += 1
-            address = contacts[self._turn % len(contacts)]
+            self._contact_index += 1
+            address = contacts[self._contact_index % len(contacts)]
         self._network.send(address, pending.call)
-        pending.timer = self._clock.call_later(REPEAT_AFTER_S, lambda: self._repeat(pending))
+        pending.timer = self._clock.call_later(RETRY_INTERVAL_S, lambda: self._retry(pending))
 
-    def _repeat(self, pending: Pending) -> None:
+    def _retry(self, pending: PendingCall) -> None:
         if self._clock.now() >= pending.deadline:
             del self._pending[pending.call.number]
-            pending.done(None)
+            pending.on_reply(None)
             return
-        pending.sends += 1
-        # The primary may be gone: two times of three somebody else is asked, who tells where to turn.
-        self._send(pending, "" if pending.sends % 3 else self._primary())
+        pending.retries += 1
+        # The primary may be gone: two of three retries go to a contact, which redirects to the new one.
+        self._send(pending, "" if pending.retries % PRIMARY_RETRY_EVERY else self._primary())
--- a/lynxscale/coordination/recovery.py
+++ b/lynxscale/coordination/recovery.py
@@ -9,7 +9,8 @@
 import msgspec
 
 from lynxscale.coordination import netstring
-from lynxscale.coordination.checksummed_file import StorageCorrupt, strip_checksum
+from lynxscale.coordination.checksummed_file import strip_checksum
+from lynxscale.coordination.exceptions import StorageCorrupt
 from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Batch, Position, Put
 from lynxscale.coordination.ports import Files
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -7,11 +7,12 @@
 
 import msgspec
 
-from lynxscale.coordination.distribution_tree import ROSTER, Subscriber
+from lynxscale.coordination.distribution_tree import Subscriber
 from lynxscale.coordination.heartbeat_ring import RingMember
 from lynxscale.coordination.messages import Message
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.primary_calls import PrimaryCalls
+from lynxscale.coordination.relay_roster import ROSTER_TOPIC
 from lynxscale.dataplane.exceptions import UnusableConfigurationError
 from lynxscale.dataplane.forwarding import ForwardedRequest, ForwardingContext
 from lynxscale.dataplane.load_balancer import LoadBalancer
@@ -74,7 +75,7 @@
     @property
     def isolated(self) -> bool:
         """Has no primary confirmed this relay's topics for long? Then other relays serve programs better."""
-        return self.tree.alone
+        return self.tree.isolated
 
     @property
     def _configured(self) -> bool:
@@ -125,8 +126,8 @@
             ready=self.ready,
             stopping=self.stopping,
             generation=self.route_table.generation if self.route_table else 0,
-            confirmed_age_s=min(self.tree.age, UNKNOWN_AGE_S),
-            tree_position=self.tree.place.value,
+            confirmed_age_s=min(self.tree.age_s, UNKNOWN_AGE_S),
+            tree_position=self.tree.state.value,
             primary=self.tree.primary,
             endpoints=[endpoint_status(name, state) for name, state in sorted(self.balancer.states.items())],
         )
@@ -162,7 +163,7 @@
         if MEMBERS_TOPIC in names:
             self._members = msgspec.json.decode(topics[MEMBERS_TOPIC].value, type=tuple[str, ...])
             self._update_contacts()
-        if ROSTER in names:
+        if ROSTER_TOPIC in names:
             self.ring.set_roster(self.tree.roster)
         if self._configured:
             self._pending.serve_all()
@@ -188,7 +189,7 @@
         if ENDPOINTS_TOPIC not in topics:
             return
         count = msgspec.json.decode(topics[ENDPOINTS_TOPIC].value, type=int)
-        self.tree.publisher.drop(lambda name: is_stale_shard_topic(name, count))
+        self.tree.publisher.discard(lambda name: is_stale_shard_topic(name, count))
         shards = [shard_topic(count, number) for number in range(count)]
         if not all(shard in topics for shard in shards):
             return
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -93,7 +93,7 @@
 
         def on_reply(reply: Message | None) -> None:
             if isinstance(reply, TurnAdmitted):
-                self._history = (cached_history if reply.after else b"") + reply.history
+                self._history = (cached_history if reply.base_turn else b"") + reply.history
                 listener.on_turn_admitted(self, self._history)
             elif isinstance(reply, TurnRejected):
                 self._closed = True
--- a/lynxscale/runtime/peer_network.py
+++ b/lynxscale/runtime/peer_network.py
@@ -12,8 +12,9 @@
 
 import msgspec
 
+from lynxscale.coordination.exceptions import NetstringError
 from lynxscale.coordination.messages import Message, decode, encode
-from lynxscale.coordination.netstring import Decoder, NetstringError
+from lynxscale.coordination.netstring import Decoder
 from lynxscale.coordination.netstring import encode as encode_frame
 from lynxscale.runtime.sockets import configure_socket, split_address
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -17,7 +17,7 @@
 from lab.tier.simulated_tier import INTERNAL_PORT, SimulatedTier
 from lab.tier.world import World
 from lynxscale.controlplane import ledger, operator_api, status
-from lynxscale.coordination import acceptor_state, distribution_tree, messages
+from lynxscale.coordination import acceptor_state, messages
 from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
@@ -43,7 +43,7 @@
     "version": messages.Version,
     "topic": messages.Topic,
     "endpoint": Endpoint,
-    "roster_entry": distribution_tree.RosterEntry,
+    "roster_entry": messages.RosterEntry,
     "program": ledger.Program,
     "turn": ledger.Turn,
     "kept": ledger.Kept,
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -11,7 +11,8 @@
 from lynxscale.controlplane.configuration_update import apply_update, check_update
 from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import AcceptorState, AcceptorStateFile, MemberIdentity
-from lynxscale.coordination.distribution_tree import FANOUT, Publisher, RosterEntry, parent_of
+from lynxscale.coordination.distribution_tree import FANOUT, parent_of
+from lynxscale.coordination.exceptions import NetstringError
 from lynxscale.coordination.heartbeat_ring import MONITORS, neighbours
 from lynxscale.coordination.messages import (
     Accept,
@@ -27,6 +28,7 @@
     PrepareRejected,
     Promise,
     Replicate,
+    RosterEntry,
     Topic,
     TopicUpdate,
     Version,
@@ -34,9 +36,10 @@
     encode,
     put_value,
 )
-from lynxscale.coordination.netstring import Decoder, NetstringError
+from lynxscale.coordination.netstring import Decoder
 from lynxscale.coordination.netstring import encode as encode_netstring
 from lynxscale.coordination.store import NO_POSITION, Store
+from lynxscale.coordination.topic_publisher import Publisher
 from lynxscale.dataplane.history_cache import HistoryCache
 from lynxscale.dataplane.server_sent_events import EventScanner
 from lynxscale.discovery.topics import ENDPOINT_SHARD_PREFIX, shard_count
@@ -103,8 +106,8 @@
     machine = World(1).machine("a:1")
     publisher = Publisher("a:1", machine.clock(), machine.network())
     newer, older = (Topic(Version(2, number), msgspec.Raw(b"1")) for number in (5, 4))
-    assert publisher.take({"config": newer}) == ["config"]
-    assert publisher.take({"config": older}) == []
+    assert publisher.update({"config": newer}) == ["config"]
+    assert publisher.update({"config": older}) == []
     assert publisher.topics["config"] is newer
 
 
@@ -307,11 +310,11 @@
             sent.append(message)
 
     publisher = Publisher("a:1", machine.clock(), Network())
-    publisher.attach(Attach("child:1", "z", {}), "a:1", 1, 0.0)
+    publisher.on_attach(Attach("child:1", "z", {}), "a:1", 1, 0.0)
     for number in range(1, 9):
-        publisher.take({"config": Topic(Version(0, number), msgspec.Raw(b"1"))})
+        publisher.update({"config": Topic(Version(0, number), msgspec.Raw(b"1"))})
         publisher.push("a:1", 1, 0.0)
     carried = [update.topics["config"].version.number for update in sent if update.topics]
     assert carried == [1]
-    publisher.attach(Attach("child:1", "z", {"config": Version(0, 1)}), "a:1", 1, 0.0)
+    publisher.on_attach(Attach("child:1", "z", {"config": Version(0, 1)}), "a:1", 1, 0.0)
     assert sent[-1].topics["config"].version.number == 8
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -600,9 +600,9 @@
     lives[0].call(body, 1.0, lambda answer: None)
     lives[1].call(body, 1.0, answers.append)
     assert sent[0].number == sent[1].number
-    lives[1].receive(Reply(sent[0].number, sent[0].life, TurnFinished()))
+    lives[1].receive(Reply(sent[0].number, sent[0].incarnation, TurnFinished()))
     assert answers == []
-    lives[1].receive(Reply(sent[1].number, sent[1].life, TurnFinished()))
+    lives[1].receive(Reply(sent[1].number, sent[1].incarnation, TurnFinished()))
     assert answers == [TurnFinished()]
 
 
--- a/tests/test_tier_whole.py
+++ b/tests/test_tier_whole.py
@@ -254,7 +254,7 @@
         assert ran.body == wanted + text
         wanted += text + b"word1\nword2\nword3\nword4\n"
         previous = {"previous": f"t{number}"}
-    assert [body.after for body in sent] == ["", "t0", "", "t1", ""]
+    assert [body.base_turn for body in sent] == ["", "t0", "", "t1", ""]
     assert [body.history.count(b"say") for body in sent] == [0, 0, 2, 1, 4]
 
 
