--- a/features/steps/tier_steps.py
+++ b/features/steps/tier_steps.py
@@ -18,7 +18,7 @@
 
 @given("a tier of {controls:d} control members and {relays:d} relays that serves")
 def a_tier(context, controls, relays):
-    context.tier = SimulatedTier(World(SEED), relays=relays, controls=controls).settle()
+    context.tier = SimulatedTier(World(SEED), relays=relays, controls=controls).start_serving()
     context.answers = {}
 
 
@@ -55,7 +55,7 @@
     own = tier.controls[context.former].publisher.address
     for host in tier.control_hosts:
         if host != context.former:
-            tier.world.cut(own, tier.controls[host].publisher.address)
+            tier.world.partition(own, tier.controls[host].publisher.address)
 
 
 @when("the operator sends version {version:d} on top of {base:d}")
@@ -68,7 +68,7 @@
     tier = context.tier
     fields = {"program": "p", "budget": str(budget), "lynxscale_token_count": f"100,{most}"}
     relays = [tier.relay_hosts[number % len(tier.relay_hosts)] for number in range(count)]
-    context.many = [tier.begin("/open/stream", relay=relay, **fields)[0] for relay in relays]
+    context.many = [tier.start_request("/open/stream", relay=relay, **fields)[0] for relay in relays]
     tier.world.run(tier.world.time + 3.0)
 
 
@@ -79,7 +79,7 @@
 
 @then('the endpoint that ran "{name}" got the input and output of "t1" first')
 def history_first(context, name):
-    ran = [request for one in context.tier.endpoints.values() for request in one.ran]
+    ran = [request for one in context.tier.endpoints.values() for request in one.executed]
     bodies = [request.body for request in ran if request.head.text(b"lynxscale-request-id") == name]
     assert bodies == [b"hello " + OUTPUT + b"more"], bodies
 
--- a/lab/tier/control_group.py
+++ b/lab/tier/control_group.py
@@ -54,8 +54,8 @@
                 self.kill(address)
                 then()
 
-        member.leave(lambda: self.world.at(self.world.time + FLUSH_S, end))
-        self.world.at(self.world.time + within, end)
+        member.leave(lambda: self.world.call_at(self.world.time + FLUSH_S, end))
+        self.world.call_at(self.world.time + within, end)
 
     def kill(self, address: str, power: bool = False, wipe: bool = False) -> None:
         """End a process."""
--- a/lab/tier/failover_time.py
+++ b/lab/tier/failover_time.py
@@ -63,16 +63,16 @@
         return
     for other in group.seeds:
         if other != address and how in ("cut", "mute"):
-            group.world.cut(address, other, both_ways=False)
+            group.world.partition(address, other, both_ways=False)
         if other != address and how in ("cut", "deaf"):
-            group.world.cut(other, address, both_ways=False)
+            group.world.partition(other, address, both_ways=False)
 
 
 def _keep_writing(group: ControlGroup) -> None:
     for leader in group.leaders():
         for number in range(2):
             group.submit(leader, f"key{number}", group.world.time, lambda committed: None)
-    group.world.at(group.world.time + 2 * WRITE_EVERY_S, lambda: _keep_writing(group))
+    group.world.call_at(group.world.time + 2 * WRITE_EVERY_S, lambda: _keep_writing(group))
 
 
 def _try_to_write(group: ControlGroup, lost: str, committed: list[bool]) -> None:
@@ -80,7 +80,7 @@
     for leader in group.leaders():
         if address_of(leader.me) != lost:
             group.submit(leader, "last", group.world.time, committed.append)
-    group.world.at(group.world.time + WRITE_EVERY_S, lambda: _try_to_write(group, lost, committed))
+    group.world.call_at(group.world.time + WRITE_EVERY_S, lambda: _try_to_write(group, lost, committed))
 
 
 @dataclass(frozen=True)
--- a/lab/tier/fakes.py
+++ b/lab/tier/fakes.py
@@ -28,26 +28,26 @@
     def __init__(self, endpoint: Endpoint, clock: Clock, listen: Listen, events: int = 4) -> None:
         self.endpoint = endpoint
         self.events = events
-        self.ran: list[Request] = []
+        self.executed: list[Request] = []
         self.running = 0
-        self.most_running = 0
-        self.work_s = 0.05
-        self.refuses = False
+        self.max_running = 0
+        self.service_time_s = 0.05
+        self.rejects = False
         self.fails = False
-        self.breaks_after: int | None = None
+        self.aborts_after: int | None = None
         self._clock = clock
         listen(endpoint.address, lambda: ServerConnection(self._handle, ServerLimits(), clock, set()))
 
     def _handle(self, request: Request, responder: Responder) -> EndpointRun | None:
         if request.head.text(headers.EXPECT_INSTANCE) != self.endpoint.id:
             responder.respond(self._answer(request, 421, b"", stamped=False))
-        elif self.refuses:
+        elif self.rejects:
             fields = Head(((headers.NOT_EXECUTED, b"1"), (headers.REQUEST_ID, request.head.get(headers.REQUEST_ID))))
             responder.respond(Response(503, fields))
         else:
-            self.ran.append(request)
+            self.executed.append(request)
             self.running += 1
-            self.most_running = max(self.most_running, self.running)
+            self.max_running = max(self.max_running, self.running)
             return EndpointRun(self, request, responder)
         return None
 
@@ -67,7 +67,7 @@
         self._responder = responder
         self._number = int(request.head.text(headers.LAST_EVENT_ID) or 0)
         self._over = False
-        endpoint._clock.call_later(endpoint.work_s, self._begin)
+        endpoint._clock.call_later(endpoint.service_time_s, self._begin)
 
     def on_client_disconnected(self) -> None:
         """The request is dropped."""
@@ -93,8 +93,8 @@
         if self._number == self._endpoint.events:
             self._responder.end()
             self._end()
-        elif self._number == self._endpoint.breaks_after:
-            self._endpoint.breaks_after = None
+        elif self._number == self._endpoint.aborts_after:
+            self._endpoint.aborts_after = None
             self._responder.abort()
             self._end()
         else:
@@ -114,12 +114,12 @@
     def __init__(self, address: str, clock: Clock, listen: Listen) -> None:
         self.listed: list[Endpoint] = []
         self.calls = 0
-        self.refuses = False
+        self.rejects = False
         listen(address, lambda: ServerConnection(self._handle, ServerLimits(), clock, set()))
 
     def _handle(self, request: Request, responder: Responder) -> None:
         self.calls += 1
-        if self.refuses:
+        if self.rejects:
             responder.respond(Response(429))
             return
         body = msgspec.json.encode({"instances": self.listed, "next-page-token": None})
@@ -136,7 +136,7 @@
         self.complete = False
         self.ended = False
         self.failure: ResponseFailure | None = None
-        self.first_at = 0.0
+        self.first_byte_at = 0.0
         self.ended_at = 0.0
         self._world = world
         self._on_end = on_end
@@ -147,7 +147,7 @@
 
     def on_data(self, data: bytes) -> None:
         """Part of ResponseReceiver."""
-        self.first_at = self.first_at or self._world.time
+        self.first_byte_at = self.first_byte_at or self._world.time
         self.body += data
 
     def on_end(self) -> None:
--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -49,7 +49,7 @@
         self.world = World(seed, loss=0.01)
         self.random = self.world.random
         size, tolerated = SIZES[seed % len(SIZES)]
-        self.tier = SimulatedTier(self.world, controls=size, tolerated=tolerated).settle()
+        self.tier = SimulatedTier(self.world, controls=size, tolerated=tolerated).start_serving()
         self.turns: list[ObservedTurn] = []
         self.calls: list[tuple[str, ClientResponse]] = []
         self.orders: list[ObservedChange] = [ObservedChange(0, default_configuration())]
@@ -80,11 +80,11 @@
                 self.broken["version_went_back"] += 1
             self._seen_versions[relay] = version
         for name, since in self.draining.items():
-            ran = len(self.tier.endpoints[name].ran)
+            ran = len(self.tier.endpoints[name].executed)
             if self.world.time - since > DRAIN_S and ran > self._seen_versions.get(name, ran):
                 self.broken["drain"] += 1
             self._seen_versions[name] = ran
-        self.world.at(self.world.time + 0.02, self._watch)
+        self.world.call_at(self.world.time + 0.02, self._watch)
 
     # What happens ------------------------------------------------------------------------------------
 
@@ -104,14 +104,14 @@
         fields = {"program": program, "budget": str(budget), "lynxscale_token_count": f"10,{MAX_TOKENS}"}
         if previous is not None:
             fields["previous"] = previous.request_id
-        answer, _ = self.tier.begin("/kept/stream", self._relay(), text, request_id=name, **fields)
+        answer, _ = self.tier.start_request("/kept/stream", self._relay(), text, request_id=name, **fields)
         before = previous.request_id if previous else ""
         self.turns.append(ObservedTurn(name, program, before, text, answer, budget))
 
     def _call(self) -> None:
         path = self.random.choice(("/book/1", "/look/1"))
         name = self._name("c")
-        answer, _ = self.tier.begin(path, self._relay(), request_id=name)
+        answer, _ = self.tier.start_request(path, self._relay(), request_id=name)
         self.calls.append((f"{path} {name}", answer))
 
     def _order(self) -> None:
@@ -161,10 +161,10 @@
         elif kind == "cut":
             for other in self.tier.control_hosts:
                 if other != host:
-                    self.world.cut(address, f"{other}:{INTERNAL_PORT}", self.random.random() < 0.6)
+                    self.world.partition(address, f"{other}:{INTERNAL_PORT}", self.random.random() < 0.6)
         elif kind == "link":
             other = self.random.choice([one for one in self.tier.control_hosts if one != host])
-            self.world.cut(address, f"{other}:{INTERNAL_PORT}", self.random.random() < 0.6)
+            self.world.partition(address, f"{other}:{INTERNAL_PORT}", self.random.random() < 0.6)
         elif kind == "answer":
             self.random.choice(list(self.tier.endpoints.values())).fails = True
         elif kind == "drain" and not self.draining:
@@ -192,7 +192,7 @@
         files = self.world.machine(f"{host}:{INTERNAL_PORT}").files
         versions = [name for name in files.names() if name.startswith("batch-")]
         if versions:
-            files.damage(self.random.choice(versions), self.random)
+            files.corrupt(self.random.choice(versions), self.random)
         self.tier.start_control(host)
         lead = next((one for one, service in self.tier.controls.items() if service is primary), None)
         if lead is not None and self.random.random() < 0.5:
@@ -208,7 +208,7 @@
                 self.tier.start_control(host)
 
         service.leave(end)
-        self.world.at(self.world.time + LEAVE_WITHIN_S, end)
+        self.world.call_at(self.world.time + LEAVE_WITHIN_S, end)
 
     def _halve(self) -> None:
         """Half of the members are cut off from the other half."""
@@ -216,7 +216,7 @@
         half = len(hosts) // 2
         for one in hosts[:half]:
             for other in hosts[half:]:
-                self.world.cut(f"{one}:{INTERNAL_PORT}", f"{other}:{INTERNAL_PORT}")
+                self.world.partition(f"{one}:{INTERNAL_PORT}", f"{other}:{INTERNAL_PORT}")
 
     def _lose_disks_in_the_dark(self) -> None:
         """As many disks as may be are lost while all other machines lose power, relays too."""
--- a/lab/tier/history_checker.py
+++ b/lab/tier/history_checker.py
@@ -93,7 +93,7 @@
     def _runs(self) -> dict[str, list[Request]]:
         runs: dict[str, list[Request]] = {}
         for endpoint in self.tier.endpoints.values():
-            for request in endpoint.ran:
+            for request in endpoint.executed:
                 runs.setdefault(request.head.text(b"lynxscale-request-id"), []).append(request)
         return runs
 
--- a/lab/tier/models/election.py
+++ b/lab/tier/models/election.py
@@ -52,7 +52,7 @@
     leases: tuple[int, ...] = (1, 1, 0)
     ends: tuple[int, ...] = (0, 0, 0)
     steps: int = 2
-    cuts: int = 0
+    partitions: int = 0
     begun: tuple[Event, ...] = ()  # what has happened before the search begins
 
 
@@ -149,7 +149,7 @@
             "ends and starts": list(bounds.ends),
         }
         self._steps = bounds.steps
-        self._cuts = bounds.cuts
+        self._cuts = bounds.partitions
         self._links: dict[tuple[str, str], deque[Message]] = {}
         self._accepted: dict[int, dict[str, set[str]]] = {}  # by epoch and record: who accepted it
         self._records: dict[str, EpochRecord] = {}
@@ -261,5 +261,5 @@
     ElectionBounds(stands=(2, 0, 0), leases=(0, 0, 0), ends=(1, 0, 0), steps=0),
     ElectionBounds(stands=(1, 1, 0), leases=(1, 0, 0), steps=1),
     ElectionBounds(stands=(1, 1, 0), leases=(1, 0, 0), ends=(0, 0, 1), steps=1),
-    ElectionBounds(stands=(2, 0, 0), leases=(0, 0, 0), ends=(1, 0, 0), steps=2, cuts=1, begun=PROMISED),
+    ElectionBounds(stands=(2, 0, 0), leases=(0, 0, 0), ends=(1, 0, 0), steps=2, partitions=1, begun=PROMISED),
 )
--- a/lab/tier/models/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -1,4 +1,4 @@
-"""A snapshot on its way: a primary's copy and a follower, with writes, cuts, restarts and another primary between.
+"""A snapshot on its way: a primary's copy and a follower, with writes, partitions, restarts and another primary between.
 
 Messages of one connection come in order; a cut loses what is on its way. The follower may lose its process, the
 primary its lead to another member with the same state; time goes by.
@@ -46,7 +46,7 @@
     """How often each thing may happen. ``repairs``: the primary finds that the copy differs."""
 
     writes: int = 2
-    cuts: int = 1
+    partitions: int = 1
     restarts: int = 0
     leads: int = 0
     pauses: int = 1
@@ -75,7 +75,7 @@
         self._states: dict[Position, dict[str, bytes]] = {self.store.position: {}}
         self._left = {
             "submit": bounds.writes,
-            "cut": bounds.cuts,
+            "cut": bounds.partitions,
             "restart": bounds.restarts,
             "next lead": bounds.leads,
             "pause": bounds.pauses,
@@ -222,10 +222,10 @@
 
 
 BOUNDS = (
-    TransferBounds(writes=3, cuts=0, pauses=0),
-    TransferBounds(writes=2, cuts=1, pauses=1),
-    TransferBounds(writes=1, cuts=1, pauses=2),
-    TransferBounds(writes=2, cuts=0, restarts=1, pauses=1),
-    TransferBounds(writes=2, cuts=1, leads=1, pauses=1),
-    TransferBounds(writes=2, cuts=0, pauses=1, repairs=1),
+    TransferBounds(writes=3, partitions=0, pauses=0),
+    TransferBounds(writes=2, partitions=1, pauses=1),
+    TransferBounds(writes=1, partitions=1, pauses=2),
+    TransferBounds(writes=2, partitions=0, restarts=1, pauses=1),
+    TransferBounds(writes=2, partitions=1, leads=1, pauses=1),
+    TransferBounds(writes=2, partitions=0, pauses=1, repairs=1),
 )
--- a/lab/tier/second_failure.py
+++ b/lab/tier/second_failure.py
@@ -56,7 +56,7 @@
 class Loss:
     """Which member is lost, counted from the primary of the start, with its disk or not, and in which instant."""
 
-    instant: int
+    step: int
     place: int
     wipe: bool
 
@@ -65,7 +65,7 @@
 class Played:
     """One play. ``problem`` is empty where all held."""
 
-    instants: int
+    steps: int
     problem: str
 
 
@@ -86,7 +86,9 @@
 
     def begin(group: ControlGroup) -> None:
         address = members_by_place(group)[place]
-        group.leave(address, then=lambda: group.world.at(group.world.time + RESTART_S, lambda: group.start(address)))
+        group.leave(
+            address, then=lambda: group.world.call_at(group.world.time + RESTART_S, lambda: group.start(address))
+        )
 
     return begin
 
@@ -96,7 +98,7 @@
 
     def begin(group: ControlGroup) -> None:
         group.kill(members_by_place(group)[place], power=True, wipe=True)
-        group.world.at(group.world.time + 0.3, lambda: group.start(NEWCOMER))
+        group.world.call_at(group.world.time + 0.3, lambda: group.start(NEWCOMER))
 
     return begin
 
@@ -105,7 +107,7 @@
     """An empty member comes, then a backup is asked to stop for good."""
     backup = members_by_place(group)[1]
     group.start(NEWCOMER)
-    group.world.at(group.world.time + 0.3, lambda: group.leave(backup) if backup in group.members else None)
+    group.world.call_at(group.world.time + 0.3, lambda: group.leave(backup) if backup in group.members else None)
 
 
 def wipe(place: int) -> Callable[[ControlGroup], None]:
@@ -114,7 +116,7 @@
     def begin(group: ControlGroup) -> None:
         address = members_by_place(group)[place]
         group.kill(address, power=True, wipe=True)
-        group.world.at(group.world.time + 0.3, lambda: group.start(address))
+        group.world.call_at(group.world.time + 0.3, lambda: group.start(address))
 
     return begin
 
@@ -172,18 +174,18 @@
         """Play it."""
         self._prepare()
         places = members_by_place(self.group)
-        first = self.world.instants
+        first = self.world.steps
         if self.loss is not None:
             self._victim = places[self.loss.place]
-            self.world.at_instant(first + self.loss.instant, self._lose)
+            self.world.call_at_step(first + self.loss.step, self._lose)
         for number in range(WRITES):
-            self.world.at(self.world.time + number * CHANGE_S / WRITES, self._write)
+            self.world.call_at(self.world.time + number * CHANGE_S / WRITES, self._write)
         self.change.begin(self.group)
         self.world.run(self.world.time + CHANGE_S)
-        instants = self.world.instants - first
-        if self.loss is not None and self.loss.instant > instants:
-            return Played(instants, "")
-        return Played(instants, self._problem())
+        steps = self.world.steps - first
+        if self.loss is not None and self.loss.step > steps:
+            return Played(steps, "")
+        return Played(steps, self._problem())
 
     def _prepare(self) -> None:
         self.group.start_all()
@@ -237,14 +239,14 @@
             return False
 
 
-def losses(size: Size, change: Change, instants: int, every: int) -> Iterator[Loss]:
+def losses(size: Size, change: Change, steps: int, every: int) -> Iterator[Loss]:
     """All further losses to be played."""
-    for instant in range(1, instants + 1, every):
+    for step in range(1, steps + 1, every):
         for place in range(min(3, size.founders)):
             for wiped in (False, True):
                 beyond = change.lost_in(size) + 1 > size.tolerated
                 if not (wiped and beyond):
-                    yield Loss(instant, place, wiped)
+                    yield Loss(step, place, wiped)
 
 
 def problems(size: Size, change: Change, every: int = 1, seed: int = 1) -> Iterator[str]:
@@ -252,7 +254,7 @@
     quiet = Play(size, change, None, seed).run()
     if quiet.problem:
         yield f"{size} {change.name}, no further loss: {quiet.problem}"
-    for loss in losses(size, change, quiet.instants, every):
+    for loss in losses(size, change, quiet.steps, every):
         played = Play(size, change, loss, seed).run()
         if played.problem:
             yield f"{size} {change.name}, {loss}: {played.problem}"
--- a/lab/tier/simulated_tcp.py
+++ b/lab/tier/simulated_tcp.py
@@ -19,7 +19,7 @@
         self.other = other
         self.protocol = protocol
         self.peer: SimulatedTransport | None = None
-        self.life = world.machine(own).life
+        self.incarnation = world.machine(own).incarnation
         self._closing = False
         self._arrival = 0.0
 
@@ -33,7 +33,7 @@
         if not self._closing:
             self._closing = True
             self._carry(lambda peer: peer.lose(None))
-            self.world.at(self.world.time, lambda: self._lost(None))
+            self.world.call_at(self.world.time, lambda: self._lost(None))
 
     def abort(self) -> None:
         """End the connection at once."""
@@ -58,7 +58,7 @@
             self._lost(error)
 
     def _lost(self, error: Exception | None) -> None:
-        if self.world.machine(self.own).life == self.life:
+        if self.world.machine(self.own).incarnation == self.incarnation:
             self.protocol.connection_lost(error)
 
     def _carry(self, act: Callable[[SimulatedTransport], None]) -> None:
@@ -66,13 +66,13 @@
         self._arrival = max(self._arrival, self.world.time + self.world.delay_s)
 
         def arrive() -> None:
-            alive = self.world.machine(peer.own).life == peer.life
-            if (self.own, self.other) in self.world.cuts or not alive:
-                self.world.at(self.world.time + RESET_AFTER_S, lambda: self.lose(ConnectionResetError()))
+            alive = self.world.machine(peer.own).incarnation == peer.incarnation
+            if (self.own, self.other) in self.world.partitions or not alive:
+                self.world.call_at(self.world.time + RESET_AFTER_S, lambda: self.lose(ConnectionResetError()))
             elif not peer._closing:
                 act(peer)
 
-        self.world.at(self._arrival, arrive, self.world.machine(peer.own))
+        self.world.call_at(self._arrival, arrive, self.world.machine(peer.own))
 
 
 class SimulatedTcp:
@@ -84,7 +84,7 @@
 
     def listen(self, machine: str, address: str, factory: Callable[[], Any]) -> None:
         """Accept connections as long as the machine's present process lives."""
-        self._listeners[address] = (machine, self.world.machine(machine).life, factory)
+        self._listeners[address] = (machine, self.world.machine(machine).incarnation, factory)
 
     def close(self, address: str) -> None:
         """Accept no more."""
@@ -97,12 +97,12 @@
     def _dial(self, source: str, address: str, connection: Any) -> None:
         def connect() -> None:
             entry = self._listeners.get(address)
-            if entry is None or self.world.machine(entry[0]).life != entry[1]:
+            if entry is None or self.world.machine(entry[0]).incarnation != entry[1]:
                 connection.on_connect_failed()
                 return
             target, _, factory = entry
-            if (source, target) in self.world.cuts or (target, source) in self.world.cuts:
-                self.world.at(self.world.time + 1.0, connection.on_connect_failed)
+            if (source, target) in self.world.partitions or (target, source) in self.world.partitions:
+                self.world.call_at(self.world.time + 1.0, connection.on_connect_failed)
                 return
             server = factory()
             near = SimulatedTransport(self.world, source, target, connection)
@@ -111,4 +111,4 @@
             server.connection_made(far)
             connection.connection_made(near)
 
-        self.world.at(self.world.time + 2 * self.world.delay_s, connect, self.world.machine(source))
+        self.world.call_at(self.world.time + 2 * self.world.delay_s, connect, self.world.machine(source))
--- a/lab/tier/simulated_tier.py
+++ b/lab/tier/simulated_tier.py
@@ -178,7 +178,7 @@
         """Send an update of the configuration."""
         return self.operator_call("POST", "/config/update", msgspec.json.encode(update), str(base))
 
-    def settle(self) -> SimulatedTier:
+    def start_serving(self) -> SimulatedTier:
         """Push the first configuration and wait until all relays are ready."""
         assert self.push(default_configuration(), 0).status == 200
         assert self.world.run_until(lambda: all(one.ready for one in self.relays.values()), 5.0), "not ready in time"
@@ -186,7 +186,7 @@
 
     # Clients -----------------------------------------------------------------------------------------
 
-    def begin(
+    def start_request(
         self, path: str, relay: str = "", body: bytes = b"", method: str = "POST", request_id: str = "", **fields: str
     ) -> tuple[ClientResponse, ClientConnection]:
         """Send a client's request; field names have underscores for hyphens."""
@@ -199,9 +199,9 @@
         host = relay or self.relay_hosts[0]
         return send_request(self.world, self.streams, f"{host}:{FRONT_PORT}", request)
 
-    def ask(self, path: str, within: float = 6.0, **more: str) -> ClientResponse:
+    def request(self, path: str, within: float = 6.0, **more: str) -> ClientResponse:
         """Send a client's request and wait for its end."""
-        answer, _ = self.begin(path, **more)
+        answer, _ = self.start_request(path, **more)
         assert self.world.run_until(lambda: answer.ended, within), "no end in time"
         return answer
 
@@ -210,4 +210,4 @@
     ) -> ClientResponse:
         """One turn of a program."""
         tokens = f"100,{most}"
-        return self.ask(path, program=program, budget=str(budget), lynxscale_token_count=tokens, **more)
+        return self.request(path, program=program, budget=str(budget), lynxscale_token_count=tokens, **more)
--- a/lab/tier/world.py
+++ b/lab/tier/world.py
@@ -40,13 +40,13 @@
         self.loss = loss
         self.time = 0.0
         self.machines: dict[str, Machine] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        self.instants = 0  # messages handled and syncs done, of all machines
-        self._at_instant: dict[int, Callable[[], None]] = {}
+        self.partitions: set[tuple[str, str]] = set()
+        self.steps = 0  # messages handled and syncs done, of all machines
+        self._calls_at_step: dict[int, Callable[[], None]] = {}
         self._events: list[tuple[float, int, Event]] = []
         self._order = count().__next__
-        self._link_free: dict[tuple[str, str], float] = {}
-        self._wire_free: dict[tuple[str, str], float] = {}
+        self._last_arrival: dict[tuple[str, str], float] = {}
+        self._wire_free_at: dict[tuple[str, str], float] = {}
 
     def machine(self, address: str) -> Machine:
         """The machine at an address, made on first use."""
@@ -54,7 +54,7 @@
             self.machines[address] = Machine(self, address)
         return self.machines[address]
 
-    def at(self, time: float, call: Callable[[], None], owner: Machine | None = None) -> Event:
+    def call_at(self, time: float, call: Callable[[], None], owner: Machine | None = None) -> Event:
         """Make a call at a time."""
         event = Event(call, owner)
         heapq.heappush(self._events, (time, self._order(), event))
@@ -64,7 +64,7 @@
         """Let everything happen that is due up to a time."""
         while self._events and self._events[0][0] <= until:
             self.time, _, event = heapq.heappop(self._events)
-            self._happen(event)
+            self._dispatch(event)
         self.time = until
 
     def run_until(self, condition: Callable[[], bool], within: float) -> bool:
@@ -75,54 +75,54 @@
                 self.time = end
                 return condition()
             self.time, _, event = heapq.heappop(self._events)
-            self._happen(event)
+            self._dispatch(event)
         return True
 
-    def at_instant(self, number: int, call: Callable[[], None]) -> None:
+    def call_at_step(self, number: int, call: Callable[[], None]) -> None:
         """Make a call right after so many messages were handled and syncs done."""
-        self._at_instant[number] = call
+        self._calls_at_step[number] = call
 
-    def instant(self, machine: Machine) -> None:
+    def count_step(self, machine: Machine) -> None:
         """A message was handled or a sync done on a machine. Raises ProcessEnded where that has ended its process."""
-        self.instants += 1
-        call = self._at_instant.pop(self.instants, None)
+        self.steps += 1
+        call = self._calls_at_step.pop(self.steps, None)
         if call is not None:
-            life = machine.life
+            incarnation = machine.incarnation
             call()
-            if machine.life != life:
+            if machine.incarnation != incarnation:
                 raise ProcessEnded
 
-    def cut(self, one: str, other: str, both_ways: bool = True) -> None:
+    def partition(self, one: str, other: str, both_ways: bool = True) -> None:
         """Nothing passes from one to the other any more."""
-        self.cuts.add((one, other))
+        self.partitions.add((one, other))
         if both_ways:
-            self.cuts.add((other, one))
+            self.partitions.add((other, one))
 
     def heal(self) -> None:
         """All links pass again."""
-        self.cuts.clear()
+        self.partitions.clear()
 
     def deliver(self, source: str, target: str, message: Message) -> None:
         """Carry a message over the link, in order, unless it is lost."""
-        if (source, target) in self.cuts or self.random.random() < self.loss:
+        if (source, target) in self.partitions or self.random.random() < self.loss:
             return
         link = (source, target)
         payload = encode(message)
         machine, sender = self.machine(target), self.machine(source)
         begun = max(self.time, sender.frozen_until)
         if speed := min(machine.bytes_per_s, sender.bytes_per_s):
-            begun = max(begun, self._wire_free.get(link, 0.0)) + len(payload) / speed
-            self._wire_free[link] = begun
-        arrival = max(begun + self.delay_s * self.random.uniform(0.7, 1.5), self._link_free.get(link, 0.0))
-        self._link_free[link] = arrival
-        life = machine.life
-        self.at(arrival, lambda: machine.arrive(life, source, target, payload), machine)
-
-    def _happen(self, event: Event) -> None:
+            begun = max(begun, self._wire_free_at.get(link, 0.0)) + len(payload) / speed
+            self._wire_free_at[link] = begun
+        arrival = max(begun + self.delay_s * self.random.uniform(0.7, 1.5), self._last_arrival.get(link, 0.0))
+        self._last_arrival[link] = arrival
+        incarnation = machine.incarnation
+        self.call_at(arrival, lambda: machine.on_arrival(incarnation, source, target, payload), machine)
+
+    def _dispatch(self, event: Event) -> None:
         if event.call is None:
             return
         if event.owner is not None and event.owner.frozen_until > self.time:
-            self.at(event.owner.frozen_until, event.call, event.owner)
+            self.call_at(event.owner.frozen_until, event.call, event.owner)
             return
         with contextlib.suppress(ProcessEnded):
             event.call()
@@ -136,7 +136,7 @@
         self.address = address
         self.files = SimulatedFiles(self)
         self.receive: Callable[[Message], None] | None = None
-        self.life = 0
+        self.incarnation = 0
         self.frozen_until = 0.0
         self.bytes_per_s = float("inf")  # of its links
         self.sync_s = 0.0  # of one sync; the process stands still meanwhile
@@ -151,15 +151,19 @@
         """The network of the machine's present process."""
         return MachineNetwork(self)
 
-    def arrive(self, life: int, source: str, target: str, payload: bytes) -> None:
+    def on_arrival(self, incarnation: int, source: str, target: str, payload: bytes) -> None:
         """A message comes in, unless its process has ended or the link was cut meanwhile."""
-        if life == self.life and self.receive is not None and (source, target) not in self.world.cuts:
+        if (
+            incarnation == self.incarnation
+            and self.receive is not None
+            and (source, target) not in self.world.partitions
+        ):
             self.receive(decode(payload))
-            self.world.instant(self)
+            self.world.count_step(self)
 
     def kill(self, power: bool = False, wipe: bool = False) -> None:
         """End the process, with the machine's power or its disk too."""
-        self.life += 1
+        self.incarnation += 1
         self.receive = None
         if power:
             self.files.lose_power(self.world.random)
@@ -182,7 +186,7 @@
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
-        self._life = machine.life
+        self._incarnation = machine.incarnation
 
     def now(self) -> float:
         """Seconds. Within a call that has written, the time at which its syncs are done."""
@@ -195,8 +199,10 @@
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Event:
         """A call that is not made once the process has ended."""
-        machine, life = self._machine, self._life
-        return machine.world.at(self.now() + max(0.0, delay), lambda: call() if machine.life == life else None, machine)
+        machine, incarnation = self._machine, self._incarnation
+        return machine.world.call_at(
+            self.now() + max(0.0, delay), lambda: call() if machine.incarnation == incarnation else None, machine
+        )
 
 
 class MachineNetwork:
@@ -204,11 +210,11 @@
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
-        self._life = machine.life
+        self._incarnation = machine.incarnation
 
     def send(self, address: str, message: Message) -> None:
         """Send, unless the process has ended."""
-        if self._machine.life == self._life:
+        if self._machine.incarnation == self._incarnation:
             self._machine.world.deliver(self._machine.address, address, message)
 
 
@@ -221,7 +227,7 @@
         self._removed: dict[str, bytes] = {}
         self.full = False
 
-    def need_space(self) -> None:
+    def check_space(self) -> None:
         """Raises OSError where the disk is full."""
         if self.full:
             raise OSError(28, "No space left on device")
@@ -232,20 +238,20 @@
 
     def write_all(self, contents: dict[str, bytes]) -> None:
         """Store several files, one after the other. Raises OSError where the disk is full."""
-        self.need_space()
+        self.check_space()
         self._machine.sync(len(contents) + 1)
         for name, content in contents.items():
             self._files[name] = content
             self._removed.clear()
-            self._machine.world.instant(self._machine)
+            self._machine.world.count_step(self._machine)
 
-    def damage(self, name: str, random: Random) -> None:
+    def corrupt(self, name: str, random: Random) -> None:
         """Change one byte of a file."""
         content = bytearray(self._files[name])
         content[random.randrange(len(content))] ^= 1 << random.randrange(8)
         self._files[name] = bytes(content)
 
-    def tear(self, name: str, random: Random) -> None:
+    def truncate(self, name: str, random: Random) -> None:
         """Cut a file short."""
         self._files[name] = self._files[name][: random.randrange(len(self._files[name]))]
 
@@ -284,7 +290,7 @@
 
     def append(self, content: bytes) -> None:
         """Add a piece. Raises OSError where the disk is full."""
-        self._files.need_space()
+        self._files.check_space()
         self._content += content
 
     def finish(self) -> None:
--- a/tests/runtime/test_processes.py
+++ b/tests/runtime/test_processes.py
@@ -115,7 +115,7 @@
 async def check_end(tier: LocalTier) -> None:
     """SIGTERM amid a stream: it comes to its end, and the process to exit code 0."""
     for endpoint in tier.endpoints:
-        endpoint.work_s = 1.0
+        endpoint.service_time_s = 1.0
     address = tier.frontend("relay-1")
     fields = ((b"lynxscale-request-id", b"last"),)
     stream = asyncio.create_task(tier.call(address, "POST", "/open/stream", b"", fields))
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -180,7 +180,7 @@
 
 
 def test_a_long_list_goes_in_parts_and_a_change_costs_one():
-    one = SimulatedTier(World(6)).settle()
+    one = SimulatedTier(World(6)).start_serving()
     template = one.platform.listed[0]
     for number in range(350):
         one.platform.listed.append(msgspec.structs.replace(template, id=f"x{number}", address=f"10.9.0.{number}:1"))
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -56,7 +56,7 @@
     def write() -> None:
         for leader in group.leaders():
             group.submit(leader, f"steady{next(count) % keys}", value, lambda committed: None)
-        group.world.at(group.world.time + every_s, write)
+        group.world.call_at(group.world.time + every_s, write)
 
     write()
 
@@ -168,7 +168,7 @@
     assert not Store(files).intact
     files._files[state] = content
     assert Store(files).intact
-    files.damage(state, group.world.random)
+    files.corrupt(state, group.world.random)
     assert not Store(files).intact
 
 
@@ -305,7 +305,7 @@
     group.kill(address_of(group.wait_for_leader().me))
     group.wait_for_leader()
     for one in group.members:
-        group.world.cut(one, address)
+        group.world.partition(one, address)
     group.world.run(group.world.time + 0.7)
     group.world.heal()
     assert group.world.run_until(lambda: member.me in group.wait_for_leader().record.in_sync, 14.0)
@@ -323,7 +323,7 @@
 
     def scrub() -> None:
         leader.leadership.scrub()
-        group.world.at(group.world.time + 0.033, scrub)
+        group.world.call_at(group.world.time + 0.033, scrub)
 
     scrub()
     assert group.world.run_until(lambda: member.store.values["big00001"] == leader.store.values["big00001"], 5.0)
@@ -363,7 +363,7 @@
         for leader in group.leaders():
             group.submit(leader, f"new{number:05}", number, lambda committed: None)
         if number < 900:
-            group.world.at(group.world.time + 0.003, write)
+            group.world.call_at(group.world.time + 0.003, write)
 
     write()
     group.world.run(group.world.time + 0.3)
@@ -423,7 +423,7 @@
         machine = world.machine("a:1")
         identity = MemberIdentity("a:1", True, ("a:1", "b:1", "c:1"))
         witness = Acceptor(AcceptorStateFile(identity, machine.files, world.random), machine.clock(), LEASE_S)
-        world.at_instant(world.instants + instant, lambda one=machine: one.kill(power=True))
+        world.call_at_step(world.steps + instant, lambda one=machine: one.kill(power=True))
         with pytest.raises(ProcessEnded):
             witness.prepare(Prepare(5, "b:1#0"), Position(0, 0))
         assert AcceptorStateFile(identity, machine.files, world.random).state.promised == 5
@@ -470,7 +470,7 @@
         half = members[: size // 2]
         for one in half:
             for other in members[size // 2 :]:
-                group.world.cut(one, other)
+                group.world.partition(one, other)
         end, most = group.world.time + 20, 0
         while group.world.time < end:
             group.world.run(group.world.time + 0.05)
@@ -491,9 +491,9 @@
         cut = group.seeds[seed % 3]
         for other in group.seeds:
             if other != cut and one_way in ("both", "out"):
-                group.world.cut(cut, other, both_ways=False)
+                group.world.partition(cut, other, both_ways=False)
             if other != cut and one_way in ("both", "in"):
-                group.world.cut(other, cut, both_ways=False)
+                group.world.partition(other, cut, both_ways=False)
         group.world.run(group.world.time + 20)
         leader = group.wait_for_leader()
         group.world.heal()
@@ -501,7 +501,7 @@
 
         def look(group=group, gaps=gaps) -> None:
             gaps.append(not group.leaders())
-            group.world.at(group.world.time + 0.02, look)
+            group.world.call_at(group.world.time + 0.02, look)
 
         look()
         group.world.run(group.world.time + 1)
@@ -518,7 +518,7 @@
         cut = group.seeds[seed % 3]
         for other in (*group.seeds, NEWCOMER):
             if other != cut:
-                group.world.cut(cut, other)
+                group.world.partition(cut, other)
         group.world.run(group.world.time + 12)
         group.world.heal()
         member = group.members[cut]
@@ -607,12 +607,12 @@
 
 
 def test_an_admission_that_came_too_late_gives_back_what_it_reserved():
-    tier = SimulatedTier(World(3)).settle()
+    tier = SimulatedTier(World(3)).start_serving()
     tier.world.run(tier.world.time + 1)
     own = f"{tier.relay_hosts[0]}:7000"
     for host in tier.control_hosts:
-        tier.world.cut(f"{host}:7000", own, both_ways=False)  # the admission arrives, its answer does not
-    answer, _ = tier.begin("/kept/stream", program="p", budget="40", lynxscale_token_count="1,40")
+        tier.world.partition(f"{host}:7000", own, both_ways=False)  # the admission arrives, its answer does not
+    answer, _ = tier.start_request("/kept/stream", program="p", budget="40", lynxscale_token_count="1,40")
     assert tier.world.run_until(lambda: answer.ended, 4.0)
     assert answer.status == 503
     tier.world.heal()
@@ -622,7 +622,7 @@
 
 
 def test_a_retirement_is_not_taken_by_what_a_primary_only_remembers():
-    tier = SimulatedTier(World(4), controls=4).settle()
+    tier = SimulatedTier(World(4), controls=4).start_serving()
     tier.world.run(tier.world.time + 4)
     lead = tier.primary()
     gone, retired = [host for host in tier.control_hosts if tier.controls[host] is not lead][:2]
@@ -638,7 +638,7 @@
 
 def test_old_orders_are_forgotten_and_then_neither_refused_nor_taken(monkeypatch):
     monkeypatch.setattr("lynxscale.controlplane.operator_api.MOST_ORDERS", 8)
-    tier = SimulatedTier(World(5)).settle()
+    tier = SimulatedTier(World(5)).start_serving()
     for number in range(2, 21):
         assert tier.push(default_configuration(number), number - 1).status == 200
     orders = [key for key in tier.primary().member.store.values if key.startswith("order/")]
--- a/tests/test_tier_group.py
+++ b/tests/test_tier_group.py
@@ -89,12 +89,12 @@
     own = address_of(leader.me)
     for other in group.seeds:
         if other != own:
-            group.world.cut(own, other)
+            group.world.partition(own, other)
     overlap = []
 
     def watch():
         overlap.append(len(group.leaders()))
-        group.world.at(group.world.time + 0.005, watch)
+        group.world.call_at(group.world.time + 0.005, watch)
 
     watch()
     group.world.run(group.world.time + 4)
@@ -174,7 +174,7 @@
     def write():
         if leader.leads():
             group.submit(leader, "steady", group.world.time, lambda committed: None)
-        group.world.at(group.world.time + 0.01, write)
+        group.world.call_at(group.world.time + 0.01, write)
 
     write()
     group.kill(backup, power=True)
@@ -206,7 +206,7 @@
     cut = next(a for a in group.seeds if a != address_of(leader.me))
     for other in group.seeds:
         if other != cut:
-            group.world.cut(cut, other)
+            group.world.partition(cut, other)
     group.world.run(group.world.time + 12)
     group.world.heal()
     member = group.members[cut]
@@ -226,7 +226,7 @@
     own = address_of(leader.me)
     for other in group.seeds:
         if other != own:
-            group.world.cut(own, other)
+            group.world.partition(own, other)
     outcomes = []
     group.submit(leader, "first", 1, outcomes.append)
     group.world.run(group.world.time + 0.1)
@@ -311,4 +311,4 @@
     else:
         for other in group.seeds:
             if other != address:
-                world.cut(address, other, both_ways=world.random.random() < 0.5)
+                world.partition(address, other, both_ways=world.random.random() < 0.5)
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -65,7 +65,7 @@
     leader = group.wait_for_leader()
     backup = next(one for one in group.members.values() if one is not leader)
     epoch, promised = leader.record.epoch, backup.acceptor.state.promised
-    group.world.cut(address_of(leader.me), address_of(backup.me), both_ways=False)
+    group.world.partition(address_of(leader.me), address_of(backup.me), both_ways=False)
     group.world.run(group.world.time + 5)
     assert leader.leads() and backup.acceptor.state.promised in (promised, leader.record.epoch)
     assert leader.record.epoch <= epoch + 2  # it left the in-sync set, no more
@@ -160,5 +160,5 @@
     register.save(AcceptorState("a#0", register.state.accepted, 7, "b#0"))
     machine.files._files[ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX] = before
     assert AcceptorStateFile(identity, machine.files, machine.world.random).state.promised == 7
-    machine.files.tear(ACCEPTOR_STATE_FILE, machine.world.random)
+    machine.files.truncate(ACCEPTOR_STATE_FILE, machine.world.random)
     assert AcceptorStateFile(identity, machine.files, machine.world.random).state.promised == 7
--- a/tests/test_tier_whole.py
+++ b/tests/test_tier_whole.py
@@ -15,7 +15,7 @@
 
 
 def tier(seed: int = 1, **more) -> SimulatedTier:
-    return SimulatedTier(World(seed), **more).settle()
+    return SimulatedTier(World(seed), **more).start_serving()
 
 
 def runs(one: SimulatedTier, request_id: str) -> list[str]:
@@ -24,7 +24,7 @@
     return [
         name
         for name, endpoint in one.endpoints.items()
-        for request in endpoint.ran
+        for request in endpoint.executed
         if request.head.get(b"lynxscale-request-id") == wanted
     ]
 
@@ -34,24 +34,24 @@
 
 def test_a_call_is_answered_with_the_endpoints_own_bytes_and_stamp():
     one = tier()
-    answer = one.ask("/look/2f", method="GET", request_id="a")
+    answer = one.request("/look/2f", method="GET", request_id="a")
     assert (answer.status, answer.body, answer.complete) == (200, b"done", True)
     assert answer.head.text(b"lynxscale-response-signature") == runs(one, "a")[0]
 
 
 def test_a_stream_passes_whole_and_as_it_comes():
     one = tier()
-    answer = one.ask("/open/stream")
+    answer = one.request("/open/stream")
     assert (answer.status, answer.body, answer.complete) == (200, EVENTS, True)
-    assert answer.ended_at - answer.first_at > 0.05
+    assert answer.ended_at - answer.first_byte_at > 0.05
 
 
 def test_no_route_is_404_and_no_configuration_waits_and_is_503():
     one = tier()
-    assert one.ask("/nowhere/").status == 404
+    assert one.request("/nowhere/").status == 404
     empty = SimulatedTier(World(2))
     empty.world.run(2.0)
-    answer = empty.ask("/look/1")
+    answer = empty.request("/look/1")
     assert answer.status == 503
     assert float(answer.head.text(b"retry-after")) > 0
 
@@ -59,7 +59,7 @@
 def test_a_request_that_came_before_the_configuration_is_served_once_it_is_there():
     one = SimulatedTier(World(3))
     one.world.run(1.5)
-    answer, _ = one.begin("/look/1")
+    answer, _ = one.start_request("/look/1")
     one.world.run(one.world.time + 0.1)
     assert one.push(default_configuration(), 0).status == 200
     assert one.world.run_until(lambda: answer.ended, 2.0)
@@ -68,9 +68,9 @@
 
 def test_what_is_refused_unrun_goes_to_another_endpoint():
     one = tier()
-    one.endpoints["i-2"].refuses = True
+    one.endpoints["i-2"].rejects = True
     for number in range(6):
-        assert one.ask("/book/1", request_id=f"b{number}").status == 200
+        assert one.request("/book/1", request_id=f"b{number}").status == 200
         assert runs(one, f"b{number}") == ["i-3"]
 
 
@@ -78,7 +78,7 @@
     one = tier()
     for endpoint in one.endpoints.values():
         endpoint.fails = True
-    answer = one.ask("/book/1", request_id="b")
+    answer = one.request("/book/1", request_id="b")
     assert answer.status == 502
     assert len(runs(one, "b")) == 1
 
@@ -86,19 +86,19 @@
 def test_a_safe_call_whose_answer_is_lost_runs_again_within_its_attempts():
     one = tier()
     one.endpoints["i-2"].fails = one.endpoints["i-3"].fails = True
-    assert one.ask("/look/1", request_id="s").status == 502
+    assert one.request("/look/1", request_id="s").status == 502
     assert len(runs(one, "s")) == 2
     one.endpoints["i-3"].fails = False
     one.world.run(one.world.time + 3)
-    assert one.ask("/look/1", request_id="t").status == 200
+    assert one.request("/look/1", request_id="t").status == 200
 
 
 def test_when_all_endpoints_are_full_the_refusal_says_when_to_come_back():
     one = tier()
     for endpoint in one.endpoints.values():
-        endpoint.refuses = True
+        endpoint.rejects = True
     before = one.world.time
-    answer = one.ask("/book/1", request_id="f")
+    answer = one.request("/book/1", request_id="f")
     assert answer.status == 503
     assert float(answer.head.text(b"retry-after")) > 0
     assert one.world.time - before < 0.3
@@ -107,19 +107,19 @@
 
 def test_a_resumable_stream_that_breaks_goes_on_at_another_endpoint_within_one_answer():
     one = tier()
-    one.endpoints["i-0"].breaks_after = one.endpoints["i-1"].breaks_after = 2
-    answer = one.ask("/open/stream", request_id="r")
-    one.endpoints["i-0"].breaks_after = one.endpoints["i-1"].breaks_after = None
+    one.endpoints["i-0"].aborts_after = one.endpoints["i-1"].aborts_after = 2
+    answer = one.request("/open/stream", request_id="r")
+    one.endpoints["i-0"].aborts_after = one.endpoints["i-1"].aborts_after = None
     assert sorted(runs(one, "r")) == ["i-0", "i-1"] or answer.failure is not None
-    one.endpoints["i-0"].breaks_after = 2
-    answers = [one.ask("/open/stream", request_id=f"x{number}") for number in range(6)]
+    one.endpoints["i-0"].aborts_after = 2
+    answers = [one.request("/open/stream", request_id=f"x{number}") for number in range(6)]
     assert all(answer.body == EVENTS and answer.complete for answer in answers)
     assert any(len(runs(one, f"x{number}")) == 2 for number in range(6))
 
 
 def test_a_stream_that_may_not_be_resumed_is_broken_off_and_never_looks_complete():
     one = tier()
-    one.endpoints["i-0"].breaks_after = one.endpoints["i-1"].breaks_after = 2
+    one.endpoints["i-0"].aborts_after = one.endpoints["i-1"].aborts_after = 2
     answer = one.turn("p", 1000)
     assert not answer.complete
     assert EVENTS.startswith(answer.body)
@@ -128,8 +128,8 @@
 def test_a_client_that_leaves_frees_its_endpoint_at_once():
     one = tier()
     for endpoint in one.endpoints.values():
-        endpoint.work_s = 3.0
-    _, connection = one.begin("/open/stream")
+        endpoint.service_time_s = 3.0
+    _, connection = one.start_request("/open/stream")
     one.world.run(one.world.time + 0.3)
     assert sum(endpoint.running for endpoint in one.endpoints.values()) == 1
     connection.close()
@@ -141,14 +141,14 @@
     one = tier()
     relay = one.relays[one.relay_hosts[0]]
     for endpoint in one.endpoints.values():
-        endpoint.work_s = 0.2
+        endpoint.service_time_s = 0.2
     for _ in range(4):
-        one.begin("/look/1", method="GET")
+        one.start_request("/look/1", method="GET")
     one.world.run(one.world.time + 0.1)
     assert all(state.in_flight <= 1 for state in relay.balancer.states.values())
     one.world.run(one.world.time + 2)
     for _ in range(30):
-        one.ask("/look/1", method="GET")
+        one.request("/look/1", method="GET")
     assert max(state.window for state in relay.balancer.states.values()) > 3
     assert all(state.window <= 6 for state in relay.balancer.states.values())
 
@@ -157,10 +157,10 @@
     """The design: twenty tries of 50 ms, then one endpoint hangs."""
     one = tier()
     for number in range(60):
-        assert one.ask("/look/1", method="GET", request_id=f"w{number}").status == 200
+        assert one.request("/look/1", method="GET", request_id=f"w{number}").status == 200
     hung = runs(one, "w59")[0]
-    one.endpoints[hung].work_s = 3.0
-    answers = [one.ask("/look/1", method="GET", request_id=f"c{number}") for number in range(4)]
+    one.endpoints[hung].service_time_s = 3.0
+    answers = [one.request("/look/1", method="GET", request_id=f"c{number}") for number in range(4)]
     assert all(answer.status == 200 for answer in answers)
     restarted = [number for number in range(4) if len(runs(one, f"c{number}")) == 2]
     assert restarted
@@ -176,26 +176,26 @@
     assert one.push(table, 0).status == 200
     assert one.world.run_until(lambda: all(relay.ready for relay in one.relays.values()), 5.0)
     for _ in range(20):
-        one.ask("/open/stream", lynxscale_token_count="100,40")
+        one.request("/open/stream", lynxscale_token_count="100,40")
     for endpoint in one.endpoints.values():
-        endpoint.most_running = 0
-    answers = [one.begin("/open/stream", lynxscale_token_count="400,100")[0] for _ in range(6)]
+        endpoint.max_running = 0
+    answers = [one.start_request("/open/stream", lynxscale_token_count="400,100")[0] for _ in range(6)]
     one.world.run(one.world.time + 2.0)
     assert all(answer.status == 200 for answer in answers)
-    assert max(endpoint.most_running for endpoint in one.endpoints.values()) == 1
+    assert max(endpoint.max_running for endpoint in one.endpoints.values()) == 1
 
 
 def test_an_endpoint_whose_tries_often_go_wrong_is_left_out_and_tried_again_later():
     one = tier()
     one.endpoints["i-2"].fails = True
     for number in range(40):
-        one.ask("/look/1", method="GET", request_id=f"g{number}")
+        one.request("/look/1", method="GET", request_id=f"g{number}")
     late = [number for number in range(20, 40) if "i-2" in runs(one, f"g{number}")]
     assert len(late) <= 4
     one.endpoints["i-2"].fails = False
     one.world.run(one.world.time + 10)
     for number in range(40):
-        assert one.ask("/look/1", method="GET", request_id=f"h{number}").status == 200
+        assert one.request("/look/1", method="GET", request_id=f"h{number}").status == 200
     assert any("i-2" in runs(one, f"h{number}") for number in range(40))
 
 
@@ -203,9 +203,9 @@
     one = tier()
     for name in ("i-2", "i-3"):
         address = one.endpoints[name].endpoint.address
-        one.platform.refuses = True
+        one.platform.rejects = True
         one.add_endpoint(MODEL, address, f"new-{name}", slots=8)
-    answer = one.ask("/book/1", request_id="m")
+    answer = one.request("/book/1", request_id="m")
     assert answer.status == 503
     assert runs(one, "m") == []
 
@@ -220,13 +220,13 @@
     second = one.turn("p", 1000, request_id="t2", body=b"more", previous="t1", relay=one.relay_hosts[1])
     assert second.complete
     endpoint = one.endpoints[runs(one, "t2")[0]]
-    sent = next(request for request in endpoint.ran if request.head.get(b"lynxscale-request-id") == b"t2")
+    sent = next(request for request in endpoint.executed if request.head.get(b"lynxscale-request-id") == b"t2")
     assert sent.body == b"hello " + OUTPUT + b"more"
 
 
 def run_of(one: SimulatedTier, request_id: str) -> Request:
     """The request of that id as an endpoint ran it."""
-    runs = [request for endpoint in one.endpoints.values() for request in endpoint.ran]
+    runs = [request for endpoint in one.endpoints.values() for request in endpoint.executed]
     return next(request for request in runs if request.head.text(b"lynxscale-request-id") == request_id)
 
 
@@ -249,7 +249,10 @@
         answer = one.turn("p", 1000, relay=relay, request_id=f"t{number}", session="s", body=text, **previous)
         assert answer.status == 200
         ran = next(
-            r for e in one.endpoints.values() for r in e.ran if r.head.get(b"lynxscale-request-id") == b"t%d" % number
+            r
+            for e in one.endpoints.values()
+            for r in e.executed
+            if r.head.get(b"lynxscale-request-id") == b"t%d" % number
         )
         assert ran.body == wanted + text
         wanted += text + b"word1\nword2\nword3\nword4\n"
@@ -326,7 +329,7 @@
 def test_turns_side_by_side_do_not_overdraw_a_budget():
     one = tier()
     fields = {"program": "p", "budget": "100", "lynxscale_token_count": "100,40"}
-    answers = [one.begin("/open/stream", relay=relay, **fields)[0] for relay in one.relay_hosts * 2]
+    answers = [one.start_request("/open/stream", relay=relay, **fields)[0] for relay in one.relay_hosts * 2]
     one.world.run(one.world.time + 2)
     assert sorted(answer.status for answer in answers) == [200, 200, 402, 402, 402, 402]
 
@@ -334,8 +337,8 @@
 def test_a_budget_holds_when_primary_and_relay_die_amid_a_turn():
     one = tier()
     for endpoint in one.endpoints.values():
-        endpoint.work_s = 1.0
-    one.begin("/open/stream", program="p", budget="40", lynxscale_token_count="100,40")
+        endpoint.service_time_s = 1.0
+    one.start_request("/open/stream", program="p", budget="40", lynxscale_token_count="100,40")
     one.world.run(one.world.time + 0.3)
     one.kill_relay(one.relay_hosts[0])
     one.kill_control(one.primary().publisher.address.partition(":")[0])
@@ -464,10 +467,10 @@
     one.platform.listed[index] = msgspec.structs.replace(one.platform.listed[index], state="draining")
     one.kill_control(one.primary().publisher.address.partition(":")[0])
     one.world.run(one.world.time + 3.0)
-    before = len(one.endpoints["i-2"].ran)
+    before = len(one.endpoints["i-2"].executed)
     for _ in range(6):
-        assert one.ask("/book/1").status == 200
-    assert len(one.endpoints["i-2"].ran) == before
+        assert one.request("/book/1").status == 200
+    assert len(one.endpoints["i-2"].executed) == before
 
 
 def test_without_any_primary_relays_read_the_list_themselves():
@@ -479,10 +482,10 @@
     one.platform.listed[index] = msgspec.structs.replace(one.platform.listed[index], state="draining")
     calls = one.platform.calls
     one.world.run(one.world.time + 3.0)
-    before = len(one.endpoints["i-2"].ran)
+    before = len(one.endpoints["i-2"].executed)
     for _ in range(6):
-        assert one.ask("/book/1").status == 200
-    assert len(one.endpoints["i-2"].ran) == before
+        assert one.request("/book/1").status == 200
+    assert len(one.endpoints["i-2"].executed) == before
     assert one.platform.calls - calls < 20
 
 
