--- a/lab/tier/models/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -1,4 +1,4 @@
-"""A snapshot on its way: a primary's copy and a follower, with writes, partitions, restarts and another primary between.
+"""A snapshot in flight: a primary's copy and a follower, with writes, partitions, restarts and another primary.
 
 Messages of one connection come in order; a cut loses what is on its way. The follower may lose its process, the
 primary its lead to another member with the same state; time goes by.
