--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -46,7 +46,7 @@
 
 
 def check_request_losses_are_found(upgrade: Upgrade, load: Load) -> None:
-    ran = next(endpoint.ran for endpoint in upgrade.tier.endpoints if endpoint.ran)
+    ran = next(endpoint.executed for endpoint in upgrade.tier.endpoints if endpoint.executed)
     ran.append(next(one for one in ran if one.target == "/kept/stream"))
     load.calls.append(("/book/1 nobody", ClientAnswer(200, b"done")))
     reasons = judge_requests(upgrade.tier.endpoints, load)
