--- /dev/null
+++ b/tests/dataplane/test_history_cache.py
@@ -0,0 +1,18 @@
+"""A relay's cache of histories."""
+
+from lynxscale.dataplane.history_cache import HistoryCache
+
+
+def test_the_cache_is_bounded_and_evicts_the_least_recently_used():
+    cache = HistoryCache(max_bytes=30)
+    for number in range(3):
+        cache.put(f"s{number}", f"t{number}", b"x" * 10)
+    assert cache.get("t0") == b"x" * 10
+    cache.put("s3", "t3", b"y" * 10)
+    assert cache.get("t1") is None and cache.get("t0") and cache.get("t3")
+    assert (
+        cache.best_match("s1", "other") == ""
+        and cache.best_match("s0", "other") == "t0"
+        and cache.best_match("s0", "") == ""
+    )
+    assert cache.best_match("s0", "t3") == "t3"
--- /dev/null
+++ b/tests/dataplane/test_load_balancer.py
@@ -0,0 +1,92 @@
+"""Choice of an endpoint: each test fails without the mechanism it names."""
+
+from lab.tier.simulated_tier import SimulatedTier, default_configuration
+from lab.tier.world import World
+from lynxscale.dataplane.load_balancer import EndpointDemand, LoadBalancer
+from lynxscale.discovery.endpoint import Endpoint
+from tests.simulated_tier import endpoints_that_ran, settled_tier
+
+SLOTS = 16
+
+
+def load_balancer(zones: tuple[str, ...], own: str = "north") -> LoadBalancer:
+    """A load balancer of one service, with an endpoint in each of the zones."""
+    clock = World(1).machine("a:1").clock()
+    balancer = LoadBalancer(own, clock, lambda address, connection: None)
+    balancer.update_endpoints(
+        [Endpoint(f"e{n}", "model", f"10.0.0.{n}:1", zone, SLOTS, "ready") for n, zone in enumerate(zones)]
+    )
+    for state in balancer.states.values():
+        state.window = SLOTS
+    return balancer
+
+
+def send_to_chosen(balancer: LoadBalancer, key: str) -> str:
+    """The id of the endpoint that a request with the key is sent to."""
+    state = balancer.choose("model", EndpointDemand(key, 0, 0), set())
+    state.in_flight += 1
+    return state.endpoint.id
+
+
+def test_the_own_zone_is_loaded_no_more_than_the_bound():
+    """Seen on scale-1: one zone's only endpoint took as much as two of another."""
+    balancer = load_balancer(("north", "south", "south", "south"))
+    chosen = [send_to_chosen(balancer, f"program{number}") for number in range(16)]
+    assert 4 <= chosen.count("e0") <= 5
+    assert len(set(chosen)) == 4
+
+
+def test_the_own_zone_is_preferred_while_loads_are_even():
+    balancer = load_balancer(("south", "north", "south"))
+    assert send_to_chosen(balancer, "program") == "e1"
+
+
+def test_a_program_keeps_its_endpoint_until_that_is_overloaded():
+    balancer = load_balancer(("north", "north", "north"))
+    first = send_to_chosen(balancer, "program")
+    balancer.states[first].in_flight = 6
+    assert send_to_chosen(balancer, "program") == first
+    balancer.states[first].in_flight = SLOTS * 3 // 4
+    assert send_to_chosen(balancer, "program") != first
+
+
+def test_relays_agree_on_a_programs_endpoint_without_a_message():
+    chosen = {send_to_chosen(load_balancer(("north", "north", "north", "north")), "program") for _ in range(5)}
+    assert len(chosen) == 1
+
+
+def test_an_attempted_endpoint_is_chosen_again_only_where_there_is_no_other():
+    balancer = load_balancer(("north", "north"))
+    assert balancer.choose("model", EndpointDemand("", 0, 0), {"e0"}).endpoint.id == "e1"
+    assert balancer.choose("model", EndpointDemand("", 0, 0), {"e0", "e1"}) is not None
+
+
+def test_requests_wait_while_an_endpoints_kv_cache_would_not_hold_them():
+    """Seen on a day with an endpoint less: hundreds of requests were preempted and read again."""
+    tier = SimulatedTier(World(4))
+    table = default_configuration()
+    table["services"][0]["engine"]["kv-capacity-tokens"] = 1000
+    assert tier.push(table, 0).status == 200
+    assert tier.world.run_until(lambda: all(relay.ready for relay in tier.relays.values()), 5.0)
+    for _ in range(20):
+        tier.ask("/open/stream", lynxscale_token_count="100,40")
+    for endpoint in tier.endpoints.values():
+        endpoint.most_running = 0
+    answers = [tier.begin("/open/stream", lynxscale_token_count="400,100")[0] for _ in range(6)]
+    tier.world.run(tier.world.time + 2.0)
+    assert all(answer.status == 200 for answer in answers)
+    assert max(endpoint.most_running for endpoint in tier.endpoints.values()) == 1
+
+
+def test_an_endpoint_with_a_high_failure_rate_is_ejected_and_attempted_again_later():
+    tier = settled_tier()
+    tier.endpoints["i-2"].fails = True
+    for number in range(40):
+        tier.ask("/look/1", method="GET", request_id=f"g{number}")
+    late = [number for number in range(20, 40) if "i-2" in endpoints_that_ran(tier, f"g{number}")]
+    assert len(late) <= 4
+    tier.endpoints["i-2"].fails = False
+    tier.world.run(tier.world.time + 10)
+    for number in range(40):
+        assert tier.ask("/look/1", method="GET", request_id=f"h{number}").status == 200
+    assert any("i-2" in endpoints_that_ran(tier, f"h{number}") for number in range(40))
--- /dev/null
+++ b/tests/simulated_tier.py
@@ -0,0 +1,32 @@
+"""What tests on a simulated tier share: a tier that serves, and which endpoint ran what."""
+
+from typing import Any
+
+from lab.tier.simulated_tier import SimulatedTier
+from lab.tier.world import World
+from lynxscale.dataplane.headers import REQUEST_ID
+from lynxscale.runtime.http_types import Request
+
+EVENTS = b"".join(b"id: %d\ndata: word%d\n\n" % (number, number) for number in range(1, 5))
+OUTPUT = b"word1\nword2\nword3\nword4\n"
+
+
+def settled_tier(seed: int = 1, **sizes: Any) -> SimulatedTier:
+    """A tier with a first configuration at all of its relays."""
+    return SimulatedTier(World(seed), **sizes).settle()
+
+
+def endpoints_that_ran(tier: SimulatedTier, request_id: str) -> list[str]:
+    """The ids of the endpoints that executed a request, once for each execution."""
+    return [
+        name
+        for name, endpoint in tier.endpoints.items()
+        for request in endpoint.ran
+        if request.head.text(REQUEST_ID) == request_id
+    ]
+
+
+def executed_request(tier: SimulatedTier, request_id: str) -> Request:
+    """The request of that id as an endpoint executed it."""
+    executed = [request for endpoint in tier.endpoints.values() for request in endpoint.ran]
+    return next(request for request in executed if request.head.text(REQUEST_ID) == request_id)
