--- a/features/failover.feature
+++ b/features/failover.feature
@@ -1,32 +1,32 @@
-Feature: The tier outlasts the loss of what it runs on
+Feature: The serving tier survives the failure of processes, disks and links
 
   Background:
-    Given a tier of 3 control members and 3 relays that serves
+    Given a serving tier of 3 control members and 3 relays
 
-  Scenario: The primary is killed and programs go on
+  Scenario: Agent programs continue after the loss of the primary
     When turn "t1" of program "p" says "hello "
     And the primary loses power and its disk
-    And turn "t2" of program "p" goes on from "t1" with "more"
-    Then turn "t2" is answered whole
-    And the endpoint that ran "t2" got the input and output of "t1" first
+    And turn "t2" of program "p" continues turn "t1" with "more"
+    Then turn "t2" gets a complete response
+    And the endpoint that executed "t2" got the input and output of "t1" before its own input
 
-  Scenario: A configuration that was acknowledged outlasts the loss of all power
+  Scenario: An acknowledged configuration survives the loss of all power
     When the operator sends version 5 on top of 1
     Then the operator gets 200
-    When all control members lose power and one its disk
+    When all control members lose power and one of them its disk
     Then the operator reads version 5
 
-  Scenario: A change that was taken is acknowledged again by another primary
+  Scenario: A committed change is acknowledged again by another primary
     When the operator sends version 5 on top of 1
     And the primary loses power and its disk
     And the operator sends version 5 on top of 1
     Then the operator gets 200
 
-  Scenario: A primary that is cut off stops before another begins
-    When the primary is cut off from the other members
-    Then never do two members act as primary for 4 seconds
+  Scenario: A partitioned primary steps down before another is elected
+    When the primary is partitioned from the other members
+    Then at no time within 4 seconds do two members act as primary
     And another member is primary
 
-  Scenario: A budget is not given out twice
-    When 6 turns of 40 tokens at most run at once on a budget of 100
-    Then 2 of them run and 4 get 402
+  Scenario: A budget is not spent twice
+    When 6 concurrent turns of at most 40 tokens share a budget of 100
+    Then 2 of them are executed and 4 get 402
--- a/features/steps/tier_steps.py
+++ b/features/steps/tier_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a whole tier in one process, on a simulated network, clock and disk."""
+"""Steps on a serving tier in one process, on a simulated network, clock and disk."""
 
 import msgspec
 from behave import given, then, when
@@ -16,7 +16,7 @@
     return tier.primary().publisher.address.partition(":")[0]
 
 
-@given("a tier of {controls:d} control members and {relays:d} relays that serves")
+@given("a serving tier of {controls:d} control members and {relays:d} relays")
 def a_tier(context, controls, relays):
     context.tier = SimulatedTier(World(SEED), relays=relays, controls=controls).start_serving()
     context.answers = {}
@@ -27,7 +27,7 @@
     context.answers[name] = context.tier.turn(program, 1000, request_id=name, body=text.encode())
 
 
-@when('turn "{name}" of program "{program}" goes on from "{previous}" with "{text}"')
+@when('turn "{name}" of program "{program}" continues turn "{previous}" with "{text}"')
 def a_later_turn(context, name, program, previous, text):
     tier = context.tier
     context.answers[name] = tier.turn(program, 1000, request_id=name, previous=previous, body=text.encode())
@@ -38,7 +38,7 @@
     context.tier.kill_control(primary_host(context.tier), power=True, wipe=True)
 
 
-@when("all control members lose power and one its disk")
+@when("all control members lose power and one of them its disk")
 def all_lost(context):
     tier = context.tier
     for number, host in enumerate(tier.control_hosts):
@@ -48,8 +48,8 @@
         tier.start_control(host)
 
 
-@when("the primary is cut off from the other members")
-def primary_cut(context):
+@when("the primary is partitioned from the other members")
+def primary_partitioned(context):
     tier = context.tier
     context.former = primary_host(tier)
     own = tier.controls[context.former].publisher.address
@@ -63,21 +63,21 @@
     context.answer = context.tier.push(default_configuration(version), base)
 
 
-@when("{count:d} turns of {most:d} tokens at most run at once on a budget of {budget:d}")
+@when("{count:d} concurrent turns of at most {most:d} tokens share a budget of {budget:d}")
 def many_turns(context, count, most, budget):
     tier = context.tier
     fields = {"program": "p", "budget": str(budget), "lynxscale_token_count": f"100,{most}"}
     relays = [tier.relay_hosts[number % len(tier.relay_hosts)] for number in range(count)]
-    context.many = [tier.start_request("/open/stream", relay=relay, **fields)[0] for relay in relays]
+    context.answers_of_all = [tier.start_request("/open/stream", relay=relay, **fields)[0] for relay in relays]
     tier.world.run(tier.world.time + 3.0)
 
 
-@then('turn "{name}" is answered whole')
-def answered_whole(context, name):
+@then('turn "{name}" gets a complete response')
+def complete_response(context, name):
     assert (context.answers[name].status, context.answers[name].complete) == (200, True)
 
 
-@then('the endpoint that ran "{name}" got the input and output of "t1" first')
+@then('the endpoint that executed "{name}" got the input and output of "t1" before its own input')
 def history_first(context, name):
     ran = [request for one in context.tier.endpoints.values() for request in one.executed]
     bodies = [request.body for request in ran if request.head.text(b"lynxscale-request-id") == name]
@@ -95,7 +95,7 @@
     assert msgspec.json.decode(answer.body)["generation"] == version
 
 
-@then("never do two members act as primary for {seconds:d} seconds")
+@then("at no time within {seconds:d} seconds do two members act as primary")
 def one_primary(context, seconds):
     tier = context.tier
     end = tier.world.time + seconds
@@ -109,7 +109,7 @@
     assert primary_host(context.tier) != context.former
 
 
-@then("{run:d} of them run and {refused:d} get {status:d}")
-def some_run(context, run, refused, status):
-    statuses = sorted(answer.status for answer in context.many)
-    assert statuses == [200] * run + [status] * refused, statuses
+@then("{executed:d} of them are executed and {rejected:d} get {status:d}")
+def some_executed(context, executed, rejected, status):
+    statuses = sorted(answer.status for answer in context.answers_of_all)
+    assert statuses == [200] * executed + [status] * rejected, statuses
--- a/tests/dataplane/test_load_balancer.py
+++ b/tests/dataplane/test_load_balancer.py
@@ -69,24 +69,24 @@
     assert tier.push(table, 0).status == 200
     assert tier.world.run_until(lambda: all(relay.ready for relay in tier.relays.values()), 5.0)
     for _ in range(20):
-        tier.ask("/open/stream", lynxscale_token_count="100,40")
+        tier.request("/open/stream", lynxscale_token_count="100,40")
     for endpoint in tier.endpoints.values():
-        endpoint.most_running = 0
-    answers = [tier.begin("/open/stream", lynxscale_token_count="400,100")[0] for _ in range(6)]
+        endpoint.max_running = 0
+    answers = [tier.start_request("/open/stream", lynxscale_token_count="400,100")[0] for _ in range(6)]
     tier.world.run(tier.world.time + 2.0)
     assert all(answer.status == 200 for answer in answers)
-    assert max(endpoint.most_running for endpoint in tier.endpoints.values()) == 1
+    assert max(endpoint.max_running for endpoint in tier.endpoints.values()) == 1
 
 
 def test_an_endpoint_with_a_high_failure_rate_is_ejected_and_attempted_again_later():
     tier = settled_tier()
     tier.endpoints["i-2"].fails = True
     for number in range(40):
-        tier.ask("/look/1", method="GET", request_id=f"g{number}")
+        tier.request("/look/1", method="GET", request_id=f"g{number}")
     late = [number for number in range(20, 40) if "i-2" in endpoints_that_ran(tier, f"g{number}")]
     assert len(late) <= 4
     tier.endpoints["i-2"].fails = False
     tier.world.run(tier.world.time + 10)
     for number in range(40):
-        assert tier.ask("/look/1", method="GET", request_id=f"h{number}").status == 200
+        assert tier.request("/look/1", method="GET", request_id=f"h{number}").status == 200
     assert any("i-2" in endpoints_that_ran(tier, f"h{number}") for number in range(40))
--- a/tests/simulated_tier.py
+++ b/tests/simulated_tier.py
@@ -13,7 +13,7 @@
 
 def settled_tier(seed: int = 1, **sizes: Any) -> SimulatedTier:
     """A tier with a first configuration at all of its relays."""
-    return SimulatedTier(World(seed), **sizes).settle()
+    return SimulatedTier(World(seed), **sizes).start_serving()
 
 
 def endpoints_that_ran(tier: SimulatedTier, request_id: str) -> list[str]:
@@ -21,12 +21,12 @@
     return [
         name
         for name, endpoint in tier.endpoints.items()
-        for request in endpoint.ran
+        for request in endpoint.executed
         if request.head.text(REQUEST_ID) == request_id
     ]
 
 
 def executed_request(tier: SimulatedTier, request_id: str) -> Request:
     """The request of that id as an endpoint executed it."""
-    executed = [request for endpoint in tier.endpoints.values() for request in endpoint.ran]
+    executed = [request for endpoint in tier.endpoints.values() for request in endpoint.executed]
     return next(request for request in executed if request.head.text(REQUEST_ID) == request_id)
