--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -11,35 +11,14 @@
 from lynxscale.controlplane.configuration_update import apply_update, check_update
 from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import AcceptorState, AcceptorStateFile, MemberIdentity
-from lynxscale.coordination.distribution_tree import FANOUT, parent_of
-from lynxscale.coordination.exceptions import NetstringError
-from lynxscale.coordination.heartbeat_ring import MONITORS, neighbours
 from lynxscale.coordination.messages import (
-    Accept,
-    Attach,
-    Batch,
-    Call,
     EpochRecord,
-    FinishTurn,
     LeaseRequest,
-    Message,
     Position,
     Prepare,
     PrepareRejected,
     Promise,
-    Replicate,
-    RosterEntry,
-    Topic,
-    TopicUpdate,
-    Version,
-    decode,
-    encode,
-    put_value,
 )
-from lynxscale.coordination.netstring import Decoder
-from lynxscale.coordination.netstring import encode as encode_netstring
-from lynxscale.coordination.store import NO_POSITION, Store
-from lynxscale.coordination.topic_publisher import Publisher
 from lynxscale.discovery.topics import ENDPOINT_SHARD_PREFIX, shard_count
 
 
@@ -100,68 +79,6 @@
     assert restarted.accept(EpochRecord(4, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))) is None
 
 
-def test_a_topic_never_falls_behind_the_version_held():
-    machine = World(1).machine("a:1")
-    publisher = Publisher("a:1", machine.clock(), machine.network())
-    newer, older = (Topic(Version(2, number), msgspec.Raw(b"1")) for number in (5, 4))
-    assert publisher.update({"config": newer}) == ["config"]
-    assert publisher.update({"config": older}) == []
-    assert publisher.topics["config"] is newer
-
-
-def test_netstrings_come_in_any_pieces_and_wrong_ones_end_the_stream():
-    data = encode_netstring(b"one") + encode_netstring(b"") + encode_netstring(b"x" * 300)
-    for size in (1, 2, 7, len(data)):
-        decoder, found = Decoder(), []
-        for place in range(0, len(data), size):
-            found += decoder.feed(data[place : place + size])
-        assert found == [b"one", b"", b"x" * 300]
-    for wrong in (b"x:", b"3:abcd", b"999999999999:", b"-1:"):
-        with pytest.raises(NetstringError):
-            Decoder().feed(wrong)
-
-
-def test_every_message_comes_back_as_it_was():
-    record = EpochRecord(3, "a#0", ("a#0",), ("a#0", "b#0"))
-    batch = Batch(Position(1, 2), Position(1, 3), (put_value("k", {"v": 1}), put_value("gone", None)))
-    for message in (
-        Accept(record),
-        Replicate(3, batch),
-        Call(7, "c", 1, FinishTurn("p", "r", 3, 60.0, b"\x00")),
-    ):
-        assert encode(decode(encode(message))) == encode(message)
-    assert batch.puts[1].removes and not batch.puts[0].removes
-    with pytest.raises(msgspec.ValidationError):
-        decode(b'{"type":"accept","record":7}')
-
-
-@pytest.mark.parametrize("count", [2, 8, 64, 320])
-def test_the_tree_reaches_every_relay_and_the_ring_has_constant_cost(count):
-    roster = [RosterEntry(f"10.0.{n // 250}.{n % 250}:1", "z") for n in range(count)]
-    addresses = [entry.address for entry in roster]
-    children: dict[str, int] = {}
-    for address in addresses:
-        depth, node = 0, address
-        while node := parent_of(roster, node):
-            depth += 1
-        assert depth <= 5
-        children[parent_of(roster, address)] = children.get(parent_of(roster, address), 0) + 1
-        assert len(neighbours(addresses, address, 1)) == min(MONITORS, count - 1)
-        assert all(address in neighbours(addresses, one, -1) for one in neighbours(addresses, address, 1))
-    assert max(children.values()) <= FANOUT
-
-
-def test_news_crosses_into_each_zone_once():
-    """Seen on the grown sites: nearly half of all bytes between zones were versions that a tree over zones carried."""
-    zones = ("a", "b", "c", "d")
-    roster = [RosterEntry(f"10.{n % 4}.0.{n}:1", zones[n % 4]) for n in range(59)]
-    zone_of = {entry.address: entry.zone for entry in roster}
-    parents = {entry.address: parent_of(roster, entry.address) for entry in roster}
-    assert sum(not parent for parent in parents.values()) == len(zones)
-    assert all(zone_of[child] == zone_of[parent] for child, parent in parents.items() if parent)
-    assert parent_of(roster, "10.9.9.9:1") == ""
-
-
 def test_a_long_list_goes_in_parts_and_a_change_costs_one():
     one = SimulatedTier(World(6)).start_serving()
     template = one.platform.listed[0]
@@ -179,21 +96,6 @@
     assert len(changed) == 1
 
 
-def test_a_torn_or_foreign_file_is_not_taken_for_a_version():
-    machine = World(2).machine("a:1")
-    store = Store(machine.files)
-    for index in range(1, 4):
-        batch = Batch(store.position, Position(1, index), (put_value(f"k{index}", index),))
-        store.save(batch)
-        store.apply(batch.puts)
-    last = machine.files.names()[-1]
-    machine.files._files[last] = machine.files.read(last)[:-20]
-    reloaded = Store(machine.files)
-    assert (reloaded.position, reloaded.damage) == (Position(1, 2), [last])
-    assert not reloaded.intact and reloaded.durable_position == NO_POSITION
-    assert reloaded.values.keys() == {"k1", "k2"}
-
-
 @pytest.mark.parametrize(
     ("body", "places"),
     [
@@ -270,23 +172,3 @@
     both = apply_update(table, {"generation": 3, "upsert": {"routes": [route | {"timeout-ms": 9}]}})
     assert [finding.place for finding in both.failure()] == ["result.routes[1]"]
     assert apply_update(table, {"generation": 3, "remove": {"routes": ["r"]}}).unwrap()["routes"] == []
-
-
-def test_versions_in_quick_succession_do_not_queue_up_on_a_slow_link():
-    """Seen on a variant's day: ten configurations a second on 12 Mbit/s were seconds late, as each was sent."""
-    machine = World(3).machine("a:1")
-    sent: list[TopicUpdate] = []
-
-    class Network:
-        def send(self, address: str, message: Message) -> None:
-            sent.append(message)
-
-    publisher = Publisher("a:1", machine.clock(), Network())
-    publisher.on_attach(Attach("child:1", "z", {}), "a:1", 1, 0.0)
-    for number in range(1, 9):
-        publisher.update({"config": Topic(Version(0, number), msgspec.Raw(b"1"))})
-        publisher.push("a:1", 1, 0.0)
-    carried = [update.topics["config"].version.number for update in sent if update.topics]
-    assert carried == [1]
-    publisher.on_attach(Attach("child:1", "z", {"config": Version(0, 1)}), "a:1", 1, 0.0)
-    assert sent[-1].topics["config"].version.number == 8
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -5,7 +5,6 @@
 
 from lab.model_checker import explore
 from lab.tier import second_failure
-from lab.tier.control_group import ControlGroup
 from lab.tier.models.catalogue import MODELS, Scope
 from lab.tier.simulated_tier import SimulatedTier, default_configuration
 from lab.tier.world import ProcessEnded, World
@@ -16,51 +15,20 @@
 from lynxscale.coordination.lease import LEASE_S
 from lynxscale.coordination.messages import (
     AdmitTurn,
-    Call,
     FinishTurn,
     Message,
     Position,
     Prepare,
     Put,
-    Reply,
-    SnapshotChunk,
     TurnAdmitted,
-    TurnFinished,
     address_of,
-    put_value,
 )
-from lynxscale.coordination.primary_calls import PrimaryCalls
-from lynxscale.coordination.recent_batches import RecentBatches
-from lynxscale.coordination.store import NO_POSITION, Store
-from lynxscale.coordination.version_files import BATCH_PREFIX, SNAPSHOT_PREFIX, WATERMARK_FILE
+from lynxscale.coordination.version_files import BATCH_PREFIX, WATERMARK_FILE
+from tests.coordination.control_groups import backups_of, start_group
 
 NEWCOMER = "10.0.0.9:7000"
 
 
-def started(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> ControlGroup:
-    group = ControlGroup(World(seed, **world), size, tolerated)
-    group.start_all()
-    group.wait_for_leader()
-    return group
-
-
-def backups(group: ControlGroup) -> list[str]:
-    leader = address_of(group.wait_for_leader().me)
-    return [address for address in group.seeds if address != leader]
-
-
-def steady(group: ControlGroup, every_s: float, value: object = 1, keys: int = 50) -> None:
-    """Writes go on from now on."""
-    count = iter(range(10**9))
-
-    def write() -> None:
-        for leader in group.leaders():
-            group.submit(leader, f"steady{next(count) % keys}", value, lambda committed: None)
-        group.world.call_at(group.world.time + every_s, write)
-
-    write()
-
-
 # A leaving member ------------------------------------------------------------------------------------
 
 
@@ -69,7 +37,7 @@
 def test_a_loss_right_after_a_leaving_member_leaves_a_majority(gap, leaves, lost):
     """Seen: the member that left voted and copied no more at once, and the group had no primary ever again."""
     for seed in range(4):
-        group = started(seed)
+        group = start_group(seed)
         group.start(NEWCOMER)
         assert group.put("a", seed)
         group.world.run(group.world.time + 1.5)
@@ -84,7 +52,7 @@
 def test_a_member_that_nobody_can_replace_is_released_in_a_moment():
     for seed in range(10):
         for place in (0, 1):
-            group = started(seed)
+            group = start_group(seed)
             group.world.run(group.world.time + 2)
             address = second_failure.members_by_place(group)[place]
             begun = group.world.time
@@ -95,9 +63,9 @@
 
 
 def test_a_member_with_a_successor_stays_until_that_has_caught_up():
-    group = started()
+    group = start_group()
     assert group.put("a", "x" * 100_000)
-    leaving = backups(group)[0]
+    leaving = backups_of(group)[0]
     newcomer = group.start(NEWCOMER)
     group.world.machine(NEWCOMER).bytes_per_s = 200_000.0
     group.world.run(group.world.time + 0.5)
@@ -109,8 +77,8 @@
 
 
 def test_a_member_that_cannot_be_released_goes_on_serving_until_its_time_is_over():
-    group = started()
-    first, second = backups(group)
+    group = start_group()
+    first, second = backups_of(group)
     group.kill(first)
     group.world.run(group.world.time + 1)
     group.leave(second, within=5.0)
@@ -121,79 +89,14 @@
     assert second not in group.members
 
 
-# Damaged and missing files ---------------------------------------------------------------------------
-
-
-@pytest.mark.parametrize("how", ["damage", "tear", "missing"])
-@pytest.mark.parametrize("where", ["middle", "last"])
-def test_a_backup_whose_files_have_a_gap_never_leads_from_there(how, where):
-    """Seen: it led from where its chain of files broke, and eight of twelve acknowledged values were gone."""
-    for seed in range(8):
-        group = started(seed)
-        for number in range(12):
-            assert group.put(f"k{number}", number)
-        group.world.run(group.world.time + 1.5)
-        backup = backups(group)[seed % 2]
-        group.kill(backup)
-        spoil(group, backup, how, where)
-        member = group.start(backup)
-        assert not member.store.intact and member.store.durable_position == NO_POSITION
-        group.kill(address_of(group.wait_for_leader().me), power=True)
-        assert group.put("after", 1)
-        assert all(group.value(f"k{number}") == number for number in range(12)), (seed, how, where)
-        assert group.world.run_until(lambda: member.store.intact, 6.0)  # noqa: B023
-
-
-def spoil(group: ControlGroup, address: str, how: str, where: str) -> None:
-    files = group.world.machine(address).files
-    batches = [name for name in files.names() if name.startswith(BATCH_PREFIX)]
-    name = batches[len(batches) // 2] if where == "middle" else batches[-1]
-    if how == "missing":
-        del files._files[name]
-    else:
-        getattr(files, how)(name, group.world.random)
-
-
-def test_a_whole_version_that_is_damaged_or_missing_is_noticed(monkeypatch):
-    monkeypatch.setattr("lynxscale.coordination.compaction.MAX_BATCH_FILES", 3)
-    group = started()
-    for number in range(9):
-        assert group.put(f"k{number}", number)
-    group.world.run(group.world.time + 1.5)
-    address = backups(group)[0]
-    files = group.world.machine(address).files
-    state = next(name for name in files.names() if name.startswith(SNAPSHOT_PREFIX))
-    group.kill(address)
-    content = files._files.pop(state)
-    assert not Store(files).intact
-    files._files[state] = content
-    assert Store(files).intact
-    files.corrupt(state, group.world.random)
-    assert not Store(files).intact
-
-
-def test_all_lose_power_and_nobody_takes_whole_files_for_damaged():
-    """The files that a loss of power leaves, with names that come back, must not bar every member."""
-    for seed in range(40):
-        group = started(seed)
-        steady(group, 0.011, value="x" * 2000)
-        group.world.run(group.world.time + 1 + seed * 0.013)
-        for address in group.seeds:
-            group.kill(address, power=True)
-        group.world.run(group.world.time + 0.5)
-        for address in group.seeds:
-            assert group.start(address).store.intact, seed
-        assert group.put("after", seed)
-
-
 def test_a_candidate_stands_aside_for_a_copy_that_reaches_further():
     """The newest batch and the mark are gone from one disk, which nothing on that disk can tell."""
     for seed in range(6):
-        group = started(seed)
+        group = start_group(seed)
         assert group.put("a", 1)
         group.world.run(group.world.time + 1.5)
         assert group.put("b", 2)
-        first, second = backups(group)
+        first, second = backups_of(group)
         for address in group.seeds:
             group.kill(address)
         files = group.world.machine(first).files
@@ -209,8 +112,8 @@
 @pytest.mark.parametrize("how", ["damage", "tear", "missing"])
 def test_one_damaged_register_file_loses_nothing_and_two_make_another_member(how):
     """Seen from reading: a damaged register ended the process at each start, a missing one was a first start."""
-    group = started()
-    address = backups(group)[0]
+    group = start_group()
+    address = backups_of(group)[0]
     before = group.members[address].acceptor.state
     group.kill(address)
     machine = group.world.machine(address)
@@ -235,165 +138,13 @@
     assert group.world.run_until(lambda: member.me in group.wait_for_leader().record.in_sync, 4.0)
 
 
-def test_a_damaged_member_is_out_of_the_in_sync_set_and_brought_up_again():
-    group = started()
-    for number in range(12):
-        assert group.put(f"k{number}", number)
-    group.world.run(group.world.time + 1.5)
-    address = backups(group)[0]
-    group.kill(address)
-    spoil(group, address, "damage", "middle")
-    group.world.machine(address).bytes_per_s = 5_000.0
-    member = group.start(address)
-    leader = group.wait_for_leader()
-    assert group.world.run_until(lambda: member.me not in leader.record.in_sync, 1.0)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 6.0)
-    assert member.store.checksum() == leader.store.checksum()
-
-
-# Catch-up ----------------------------------------------------------------------------------------------
-
-
-def filled(group: ControlGroup, megabytes: int) -> None:
-    value = "x" * 20_000
-    for number in range(megabytes * 50):
-        for leader in group.leaders():
-            group.submit(leader, f"big{number:05d}", value, lambda committed: None)
-        if number % 50 == 49:
-            group.world.run(group.world.time + 0.1)
-    group.world.run(group.world.time + 1)
-
-
-def brought_up_amid_writes(bytes_per_s: float, within_s: float) -> bool:
-    """An emptied member behind such a link gets 20 MB while 100 writes a second go on; is it in sync in time?"""
-    group = started()
-    filled(group, 20)
-    steady(group, 0.01)
-    address = backups(group)[0]
-    group.kill(address, wipe=True)
-    group.world.run(group.world.time + 1)
-    group.world.machine(address).bytes_per_s = bytes_per_s
-    member = group.start(address)
-    leader = group.wait_for_leader()
-    return group.world.run_until(lambda: member.me in leader.record.in_sync, within_s)
-
-
-def test_a_large_state_arrives_over_a_slow_link_amid_writes():
-    """Seen: 20 MB over 1.9 MB/s with 100 writes a second never arrived, as it began again every 1.5 s."""
-    assert brought_up_amid_writes(1_900_000.0, within_s=16.0)
-
-
-def test_a_large_state_arrives_well_within_the_time_to_catch_up():
-    assert brought_up_amid_writes(10_700_000.0, within_s=3.2)
-
-
-def test_a_transfer_goes_on_under_another_primary_and_behind_a_cut():
-    group = started(size=4)
-    filled(group, 4)
-    address, other = backups(group)[:2]
-    group.kill(address, wipe=True)
-    group.world.run(group.world.time + 1)
-    group.world.machine(address).bytes_per_s = 500_000.0
-    member = group.start(address)
-    group.world.run(group.world.time + 5)
-    sent: list[str] = []
-    deliver = group.world.deliver
-    group.world.deliver = lambda source, target, message: (
-        sent.extend(put.key for put in message.puts) if isinstance(message, SnapshotChunk) else None,
-        deliver(source, target, message),
-    )
-    group.kill(address_of(group.wait_for_leader().me))
-    group.wait_for_leader()
-    for one in group.members:
-        group.world.partition(one, address)
-    group.world.run(group.world.time + 0.7)
-    group.world.heal()
-    assert group.world.run_until(lambda: member.me in group.wait_for_leader().record.in_sync, 14.0)
-    assert len(set(sent)) < 160  # of 200 and more: the rest had arrived before
-
-
-def test_a_copy_that_differs_is_repaired_while_writes_go_on():
-    group = started()
-    filled(group, 1)
-    steady(group, 0.02)
-    address = backups(group)[0]
-    member = group.members[address]
-    member.store.apply((put_value("big00001", "other"),))
-    leader = group.wait_for_leader()
-
-    def scrub() -> None:
-        leader.leadership.scrub()
-        group.world.call_at(group.world.time + 0.033, scrub)
-
-    scrub()
-    assert group.world.run_until(lambda: member.store.values["big00001"] == leader.store.values["big00001"], 5.0)
-    group.world.run(group.world.time + 1)
-    assert member.me in leader.record.in_sync
-
-
-def test_a_copy_that_differs_is_out_of_the_in_sync_set_until_it_is_repaired():
-    """A copy that counts has to hold all that was committed; the comparison waits for no moment without writes."""
-    group = started(size=5, tolerated=2)
-    steady(group, 0.004)
-    member = group.members[backups(group)[0]]
-    leader = group.wait_for_leader()
-    member.store.apply((put_value("lost", 1),))
-    group.world.run(group.world.time + 0.05)
-    leader.leadership.scrub()
-    assert group.world.run_until(lambda: member.me not in leader.record.in_sync, 0.5)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 3.0)
-    assert "lost" not in member.store.values
-
-
-@pytest.mark.parametrize("seed", range(12))
-def test_a_member_brought_up_by_parts_amid_new_keys_has_them_all(seed):
-    """Seen on trouble-3 (copy_differs) and in history 19: a batch that went before the first part was in no part."""
-    group = started(seed)
-    filled(group, 1)
-    for address, one in group.members.items():
-        group.world.machine(address).sync_s = 0.004
-        one.store.recent_batches = RecentBatches()  # so that only a whole state helps
-    wiped = backups(group)[0]
-    group.kill(wiped, power=True, wipe=True)
-    number = 0
-
-    def write() -> None:
-        nonlocal number
-        number += 1
-        for leader in group.leaders():
-            group.submit(leader, f"new{number:05}", number, lambda committed: None)
-        if number < 900:
-            group.world.call_at(group.world.time + 0.003, write)
-
-    write()
-    group.world.run(group.world.time + 0.3)
-    member = group.start(wiped)
-    leader = group.wait_for_leader()
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 6.0)
-    group.world.run(group.world.time + 4.0)
-    assert member.store.checksum() == leader.store.checksum(), set(leader.store.values) - set(member.store.values)
-
-
-def test_a_thousand_changes_away_and_back():
-    group = started()
-    address = backups(group)[0]
-    group.kill(address)
-    for number in range(1000):
-        assert group.put(f"k{number % 40}", number)
-    assert len(group.world.machine(address_of(group.wait_for_leader().me)).files.names()) < 1100
-    member = group.start(address)
-    leader = group.wait_for_leader()
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 3.0)
-    assert member.store.checksum() == leader.store.checksum()
-
-
 # Epochs ------------------------------------------------------------------------------------------------
 
 
 def test_a_candidates_own_promise_is_durable_before_anybody_is_asked():
     """Else its next life asks for the same epoch, and two records may stand under it."""
-    group = started()
-    candidate = group.members[backups(group)[0]]
+    group = start_group()
+    candidate = group.members[backups_of(group)[0]]
     machine = group.world.machine(address_of(candidate.me))
     asked: list[tuple[int, int]] = []
     deliver = group.world.deliver
@@ -442,7 +193,7 @@
 @pytest.mark.parametrize(("size", "tolerated", "lost"), [(3, 1, 1), (4, 1, 1), (5, 2, 2), (7, 2, 2), (9, 2, 2)])
 def test_disks_are_lost_while_all_others_lose_power_at_once(size, tolerated, lost):
     for seed in range(8):
-        group = started(seed, size, tolerated)
+        group = start_group(seed, size, tolerated)
         for number in range(8):
             assert group.put(f"k{number}", number)
         victims = group.world.random.sample(group.seeds, lost)
@@ -462,7 +213,7 @@
 def test_halves_for_twenty_seconds_confirm_nothing_on_the_lesser_side_and_meet_again(size):
     tolerated = 1 if size < 5 else 2
     for seed in range(4):
-        group = started(seed, size, tolerated)
+        group = start_group(seed, size, tolerated)
         assert group.put("a", 1)
         group.world.run(group.world.time + 1)
         members = list(group.seeds)
@@ -486,7 +237,7 @@
 @pytest.mark.parametrize("one_way", ["both", "in", "out"])
 def test_a_member_back_from_a_cut_does_no_harm_in_its_first_second(one_way):
     for seed in range(4):
-        group = started(seed)
+        group = start_group(seed)
         assert group.put("a", 1)
         cut = group.seeds[seed % 3]
         for other in group.seeds:
@@ -512,7 +263,7 @@
 def test_a_member_that_was_replaced_while_it_was_cut_off_is_there_again_in_a_moment():
     """Seen on a bench day: it went on standing for epochs and told nobody, so it was no successor to anyone."""
     for seed in range(6):
-        group = started(seed)
+        group = start_group(seed)
         group.start(NEWCOMER)
         assert group.put("a", 1)
         cut = group.seeds[seed % 3]
@@ -531,7 +282,7 @@
 
 
 def test_the_time_of_day_is_stepped_and_nothing_depends_on_it():
-    group = started()
+    group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
     for address, step in zip(group.seeds, (-3600.0, 3600.0, 0.0), strict=True):
@@ -583,29 +334,6 @@
     assert not values
 
 
-def test_an_answer_to_an_earlier_process_is_none_to_this_one():
-    machine = World(1).machine("a:1")
-    sent: list[Call] = []
-
-    class Wire:
-        def send(self, address: str, message: Message) -> None:
-            sent.append(message)
-
-    answers: list[Message] = []
-    body = FinishTurn("p", "r", 0, 60.0)
-    lives = [
-        PrimaryCalls("a:1", machine.clock(), Wire(), machine.world.random, lambda: "b:1", lambda: ["b:1"])
-        for _ in range(2)
-    ]
-    lives[0].call(body, 1.0, lambda answer: None)
-    lives[1].call(body, 1.0, answers.append)
-    assert sent[0].number == sent[1].number
-    lives[1].receive(Reply(sent[0].number, sent[0].incarnation, TurnFinished()))
-    assert answers == []
-    lives[1].receive(Reply(sent[1].number, sent[1].incarnation, TurnFinished()))
-    assert answers == [TurnFinished()]
-
-
 def test_an_admission_that_came_too_late_gives_back_what_it_reserved():
     tier = SimulatedTier(World(3)).start_serving()
     tier.world.run(tier.world.time + 1)
--- a/tests/test_tier_group.py
+++ b/tests/test_tier_group.py
@@ -5,18 +5,11 @@
 from lab.tier.control_group import ControlGroup
 from lab.tier.world import World
 from lynxscale.coordination.messages import address_of
-from lynxscale.coordination.store import Store
-
-
-def started(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> ControlGroup:
-    group = ControlGroup(World(seed, **world), size, tolerated)
-    group.start_all()
-    group.wait_for_leader()
-    return group
+from tests.coordination.control_groups import start_group
 
 
 def test_a_first_start_elects_one_primary_that_commits():
-    group = started()
+    group = start_group()
     assert group.put("config", 1)
     group.world.run(group.world.time + 2)
     assert len(group.leaders()) == 1
@@ -25,7 +18,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_killed_primary_is_replaced_and_nothing_committed_is_lost(seed):
-    group = started(seed)
+    group = start_group(seed)
     assert group.put("a", "kept")
     old = address_of(group.leaders()[0].me)
     group.kill(old, power=True)
@@ -35,31 +28,8 @@
     assert group.value("a") == "kept"
 
 
-def test_a_silent_backup_does_not_hold_up_writes():
-    group = started()
-    leader = group.wait_for_leader()
-    backup = next(a for a in group.seeds if a != address_of(leader.me))
-    group.kill(backup)
-    before = group.world.time
-    assert group.put("a", 1)
-    assert group.world.time - before < 1.2
-
-
-def test_without_enough_copies_nothing_is_acknowledged():
-    group = started()
-    leader = group.wait_for_leader()
-    for address in group.seeds:
-        if address != address_of(leader.me):
-            group.kill(address)
-    done: list[bool] = []
-    group.submit(leader, "a", 1, done.append)
-    group.world.run(group.world.time + 5)
-    assert True not in done
-    assert not group.leaders()
-
-
 def test_a_wiped_member_is_another_one_and_is_admitted_by_a_majority():
-    group = started()
+    group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
     wiped = next(a for a in group.seeds if a != address_of(leader.me))
@@ -72,7 +42,7 @@
 
 
 def test_a_member_at_another_address_takes_the_place_of_one_gone_for_good():
-    group = started()
+    group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
     gone = next(a for a in group.seeds if a != address_of(leader.me))
@@ -84,7 +54,7 @@
 
 
 def test_a_primary_cut_off_stops_before_another_begins():
-    group = started()
+    group = start_group()
     leader = group.wait_for_leader()
     own = address_of(leader.me)
     for other in group.seeds:
@@ -105,7 +75,7 @@
 
 
 def test_a_frozen_primary_finds_out_before_its_next_act():
-    group = started()
+    group = start_group()
     leader = group.wait_for_leader()
     group.world.machine(address_of(leader.me)).freeze(3.0)
     group.world.run(group.world.time + 2)
@@ -118,7 +88,7 @@
 
 def test_all_lose_power_and_one_its_disk():
     for seed in range(6):
-        group = started(seed)
+        group = start_group(seed)
         assert group.put("a", seed)
         victims = list(group.seeds)
         wiped = victims[seed % 3]
@@ -132,7 +102,7 @@
 
 
 def test_a_primary_that_leaves_hands_over_at_once():
-    group = started()
+    group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
     before = group.world.time
@@ -142,7 +112,7 @@
 
 
 def test_a_retiring_member_is_replaced_before_it_may_go():
-    group = started()
+    group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
     extra = group.start("10.0.0.9:7000")
@@ -154,54 +124,9 @@
     assert retiring not in [address_of(one) for one in (*leader.record.voters, *leader.record.in_sync)]
 
 
-def test_a_version_written_whole_holds_the_batch_that_led_to_it(monkeypatch):
-    """Seen as a turn that was lost: a backup wrote its state whole before it had applied the newest batch."""
-    monkeypatch.setattr("lynxscale.coordination.compaction.MAX_BATCH_FILES", 3)
-    group = started()
-    for number in range(9):
-        assert group.put(f"k{number}", number)
-        group.world.run(group.world.time + 0.02)
-        for address in group.seeds:
-            assert f"k{number}" in Store(group.world.machine(address).files).values, (number, address)
-
-
-def test_a_backup_that_returns_amid_steady_writes_is_soon_in_sync_again():
-    """Seen on a bench day: batches went on to a member that lacked earlier ones, so it never caught up."""
-    group = started()
-    leader = group.wait_for_leader()
-    backup = next(a for a in group.seeds if a != address_of(leader.me))
-
-    def write():
-        if leader.leads():
-            group.submit(leader, "steady", group.world.time, lambda committed: None)
-        group.world.call_at(group.world.time + 0.01, write)
-
-    write()
-    group.kill(backup, power=True)
-    group.world.run(group.world.time + 2)
-    member = group.start(backup)
-    assert member.me not in leader.record.in_sync
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 1.0)
-
-
-def test_a_backup_with_a_full_disk_does_not_hold_up_writes_although_it_answers():
-    group = started()
-    assert group.put("a", 1)
-    group.world.run(group.world.time + 0.5)
-    leader = group.wait_for_leader()
-    backup = next(a for a in group.seeds if a != address_of(leader.me))
-    group.world.machine(backup).files.full = True
-    before = group.world.time
-    assert group.put("b", 1)
-    assert group.world.time - before < 0.8
-    group.world.machine(backup).files.full = False
-    member = group.members[backup]
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 2.0)
-
-
 def test_a_member_that_was_cut_off_soon_votes_and_copies_again():
     """Seen in an incident: it had promised itself epoch after epoch, and refused the primary's for good."""
-    group = started()
+    group = start_group()
     leader = group.wait_for_leader()
     cut = next(a for a in group.seeds if a != address_of(leader.me))
     for other in group.seeds:
@@ -217,51 +142,8 @@
     assert leader.leads()
 
 
-def test_what_was_submitted_and_is_in_no_batch_is_undone_when_the_lead_ends():
-    """Else a member that leads again acknowledges a change that only its own memory holds."""
-    group = started()
-    assert group.put("a", 1)
-    group.world.run(group.world.time + 0.5)
-    leader = group.wait_for_leader()
-    own = address_of(leader.me)
-    for other in group.seeds:
-        if other != own:
-            group.world.partition(own, other)
-    outcomes = []
-    group.submit(leader, "first", 1, outcomes.append)
-    group.world.run(group.world.time + 0.1)
-    group.submit(leader, "second", 2, outcomes.append)
-    assert leader.store.values.keys() == {"a", "first", "second"}
-    group.world.run(group.world.time + 3)
-    assert outcomes == [False, False]
-    assert "second" not in leader.store.values
-    group.world.heal()
-    assert group.put("b", 1)
-    group.world.run(group.world.time + 2)
-    assert {member.store.checksum() for member in group.members.values()} == {leader.store.checksum()}
-
-
-def test_a_returning_member_is_sent_each_batch_about_once():
-    """Seen on a variant's day: each of its steps had all the rest sent again, 50 MB in 0.2 s, and the primary died."""
-    group = started()
-    leader = group.wait_for_leader()
-    backup = next(a for a in group.seeds if a != address_of(leader.me))
-    group.kill(backup)
-    for number in range(300):
-        assert group.put(f"k{number}", number)
-    sent = []
-    deliver = group.world.deliver
-    group.world.deliver = lambda source, target, message: (
-        sent.append(type(message).__name__) if target == backup else None,
-        deliver(source, target, message),
-    )
-    member = group.start(backup)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 3.0)
-    assert sent.count("Replicate") < 400
-
-
 def test_a_full_disk_at_the_primary_moves_the_lead():
-    group = started()
+    group = start_group()
     leader = group.wait_for_leader()
     group.world.machine(address_of(leader.me)).files.full = True
     assert group.put("a", 1)
