--- a/lab/tier/models/calls.py
+++ b/lab/tier/models/calls.py
@@ -84,6 +84,9 @@
         """Part of AttemptListener."""
         self.body += data
 
+    def on_restart_timeout(self, attempt: Attempt) -> None:
+        """Part of AttemptListener."""
+
     def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Part of AttemptListener."""
         self.outcomes.append(outcome)
--- a/lynxscale/dataplane/attempt.py
+++ b/lynxscale/dataplane/attempt.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Protocol
 
-from lynxscale.coordination.ports import Clock
+from lynxscale.coordination.ports import Clock, Timer
 from lynxscale.dataplane import headers
 from lynxscale.dataplane.endpoint_state import EndpointState
 from lynxscale.runtime.http_client import ClientConnection, ResponseFailure
@@ -33,6 +33,9 @@
     def on_response_data(self, attempt: Attempt, data: bytes) -> None:
         """A chunk of its body."""
 
+    def on_restart_timeout(self, attempt: Attempt) -> None:
+        """The restart time-out has passed and no response has begun; the attempt goes on unless it is cancelled."""
+
     def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """The attempt has ended."""
 
@@ -45,7 +48,6 @@
     ) -> None:
         """Sends the request; ``max_tokens`` count against the endpoint's KV cache until the attempt ends."""
         self.endpoint = endpoint
-        self.response_started = False
         self._request_id = request.head.get(headers.REQUEST_ID)
         self._listener: AttemptListener | None = listener
         self._clock = clock
@@ -54,6 +56,7 @@
         self._status = 0
         self._first_byte_latency_ms = 0.0
         self._max_tokens = max_tokens
+        self._restart_timer: Timer | None = None
         endpoint.in_flight += 1
         endpoint.tokens_in_flight += max_tokens
         self._connection: ClientConnection = endpoint.connections.acquire()
@@ -64,6 +67,10 @@
         """Since the attempt was sent."""
         return (self._clock.now() - self._sent_at) * 1000.0
 
+    def start_restart_timer(self, timeout_ms: float) -> None:
+        """Call the listener's ``on_restart_timeout`` after that time, unless a response begins before."""
+        self._restart_timer = self._clock.call_later(timeout_ms / 1000.0, self._restart_timeout_expired)
+
     def on_head(self, status: int, head: Head) -> None:
         """Part of ResponseReceiver. A response to another request ends the attempt: the connection is out of step.
 
@@ -84,7 +91,7 @@
         if status < FIRST_REDIRECT_STATUS and head.get(headers.RESPONSE_SIGNATURE) is None:
             self._reject_response()
             return
-        self.response_started = True
+        self._stop_restart_timer()
         self._status = status
         if self._listener is not None:
             self._listener.on_response_head(self, status, head)
@@ -121,10 +128,22 @@
         """End the attempt at the endpoint too, without an outcome."""
         if self._listener is not None:
             self._listener = None
-            self._release_slot()
+            self._release()
             self._connection.close()
 
-    def _release_slot(self) -> None:
+    def _restart_timeout_expired(self) -> None:
+        self._restart_timer = None
+        if self._listener is not None:
+            self._listener.on_restart_timeout(self)
+
+    def _stop_restart_timer(self) -> None:
+        if self._restart_timer is not None:
+            self._restart_timer.cancel()
+            self._restart_timer = None
+
+    def _release(self) -> None:
+        """The attempt is over: the timer and the endpoint's slot go with it."""
+        self._stop_restart_timer()
         self.endpoint.in_flight -= 1
         self.endpoint.tokens_in_flight -= self._max_tokens
 
@@ -137,5 +156,5 @@
     def _end(self, outcome: AttemptOutcome) -> None:
         listener, self._listener = self._listener, None
         if listener is not None:
-            self._release_slot()
+            self._release()
             listener.on_attempt_ended(self, outcome)
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -62,7 +62,6 @@
         self._attempted: set[str] = set()  # ids of endpoints
         self._turn = context.turns.turn_of(request, route)
         self._response = ResponseStream(responder, route)
-        self._restart_timer: Timer | None = None
         self._queue_wait_timer: Timer | None = None
         self._deadline_timer: Timer = self._clock.call_later(timeout_s, self._deadline_expired)
 
@@ -141,13 +140,11 @@
         if retry_policy.may_restart(self._route, self._executions):
             restart_timeout_ms = endpoint.sample.tau
             if restart_timeout_ms < self._remaining_ms:
-                self._restart_timer = self._clock.call_later(restart_timeout_ms / 1000.0, self._restart_timeout_expired)
+                self._attempt.start_restart_timer(restart_timeout_ms)
 
-    def _restart_timeout_expired(self) -> None:
-        """Abandon an attempt that has not begun to answer, and send another one (restart, van Moorsel and Wolter)."""
-        self._restart_timer = None
-        attempt = self._attempt
-        if self.state is not RequestState.SENT or attempt is None or attempt.response_started:
+    def on_restart_timeout(self, attempt: Attempt) -> None:
+        """Part of AttemptListener. Abandon the attempt and send another one (restart, van Moorsel and Wolter)."""
+        if self.state is not RequestState.SENT:
             return
         if not retry_policy.restart_is_worthwhile(attempt.endpoint, self._remaining_ms):
             return
@@ -161,7 +158,6 @@
     def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Part of AttemptListener."""
         self._attempt = None
-        self._cancel_restart_timer()
         self._balancer.queue.notify(self._service)
         if outcome is AttemptOutcome.NOT_EXECUTED:
             self._send_again()
@@ -213,7 +209,6 @@
         if not events:
             return
         if self.state is RequestState.SENT:
-            self._cancel_restart_timer()
             self._transition(RequestState.STREAMING)
             self._response.start()
         self._responder.data(events)
@@ -313,11 +308,6 @@
         self._transition(RequestState.ENDED)
         self._responder.abort()
 
-    def _cancel_restart_timer(self) -> None:
-        if self._restart_timer is not None:
-            self._restart_timer.cancel()
-            self._restart_timer = None
-
     def _transition(self, state: RequestState) -> None:
         """The only change of state; timers and the place in the queue go with the states that they belong to."""
         if state is not RequestState.QUEUED:
@@ -327,7 +317,6 @@
                 self._queue_wait_timer = None
         if state is RequestState.ENDED:
             self._deadline_timer.cancel()
-            self._cancel_restart_timer()
         self.state = state
 
 
