--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -9,9 +9,10 @@
 import time
 from collections.abc import Callable
 from dataclasses import fields, replace
+from typing import Any
 
 import structlog
-from twisted.internet import reactor
+from twisted.internet import reactor as twisted_reactor
 from twisted.internet.error import CannotListenError
 
 from lynxscale.relay import logs
@@ -36,6 +37,8 @@
 
 log = structlog.get_logger()
 
+reactor: Any = twisted_reactor  # its methods are those of whichever reactor is installed
+
 LOCK_TIMEOUT_S = 5.0  # to wait for a process that holds the state folder
 RESERVED_SOCKETS = 32  # discovery, notices, the journal's files, the loop's own, the standard streams
 MIN_CLIENTS = 8  # connections, whatever the other limits leave
--- a/lynxscale/relay/net/admin_server.py
+++ b/lynxscale/relay/net/admin_server.py
@@ -14,7 +14,7 @@
 import orjson
 import structlog
 from twisted.internet import interfaces
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
@@ -41,6 +41,8 @@
 class AdminConnection(Protocol):
     """One call, one response."""
 
+    transport: Any  # a TCP transport of Twisted
+
     def __init__(self, server: AdminServer) -> None:
         self._server = server
         self.number = 0
@@ -107,7 +109,7 @@
         self._reason = CloseReason.EVICTED
         self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Part of Protocol."""
         self._server.deadlines.cancel(self._deadline)
         self._server.closed(self)
@@ -187,11 +189,12 @@
             return 405, f"want {method}"
         if path in self._calls:
             return self._calls[path][1](query)
+        return self._own_call(path)
+
+    def _own_call(self, path: str) -> tuple[int, str]:
         if path == HEALTH:
             return (200, "serving") if self.lifecycle.serving else (503, "takes no new clients")
         if path == QUIESCE:
             self._drain()
             return 200, "draining"
-        if self._resume():
-            return 200, "serving"
-        return 409, "the process is stopping"
+        return (200, "serving") if self._resume() else (409, "the process is stopping")
--- a/lynxscale/relay/net/client_connection.py
+++ b/lynxscale/relay/net/client_connection.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import structlog
 from twisted.internet import interfaces
 from twisted.internet.error import ConnectionDone
-from twisted.internet.protocol import Protocol
+from twisted.internet.protocol import Protocol, connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
@@ -45,6 +45,8 @@
 class ClientConnection(Protocol):
     """One client, on one connection of ``owner``."""
 
+    transport: Any  # a TCP transport of Twisted
+
     def __init__(self, owner: Clients) -> None:
         self._owner = owner
         self.slot = 0
@@ -236,7 +238,7 @@
         if self._read_closed:
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Part of Protocol."""
         self._owner.deadlines.cancel(self._deadline)
         self._closing = True
--- a/lynxscale/relay/net/connection.py
+++ b/lynxscale/relay/net/connection.py
@@ -11,7 +11,7 @@
 from twisted.internet import endpoints, interfaces
 from twisted.internet.defer import Deferred
 from twisted.internet.error import ConnectionDone
-from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.protocol import Factory, Protocol, connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
@@ -47,6 +47,8 @@
     ``stall_between_reads``: RESPONSE_STALL_MS bounds the time between two reads instead of the complete response.
     """
 
+    transport: Any  # a TCP transport of Twisted
+
     def __init__(
         self,
         kind: str,
@@ -156,7 +158,7 @@
         self._response = None
         self._deadlines.cancel(self._stall)
 
-    def connectionLost(self, reason: Failure) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Part of Protocol."""
         self.up = False
         # Kept, so that a later ``drop`` finds nothing left to close.
--- a/lynxscale/relay/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -167,7 +167,9 @@
             return
         self._relay.counters.add("connections", "peer_opened")
         connecting = dial(self._reactor, self._deadlines, self._connect_timeout, address, self._create)
-        connecting.addCallbacks(self._connected, self._connect_failed, (call, address), None, (call,))
+        connecting.addCallbacks(
+            self._connected, self._connect_failed, callbackArgs=(call, address), errbackArgs=(call,)
+        )
 
     def _create(self) -> OutboundConnection:
         return OutboundConnection("peer", self._deadlines, self._pool.lost)
@@ -198,7 +200,12 @@
         call.connection = connection
         bundled = len(call.attempts) > 1 and len(call.open_attempts()) > 1
         response: Deferred = connection.call(data)
-        response.addCallbacks(self._answered, self._call_failed, (call, connection, bundled), None, (call, bundled))
+        response.addCallbacks(
+            self._answered,
+            self._call_failed,
+            callbackArgs=(call, connection, bundled),
+            errbackArgs=(call, bundled),
+        )
 
     def _prepare(self, attempt: Attempt) -> bool:
         """May it be written now? It is in the journal then; else it has its outcome."""
--- a/lynxscale/relay/net/serial_client.py
+++ b/lynxscale/relay/net/serial_client.py
@@ -21,7 +21,7 @@
         self._reactor, self._deadlines, self._address, self._kind = reactor, deadlines, address, kind
         self.host = f"{address[0]}:{address[1]}"
         self._connection: OutboundConnection | None = None
-        self._response: Deferred | None = None  # of the call under way
+        self._response: Any = None  # the Deferred of the call under way
         self._call_number = 0  # what belongs to an earlier call is ignored
         self._deadline: Deadline | None = None
 
@@ -41,7 +41,7 @@
         if connection is not None:
             connection.drop(CloseReason.REMOTE_CLOSED)
         connecting = dial(self._reactor, self._deadlines, timeout, self._address, self._create)
-        connecting.addCallbacks(self._connected, self._failed, (data, number), None, (number,))
+        connecting.addCallbacks(self._connected, self._failed, callbackArgs=(data, number), errbackArgs=(number,))
         return response
 
     def drop(self, reason: str) -> None:
@@ -74,7 +74,8 @@
         self._send(connection, data, number)
 
     def _send(self, connection: OutboundConnection, data: bytes, number: int) -> None:
-        connection.call(data).addCallbacks(self._answered, self._failed, (number,), None, (number,))
+        response = connection.call(data)
+        response.addCallbacks(self._answered, self._failed, callbackArgs=(number,), errbackArgs=(number,))
 
     def _answered(self, result: Response, number: int) -> None:
         if number == self._call_number:
