--- a/Makefile
+++ b/Makefile
@@ -35,7 +35,7 @@
 
 soak-list: build
 	for seed in 1 2 3 4 5; do LISTS_SEED=$$seed LISTS_REWRITES=4000 \
-		$(PYTHON) -m pytest -q -p no:cacheprovider tests/test_upstream_live.py -k "rewrites or middle" -s || exit 1; done
+		$(PYTHON) -m pytest -q -p no:cacheprovider tests/relay/test_upstream_live.py -k "rewrites or middle" -s || exit 1; done
 
 bench-journal: build
 	$(PYTHON) -m lab.bench_journal
--- a/lab/bench_lists.py
+++ b/lab/bench_lists.py
@@ -15,8 +15,8 @@
 from lab.partner import Mood, Partner
 from lab.traffic import fresh_folder
 from lynxscale.relay.upstream import files
-from lynxscale.relay.upstream.model import Entry
-from lynxscale.relay.upstream.state import Lists
+from lynxscale.relay.upstream.list_store import ListStore
+from lynxscale.relay.upstream.model import Endpoint
 from lynxscale.scheduling.events import Lifecycle
 
 PATIENCE = 60.0
@@ -31,10 +31,10 @@
     return text.replace("    held 400\n", "    held 4000\n")
 
 
-def rows(count: int, tag: str = "x", weight: float = 5.0) -> list[Entry]:
+def rows(count: int, tag: str = "x", weight: float = 5.0) -> list[Endpoint]:
     """Endpoints that nobody calls, fifty a destination."""
     return [
-        Entry(
+        Endpoint(
             f"{tag}-{place:05}",
             (f"127.{8 + (place >> 16)}.{place >> 8 & 255}.{place & 255}", 9),
             100 + place // 50,
@@ -59,7 +59,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.relay, self.partner, self.generation = Own(folder, conf()), Partner(1, mood=Mood(latency_ms=1.0)), 0
-        self.lists = Lists(folder / "state")
+        self.lists = ListStore(folder / "state")
 
     async def __aenter__(self) -> Bench:
         for name in ("s-00", "s-01"):
@@ -71,10 +71,10 @@
         self.relay.close()
         self.partner.close_all()
 
-    def live(self, name: str, life: Lifecycle = Lifecycle.READY) -> Entry:
-        return Entry(name, self.partner.addresses[name], 0, "a", "club-reservas", life, 400.0)
+    def live(self, name: str, life: Lifecycle = Lifecycle.READY) -> Endpoint:
+        return Endpoint(name, self.partner.addresses[name], 0, "a", "club-reservas", life, 400.0)
 
-    def write(self, entries: list[Entry], name: str = "a.list") -> tuple[float, str]:
+    def write(self, entries: list[Endpoint], name: str = "a.list") -> tuple[float, str]:
         """When a new version was there, and its digest."""
         self.generation += 1
         at = self.relay.put(entries, self.generation, name)
@@ -84,7 +84,7 @@
         """When the verdict on it could be seen."""
         end = time.monotonic() + PATIENCE
         while time.monotonic() < end:
-            for one in self.lists.logged():
+            for one in self.lists.read_verdicts():
                 if one["digest"] == digest:
                     if one["outcome"] != "applied":
                         raise click.ClickException(f"a version was {one['outcome']}: {one['reasons']}")
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -18,7 +18,7 @@
 from lab.rules import Judged, judge
 from lab.standins import hold_port, port_of
 from lynxscale.relay.upstream import files
-from lynxscale.relay.upstream.model import Entry
+from lynxscale.relay.upstream.model import Endpoint
 from lynxscale.scheduling.events import Lifecycle
 
 ROOT = Path(__file__).parent.parent
@@ -111,7 +111,7 @@
             self.process.send_signal(how)
         return await self.process.wait()
 
-    def put(self, entries: list[Entry], generation: int, name: str = "partner.list") -> float:
+    def put(self, entries: list[Endpoint], generation: int, name: str = "partner.list") -> float:
         """Write a list as an operator would; the moment at which it was there."""
         new = self.folder / f"{name}.new"
         new.write_bytes(files.write(entries, generation))
@@ -136,10 +136,10 @@
             await asyncio.sleep(0.05)
 
 
-def entries_of(partner: Partner, draining: str | None = None) -> list[Entry]:
+def entries_of(partner: Partner, draining: str | None = None) -> list[Endpoint]:
     """The partner's endpoints as a list has them."""
     return [
-        Entry(
+        Endpoint(
             name,
             at,
             place % DESTINATIONS,
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from lynxscale.relay.conf.table import Conf
     from lynxscale.relay.upstream.files import Reading, Rules
-    from lynxscale.relay.upstream.model import Candidate, Entry
-    from lynxscale.relay.upstream.state import Lists
+    from lynxscale.relay.upstream.list_store import ListStore
+    from lynxscale.relay.upstream.model import CandidateList, Endpoint
 
 conf_option = click.option(
     "--conf",
@@ -38,14 +38,13 @@
 
 
 def _read(path: str, conf: Conf) -> Reading:
-    from lynxscale.relay.upstream import files
-    from lynxscale.relay.upstream import freshness as sight
-    from lynxscale.relay.upstream.model import finish
+    from lynxscale.relay.upstream import file_scan, files
+    from lynxscale.relay.upstream.model import run_to_end
 
-    seen = sight.look(path)
-    if seen.what != sight.BYTES:
+    seen = file_scan.view_file(path)
+    if seen.what != file_scan.BYTES:
         raise Failed(f"{path}: {seen.reason}")
-    return finish(files.read(seen.data, path, _rules(conf), digest=seen.digest))
+    return run_to_end(files.read(seen.data, path, _rules(conf), digest=seen.digest))
 
 
 def _rules(conf: Conf) -> Rules:
@@ -54,23 +53,23 @@
     return rules_of(conf.members, (row["name"] for row in conf.names.kind), (row["name"] for row in conf.names.zone))
 
 
-def _candidate(path: str, conf: Conf) -> Candidate:
+def _candidate(path: str, conf: Conf) -> CandidateList:
     """A file's list; Failed with its faults where it has any."""
     reading = _read(path, conf)
-    if not reading.whole:
+    if not reading.complete:
         raise Failed(f"{path}: half-written: want a closing line, end COUNT, as its last")
     if reading.candidate is None:
         raise Failed("\n".join(map(str, reading.faults)))
     return reading.candidate
 
 
-def _lists(conf: Conf, state: str | None) -> Lists:
-    from lynxscale.relay.upstream.state import Lists
+def _lists(conf: Conf, state: str | None) -> ListStore:
+    from lynxscale.relay.upstream.list_store import ListStore
 
     folder = Path(state or conf.relay.state)
     if not folder.is_dir():
         raise Failed(f"{folder}: no such state folder")
-    return Lists(folder)
+    return ListStore(folder)
 
 
 state_option = click.option("--state", type=click.Path(file_okay=False), help="The relay's state folder.")
@@ -91,19 +90,19 @@
 def check(ctx: click.Context, files: tuple[str, ...], conf_path: str | None, as_json: bool) -> None:
     """Check FILES by themselves and against each other, as the relay would; exit code 1 with every fault."""
     from lynxscale.relay.conf.lexer import Fault
-    from lynxscale.relay.upstream.decide import Owners, conflicts
-    from lynxscale.relay.upstream.model import finish
+    from lynxscale.relay.upstream.model import run_to_end
+    from lynxscale.relay.upstream.validation import OwnershipIndex, ownership_conflicts
 
-    conf, owners, faults, rows = _conf(conf_path), Owners(), [], []
+    conf, owners, faults, rows = _conf(conf_path), OwnershipIndex(), [], []
     for path in files:
         reading = _read(path, conf)
         found = list(reading.faults)
-        if not reading.whole:
+        if not reading.complete:
             found.append(Fault(path, 0, "end", "want a closing line as its last: this file is half-written"))
         if reading.candidate is not None:
             one = reading.candidate
-            found += finish(conflicts(one, owners))
-            finish(owners.replace(path, {}, one.entries, one.destinations))
+            found += run_to_end(ownership_conflicts(one, owners))
+            run_to_end(owners.replace(path, {}, one.entries, one.destinations))
             rows.append(
                 {
                     "file": path,
@@ -135,7 +134,7 @@
         ctx.exit(FAILED)
 
 
-def _row(entry: Entry) -> dict[str, Any]:
+def _row(entry: Endpoint) -> dict[str, Any]:
     from lynxscale.scheduling.events import Lifecycle
 
     return {
@@ -166,7 +165,7 @@
     else:
         lists = _lists(conf, state)
         units += _kept(lists, conf)
-        held = sorted(lists.held())
+        held = sorted(lists.load_awaiting())
     if as_json:
         write_json(
             {
@@ -194,18 +193,18 @@
         click.echo(f"held: {digest}")
 
 
-def _kept(lists: Lists, conf: Conf) -> list[tuple[str, Candidate]]:
+def _kept(lists: ListStore, conf: Conf) -> list[tuple[str, CandidateList]]:
+    from lynxscale.relay.exceptions import StoredListCorruptError
     from lynxscale.relay.upstream import files
-    from lynxscale.relay.upstream.model import finish
-    from lynxscale.relay.upstream.state import Spoilt
+    from lynxscale.relay.upstream.model import run_to_end
 
     rules = _rules(conf)
     found = []
-    for good in lists.good():
-        if isinstance(good, Spoilt):
+    for good in lists.load_good():
+        if isinstance(good, StoredListCorruptError):
             click.echo(f"spoilt: {good}", err=True)
             continue
-        reading = finish(files.read(good.data, good.unit, rules, digest=good.digest))
+        reading = run_to_end(files.read(good.data, good.unit, rules, digest=good.digest))
         if reading.candidate is None:
             for fault in reading.faults:
                 click.echo(str(fault), err=True)
@@ -222,14 +221,14 @@
 @json_option
 def diff(old: str, new: str, conf_path: str | None, as_json: bool) -> None:
     """What NEW would change where OLD is in force, and which guard of the configuration would ask."""
-    from lynxscale.relay.upstream.decide import compare, guarded
-    from lynxscale.relay.upstream.model import finish
+    from lynxscale.relay.upstream.model import run_to_end
     from lynxscale.relay.upstream.rules import guards_of
+    from lynxscale.relay.upstream.validation import compare, guard_faults
 
     conf = _conf(conf_path)
     before, after = _candidate(old, conf), _candidate(new, conf)
-    changes = finish(compare(before.entries, after.entries))
-    asked = finish(guarded(before.entries, after, changes, guards_of(conf.members)))
+    changes = run_to_end(compare(before.entries, after.entries))
+    asked = run_to_end(guard_faults(before.entries, after, changes, guards_of(conf.members)))
     if as_json:
         write_json(
             {name: getattr(changes, name) for name in changes.counts()} | {"guards": [str(fault) for fault in asked]}
@@ -248,7 +247,7 @@
         click.echo(f"guard: {fault}")
 
 
-def _told(entry: Entry | None) -> str:
+def _told(entry: Endpoint | None) -> str:
     if entry is None:
         return "-"
     row = _row(entry)
@@ -263,7 +262,7 @@
 @json_option
 def log(last: int, conf_path: str | None, state: str | None, as_json: bool) -> None:
     """The verdicts on versions of lists, oldest first; with each rejection its reasons."""
-    rows = list(_lists(_conf(conf_path), state).logged())[-last:]
+    rows = list(_lists(_conf(conf_path), state).read_verdicts())[-last:]
     if as_json:
         write_json(rows)
         return
@@ -291,7 +290,7 @@
     """Confirm the version that a guard holds back; DIGEST or its first 8 digits or more. The relay takes it within a
     second."""
     lists = _lists(_conf(conf_path), state)
-    held = lists.held()
+    held = lists.load_awaiting()
     found = [one for one in held if one.startswith(digest.lower())]
     if len(digest) < 8 or len(found) != 1:
         waiting = ", ".join(one[:16] for one in held) or "none"
@@ -332,11 +331,11 @@
 ) -> None:
     """Write a list, with its checksum, from another one and changes; it is checked before it is written."""
     from lynxscale.relay.upstream import files
-    from lynxscale.relay.upstream.model import Destination, finish
+    from lynxscale.relay.upstream.model import Destination, run_to_end
     from lynxscale.scheduling.events import Lifecycle
 
     conf = _conf(conf_path)
-    entries: dict[str, Entry] = {}
+    entries: dict[str, Endpoint] = {}
     destinations: dict[int, Destination] = {}
     if source is not None:
         before = _candidate(source, conf)
@@ -359,7 +358,7 @@
         lines = "".join(f"endpoint {line}\n" for line in added)
         data = head + lines.encode() + f"end {len(entries) + len(added)}\n".encode()
     rules = _rules(conf)
-    reading = finish(files.read(data, output or "list", rules))
+    reading = run_to_end(files.read(data, output or "list", rules))
     if reading.candidate is None:
         raise Failed("\n".join(map(str, reading.faults)))
     data = files.write(reading.candidate.entries.values(), reading.candidate.version, told)
@@ -372,7 +371,7 @@
     click.echo(f"{output}: generation {reading.candidate.version}, {len(reading.candidate.entries)} endpoints")
 
 
-def _known(entries: dict[str, Entry], id_: str) -> str:
+def _known(entries: dict[str, Endpoint], id_: str) -> str:
     if id_ not in entries:
         raise Misused(f"{id_}: no such endpoint in the list")
     return id_
--- a/lynxscale/relay/components.py
+++ b/lynxscale/relay/components.py
@@ -22,7 +22,7 @@
     from lynxscale.relay.deadlines import Deadlines, Loop
     from lynxscale.relay.lifecycle import Lifecycle
     from lynxscale.relay.upstream.group import Group
-    from lynxscale.relay.upstream.validation import Teller
+    from lynxscale.relay.upstream.verdict_reporter import VerdictReporter
 
 log = structlog.get_logger()
 
@@ -75,7 +75,7 @@
     counters: Counters
     relay: Relay
     group: Group
-    teller: Teller
+    reporter: VerdictReporter
     lifecycle: Lifecycle
     drain: Callable[[], None]
     resume: Callable[[], bool]
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -32,7 +32,7 @@
 from lynxscale.relay.upgrade.folders import Claim, sweep
 from lynxscale.relay.upgrade.handover import Handover
 from lynxscale.relay.upstream.group import FILES, SOURCES, Group
-from lynxscale.relay.upstream.validation import Teller
+from lynxscale.relay.upstream.verdict_reporter import VerdictReporter
 from lynxscale.relay.wall_clock import unix_clock
 
 log = structlog.get_logger()
@@ -116,7 +116,7 @@
             0,
             group.per_call,
             group.route_of,
-            group.takes,
+            group.accepts_new,
         )
 
     def _create_components(self, group: Group) -> list[Component]:
@@ -130,7 +130,7 @@
                 self.counters,
                 self.relay,
                 group,
-                Teller(self.loop.now, lambda: self.relay.trace),
+                VerdictReporter(self.loop.now, lambda: self.relay.trace),
                 self.lifecycle,
                 self.drain,
                 self.resume,
--- a/lynxscale/relay/exceptions.py
+++ b/lynxscale/relay/exceptions.py
@@ -39,3 +39,15 @@
 
 class CallTimedOutError(CallFailedError):
     """No response within the time that the caller allowed for the call."""
+
+
+class InvalidListError(RelayError):
+    """A line or row of an endpoint list is invalid: the word at fault, and what is wanted in its place."""
+
+    def __init__(self, word: str, wanted: str) -> None:
+        super().__init__(f"{word}: {wanted}")
+        self.word, self.wanted = word, wanted
+
+
+class StoredListCorruptError(RelayError):
+    """A list in the state folder is not what was written; the text names the file and what is wrong."""
--- a/lynxscale/relay/net/client_requests.py
+++ b/lynxscale/relay/net/client_requests.py
@@ -67,9 +67,9 @@
     text = values[0] if len(values) == 1 else ""
     if not (text.isascii() and text.isdigit()) or len(text) > 9:
         raise InvalidMessageError("x-envelope: want dest=NUMBER")
-    if not relay.group.knows(int(text)):
+    if not relay.group.has_destination(int(text)):
         # Until a source has sent its list the one of the last start may be outdated: the client retries then.
-        raise InvalidMessageError("x-envelope: no such destination in the list", 404 if relay.group.told else 503)
+        raise InvalidMessageError("x-envelope: no such destination in the list", 404 if relay.group.has_list else 503)
     return int(text)
 
 
--- a/lynxscale/relay/net/components.py
+++ b/lynxscale/relay/net/components.py
@@ -33,7 +33,7 @@
             self._address,
             context.group,
             context.counters,
-            context.teller,
+            context.reporter,
             pushed=not context.conf.settings.asks_for_members,
             grace_ms=context.conf.settings.drain_grace_ms,
         )
--- a/lynxscale/relay/net/discovery.py
+++ b/lynxscale/relay/net/discovery.py
@@ -19,10 +19,18 @@
 from lynxscale.relay.http_parser import Response, request_bytes
 from lynxscale.relay.net.close_reason import CloseReason
 from lynxscale.relay.net.serial_client import SerialClient
-from lynxscale.relay.upstream.decide import compare
 from lynxscale.relay.upstream.group import DISCOVERY, Group
-from lynxscale.relay.upstream.model import DESTINATION_MOST, Candidate, Changes, Entry, Outcome, Verdict, finish
-from lynxscale.relay.upstream.validation import Teller
+from lynxscale.relay.upstream.model import (
+    MAX_DESTINATIONS,
+    CandidateList,
+    Endpoint,
+    ListChanges,
+    ListOutcome,
+    ListVerdict,
+    run_to_end,
+)
+from lynxscale.relay.upstream.validation import compare
+from lynxscale.relay.upstream.verdict_reporter import VerdictReporter
 from lynxscale.scheduling.events import Lifecycle, MembershipKind
 
 log = structlog.get_logger()
@@ -41,7 +49,7 @@
 LIFECYCLES = {"ready": Lifecycle.READY, "draining": Lifecycle.DRAINING}
 GONE = "gone"
 
-Change = tuple[str, Entry | None]  # an endpoint's id and entry; None where it has left
+Change = tuple[str, Endpoint | None]  # an endpoint's id and entry; None where it has left
 
 
 class Discovery:
@@ -58,13 +66,13 @@
         address: Address,
         group: Group,
         counters: Counters,
-        teller: Teller,
+        reporter: VerdictReporter,
         pushed: bool = False,
         grace_ms: float | None = None,
     ) -> None:
         self._reactor, self._deadlines = reactor, deadlines
         self._client = SerialClient(reactor, deadlines, address, "group")
-        self._group, self._counters, self._teller = group, counters, teller
+        self._group, self._counters, self._reporter = group, counters, reporter
         self._pushed = pushed
         self._slack_ms = SLACK_MS if grace_ms is None else min(SLACK_MS, int(SLACK_MS + grace_ms) - NEW_CALL_MS)
         self._unanswered = 0  # calls in a row without a response in their time
@@ -78,7 +86,7 @@
         rows = known.get("instances")
         changes = self._changes(rows if isinstance(rows, list) else [])
         self._version = known.get("generation", 0)
-        self._group.take(DISCOVERY, MembershipKind.CACHED, self._version, changes)
+        self._group.update(DISCOVERY, MembershipKind.CACHED, self._version, changes)
         if self._pushed:
             self.watch(True)
 
@@ -159,7 +167,9 @@
         try:
             version, complete, changes = self._parse(response)
         except (ValueError, KeyError, TypeError) as error:
-            self._report(Outcome.REJECTED, 0, response.body, [Fault(DISCOVERY, 0, "answer", str(error))], Changes())
+            self._report(
+                ListOutcome.REJECTED, 0, response.body, [Fault(DISCOVERY, 0, "answer", str(error))], ListChanges()
+            )
             self._failed(None)
             return
         self._counters.add("group", "answers")
@@ -171,9 +181,9 @@
         if fetching or changes or complete:
             self._report_differences(version, complete, changes, response.body)
             kind = MembershipKind.FULL if complete else MembershipKind.DELTA
-            self._group.take(DISCOVERY, kind, version, changes, fetching)
+            self._group.update(DISCOVERY, kind, version, changes, fetching)
         else:
-            self._group.told = True
+            self._group.has_list = True
 
     def _parse(self, response: Response) -> tuple[int, bool, list[Change]]:
         """Version, whether the list is complete, and its entries. Raises ValueError, KeyError or TypeError."""
@@ -191,13 +201,15 @@
         known = self._group.list_of(DISCOVERY)
         new = {id_: entry for id_, entry in changes if entry is not None}
         old = known if complete else {id_: known[id_] for id_, _ in changes if id_ in known}
-        differences = finish(compare(old, new))
+        differences = run_to_end(compare(old, new))
         if differences:
-            self._report(Outcome.APPLIED, version, body, [], differences)
+            self._report(ListOutcome.APPLIED, version, body, [], differences)
 
-    def _report(self, outcome: Outcome, version: int, body: bytes, reasons: list[Fault], changes: Changes) -> None:
-        candidate = Candidate(DISCOVERY, version, hashlib.sha256(body).hexdigest(), {}, {})
-        self._teller.verdict(DISCOVERY, Verdict(candidate, outcome, reasons, changes))
+    def _report(
+        self, outcome: ListOutcome, version: int, body: bytes, reasons: list[Fault], changes: ListChanges
+    ) -> None:
+        candidate = CandidateList(DISCOVERY, version, hashlib.sha256(body).hexdigest(), {}, {})
+        self._reporter.report(DISCOVERY, ListVerdict(candidate, outcome, reasons, changes))
 
     # Lists ---------------------------------------------------------------------------------------
 
@@ -224,10 +236,10 @@
     if lifecycle == GONE:
         return name, None
     weight, cell = float(row.get("weight", 0.0)), row.get("cell", 0)
-    if not (math.isfinite(weight) and isinstance(cell, int) and 0 <= cell < DESTINATION_MOST):
+    if not (math.isfinite(weight) and isinstance(cell, int) and 0 <= cell < MAX_DESTINATIONS):
         raise ValueError("weight or cell is out of range")
     zone, kind = row.get("zone"), row.get("machineType")
-    return name, Entry(
+    return name, Endpoint(
         name,
         address(row["hostPort"], "hostPort"),
         cell,
--- a/lynxscale/relay/ports.py
+++ b/lynxscale/relay/ports.py
@@ -39,9 +39,9 @@
 class GroupPort(Protocol):
     """The endpoint list; ``lynxscale.relay.upstream.group``."""
 
-    told: bool  # some source has sent its list in this process
+    has_list: bool  # some source has sent its list in this process
 
-    def knows(self, cell: int) -> bool:
+    def has_destination(self, cell: int) -> bool:
         """Does a list name this destination, or did one until lately?"""
 
     def watch(self, active: bool) -> None:
--- a/lynxscale/relay/upstream/__init__.py
+++ b/lynxscale/relay/upstream/__init__.py
@@ -1,6 +1,7 @@
-"""Membership: which endpoints there are, from any source; docs/design/membership.md.
+"""The upstream group: endpoint lists from files and from discovery, and the one list that is in force.
 
-``model`` has the values, ``decide`` what a new version means, ``table`` the list in force, ``ramp`` weights on their
-way and ``files`` the format, none of them with I/O or a clock; ``group`` is the list in force of a running relay,
-``watch`` follows the files, ``state`` keeps the last good ones.
+``model`` has the values, ``files`` parses and writes a list, ``validation`` decides what a new version means,
+``endpoint_table`` is the list in force and ``group`` its interface, ``slow_start`` raises weights in steps.
+``file_scan``, ``file_watch`` and ``list_store`` do the I/O, ``background`` runs what takes long, ``verdict_reporter``
+logs what became of each version.
 """
--- a/lynxscale/relay/upstream/slicer.py
+++ b/lynxscale/relay/upstream/background.py
@@ -1,4 +1,4 @@
-"""What takes long: works in the loop, a bounded time a turn, and calls that may block, in a thread."""
+"""Work that takes long: in the loop, a bounded time a turn; and calls that may block, in a thread."""
 
 from __future__ import annotations
 
@@ -13,60 +13,60 @@
 from twisted.python.failure import Failure
 
 from lynxscale.relay.deadlines import Deadlines
-from lynxscale.relay.upstream.model import Slices
+from lynxscale.relay.upstream.model import SlicedWork
 
-HOLD_NS = 1_500_000  # of the loop's time, in one go; the module's step on what was applied meanwhile comes on top
+MAX_HOLD_NS = 1_500_000  # of the loop at a time; the scheduler's step on what was applied meanwhile adds to it
 
 
-class Slicer:
-    """Runs one work after the other; ``longest`` is the longest hold of the loop so far, in ns."""
+class SlicedRunner:
+    """Runs work in slices; ``longest`` is the longest that it has blocked the loop so far, in ns."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self._deadlines = deadlines
         self.longest = 0
 
-    def run(self, work: Slices, large: bool) -> Deferred:
-        """The work's result, or its failure. ``large``: it makes very many objects that stay."""
+    def run(self, work: SlicedWork, large: bool) -> Deferred:
+        """Fires with the result, or the failure. ``large``: it creates very many objects that stay."""
         done: Deferred = Deferred()
         if large:
-            # Guards the loop: the collector would walk all entries again and again while they are made, 50 ms each
-            # time with 50,000. They hold no circles; afterwards it is told to leave them alone.
+            # Guards the loop: the collector would walk all entries again and again while they are created, 50 ms each
+            # time with 50,000. They have no reference cycles; afterwards they are frozen.
             gc.disable()
-        self._go(work, large, done)
+        self._continue(work, large, done)
         return done
 
-    def _go(self, work: Slices, large: bool, done: Deferred) -> None:
-        begun = time.monotonic_ns()
+    def _continue(self, work: SlicedWork, large: bool, done: Deferred) -> None:
+        started = time.monotonic_ns()
         result: Any = None
         try:
             while True:
                 next(work)
-                if time.monotonic_ns() - begun >= HOLD_NS:
+                if time.monotonic_ns() - started >= MAX_HOLD_NS:
                     break
         except StopIteration as end:
             result, ended = end.value, True
-        except Exception:
-            self._over(large)
+        except Exception:  # whatever the work raises is its Deferred's failure
+            self._finish(large)
             done.errback()
             return
         else:
             ended = False
-        self.longest = max(self.longest, time.monotonic_ns() - begun)
+        self.longest = max(self.longest, time.monotonic_ns() - started)
         if ended:
-            self._over(large)
+            self._finish(large)
             done.callback(result)
         else:
-            self._deadlines.after(1, self._go, work, large, done)
+            self._deadlines.after(1, self._continue, work, large, done)
 
     @staticmethod
-    def _over(large: bool) -> None:
+    def _finish(large: bool) -> None:
         if large:
             gc.freeze()
             gc.enable()
 
 
 class Worker:
-    """One thread for what may block. Its end is not waited for: a disk that hangs must not keep the process."""
+    """One thread for calls that may block. It is not joined: a disk that hangs must not keep the process."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -87,7 +87,7 @@
             done, work, args = self._work.get()
             try:
                 result: Any = work(*args)
-            except Exception:
+            except Exception:  # whatever the call raises is its Deferred's failure
                 result = Failure()
             self._reactor.callFromThread(done.callback, result)
             del done, result, args  # guards the memory: the last bytes read would stay until the next call
--- a/lynxscale/relay/upstream/component.py
+++ b/lynxscale/relay/upstream/component.py
@@ -1,4 +1,4 @@
-"""Watched files of endpoints as a part of a relay."""
+"""Watched endpoint lists as a component of a relay."""
 
 from __future__ import annotations
 
@@ -7,28 +7,38 @@
 from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf.platform import Config
 from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.upstream.file_watch import FileWatch
 from lynxscale.relay.upstream.group import FILES
+from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.relay.upstream.rules import rules_of
-from lynxscale.relay.upstream.state import Lists
-from lynxscale.relay.upstream.watch import Watch
 
 
 class WatchComponent(Component):
+    """Keeps the group's endpoint lists up to date from watched files."""
+
     def __init__(self, context: ComponentContext) -> None:
         members, settings = context.product.members, context.conf.settings
-        self._watch = Watch(
+        self._watch = FileWatch(
             context.reactor,
             context.deadlines,
             members,
             rules_of(members, settings.kinds, settings.zones),
             context.group,
-            Lists(context.conf.state),
-            context.teller,
+            ListStore(context.conf.state),
+            context.reporter,
             context.counters,
         )
         context.group.add(FILES, self._watch)
-        self.start, self.stop = self._watch.start, self._watch.stop
+
+    def start(self) -> None:
+        """Restore the last good lists and begin to watch."""
+        self._watch.start()
+
+    def stop(self) -> None:
+        """Watch no more."""
+        self._watch.stop()
 
     def reload(self, conf: Config, product: Conf) -> Collection[str]:
-        self._watch.poke()
+        """Scan the files at once."""
+        self._watch.rescan()
         return ()
--- a/lynxscale/relay/upstream/table.py
+++ b/lynxscale/relay/upstream/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The list in force: every endpoint's number in the decision module, name, address and weight.
+"""The list in force: every endpoint's number in the scheduler, name, address and weight.
 
 A number stands for one endpoint, that is an id at an address for a destination. Another address under the same id, or
 another id at the same address, gets a new number, so that no health, wait, window or connection carries over. What has
@@ -11,106 +11,108 @@
 from collections.abc import Iterable
 from itertools import count
 
-from lynxscale.relay.upstream.model import Entry
-from lynxscale.relay.upstream.slow_start import Ramps
+from lynxscale.relay.upstream.model import Endpoint
+from lynxscale.relay.upstream.slow_start import SlowStart
 from lynxscale.scheduling.events import Lifecycle, Member
 
-LEFT_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
+FORGET_DESTINATION_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
 
 
-class Table:
-    """``kinds`` and ``zones`` as the settings name them; what they don't name counts as the first."""
+class EndpointTable:
+    """``kinds`` and ``zones`` as the settings name them; what they do not name counts as the first."""
 
-    def __init__(self, kinds: list[str], zones: list[str], ramps: Ramps) -> None:
-        self._kinds = {name: place for place, name in enumerate(kinds)}
-        self._zones = {name: place for place, name in enumerate(zones)}
-        self.ramps = ramps
+    def __init__(self, kinds: list[str], zones: list[str], slow_start: SlowStart) -> None:
+        self._kinds = {name: index for index, name in enumerate(kinds)}
+        self._zones = {name: index for index, name in enumerate(zones)}
+        self.slow_start = slow_start
         self._numbers: dict[str, int] = {}
-        self._by_number: dict[int, Entry] = {}
+        self._by_number: dict[int, Endpoint] = {}
         self._listed: dict[int, int] = {}  # destinations and how many endpoints each has
-        self._left: dict[int, int] = {}  # destinations with nobody listed, and since when
+        self._left: dict[int, int] = {}  # destinations without an endpoint, and since when
         self._next_number = count(1).__next__
 
     def __len__(self) -> int:
         return len(self._by_number)
 
-    def knows(self, destination: int, now: int) -> bool:
-        """Does the list name this destination, or did it until lately?"""
+    def has_destination(self, destination: int, now: int) -> bool:
+        """Does the list have this destination, or did it until lately?"""
         if destination in self._listed:
             return True
-        if destination in self._left and now - self._left[destination] > LEFT_MS * 1000:
+        if destination in self._left and now - self._left[destination] > FORGET_DESTINATION_MS * 1000:
             del self._left[destination]
         return destination in self._left
 
-    def entry(self, number: int) -> Entry | None:
-        """What the module knows by this number, while it is listed."""
+    def entry(self, number: int) -> Endpoint | None:
+        """The endpoint of a number, while it is listed."""
         return self._by_number.get(number)
 
     def number(self, id_: str) -> int | None:
         """The number of an id, while it is listed."""
         return self._numbers.get(id_)
 
-    def entries(self) -> dict[str, Entry]:
+    def entries(self) -> dict[str, Endpoint]:
         """All of it, by id."""
         return {entry.id: entry for entry in self._by_number.values()}
 
-    def apply(self, changes: Iterable[tuple[str, Entry | None]], now: int) -> tuple[list[Member], list[int]]:
-        """Take changes over, each an id and its entry, None where it goes.
+    def apply(self, changes: Iterable[tuple[str, Endpoint | None]], now: int) -> tuple[list[Member], list[int]]:
+        """Apply changes, each an id and its endpoint, None where it is removed.
 
-        Returns the module's members, drains and ends first, and the numbers that have gone.
+        Returns the scheduler's members, drains and removals first, and the numbers that were removed.
         """
-        first, last, gone = [], [], []
+        first: list[Member] = []
+        last: list[Member] = []
+        removed: list[int] = []
         for id_, entry in changes:
             number = self._numbers.get(id_)
             before = self._by_number[number] if number is not None else None
-            if before is not None and (entry is None or not entry.same_place(before)):
+            if before is not None and (entry is None or not entry.same_endpoint(before)):
                 first.append(self._member(number, before, Lifecycle.GONE))
                 self._remove(number, before, now)
-                gone.append(number)
+                removed.append(number)
                 before = None
             if entry is None or entry is before:
                 continue
             if before is None:
                 number = self._add(id_, entry)
             elif entry.weight != before.weight:
-                self.ramps.aim(number, now, before.weight, entry.weight)
+                self.slow_start.set_target(number, now, before.weight, entry.weight)
             self._by_number[number] = entry
             (first if entry.lifecycle == Lifecycle.DRAINING else last).append(
                 self._member(number, entry, entry.lifecycle)
             )
-        return first + last, gone
+        return first + last, removed
 
     def members(self) -> list[Member]:
         """All of it."""
         return [self._member(number, entry, entry.lifecycle) for number, entry in self._by_number.items()]
 
-    def rise(self, now: int) -> list[Member]:
-        """The members whose weight has come a step nearer to the list's."""
+    def advance_slow_start(self, now: int) -> list[Member]:
+        """The members whose weight has risen a step towards the list's."""
         return [
             self._member(number, entry, entry.lifecycle)
-            for number, entry in ((number, self._by_number[number]) for number in self.ramps.step(now))
+            for number, entry in ((number, self._by_number[number]) for number in self.slow_start.step(now))
         ]
 
-    def _add(self, id_: str, entry: Entry) -> int:
+    def _add(self, id_: str, entry: Endpoint) -> int:
         number = self._numbers[id_] = self._next_number()
         self._listed[entry.destination] = self._listed.get(entry.destination, 0) + 1
         self._left.pop(entry.destination, None)
         return number
 
-    def _remove(self, number: int, entry: Entry, now: int) -> None:
+    def _remove(self, number: int, entry: Endpoint, now: int) -> None:
         del self._numbers[entry.id], self._by_number[number]
-        self.ramps.forget(number)
+        self.slow_start.forget(number)
         self._listed[entry.destination] -= 1
         if not self._listed[entry.destination]:
             del self._listed[entry.destination]
             self._left[entry.destination] = now
 
-    def _member(self, number: int, entry: Entry, life: Lifecycle) -> Member:
+    def _member(self, number: int, entry: Endpoint, lifecycle: Lifecycle) -> Member:
         return Member(
             number,
-            life,
+            lifecycle,
             entry.destination,
             self._zones.get(entry.zone, 0),
             self._kinds.get(entry.kind, 0),
-            self.ramps.weight(number, entry.weight),
+            self.slow_start.weight(number, entry.weight),
         )
--- a/lynxscale/relay/upstream/group.py
+++ b/lynxscale/relay/upstream/group.py
@@ -1,8 +1,8 @@
-"""The upstream group of a running relay: one list in force, from one or two sources.
+"""The upstream group of a running relay: one endpoint list in force, from one or two sources.
 
 Each destination has one owner: the first source, in the order of precedence, that lists it. An endpoint of another
-source for the same destination, or under an id that the owner's list has, is passed over: two generations of one
-partner never mix.
+source for the same destination, or under an id that the owner's list has, is ignored: two generations of one peer
+never mix.
 """
 
 from __future__ import annotations
@@ -11,64 +11,70 @@
 from typing import Protocol
 
 from lynxscale.relay.deadlines import Deadlines
-from lynxscale.relay.upstream.model import SLICE, Entry, Slices
-from lynxscale.relay.upstream.slow_start import Ramps
-from lynxscale.relay.upstream.table import Table
+from lynxscale.relay.upstream.endpoint_table import EndpointTable
+from lynxscale.relay.upstream.model import SLICE, Endpoint, SlicedWork
+from lynxscale.relay.upstream.slow_start import SlowStart
 from lynxscale.scheduling.events import Lifecycle, Member, MembershipKind, MembershipUpdate
 from lynxscale.scheduling.settings import Settings
 
 FILES, DISCOVERY = "files", "discovery"
 SOURCES = (FILES, DISCOVERY)
-MEMBERS_MOST = 64  # told to the module in one event: guards the loop against a step that is as long as the list
+MAX_MEMBERS_PER_UPDATE = (
+    64  # told to the module in one event: guards the loop against a step that is as long as the list
+)
 
 
 class Source(Protocol):
-    """Where lists come from. It hands its list to ``Group.take`` (changes) or ``Group.replace`` (all of it)."""
+    """Where lists come from. It hands its list to ``Group.update`` (changes) or ``Group.replace`` (all of it)."""
 
     def watch(self, active: bool) -> None:
-        """Tell changes from now on, or no more."""
+        """Report changes from now on, or no more."""
 
     def fetch(self) -> None:
-        """Tell the whole list once."""
+        """Report the complete list once."""
 
 
 class Group:
-    """What the core, the peers and the clients ask of the list."""
+    """The list in force, for the core, the peers and the clients.
+
+    ``put`` hands events to the scheduler, ``on_removed`` is called with the number of each endpoint that leaves,
+    ``order`` names the sources by precedence, ``slow_start`` is the duration of a rise of weight in µs.
+    """
 
     def __init__(
         self,
         settings: Settings,
         deadlines: Deadlines,
         put: Callable[[object], None],
-        on_gone: Callable[[int], None],
+        on_removed: Callable[[int], None],
         order: Iterable[str] = SOURCES,
-        ramp: int = 0,
+        slow_start: int = 0,
     ) -> None:
-        self._deadlines, self._put, self._on_gone = deadlines, put, on_gone
-        self._ramps = Ramps(ramp)
-        self.table = Table(settings.kinds, settings.zones, self._ramps)
-        # As the module has it: a kind that the settings do not name counts as the first.
+        self._deadlines, self._put, self._on_removed = deadlines, put, on_removed
+        self._slow_start = SlowStart(slow_start)
+        self.table = EndpointTable(settings.kinds, settings.zones, self._slow_start)
+        # As in the scheduler: a kind that the settings do not name counts as the first.
         self._per_call = dict(zip(settings.kinds, settings.per_call, strict=False))
         self._per_call_else = settings.per_call[0] if settings.per_call else 1
         self._apart = dict(zip(settings.kinds, settings.routes_apart, strict=False))
         self._apart_else = any(settings.routes_apart[:1])
         self._order = tuple(order)
-        self._lists: dict[str, dict[str, Entry]] = {}
+        self._lists: dict[str, dict[str, Endpoint]] = {}
         self._listed: dict[str, dict[int, int]] = {}  # by source: destinations and how many endpoints
         self._sources: dict[str, Source] = {}
-        self.told = False  # some source has told its list in this process's life
-        self._rising = False
+        self.has_list = False  # some source has reported its list in this process
+        self._rising = False  # a timer for the next step is set
 
     def add(self, name: str, source: Source) -> None:
         """A source, by one of the names in the order of precedence."""
         self._sources[name] = source
         self._lists[name], self._listed[name] = {}, {}
 
-    # What others ask -----------------------------------------------------------------------------
+    # Queries -----------------------------------------------------------------------------
 
-    def knows(self, cell: int) -> bool:
+    def has_destination(self, cell: int) -> bool:
         """Does a list name this destination, or did one until lately?"""
-        return self.table.knows(cell, self._deadlines.now())
+        return self.table.has_destination(cell, self._deadlines.now())
 
     def name_of(self, endpoint: int) -> tuple[str, str] | None:
         """Its id and address, while it is listed."""
@@ -76,7 +82,7 @@
         return (entry.id, "{}:{}".format(*entry.address)) if entry is not None else None
 
     def number_of(self, id_: str, address: str) -> int | None:
-        """The module's number of an endpoint, while it is listed there."""
+        """The scheduler's number of an endpoint, while it is listed at that address."""
         number = self.table.number(id_)
         return number if number is not None and self.name_of(number) == (id_, address) else None
 
@@ -90,49 +96,52 @@
         entry = self.table.entry(endpoint)
         return entry.id if entry is not None and self._apart.get(entry.kind, self._apart_else) else None
 
-    def takes(self, endpoint: int) -> bool:
+    def accepts_new(self, endpoint: int) -> bool:
         """May something new be written to it, by the list in force?"""
         entry = self.table.entry(endpoint)
         return entry is not None and entry.lifecycle == Lifecycle.READY
 
     def address_of(self, endpoint: int) -> tuple[str, int] | None:
+        """Its address, while it is listed."""
         entry = self.table.entry(endpoint)
         return entry.address if entry is not None else None
 
     def watch(self, active: bool) -> None:
+        """Let all sources report changes from now on, or no more."""
         for source in self._sources.values():
             source.watch(active)
 
     def fetch(self) -> None:
+        """Let all sources report their complete list once."""
         for source in self._sources.values():
             source.fetch()
 
-    # What sources tell ---------------------------------------------------------------------------
+    # What sources report ---------------------------------------------------------------------------
 
-    def list_of(self, name: str) -> Mapping[str, Entry]:
-        """What a source has told."""
+    def list_of(self, name: str) -> Mapping[str, Endpoint]:
+        """The list of a source."""
         return self._lists[name]
 
     def failed(self, version: int) -> None:
-        """A source could not be asked: the module asks again."""
+        """A source could not be asked: the scheduler asks again."""
         self._put(MembershipUpdate(MembershipKind.FAILED, version, []))
 
-    def take(
+    def update(
         self,
         name: str,
         kind: MembershipKind,
         version: int,
-        changes: Iterable[tuple[str, Entry | None]],
+        changes: Iterable[tuple[str, Endpoint | None]],
         always: bool = False,
     ) -> None:
-        """Changes of a source's list, each an id and its entry, None where it goes.
+        """Changes of a source's list, each an id and its endpoint, None where it is removed.
 
-        A list of kind FULL or CACHED holds all that the source has. ``always``: the module waits for an answer, and is
-        told of it even where nothing is new.
+        A list of kind FULL or CACHED holds all that the source has. ``always``: the scheduler waits for an answer,
+        and gets one even where nothing is new.
         """
         changes = list(changes)
         if kind != MembershipKind.CACHED:
-            self.told = True
+            self.has_list = True
         if kind != MembershipKind.DELTA:
             named = {id_ for id_, _entry in changes}
             changes += [(id_, None) for id_ in self._lists[name] if id_ not in named]
@@ -142,32 +151,34 @@
             return
         if kind == MembershipKind.FULL:
             kind = MembershipKind.DELTA  # the other source's endpoints are not in it
-        for at in range(0, len(members), MEMBERS_MOST):
-            self._put(MembershipUpdate(kind, version, members[at : at + MEMBERS_MOST]))
+        for at in range(0, len(members), MAX_MEMBERS_PER_UPDATE):
+            self._put(MembershipUpdate(kind, version, members[at : at + MAX_MEMBERS_PER_UPDATE]))
         if not members and (always or kind == MembershipKind.CACHED):
             self._put(MembershipUpdate(kind, version, []))
 
-    def replace(self, name: str, version: int, old: Mapping[str, Entry], new: Mapping[str, Entry]) -> Slices[None]:
-        """In slices: what was ``old`` of a source's list is ``new`` from now on; drains and ends go first."""
-        self.told = True
+    def replace(
+        self, name: str, version: int, old: Mapping[str, Endpoint], new: Mapping[str, Endpoint]
+    ) -> SlicedWork[None]:
+        """In slices: what was ``old`` of a source's list is ``new`` from now on; drains and removals go first."""
+        self.has_list = True
         late, early = [], []
-        for place, (id_, entry) in enumerate(new.items()):
-            if not place % SLICE:
+        for index, (id_, entry) in enumerate(new.items()):
+            if not index % SLICE:
                 yield
             before = old.get(id_)
             if before is entry or before == entry:
                 continue
             (early if entry.lifecycle == Lifecycle.DRAINING else late).append((id_, entry))
-        for place, id_ in enumerate(old):
-            if not place % SLICE:
+        for index, id_ in enumerate(old):
+            if not index % SLICE:
                 yield
             if id_ not in new:
                 early.append((id_, None))
         for changes in (early, late):
             while changes:
-                part = changes[-MEMBERS_MOST:]
-                del changes[-MEMBERS_MOST:]  # as they go, as to free all of them at once would take long
-                members = self._apply(self._effective(name, part))
+                chunk = changes[-MAX_MEMBERS_PER_UPDATE:]
+                del changes[-MAX_MEMBERS_PER_UPDATE:]  # one by one, as freeing all of them at once would take long
+                members = self._apply(self._effective(name, chunk))
                 if members:
                     self._put(MembershipUpdate(MembershipKind.DELTA, version, members))
                 yield
@@ -180,7 +191,7 @@
                 return name
         return None
 
-    def _of(self, id_: str) -> Entry | None:
+    def _of(self, id_: str) -> Endpoint | None:
         """The entry in force under an id."""
         for name in self._order:
             entry = self._lists.get(name, {}).get(id_)
@@ -188,52 +199,52 @@
                 return entry
         return None
 
-    def _effective(self, name: str, changes: list[tuple[str, Entry | None]]) -> list[tuple[str, Entry | None]]:
-        """Take changes into a source's list; what they change in the list in force."""
-        own, listed = self._lists[name], self._listed[name]
+    def _effective(self, name: str, changes: list[tuple[str, Endpoint | None]]) -> list[tuple[str, Endpoint | None]]:
+        """Apply changes to a source's list; what they change in the list in force."""
+        entries, listed = self._lists[name], self._listed[name]
         if len(self._sources) == 1:
             for id_, entry in changes:
-                self._keep(own, listed, id_, entry)
+                self._set(entries, listed, id_, entry)
             return changes
         touched = {id_: None for id_, _entry in changes}
         before = {}
         for id_, entry in changes:
-            for one in (own.get(id_), entry):
+            for one in (entries.get(id_), entry):
                 if one is not None and one.destination not in before:
                     before[one.destination] = self._owner(one.destination)
         for id_, entry in changes:
-            self._keep(own, listed, id_, entry)
-        turned = {number for number, owner in before.items() if self._owner(number) != owner}
-        if turned:
-            # A destination has another owner: all that any source lists there is looked at anew.
+            self._set(entries, listed, id_, entry)
+        reassigned = {number for number, owner in before.items() if self._owner(number) != owner}
+        if reassigned:
+            # A destination has another owner: all that any source lists there is evaluated again.
             for rows in self._lists.values():
-                touched.update((id_, None) for id_, entry in rows.items() if entry.destination in turned)
+                touched.update((id_, None) for id_, entry in rows.items() if entry.destination in reassigned)
         return [(id_, self._of(id_)) for id_ in touched]
 
     @staticmethod
-    def _keep(own: dict[str, Entry], listed: dict[int, int], id_: str, entry: Entry | None) -> None:
-        before = own.pop(id_, None)
+    def _set(entries: dict[str, Endpoint], listed: dict[int, int], id_: str, entry: Endpoint | None) -> None:
+        before = entries.pop(id_, None)
         if before is not None:
             listed[before.destination] -= 1
             if not listed[before.destination]:
                 del listed[before.destination]
         if entry is not None:
-            own[id_] = entry
+            entries[id_] = entry
             listed[entry.destination] = listed.get(entry.destination, 0) + 1
 
-    def _apply(self, changes: list[tuple[str, Entry | None]]) -> list[Member]:
-        members, gone = self.table.apply(changes, self._deadlines.now())
-        for number in gone:
-            self._on_gone(number)
-        if len(self._ramps) and not self._rising:
+    def _apply(self, changes: list[tuple[str, Endpoint | None]]) -> list[Member]:
+        members, removed = self.table.apply(changes, self._deadlines.now())
+        for number in removed:
+            self._on_removed(number)
+        if len(self._slow_start) and not self._rising:
             self._rising = True
-            self._deadlines.after(self._ramps.every, self._rise)
+            self._deadlines.after(self._slow_start.step_interval, self._rise)
         return members
 
     def _rise(self) -> None:
-        members = self.table.rise(self._deadlines.now())
-        for at in range(0, len(members), MEMBERS_MOST):
-            self._put(MembershipUpdate(MembershipKind.DELTA, 0, members[at : at + MEMBERS_MOST]))
-        self._rising = len(self._ramps) > 0
+        members = self.table.advance_slow_start(self._deadlines.now())
+        for at in range(0, len(members), MAX_MEMBERS_PER_UPDATE):
+            self._put(MembershipUpdate(MembershipKind.DELTA, 0, members[at : at + MAX_MEMBERS_PER_UPDATE]))
+        self._rising = len(self._slow_start) > 0
         if self._rising:
-            self._deadlines.after(self._ramps.every, self._rise)
+            self._deadlines.after(self._slow_start.step_interval, self._rise)
--- a/lynxscale/relay/upstream/model.py
+++ b/lynxscale/relay/upstream/model.py
@@ -1,4 +1,4 @@
-"""Values of a list of endpoints."""
+"""The values of endpoint lists: endpoints, versions, changes and verdicts; and long work in slices."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.scheduling.events import Lifecycle
 
-WEIGHT_MOST = 1_000_000.0  # calls a second: what no partner takes is a slip of the pen
-DESTINATION_MOST = 1 << 31
-SHARDS = 61  # small tables of one large one
-SLICE = 64  # entries between two places at which a long work may be interrupted
+MAX_WEIGHT = 1_000_000.0  # calls a second: what no peer can take is a typing error
+MAX_DESTINATIONS = 1 << 31
+SHARDS = 61  # of one large table
+SLICE = 64  # entries between two points at which long work may be interrupted
 
 T = TypeVar("T")
-Slices = Generator[None, None, T]  # a long work in short parts; its result is what it returns
+SlicedWork = Generator[None, None, T]  # long work in slices; its result is what it returns
 
 
-def finish(work: Slices[T]) -> T:
-    """The result of a work, all in one go."""
+def run_to_end(work: SlicedWork[T]) -> T:
+    """Do all of it at once; its result."""
     while True:
         try:
             next(work)
@@ -28,7 +28,7 @@
             return end.value
 
 
-class Entry(NamedTuple):
+class Endpoint(NamedTuple):
     """One endpoint of a list."""
 
     id: str
@@ -36,12 +36,12 @@
     destination: int
     zone: str
     kind: str
-    lifecycle: Lifecycle  # READY or DRAINING; what has gone is not in a list
+    lifecycle: Lifecycle  # READY or DRAINING; a removed endpoint is not in a list
     weight: float  # calls a second
-    since: int = 0  # Unix time in ms at which it began to serve; 0 where it is not told
+    since: int = 0  # Unix time in ms at which it began to serve; 0 where the list does not say
 
-    def same_place(self, other: Entry) -> bool:
-        """Are they one endpoint? Another address, destination, zone or kind is another one, whatever its id."""
+    def same_endpoint(self, other: Endpoint) -> bool:
+        """Are they one endpoint? Another address, destination, zone or kind makes another one, whatever its id."""
         return self[:5] == other[:5]
 
 
@@ -49,12 +49,12 @@
     """What a list says of a destination besides its endpoints."""
 
     number: int
-    rate: float | None = None  # calls a second that the partner takes
+    rate: float | None = None  # calls a second that the peer takes
     kind: str | None = None
 
 
-def line_of(id_: str, entries: dict[str, Entry], lines: list[int]) -> int:
-    """Where an entry stands; 0 where it is not listed. Looked for only when something is wrong with it."""
+def line_number_of(id_: str, entries: dict[str, Endpoint], lines: list[int]) -> int:
+    """The line of an endpoint; 0 where it is not listed. Looked for only when something is wrong with it."""
     return next((line for known, line in zip(entries, lines, strict=False) if known == id_), 0)
 
 
@@ -65,34 +65,34 @@
     do so at the same entry.
     """
 
-    __slots__ = ("_parts",)
+    __slots__ = ("_shards",)
 
     def __init__(self) -> None:
-        self._parts: list[dict] = [{} for _ in range(SHARDS)]
+        self._shards: list[dict] = [{} for _ in range(SHARDS)]
 
     def __len__(self) -> int:
-        return sum(map(len, self._parts))
+        return sum(map(len, self._shards))
 
     def get(self, key: object) -> Any:
-        """What is kept under a key, else None."""
-        return self._parts[hash(key) % SHARDS].get(key)
+        """The value of a key, else None."""
+        return self._shards[hash(key) % SHARDS].get(key)
 
     def put(self, key: object, value: object) -> None:
-        """Keep it."""
-        self._parts[hash(key) % SHARDS][key] = value
+        """Set the value of a key."""
+        self._shards[hash(key) % SHARDS][key] = value
 
     def drop(self, key: object) -> None:
-        """Keep it no more."""
-        self._parts[hash(key) % SHARDS].pop(key, None)
+        """Remove a key, if it is there."""
+        self._shards[hash(key) % SHARDS].pop(key, None)
 
-    def release(self) -> Slices[None]:
+    def release(self) -> SlicedWork[None]:
         """Empty it, in slices."""
-        for part in self._parts:
-            yield from release(part)
+        for shard in self._shards:
+            yield from release(shard)
 
 
-def release(table: dict) -> Slices[None]:
-    """Empty a dictionary that nobody needs any more, in slices: 50,000 entries take 5 ms to free."""
+def release(table: dict) -> SlicedWork[None]:
+    """Empty a dictionary that is not needed any more, in slices: 50,000 entries take 5 ms to free."""
     while table:
         for _ in range(min(len(table), 4 * SLICE)):
             table.popitem()
@@ -100,33 +100,33 @@
 
 
 @dataclass(slots=True)
-class Candidate:
-    """A list as a source gives it, checked by itself and not yet compared with anything."""
+class CandidateList:
+    """A version of a list, valid by itself and not yet compared with anything."""
 
     unit: str  # what it comes from: a file's path, or the source's name
     version: int
     digest: str  # of its bytes
-    entries: dict[str, Entry]
-    destinations: dict[int, Destination]  # every one that it owns
-    lines: list[int] = field(default_factory=list)  # where each entry stands, in their order
+    entries: dict[str, Endpoint]
+    destinations: dict[int, Destination]  # all that it owns
+    lines: list[int] = field(default_factory=list)  # the line of each entry, in their order
 
     def fault(self, id_: str, wanted: str) -> Fault:
-        """Something wrong with an entry, at its place."""
-        return Fault(self.unit, line_of(id_, self.entries, self.lines), id_, wanted)
+        """Something wrong with an endpoint, at its line."""
+        return Fault(self.unit, line_number_of(id_, self.entries, self.lines), id_, wanted)
 
 
-class Outcome(Enum):
-    """What became of a version."""
+class ListOutcome(Enum):
+    """What became of a version. The values stand in the log, in traces and in the file of verdicts."""
 
     APPLIED = "applied"
-    HELD = "held"  # a guard wants a confirmation
+    AWAITING_APPROVAL = "held"  # a guard asks for an operator's approval
     REJECTED = "rejected"
     SAME = "same"  # it is in force already: no verdict
 
 
 @dataclass(slots=True)
-class Changes:
-    """What a version would change: ids by what happens to them."""
+class ListChanges:
+    """What a version changes: ids by what happens to them."""
 
     added: list[str] = field(default_factory=list)
     gone: list[str] = field(default_factory=list)
@@ -144,11 +144,11 @@
 
 
 @dataclass(slots=True)
-class Verdict:
-    """The word on one version of one unit."""
+class ListVerdict:
+    """The decision on one version of one list."""
 
-    candidate: Candidate
-    outcome: Outcome
+    candidate: CandidateList
+    outcome: ListOutcome
     reasons: list[Fault] = field(default_factory=list)
-    changes: Changes = field(default_factory=Changes)
-    entries: dict[str, Entry] = field(default_factory=dict)  # of this unit, in force from now on
+    changes: ListChanges = field(default_factory=ListChanges)
+    entries: dict[str, Endpoint] = field(default_factory=dict)  # of this list, in force from now on
--- a/lynxscale/relay/upstream/rules.py
+++ b/lynxscale/relay/upstream/rules.py
@@ -1,4 +1,4 @@
-"""The configuration's section members as rules and guards."""
+"""Rules and guards of endpoint lists, from section members of the configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from lynxscale.relay.conf.networks import nets
 from lynxscale.relay.conf.table import MembersConf
 from lynxscale.relay.upstream import files
-from lynxscale.relay.upstream.decide import Guards
+from lynxscale.relay.upstream.validation import Guards
 
 
 def rules_of(conf: MembersConf, kinds: Iterable[str], zones: Iterable[str]) -> files.Rules:
@@ -16,5 +16,5 @@
 
 
 def guards_of(conf: MembersConf) -> Guards:
-    """What passes unasked, by the configuration."""
+    """What is applied without approval, by the configuration."""
     return Guards(conf.most_removed, conf.last_endpoint == "allow", conf.most_moved, conf.on_guard == "hold")
--- a/lynxscale/relay/upstream/slow_start.py
+++ b/lynxscale/relay/upstream/slow_start.py
@@ -1,23 +1,34 @@
-"""Weights on their way: a higher one is reached in steps, so that a partner is not flooded when its share triples.
+"""Slow start: a higher weight is reached in steps, so that a peer is not flooded when its weight triples.
 
-A lower one holds at once. Times are whole µs, given by the caller.
+A lower one is in force at once. Times are whole µs, given by the caller.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from dataclasses import dataclass
 
-STEPS = 20  # of a whole way
-LEAST_STEP = 100_000  # µs
+STEPS = 20  # from the old weight to the new one
+MIN_STEP = 100_000  # µs
 
 
-class Ramps:
-    """The weights that are rising. ``over``: µs from the old to the new one; 0 means at once."""
+@dataclass(slots=True)
+class _Rise:
+    """One endpoint's weight on its way; ``started`` in µs."""
 
-    def __init__(self, over: int) -> None:
-        self._over = over
-        self.every = max(LEAST_STEP, over // STEPS)
-        self._rising: dict[int, list] = {}  # endpoint: from, to, begun at, now
+    initial: float
+    target: float
+    started: int
+    current: float
+
+
+class SlowStart:
+    """The weights that are rising. ``duration``: µs from the old to the new one; 0 means at once."""
+
+    def __init__(self, duration: int) -> None:
+        self._duration = duration
+        self.step_interval = max(MIN_STEP, duration // STEPS)
+        self._rising: dict[int, _Rise] = {}  # by endpoint
 
     def __len__(self) -> int:
         return len(self._rising)
@@ -25,26 +36,25 @@
     def weight(self, endpoint: int, listed: float) -> float:
         """The weight to use now, where the list says ``listed``."""
         rising = self._rising.get(endpoint)
-        return listed if rising is None else rising[3]
+        return listed if rising is None else rising.current
 
-    def aim(self, endpoint: int, now: int, before: float, target: float) -> None:
+    def set_target(self, endpoint: int, now: int, before: float, target: float) -> None:
         """The list says ``target`` from now on, where it said ``before``."""
         current = self.weight(endpoint, before)
-        if not self._over or target <= current:
+        if not self._duration or target <= current:
             self._rising.pop(endpoint, None)
-        elif endpoint not in self._rising or self._rising[endpoint][1] != target:
-            self._rising[endpoint] = [current, target, now, current]
+        elif endpoint not in self._rising or self._rising[endpoint].target != target:
+            self._rising[endpoint] = _Rise(current, target, now, current)
 
     def forget(self, endpoint: int) -> None:
-        """It has gone."""
+        """It has left the list."""
         self._rising.pop(endpoint, None)
 
     def step(self, now: int) -> Iterator[int]:
-        """The endpoints whose weight is another one now; those that have arrived rise no more."""
+        """The endpoints whose weight has changed; one that has reached its target rises no more."""
         for endpoint, rising in list(self._rising.items()):
-            low, high, begun, _current = rising
-            share = min(1.0, (now - begun) / self._over)
-            rising[3] = low + (high - low) * share
+            share = min(1.0, (now - rising.started) / self._duration)
+            rising.current = rising.initial + (rising.target - rising.initial) * share
             if share == 1.0:
                 del self._rising[endpoint]
             yield endpoint
--- a/lynxscale/relay/upstream/validation.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -1,94 +1,248 @@
-"""Telling of verdicts: log events, trace records, and rows for the file of verdicts. What is logged is bounded."""
+"""Validation of a new version of a list: pure decisions, in slices, as a list may have tens of thousands of endpoints.
+
+A version is checked for its generation and against what other lists own, then against the guards. A check that fails
+rejects the complete version, as nothing in it can be trusted. A guard that asks for approval leaves the list in force
+as it is but for drains, which can only take work away and are applied at once.
+"""
 
 from __future__ import annotations
 
-import time
-from collections.abc import Callable
-from typing import Any, Protocol
+from collections import Counter
+from collections.abc import Collection, Iterable, Mapping
+from dataclasses import dataclass
+
+from lynxscale.relay.conf.lexer import Fault
+from lynxscale.relay.upstream.model import (
+    SLICE,
+    CandidateList,
+    Endpoint,
+    ListChanges,
+    ListOutcome,
+    ListVerdict,
+    Shards,
+    SlicedWork,
+)
+from lynxscale.scheduling.events import Lifecycle
+
+MAX_REASONS = 20  # reported of one version; the rest is counted
+
+
+@dataclass(frozen=True, slots=True)
+class Guards:
+    """What is applied without an operator's approval. Shares are of what a destination has in force."""
+
+    most_removed: float = 1.0
+    last_endpoint: bool = True  # a destination may lose its last one
+    most_moved: float = 1.0  # of a destination's weight that changes its endpoint at once
+    ask_approval: bool = True  # else reject
+
+
+@dataclass(frozen=True, slots=True)
+class ActiveList:
+    """The version of a list that is in force; None before the first."""
+
+    version: int | None
+    digest: str
+    entries: Mapping[str, Endpoint]
+
+
+NOTHING = ActiveList(None, "", {})
+
 
-import structlog
+class OwnershipIndex:
+    """Which list owns which ids, addresses and destinations."""
 
-from lynxscale.relay.upstream.model import Outcome, Verdict
+    def __init__(self) -> None:
+        self.ids = Shards()  # to the list
+        self.addresses = Shards()  # to the list and the id
+        self.destinations: dict[int, str] = {}
 
-log = structlog.get_logger()
+    def replace(
+        self, unit: str, old: Mapping[str, Endpoint], new: Mapping[str, Endpoint], destinations: Collection[int]
+    ) -> SlicedWork[None]:
+        """A list has other endpoints from now on."""
+        for index, (id_, entry) in enumerate(old.items()):
+            if not index % SLICE:
+                yield
+            if new.get(id_) is not entry:
+                self.ids.drop(id_)
+                self.addresses.drop(entry.address)
+        for index, (id_, entry) in enumerate(new.items()):
+            if not index % SLICE:
+                yield
+            if old.get(id_) is not entry:
+                self.ids.put(id_, unit)
+                self.addresses.put(entry.address, (unit, id_))
+        for number in [number for number, owner in self.destinations.items() if owner == unit]:
+            if number not in destinations:
+                del self.destinations[number]
+        self.destinations.update(dict.fromkeys(destinations, unit))
 
-LINES_PER_S, LINES_BURST = 5, 50
-REASONS_LOGGED = 5
 
+def compare(old: Mapping[str, Endpoint], new: Mapping[str, Endpoint]) -> SlicedWork[ListChanges]:
+    """What ``new`` changes in ``old``."""
+    found = ListChanges()
+    for index, (id_, entry) in enumerate(new.items()):
+        if not index % SLICE:
+            yield
+        before = old.get(id_)
+        if before is entry or before == entry:
+            continue
+        if before is None:
+            found.added.append(id_)
+        elif not entry.same_endpoint(before):
+            found.moved.append(id_)
+        else:
+            if entry.lifecycle != before.lifecycle:
+                (found.drained if entry.lifecycle == Lifecycle.DRAINING else found.resumed).append(id_)
+            if entry.weight != before.weight:
+                found.reweighted.append(id_)
+    for index, id_ in enumerate(old):
+        if not index % SLICE:
+            yield
+        if id_ not in new:
+            found.gone.append(id_)
+    return found
 
-class Trace(Protocol):
-    """What hears of verdicts."""
 
-    def verdict(
-        self,
-        now: int,
-        source: str,
-        unit: str,
-        version: int,
-        digest: str,
-        outcome: str,
-        counts: dict[str, int],
-        reasons: str,
-    ) -> None: ...
+def ownership_conflicts(candidate: CandidateList, owners: OwnershipIndex) -> SlicedWork[list[Fault]]:
+    """What other lists own already."""
+    faults, unit = [], candidate.unit
+    for number in candidate.destinations:
+        owner = owners.destinations.get(number, unit)
+        if owner != unit:
+            faults.append(Fault(unit, 0, f"destination {number}", f"want it in one file: {owner} has it"))
+    for index, entry in enumerate(candidate.entries.values()):
+        if not index % SLICE:
+            yield
+        owner = owners.ids.get(entry.id) or unit
+        if owner != unit:
+            faults.append(candidate.fault(entry.id, f"want an id of its own: {owner} has it"))
+        owner, id_ = owners.addresses.get(entry.address) or (unit, "")
+        if owner != unit:
+            faults.append(candidate.fault(entry.id, f"want an address of its own: {id_} of {owner} is there"))
+    return faults
 
 
-class Teller:
-    """``now``: the loop's clock in µs; ``trace``: who hears of it at present, if anybody does."""
+def guard_faults(
+    old: Mapping[str, Endpoint], candidate: CandidateList, changes: ListChanges, guards: Guards
+) -> SlicedWork[list[Fault]]:
+    """What a guard asks about. Drains never count as a removal: they are applied at once.
 
-    def __init__(self, now: Callable[[], int], trace: Callable[[], Trace | None]) -> None:
-        self._now, self._trace = now, trace
-        self._lines, self._at, self._untold = float(LINES_BURST), 0, 0
+    An endpoint that was draining may be removed without a question, as nothing is sent there any more.
+    """
+    ready, weight = yield from _in_force(old.values())
+    left: Counter[int] = Counter()
+    for index, entry in enumerate(candidate.entries.values()):
+        if not index % SLICE:
+            yield
+        left[entry.destination] += 1
+    removed, shifted = yield from _losses(old, candidate, changes)
+    faults = []
+    for number, count in removed.items():
+        if not guards.last_endpoint and not left.get(number):
+            faults.append(Fault(candidate.unit, 0, f"destination {number}", "its last endpoint would go"))
+        elif count > guards.most_removed * ready[number]:
+            text = f"{count} of {ready[number]} endpoints would go, most-removed is {guards.most_removed:g}"
+            faults.append(Fault(candidate.unit, 0, f"destination {number}", text))
+    for number, amount in shifted.items():
+        if weight[number] and amount > guards.most_moved * weight[number]:
+            share = amount / weight[number]
+            text = f"{share:.2f} of its weight would move, most-moved is {guards.most_moved:g}"
+            faults.append(Fault(candidate.unit, 0, f"destination {number}", text))
+    return faults
 
-    def verdict(self, source: str, verdict: Verdict) -> dict:
-        """Tell it; returns its row."""
-        candidate, counts = verdict.candidate, verdict.changes.counts()
-        reasons = [str(fault) for fault in verdict.reasons]
-        trace = self._trace()
-        if trace is not None:
-            trace.verdict(
-                self._now(),
-                source,
+
+def _in_force(entries: Iterable[Endpoint]) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
+    """By destination: how many endpoints are ready, and their weight."""
+    ready: dict[int, int] = {}
+    weight: dict[int, float] = {}
+    for index, entry in enumerate(entries):
+        if not index % SLICE:
+            yield
+        if entry.lifecycle == Lifecycle.READY:
+            ready[entry.destination] = ready.get(entry.destination, 0) + 1
+            weight[entry.destination] = weight.get(entry.destination, 0.0) + entry.weight
+    return ready, weight
+
+
+def _losses(
+    old: Mapping[str, Endpoint], candidate: CandidateList, changes: ListChanges
+) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
+    """By destination: how many ready endpoints a version removes, and how much weight it shifts."""
+    removed: dict[int, int] = {}
+    shifted: dict[int, float] = {}
+    for index, id_ in enumerate([*changes.gone, *changes.moved, *changes.reweighted]):
+        if not index % SLICE:
+            yield
+        before, after = old[id_], candidate.entries.get(id_)
+        if before.lifecycle != Lifecycle.READY:
+            continue
+        number = before.destination
+        if after is None or not after.same_endpoint(before):
+            removed[number] = removed.get(number, 0) + 1
+            shifted[number] = shifted.get(number, 0.0) + before.weight
+        else:
+            shifted[number] = shifted.get(number, 0.0) + abs(after.weight - before.weight)
+    return removed, shifted
+
+
+def generation_faults(before: ActiveList, candidate: CandidateList) -> list[Fault]:
+    """What is wrong with the generation of a version."""
+    if before.version is None or candidate.version > before.version:
+        return []
+    if candidate.version < before.version:
+        return [
+            Fault(
                 candidate.unit,
-                candidate.version,
-                candidate.digest,
-                verdict.outcome.value,
-                counts,
-                "\n".join(reasons),
+                0,
+                f"generation {candidate.version}",
+                f"want one above {before.version}, which is in force",
+            )
+        ]
+    return [
+        Fault(candidate.unit, 0, f"generation {candidate.version}", "want a new one: other bytes are in force under it")
+    ]
+
+
+def evaluate(
+    before: ActiveList, candidate: CandidateList, owners: OwnershipIndex, guards: Guards, approved: Collection[str] = ()
+) -> SlicedWork[ListVerdict]:
+    """The verdict on a version. ``approved``: digests that an operator has approved."""
+    if candidate.digest == before.digest:
+        # Drains of a version that awaited approval are in force besides: they are reverted with it.
+        changes = yield from compare(before.entries, candidate.entries)
+        return ListVerdict(
+            candidate,
+            ListOutcome.APPLIED if changes else ListOutcome.SAME,
+            changes=changes,
+            entries=candidate.entries if changes else dict(before.entries),
+        )
+    faults = generation_faults(before, candidate) + (yield from ownership_conflicts(candidate, owners))
+    if faults:
+        return ListVerdict(
+            candidate, ListOutcome.REJECTED, _truncated(faults, candidate.unit), entries=dict(before.entries)
+        )
+    changes = yield from compare(before.entries, candidate.entries)
+    if candidate.digest not in approved:
+        asked = yield from guard_faults(before.entries, candidate, changes, guards)
+        if asked:
+            outcome = ListOutcome.AWAITING_APPROVAL if guards.ask_approval else ListOutcome.REJECTED
+            return ListVerdict(
+                candidate, outcome, _truncated(asked, candidate.unit), changes, with_drains(before.entries, changes)
             )
-        fields: dict[str, Any] = {
-            "source": source,
-            "unit": candidate.unit,
-            "version": candidate.version,
-            "digest": candidate.digest[:16],
-            "outcome": verdict.outcome.value,
-        }
-        fields |= {name: count for name, count in counts.items() if count}
-        write = log.info if verdict.outcome == Outcome.APPLIED else log.warning
-        if self._may_write():
-            more = {"reasons": " | ".join(reasons[:REASONS_LOGGED])} if reasons else {}
-            write("list_verdict", **fields, **more)
-        return fields | {
-            "ts": time.time(),
-            "digest": candidate.digest,
-            "reasons": reasons,
-            "endpoints": len(candidate.entries),
-        }
-
-    def event(self, event: str, **fields: Any) -> None:
-        """Something about a list that is no verdict."""
-        if self._may_write():
-            log.warning(event, **fields)
-
-    def _may_write(self) -> bool:
-        """Guards the log against a list that flaps: so many lines a second, the rest is counted."""
-        now = self._now()
-        self._lines = min(LINES_BURST, self._lines + (now - self._at) * LINES_PER_S / 1e6)
-        self._at = now
-        if self._lines < 1:
-            self._untold += 1
-            return False
-        self._lines -= 1
-        if self._untold:
-            log.warning("list_lines_left_out", lines=self._untold)
-            self._untold = 0
-        return True
+    return ListVerdict(candidate, ListOutcome.APPLIED, changes=changes, entries=candidate.entries)
+
+
+def with_drains(old: Mapping[str, Endpoint], changes: ListChanges) -> dict[str, Endpoint]:
+    """The list in force with the drains of a version alone."""
+    entries = dict(old)
+    for id_ in changes.drained:
+        entries[id_] = entries[id_]._replace(lifecycle=Lifecycle.DRAINING)
+    return entries
+
+
+def _truncated(faults: list[Fault], unit: str) -> list[Fault]:
+    if len(faults) <= MAX_REASONS:
+        return faults
+    return [*faults[:MAX_REASONS], Fault(unit, 0, f"{len(faults) - MAX_REASONS} more", "as these")]
--- /dev/null
+++ b/lynxscale/relay/upstream/verdict_reporter.py
@@ -0,0 +1,95 @@
+"""Reports verdicts on lists: log events, trace records, and rows for the file of verdicts. The log is rate-limited."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from typing import Any, Protocol
+
+import structlog
+
+from lynxscale.relay.upstream.model import ListOutcome, ListVerdict
+
+log = structlog.get_logger()
+
+LINES_PER_S, LINES_BURST = 5, 50  # of the log: a token bucket
+MAX_LOGGED_REASONS = 5  # of one verdict
+
+
+class VerdictTrace(Protocol):
+    """Records verdicts; ``lynxscale.trace.recorder``."""
+
+    def verdict(
+        self,
+        now: int,
+        source: str,
+        unit: str,
+        version: int,
+        digest: str,
+        outcome: str,
+        counts: dict[str, int],
+        reasons: str,
+    ) -> None:
+        """What became of a version of a list; ``counts`` of its changes."""
+
+
+class VerdictReporter:
+    """``now``: the loop's clock in µs; ``trace``: the relay's trace at present, if it has one."""
+
+    def __init__(self, now: Callable[[], int], trace: Callable[[], VerdictTrace | None]) -> None:
+        self._now, self._trace = now, trace
+        self._tokens, self._refilled_at, self._suppressed = float(LINES_BURST), 0, 0
+
+    def report(self, source: str, verdict: ListVerdict) -> dict:
+        """Log and trace a verdict; its row for the file of verdicts."""
+        candidate, counts = verdict.candidate, verdict.changes.counts()
+        reasons = [str(fault) for fault in verdict.reasons]
+        trace = self._trace()
+        if trace is not None:
+            trace.verdict(
+                self._now(),
+                source,
+                candidate.unit,
+                candidate.version,
+                candidate.digest,
+                verdict.outcome.value,
+                counts,
+                "\n".join(reasons),
+            )
+        fields: dict[str, Any] = {
+            "source": source,
+            "unit": candidate.unit,
+            "version": candidate.version,
+            "digest": candidate.digest[:16],
+            "outcome": verdict.outcome.value,
+        }
+        fields |= {name: count for name, count in counts.items() if count}
+        write = log.info if verdict.outcome == ListOutcome.APPLIED else log.warning
+        if self._may_write():
+            more = {"reasons": " | ".join(reasons[:MAX_LOGGED_REASONS])} if reasons else {}
+            write("list_verdict", **fields, **more)
+        return fields | {
+            "ts": time.time(),
+            "digest": candidate.digest,
+            "reasons": reasons,
+            "endpoints": len(candidate.entries),
+        }
+
+    def event(self, event: str, **fields: Any) -> None:
+        """Log something about a list that is no verdict."""
+        if self._may_write():
+            log.warning(event, **fields)
+
+    def _may_write(self) -> bool:
+        """Guards the log against a list that flaps: so many lines a second, the rest is counted."""
+        now = self._now()
+        self._tokens = min(LINES_BURST, self._tokens + (now - self._refilled_at) * LINES_PER_S / 1e6)
+        self._refilled_at = now
+        if self._tokens < 1:
+            self._suppressed += 1
+            return False
+        self._tokens -= 1
+        if self._suppressed:
+            log.warning("list_lines_suppressed", lines=self._suppressed)
+            self._suppressed = 0
+        return True
--- a/tests/golden_relay.py
+++ b/tests/golden_relay.py
@@ -20,7 +20,7 @@
 from lynxscale.relay.upgrade import folders, kept
 from lynxscale.relay.upgrade.board import Board, Stage
 from lynxscale.relay.upstream.files import digest_of
-from lynxscale.relay.upstream.state import Lists
+from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.scheduling.events import Result
 from lynxscale.scheduling.learned_state import export
 from tests.driver import Driver, member
@@ -68,11 +68,11 @@
 
 
 def _write_lists(state: Path) -> None:
-    lists = Lists(state)
-    lists.keep(UNIT, digest_of(LIST), LIST)
-    lists.hold(digest_of(WAITING), WAITING)
+    lists = ListStore(state)
+    lists.save_good(UNIT, digest_of(LIST), LIST)
+    lists.save_awaiting(digest_of(WAITING), WAITING)
     lists.approve(digest_of(WAITING), "operator")
-    lists.log(VERDICTS)
+    lists.append_verdicts(VERDICTS)
 
 
 def _write_finals(state: Path) -> None:
--- a/tests/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -10,14 +10,14 @@
 
 from lynxscale.relay.conf.networks import nets
 from lynxscale.relay.deadlines import Deadlines, Loop
-from lynxscale.relay.upstream import decide, files
-from lynxscale.relay.upstream import freshness as sight
-from lynxscale.relay.upstream.decide import NOTHING, Guards, InForce, Owners, judge
+from lynxscale.relay.exceptions import StoredListCorruptError
+from lynxscale.relay.upstream import file_scan, files, validation
+from lynxscale.relay.upstream.endpoint_table import EndpointTable
 from lynxscale.relay.upstream.group import DISCOVERY, FILES, Group
-from lynxscale.relay.upstream.model import Candidate, Destination, Entry, Outcome, finish
-from lynxscale.relay.upstream.slow_start import Ramps
-from lynxscale.relay.upstream.state import Lists, Spoilt
-from lynxscale.relay.upstream.table import Table
+from lynxscale.relay.upstream.list_store import ListStore
+from lynxscale.relay.upstream.model import CandidateList, Destination, Endpoint, ListOutcome, run_to_end
+from lynxscale.relay.upstream.slow_start import SlowStart
+from lynxscale.relay.upstream.validation import NOTHING, ActiveList, Guards, OwnershipIndex, evaluate
 from lynxscale.scheduling.events import Lifecycle, MembershipKind
 from tests.driver import settings as module_settings
 
@@ -25,13 +25,13 @@
 READY, DRAINING = Lifecycle.READY, Lifecycle.DRAINING
 
 
-def entry(id_: str, port: int = 7000, dest: int = 1, life: Lifecycle = READY, weight: float = 5.0, **more) -> Entry:
-    return Entry(id_, (more.get("host", "10.1.0.1"), port), dest, more.get("zone", "a"), "club", life, weight)
+def entry(id_: str, port: int = 7000, dest: int = 1, life: Lifecycle = READY, weight: float = 5.0, **more) -> Endpoint:
+    return Endpoint(id_, (more.get("host", "10.1.0.1"), port), dest, more.get("zone", "a"), "club", life, weight)
 
 
-def listing(*rows: Entry, version: int = 1, unit: str = "u") -> Candidate:
+def listing(*rows: Endpoint, version: int = 1, unit: str = "u") -> CandidateList:
     data = files.write(rows, version)
-    reading = finish(files.read(data, unit, RULES))
+    reading = run_to_end(files.read(data, unit, RULES))
     assert reading.candidate is not None, reading.faults
     return reading.candidate
 
@@ -45,8 +45,8 @@
 
 
 def told(data: bytes, rules: files.Rules = RULES) -> list[str]:
-    reading = finish(files.read(data, "u", rules))
-    assert reading.candidate is None and reading.whole
+    reading = run_to_end(files.read(data, "u", rules))
+    assert reading.candidate is None and reading.complete
     return [str(fault) for fault in reading.faults]
 
 
@@ -115,32 +115,32 @@
 def test_a_file_that_needs_a_checksum_is_rejected_without_one():
     rules = files.Rules(RULES.nets, needs_checksum=True)
     assert told(body(LINE), rules) == ["u:3: end: want a checksum: end COUNT crc32c HEX"]
-    assert finish(files.read(files.write([entry("s-1")], 1), "u", rules)).candidate is not None
+    assert run_to_end(files.read(files.write([entry("s-1")], 1), "u", rules)).candidate is not None
 
 
 def test_too_many_entries_and_too_many_faults_are_bounded():
-    rules = files.Rules(RULES.nets, entries_most=2)
+    rules = files.Rules(RULES.nets, max_entries=2)
     rows = [entry(f"s-{place}", 7000 + place) for place in range(200)]
     found = told(files.write(rows, 1), rules)
-    assert found[0] == "u:4: s-2: want at most 2 endpoints" and len(found) == files.FAULTS_MOST
+    assert found[0] == "u:4: s-2: want at most 2 endpoints" and len(found) == files.MAX_FAULTS
 
 
 def test_every_shorter_file_is_half_written_and_every_changed_byte_is_found():
     data = files.write([entry("s-1"), entry("s 2", 7001, life=DRAINING)], 7)
     for size in range(len(data)):
-        reading = finish(files.read(data[:size], "u", RULES))
-        assert not reading.whole and reading.candidate is None, size
+        reading = run_to_end(files.read(data[:size], "u", RULES))
+        assert not reading.complete and reading.candidate is None, size
     for place in range(len(data)):
         for bit in (1, 16):
             spoilt = data[:place] + bytes([data[place] ^ bit]) + data[place + 1 :]
-            assert finish(files.read(spoilt, "u", RULES)).candidate is None, (place, bit)
+            assert run_to_end(files.read(spoilt, "u", RULES)).candidate is None, (place, bit)
 
 
 names = st.text(st.characters(codec="utf-8", categories=("L", "N", "P", "S", "Zs")), min_size=1, max_size=12).filter(
     str.isprintable
 )
 entries = st.builds(
-    Entry,
+    Endpoint,
     names,
     st.tuples(st.sampled_from(["10.1.0.1", "127.0.0.1", "10.255.255.255"]), st.integers(1, 65535)),
     st.integers(0, 5),
@@ -155,20 +155,20 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(entries, max_size=20, unique_by=(lambda e: e.id, lambda e: e.address)), st.integers(0, 1 << 60))
 def test_what_is_written_is_read_again(rows, generation):
-    reading = finish(files.read(files.write(rows, generation), "u", RULES))
+    reading = run_to_end(files.read(files.write(rows, generation), "u", RULES))
     assert reading.candidate is not None, reading.faults
     assert list(reading.candidate.entries.values()) == rows and reading.candidate.version == generation
-    warm = finish(files.read(files.write(rows, generation + 1), "u", RULES, reading.known))
+    warm = run_to_end(files.read(files.write(rows, generation + 1), "u", RULES, reading.known))
     assert warm.candidate.entries == reading.candidate.entries
 
 
 def test_lines_known_from_before_do_not_outlive_the_destination_line_they_hang_on():
     line = "endpoint s-1 10.1.0.1:7000 destination 1 ready"
-    first = finish(files.read(body("destination 1 rate 9 kind club", line), "u", RULES))
+    first = run_to_end(files.read(body("destination 1 rate 9 kind club", line), "u", RULES))
     assert first.candidate.entries["s-1"][4:] == ("club", READY, 9.0, 0)
-    second = finish(files.read(body("destination 1 rate 3 kind club", line), "u", RULES, first.known))
+    second = run_to_end(files.read(body("destination 1 rate 3 kind club", line), "u", RULES, first.known))
     assert second.candidate.entries["s-1"].weight == 3.0
-    third = finish(files.read(body(line), "u", RULES, second.known))
+    third = run_to_end(files.read(body(line), "u", RULES, second.known))
     assert third.candidate.entries["s-1"].weight == 0.0
 
 
@@ -184,7 +184,7 @@
     ]
     data = json.dumps({"generation": 1, "reset": True, "instances": rows}).encode()
     assert sum(1 for _ in files.read(data, "u", RULES)) >= 3000 // 64
-    assert len(finish(files.read(data, "u", RULES)).candidate.entries) == 3000
+    assert len(run_to_end(files.read(data, "u", RULES)).candidate.entries) == 3000
 
 
 def test_reading_is_interrupted_often_enough():
@@ -195,27 +195,33 @@
 # Verdicts ----------------------------------------------------------------------------------------
 
 
-def in_force(one: Candidate) -> InForce:
-    return InForce(one.version, one.digest, one.entries)
+def active_list(one: CandidateList) -> ActiveList:
+    return ActiveList(one.version, one.digest, one.entries)
 
 
-def verdict(old: Candidate | None, new: Candidate, guards: Guards | None = None, owners: Owners | None = None, **more):
-    before = NOTHING if old is None else in_force(old)
-    return finish(judge(before, new, owners or Owners(), guards or Guards(), **more))
+def verdict(
+    old: CandidateList | None,
+    new: CandidateList,
+    guards: Guards | None = None,
+    owners: OwnershipIndex | None = None,
+    **more,
+):
+    before = NOTHING if old is None else active_list(old)
+    return run_to_end(evaluate(before, new, owners or OwnershipIndex(), guards or Guards(), **more))
 
 
 def test_generations_only_rise_and_each_stands_for_one_text():
     old = listing(entry("s-1"), version=5)
-    assert verdict(old, old).outcome == Outcome.SAME
+    assert verdict(old, old).outcome == ListOutcome.SAME
     older, other = listing(version=4), listing(entry("s-2"), version=5)
     assert "want one above 5" in str(verdict(old, older).reasons[0])
     assert "want a new one" in str(verdict(old, other).reasons[0])
-    assert verdict(old, listing(version=6)).outcome == Outcome.APPLIED
+    assert verdict(old, listing(version=6)).outcome == ListOutcome.APPLIED
 
 
 def test_what_another_file_owns_is_refused_until_it_gives_it_up():
-    owners, one = Owners(), listing(entry("s-1"), unit="one")
-    finish(owners.replace("one", {}, one.entries, one.destinations))
+    owners, one = OwnershipIndex(), listing(entry("s-1"), unit="one")
+    run_to_end(owners.replace("one", {}, one.entries, one.destinations))
     two = listing(entry("s-1", 7009, dest=2), entry("s-2", 7001), entry("s-3", dest=2), unit="two")
     found = [str(fault) for fault in verdict(None, two, owners=owners).reasons]
     assert found == [
@@ -224,8 +230,8 @@
         "two:4: s-3: want an address of its own: s-1 of one is there",
     ]
     empty = listing(version=2, unit="one")
-    finish(owners.replace("one", one.entries, empty.entries, empty.destinations))
-    assert verdict(None, two, owners=owners).outcome == Outcome.APPLIED
+    run_to_end(owners.replace("one", one.entries, empty.entries, empty.destinations))
+    assert verdict(None, two, owners=owners).outcome == ListOutcome.APPLIED
 
 
 FOUR = [entry(f"s-{place}", 7000 + place) for place in range(4)]
@@ -254,7 +260,7 @@
 )
 def test_guards_ask_or_pass(guards, rows, asks):
     found = verdict(listing(*FOUR), listing(*rows, version=2), guards)
-    assert (found.outcome == Outcome.HELD) == bool(asks), found.reasons
+    assert (found.outcome == ListOutcome.AWAITING_APPROVAL) == bool(asks), found.reasons
     assert asks in " ".join(map(str, found.reasons))
 
 
@@ -263,32 +269,32 @@
     new = listing(FOUR[0]._replace(lifecycle=DRAINING), FOUR[1]._replace(weight=9.0), version=2)
     guards = Guards(most_removed=0.25)
     found = verdict(old, new, guards)
-    assert found.outcome == Outcome.HELD
+    assert found.outcome == ListOutcome.AWAITING_APPROVAL
     assert [row.lifecycle for row in found.entries.values()] == [DRAINING, READY, READY, READY]
     assert found.entries["s-1"].weight == 5.0
-    assert verdict(old, new, Guards(most_removed=0.25, holds=False)).outcome == Outcome.REJECTED
-    assert verdict(old, new, guards, approved={new.digest}).outcome == Outcome.APPLIED
+    assert verdict(old, new, Guards(most_removed=0.25, ask_approval=False)).outcome == ListOutcome.REJECTED
+    assert verdict(old, new, guards, approved={new.digest}).outcome == ListOutcome.APPLIED
 
 
 def test_a_file_that_goes_back_takes_the_drains_of_a_held_version_back():
     old = listing(*FOUR)
     new = listing(FOUR[0]._replace(lifecycle=DRAINING), version=2)
     held = verdict(old, new, Guards(most_removed=0.25))
-    back = finish(judge(InForce(old.version, old.digest, held.entries), old, Owners(), Guards()))
-    assert (back.outcome, back.changes.resumed, back.entries) == (Outcome.APPLIED, ["s-0"], old.entries)
+    back = run_to_end(evaluate(ActiveList(old.version, old.digest, held.entries), old, OwnershipIndex(), Guards()))
+    assert (back.outcome, back.changes.resumed, back.entries) == (ListOutcome.APPLIED, ["s-0"], old.entries)
 
 
 def test_reasons_are_few():
     rows = [entry(f"s-{place}", 1 + place, dest=place) for place in range(100)]
     found = verdict(listing(*rows), listing(version=2), Guards(last_endpoint=False))
-    assert len(found.reasons) == decide.REASONS_MOST + 1 and "80 more" in str(found.reasons[-1])
+    assert len(found.reasons) == validation.MAX_REASONS + 1 and "80 more" in str(found.reasons[-1])
 
 
 # The list in force -------------------------------------------------------------------------------
 
 
 def test_another_address_or_destination_under_an_id_is_another_endpoint():
-    table = Table(["club"], ["a"], Ramps(0))
+    table = EndpointTable(["club"], ["a"], SlowStart(0))
     first, _ = table.apply([("s-1", entry("s-1"))], 0)
     members, gone = table.apply([("s-1", entry("s-1", 7001))], 0)
     assert gone == [first[0].endpoint] and [one.lifecycle for one in members] == [Lifecycle.GONE, READY]
@@ -301,29 +307,33 @@
 
 
 def test_a_destination_is_known_for_a_while_after_its_last_endpoint():
-    table = Table([], [], Ramps(0))
+    table = EndpointTable([], [], SlowStart(0))
     table.apply([("s-1", entry("s-1"))], 0)
     table.apply([("s-1", None)], 1_000_000)
-    assert table.knows(1, 60_000_000) and not table.knows(1, 61_100_000) and not table.knows(2, 0)
+    assert (
+        table.has_destination(1, 60_000_000)
+        and not table.has_destination(1, 61_100_000)
+        and not table.has_destination(2, 0)
+    )
 
 
 def test_a_higher_weight_is_reached_in_steps_and_a_lower_one_holds_at_once():
-    table = Table([], [], Ramps(10_000_000))
+    table = EndpointTable([], [], SlowStart(10_000_000))
 
     def weight(value: float, now: int) -> float:
         return table.apply([("s-1", entry("s-1", weight=value))], now)[0][0].weight
 
     assert weight(10.0, 0) == 10.0  # a new one: at once
     assert weight(30.0, 0) == 10.0
-    assert [table.rise(now)[0].weight for now in (2_500_000, 5_000_000)] == [15.0, 20.0]
+    assert [table.advance_slow_start(now)[0].weight for now in (2_500_000, 5_000_000)] == [15.0, 20.0]
     assert weight(60.0, 5_000_000) == 20.0  # a new way, from where it is
-    assert table.rise(10_000_000)[0].weight == 40.0
-    assert weight(5.0, 10_000_000) == 5.0 and table.rise(11_000_000) == []
+    assert table.advance_slow_start(10_000_000)[0].weight == 40.0
+    assert weight(5.0, 10_000_000) == 5.0 and table.advance_slow_start(11_000_000) == []
     assert weight(25.0, 11_000_000) == 5.0
-    assert table.rise(21_000_000)[0].weight == 25.0 and table.rise(22_000_000) == []
+    assert table.advance_slow_start(21_000_000)[0].weight == 25.0 and table.advance_slow_start(22_000_000) == []
     weight(99.0, 22_000_000)
     table.apply([("s-1", None)], 22_000_000)
-    assert table.rise(23_000_000) == []
+    assert table.advance_slow_start(23_000_000) == []
 
 
 class Clock(Loop):
@@ -372,7 +382,7 @@
         for name in self.order:
             self.group.add(name, None)
         self.model = {name: {} for name in self.order}
-        self.numbers: dict[int, Entry] = {}
+        self.numbers: dict[int, Endpoint] = {}
 
     rows = st.lists(
         st.builds(
@@ -390,7 +400,7 @@
     @rule(rows=rows)
     def a_file(self, rows):
         new = {row.id: row for row in rows}
-        finish(self.group.replace(FILES, 1, self.model[FILES], new))
+        run_to_end(self.group.replace(FILES, 1, self.model[FILES], new))
         self.model[FILES] = new
 
     @rule(rows=rows, whole=st.booleans(), gone=st.sets(st.integers(0, 5)))
@@ -403,7 +413,7 @@
         if whole:
             changes = [change for change in changes if change[1] is not None]
             self.model[DISCOVERY] = {}
-        self.group.take(DISCOVERY, MembershipKind.FULL if whole else MembershipKind.DELTA, 1, changes)
+        self.group.update(DISCOVERY, MembershipKind.FULL if whole else MembershipKind.DELTA, 1, changes)
         for id_, row in changes:
             self.model[DISCOVERY].pop(id_, None)
             if row is not None:
@@ -432,7 +442,7 @@
             seen[row.id] = row
             assert (one.lifecycle, one.destination, one.weight) == (row.lifecycle, row.destination, row.weight)
             before = self.numbers.setdefault(number, row)
-            assert before.same_place(row), "a number that stands for two endpoints"
+            assert before.same_endpoint(row), "a number that stands for two endpoints"
         assert seen == wanted
         assert all(table.entry(number) is None for number in self.gone)
         assert {row.destination for row in wanted.values()} == set(table._listed)
@@ -447,10 +457,10 @@
     group = Group(module_settings(), Deadlines(Clock(), lambda *_: None), module.put, lambda _: None)
     group.add(FILES, None)
     old = {f"s-{n}": entry(f"s-{n}", n + 1) for n in range(1000)}
-    finish(group.replace(FILES, 1, {}, old))
+    run_to_end(group.replace(FILES, 1, {}, old))
     module.told.clear()
     new = {f"t-{n}": entry(f"t-{n}", n + 2000) for n in range(1000)} | {"s-7": old["s-7"]._replace(lifecycle=DRAINING)}
-    finish(group.replace(FILES, 2, old, new))
+    run_to_end(group.replace(FILES, 2, old, new))
     assert max(len(event.members) for event in module.told) <= 64 and len(module.members) == 1001
     told = [one.lifecycle for event in module.told for one in event.members]
     assert told.index(READY) > max(place for place, life in enumerate(told) if life != READY)
@@ -460,46 +470,46 @@
 
 
 def test_last_good_lists_survive_and_a_spoilt_one_is_told(tmp_path):
-    lists = Lists(tmp_path)
+    lists = ListStore(tmp_path)
     data = files.write([entry("s-1")], 3)
-    lists.keep("a.list", files.digest_of(data), data)
-    lists.keep("b.list", files.digest_of(data), data)
-    (one, two) = lists.good()
+    lists.save_good("a.list", files.digest_of(data), data)
+    lists.save_good("b.list", files.digest_of(data), data)
+    (one, two) = lists.load_good()
     assert (os.path.basename(one.unit), one.data) == ("a.list", data) or os.path.basename(two.unit) == "a.list"
     path = next((tmp_path / "lists" / "good").glob("*a.list"))
     path.write_bytes(path.read_bytes().replace(b"s-1", b"s-2"))
-    assert sorted(isinstance(found, Spoilt) for found in lists.good()) == [False, True]
+    assert sorted(isinstance(found, StoredListCorruptError) for found in lists.load_good()) == [False, True]
 
 
 def test_versions_that_wait_and_verdicts_are_bounded(tmp_path):
-    lists = Lists(tmp_path)
+    lists = ListStore(tmp_path)
     for place in range(40):
-        lists.hold(f"{place:064x}", b"x")
-    assert len(lists.held()) == 16
+        lists.save_awaiting(f"{place:064x}", b"x")
+    assert len(lists.load_awaiting()) == 16
     for _ in range(3000):
-        lists.log([{"reasons": ["x" * 300]}])
+        lists.append_verdicts([{"reasons": ["x" * 300]}])
     assert sum(path.stat().st_size for path in (tmp_path / "lists").glob("verdicts*")) < 600_000
     with open(lists.verdicts, "ab") as out:
         out.write(b'{"torn')
-    assert all(row["reasons"] for row in lists.logged())
+    assert all(row["reasons"] for row in lists.read_verdicts())
 
 
 def test_what_is_no_plain_file_is_never_opened(tmp_path, monkeypatch):
     os.mkfifo(tmp_path / "fifo")
     (tmp_path / "folder").mkdir()
-    assert "a FIFO" in sight.look(str(tmp_path / "fifo")).reason
-    assert "a folder" in sight.look(str(tmp_path / "folder")).reason
-    assert sight.look(os.devnull).what == sight.UNREADABLE
-    assert sight.look(str(tmp_path / "none")).what == sight.ABSENT
+    assert "a FIFO" in file_scan.view_file(str(tmp_path / "fifo")).reason
+    assert "a folder" in file_scan.view_file(str(tmp_path / "folder")).reason
+    assert file_scan.view_file(os.devnull).what == file_scan.UNREADABLE
+    assert file_scan.view_file(str(tmp_path / "none")).what == file_scan.ABSENT
     path = tmp_path / "a.list"
     path.write_bytes(b"x" * 100)
-    assert sight.look(str(path), most=99).reason == "want at most 99 bytes, not 100"
+    assert file_scan.view_file(str(path), max_bytes=99).reason == "want at most 99 bytes, not 100"
 
     def refuse(*_):
         raise PermissionError(13, "Permission denied")
 
     monkeypatch.setattr(os, "open", refuse)
-    assert sight.look(str(path)).reason == "Permission denied"
+    assert file_scan.view_file(str(path)).reason == "Permission denied"
 
 
 def test_a_file_that_changes_while_it_is_read_is_read_again(tmp_path, monkeypatch):
@@ -515,22 +525,22 @@
         return real(number)
 
     monkeypatch.setattr(os, "fstat", fstat)
-    assert sight.look(str(path)).what == sight.UNSTEADY
+    assert file_scan.view_file(str(path)).what == file_scan.UNSTEADY
 
 
 def test_an_unchanged_file_is_not_read_and_a_young_one_is_read_again(tmp_path):
     path = tmp_path / "a.list"
     path.write_bytes(b"one")
-    assert sight.look(str(path)).mark == ()  # so young that the next change may not show in its times
+    assert file_scan.view_file(str(path)).stamp == ()  # so young that the next change may not show in its times
     os.utime(path, ns=(1, 1))
-    seen = sight.look(str(path))
-    while not (seen := sight.look(str(path))).mark:
+    seen = file_scan.view_file(str(path))
+    while not (seen := file_scan.view_file(str(path))).stamp:
         pass
-    assert sight.look(str(path), seen.mark).what == sight.SAME
+    assert file_scan.view_file(str(path), seen.stamp).what == file_scan.SAME
     path.write_bytes(b"two")
-    assert sight.look(str(path), seen.mark).data == b"two"
+    assert file_scan.view_file(str(path), seen.stamp).data == b"two"
 
 
 def test_destinations_of_a_file_without_endpoints_are_its_own():
-    reading = finish(files.read(body("destination 9 rate 2"), "u", RULES))
+    reading = run_to_end(files.read(body("destination 9 rate 2"), "u", RULES))
     assert reading.candidate.destinations == {9: Destination(9, 2.0, None)}
--- a/tests/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -20,12 +20,12 @@
 from lynxscale.relay.conf.table import MembersConf
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
-from lynxscale.relay.upstream import files, watch
+from lynxscale.relay.upstream import file_watch, files
 from lynxscale.relay.upstream.group import Group
-from lynxscale.relay.upstream.model import Entry
+from lynxscale.relay.upstream.list_store import ListStore
+from lynxscale.relay.upstream.model import Endpoint
 from lynxscale.relay.upstream.rules import rules_of
-from lynxscale.relay.upstream.state import Lists
-from lynxscale.relay.upstream.validation import Teller
+from lynxscale.relay.upstream.verdict_reporter import VerdictReporter
 from tests.driver import settings as module_settings
 
 SEED = int(os.environ.get("LISTS_SEED", "1"))
@@ -49,7 +49,7 @@
     def __init__(self, folder: Path, conf: str = CONF.read_text(), endpoints: int = 4, latency: float = 5.0) -> None:
         self.partner = Partner(SEED, mood=Mood(latency_ms=latency))
         self.relay, self.endpoints = Own(folder, conf), endpoints
-        self.lists, self.asked = Lists(folder / "state"), 0
+        self.lists, self.asked = ListStore(folder / "state"), 0
 
     async def __aenter__(self) -> "Scene":
         for place in range(self.endpoints):
@@ -63,7 +63,7 @@
         self.partner.close_all()
 
     def verdicts(self) -> list[dict]:
-        return list(self.lists.logged())
+        return list(self.lists.read_verdicts())
 
     def log(self) -> str:
         return self.relay.log.read_text()
@@ -85,7 +85,7 @@
         await until(lambda: sum(call.id in desk.sent for call in self.partner.calls[before:]) >= taken, "the calls")
         return {call.endpoint for call in self.partner.calls[before:] if call.id in desk.sent}
 
-    def entries(self, *names: str, draining=(), weight: float = 60.0) -> list[Entry]:
+    def entries(self, *names: str, draining=(), weight: float = 60.0) -> list[Endpoint]:
         rows = {one.id: one for one in entries_of(self.partner)}
         return [
             rows[name]._replace(
@@ -179,7 +179,7 @@
             called = await scene.served_by()
             check(scene.verdicts(), expected)
             assert called <= {"s-00", "s-03"} and called
-            assert [one.data for one in scene.lists.good()] == [last]
+            assert [one.data for one in scene.lists.load_good()] == [last]
             assert await scene.relay.stop() == 0
             return len(scene.verdicts())
 
@@ -255,13 +255,13 @@
             relay, path = scene.relay, scene.relay.lists / "a.list"
             relay.put(scene.entries("s-02"), 1, "a.list")
             await relay.start()
-            await until(lambda: list(scene.lists.good()), "the good list to be kept")
+            await until(lambda: list(scene.lists.load_good()), "the good list to be kept")
             await relay.stop(signal.SIGKILL)
             path.write_bytes(b"list 1 generation 2\nendpoint\nend 1\n")
             await relay.start()
             assert (await scene.verdict(path.read_bytes()))["outcome"] == "rejected"
             assert await scene.served_by() == {"s-02"}
-            assert "event=list_kept unit=lists/a.list version=1" in scene.log()
+            assert "event=list_restored unit=lists/a.list version=1" in scene.log()
 
     asyncio.run(play())
 
@@ -330,7 +330,7 @@
             )
             assert (await process.communicate())[0].decode() == f"approved {held['digest']}\n"
             await until(lambda: scene.verdicts()[-1]["outcome"] == "applied", "the approved version")
-            assert not scene.lists.held() and not scene.lists.approved()
+            assert not scene.lists.load_awaiting() and not scene.lists.approved_digests()
 
     asyncio.run(play())
 
@@ -364,12 +364,12 @@
             relay.put(scene.entries("s-00"), 1, "a.list")
             (relay.lists / "half.list").write_text("list 1 generation 1\n")
             await relay.start()
-            await until(lambda: len(list(scene.lists.good())) == 1, "the list to be kept")
+            await until(lambda: len(list(scene.lists.load_good())) == 1, "the list to be kept")
             relay.put([], 2, "a.list")
             await scene.verdict((relay.lists / "a.list").read_bytes())
             (relay.lists / "a.list").unlink()
             (relay.lists / "half.list").unlink()
-            await until(lambda: not list(scene.lists.good()), "the empty list to be forgotten")
+            await until(lambda: not list(scene.lists.load_good()), "the empty list to be forgotten")
             relay.put(scene.entries("s-01"), 1, "b.list")
             assert (await scene.verdict((relay.lists / "b.list").read_bytes()))["outcome"] == "applied"
             relay.put(scene.entries("s-02")[:0], 1, "a.list")  # forgotten, its generations too
@@ -465,7 +465,7 @@
                     [
                         *fixed,
                         *(
-                            Entry(
+                            Endpoint(
                                 f"x-{number}-{place}",
                                 (f"127.9.{place >> 8}.{place & 255}", 9),
                                 1 + place % 50,
@@ -495,7 +495,7 @@
                     await relay.start()
                 await scene.verdict(path.read_bytes())
             assert await scene.served_by() == {"s-00", "s-01"}
-            kept = list(scene.lists.good())
+            kept = list(scene.lists.load_good())
             assert [one.data for one in kept] == [path.read_bytes()]
             json.loads((await relay.get("/_counters"))[1])
 
@@ -503,7 +503,7 @@
 
 
 ENDS_AS_IT_KEEPS = """import os, signal
-from lynxscale.relay.upstream.state import Lists
+from lynxscale.relay.upstream.list_store import Lists
 keep = Lists.keep
 Lists.keep = lambda *args: (keep(*args), os.kill(os.getpid(), signal.SIGKILL))
 from lynxscale.__main__ import main
@@ -549,17 +549,24 @@
     deadlines = Deadlines(loop, lambda after, act: timers.append(act) or Timer())
     group = Group(module_settings(), deadlines, lambda _: None, lambda _: None)
     conf = MembersConf(files=(str(tmp_path / "a.list"),))
-    one = watch.Watch(
-        None, deadlines, conf, rules_of(conf, (), ()), group, Lists(tmp_path), Teller(loop.now, lambda: None), counters
+    one = file_watch.FileWatch(
+        None,
+        deadlines,
+        conf,
+        rules_of(conf, (), ()),
+        group,
+        ListStore(tmp_path),
+        VerdictReporter(loop.now, lambda: None),
+        counters,
     )
     group.add("files", one)
     one._worker = Stuck()
-    one._look()
+    one._scan()
     for at in (500_000, 1_100_000, 5_000_000):
         loop.at = at
         for act in list(timers):
             timers.clear()
             act()
-    assert counters.table() == {"lists": {"slow_looks": 1}} and not group.told
-    one.poke()  # while it looks: no second look is begun
+    assert counters.table() == {"lists": {"slow_looks": 1}} and not group.has_list
+    one.rescan()  # while it looks: no second look is begun
     one.stop()
--- a/tests/test_golden_relay.py
+++ b/tests/test_golden_relay.py
@@ -9,7 +9,7 @@
 from lynxscale.relay.upgrade import folders, kept
 from lynxscale.relay.upgrade.board import Board
 from lynxscale.relay.upstream.files import digest_of
-from lynxscale.relay.upstream.state import Lists
+from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.scheduling.learned_state import take
 from tests import golden_relay as relay
 from tests.driver import Driver, member
@@ -27,12 +27,12 @@
 
 
 def test_lists_and_verdicts_are_read(state):
-    lists = Lists(state)
-    assert [tuple(one) for one in lists.good()] == [(relay.UNIT, digest_of(relay.LIST), relay.LIST)]
-    assert lists.held() == {digest_of(relay.WAITING): relay.WAITING}
-    assert lists.approved() == {digest_of(relay.WAITING)}
-    assert list(lists.logged()) == relay.VERDICTS
-    assert lists.told() == {digest_of(relay.LIST), digest_of(relay.WAITING)}
+    lists = ListStore(state)
+    assert [tuple(one) for one in lists.load_good()] == [(relay.UNIT, digest_of(relay.LIST), relay.LIST)]
+    assert lists.load_awaiting() == {digest_of(relay.WAITING): relay.WAITING}
+    assert lists.approved_digests() == {digest_of(relay.WAITING)}
+    assert list(lists.read_verdicts()) == relay.VERDICTS
+    assert lists.reported_digests() == {digest_of(relay.LIST), digest_of(relay.WAITING)}
 
 
 def test_finals_are_lines_of_json():
