--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -13,7 +13,8 @@
 
 import msgspec
 
-from lynxscale.controlplane.ledger import Ledger, Turn
+from lynxscale.controlplane.turn_admission import TurnAdmission
+from lynxscale.controlplane.turn_history import TurnRecord
 from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.store import Store
@@ -54,7 +55,7 @@
 
 def filled(megabytes: int) -> tuple[Put, ...]:
     """Turns of so many bytes in all."""
-    value = msgspec.Raw(msgspec.json.encode(Turn(b"x" * TURN_BYTES, "", 90.0)))
+    value = msgspec.Raw(msgspec.json.encode(TurnRecord(b"x" * TURN_BYTES, "", 90.0)))
     count = megabytes * 1_000_000 // len(bytes(value))
     return tuple(Put(f"turn/{number:012x}", value) for number in range(count))
 
@@ -73,9 +74,9 @@
         installing = timed(lambda: store.install(Position(1, 1), table, lambda: None))
         in_all = steps.run()
         compare = timed(store.checksum)
-        ledger = Ledger(store.values, LoopClock(loop))
+        admission = TurnAdmission(store.values, LoopClock(loop))
         gc.collect()
-        begin = timed(ledger.begin)
+        begin = timed(admission.restart_retention)
         keys = timed(lambda: sorted(store.values))
         load = timed(lambda: Store(DurableFiles(folder)))
     loop.close()
--- a/lab/tier/history_checker.py
+++ b/lab/tier/history_checker.py
@@ -73,7 +73,7 @@
         if self.tier.primary() is None:
             self.broken["no_primary_in_the_end"] += 1
             return
-        if self.tier.primary().api.current() is None:
+        if self.tier.primary().operator_api.configuration.current() is None:
             self.broken["configuration_lost"] += 1
             return
         ran = self._runs()
@@ -148,7 +148,7 @@
                 return
 
     def _check_orders(self) -> None:
-        current = msgspec.json.decode(self.tier.primary().api.current().body)
+        current = msgspec.json.decode(self.tier.primary().operator_api.configuration.current().body)
         acknowledged = [order for order in self.seen.orders if order.acknowledged]
         if len({order.base for order in acknowledged}) < len(acknowledged):
             self.broken["two_on_one_base"] += 1
--- a/lab/tier/mutations/turns.py
+++ b/lab/tier/mutations/turns.py
@@ -5,7 +5,10 @@
 import msgspec
 
 from lab.tier.mutations.detectors import Patches
-from lynxscale.controlplane.ledger import Ledger, Turn
+from lynxscale.controlplane.exceptions import TurnNotFoundError
+from lynxscale.controlplane.program_state import ProgramRecord
+from lynxscale.controlplane.relay_requests import RelayRequestHandler
+from lynxscale.controlplane.turn_history import TurnHistory, TurnRecord, turn_key
 from lynxscale.coordination.messages import Reply, TurnAdmitted
 from lynxscale.dataplane.attempt import Attempt, AttemptOutcome
 from lynxscale.dataplane.forwarding import ForwardedRequest
@@ -20,19 +23,15 @@
 
     def reply(self, call, answer, puts) -> None:  # noqa: ANN001
         if puts:
-            self.member.submit(puts, lambda outcome: None)
+            self._member.submit(puts, lambda outcome: None)
         self._network.send(call.caller, Reply(call.number, call.incarnation, answer))
 
-    from lynxscale.controlplane.service import ControlService
-
-    return [(ControlService, "_reply_when_durable", reply)]
+    return [(RelayRequestHandler, "_reply_when_durable", reply)]
 
 
 def reservation_is_forgotten() -> Patches:
     """Only what was handed out counts, not what open turns may hand out yet."""
-    from lynxscale.controlplane.ledger import Program
-
-    return [(Program, "committed", property(lambda self: self.spent))]
+    return [(ProgramRecord, "committed_tokens", property(lambda self: self.spent_tokens))]
 
 
 def settled_at_nothing() -> Patches:
@@ -44,36 +43,30 @@
 def chain_lacks_its_oldest() -> Patches:
     """A history stops after two turns."""
 
-    def history(self: Ledger, last: str, cached: str) -> TurnAdmitted | None:
+    def compose(self: TurnHistory, last: str, cached: str) -> TurnAdmitted:
         contents, name = [], last
         while name and name != cached and len(contents) < 2:
-            raw = self._values.get("turn/" + name)
+            raw = self._values.get(turn_key(name))
             if raw is None:
-                return None
-            turn = msgspec_decode(raw)
+                raise TurnNotFoundError(name)
+            turn = msgspec.json.decode(raw, type=TurnRecord)
             contents.append(turn.content)
             name = turn.previous
         return TurnAdmitted(b"".join(reversed(contents)), name if name == cached else "")
 
-    return [(Ledger, "_history", history)]
-
-
-def msgspec_decode(raw) -> Turn:  # noqa: ANN001
-    """A stored turn."""
-
-    return msgspec.json.decode(raw, type=Turn)
+    return [(TurnHistory, "compose", compose)]
 
 
 def cached_history_is_taken_for_any_chain() -> Patches:
     """A relay is sent nothing where it has the session's newest history cached, whatever the turn goes on from."""
 
-    def history(self: Ledger, last: str, cached: str) -> TurnAdmitted | None:
+    def compose(self: TurnHistory, last: str, cached: str) -> TurnAdmitted:
         if cached and last:
             return TurnAdmitted(b"", cached)
         return original(self, last, cached)
 
-    original = Ledger._history
-    return [(Ledger, "_history", history)]
+    original = TurnHistory.compose
+    return [(TurnHistory, "compose", compose)]
 
 
 def unsafe_call_is_sent_again() -> Patches:
--- a/lynxscale/controlplane/__main__.py
+++ b/lynxscale/controlplane/__main__.py
@@ -1,4 +1,7 @@
-"""The control plane's process: ``python -m lynxscale.controlplane``. SIGTERM hands over and ends it."""
+"""The control plane's process: ``python -m lynxscale.controlplane``.
+
+SIGTERM shuts it down gracefully: it hands over the lease and leaves the group. SIGHUP reads the settings file anew.
+"""
 
 from __future__ import annotations
 
@@ -21,10 +24,10 @@
 
 log = logging.getLogger(__name__)
 
-DIAL_TIMEOUT_S = 1.0
-LEAVE_MARGIN_S = 1.0  # before the platform ends the process
-FLUSH_S = 0.05  # for the last messages to leave
-MOST_BODY_BYTES = 8 * 1024 * 1024
+CONNECT_TIMEOUT_S = 1.0
+SHUTDOWN_MARGIN_S = 1.0  # before the platform kills the process
+FLUSH_S = 0.05  # for the last messages to be sent
+MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
 async def serve(settings: Settings) -> None:
@@ -35,8 +38,8 @@
     clock = LoopClock(loop)
     network = PeerNetwork(loop, settings.internal_address)
     files = DurableFiles(settings.data_dir, network.flush)
-    service = ControlService(settings, clock, network, files, AsyncioDialer(loop, DIAL_TIMEOUT_S), Random())
-    limits = ServerLimits(body_bytes=MOST_BODY_BYTES)
+    service = ControlService(settings, clock, network, files, AsyncioDialer(loop, CONNECT_TIMEOUT_S), Random())
+    limits = ServerLimits(body_bytes=MAX_BODY_BYTES)
     connections: set[ServerConnection] = set()
     await network.listen(service.receive)
     if settings.listen.control:
@@ -48,16 +51,16 @@
     watcher = SettingsWatcher(settings, service.settings_changed)
     loop.add_signal_handler(signal.SIGHUP, watcher.reload)
     await watch_until(stopped, watcher)
-    await leave(service, settings.bounds.grace_s - LEAVE_MARGIN_S)
+    await leave(service, settings.bounds.grace_s - SHUTDOWN_MARGIN_S)
     log.info("event=ended")
 
 
-async def leave(service: ControlService, within_s: float) -> None:
-    """Stay until nothing depends on this member any more, but no longer than that."""
+async def leave(service: ControlService, timeout_s: float) -> None:
+    """Leave the group once nothing depends on this member any more, at the latest after ``timeout_s`` seconds."""
     released = asyncio.Event()
     service.leave(released.set)
     try:
-        async with asyncio.timeout(max(within_s, 0.0)):
+        async with asyncio.timeout(max(timeout_s, 0.0)):
             await released.wait()
     except TimeoutError:
         log.warning("event=left_unreleased")
--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -1,4 +1,7 @@
-"""The command line of the control plane: ``lynxscale-controlplane``."""
+"""The command line of the control plane: ``lynxscale-controlplane``.
+
+Each command is a dataclass whose fields are its arguments, and whose call runs it; cappa parses and calls.
+"""
 
 from __future__ import annotations
 
@@ -8,15 +11,25 @@
 
 import cappa
 import msgspec
-from returns.result import Failure
-
-from lynxscale.controlplane.configuration import Configuration, check
-from lynxscale.controlplane.configuration_update import apply_update, check_update
+from returns.result import Failure, Result
+
+from lynxscale.controlplane.configuration import Configuration
+from lynxscale.controlplane.configuration_check import Findings, check_configuration
+from lynxscale.controlplane.configuration_endpoint import BASE_HEADER
+from lynxscale.controlplane.configuration_update import (
+    NAMED_LISTS,
+    Entry,
+    apply_update,
+    check_update,
+    named_entries,
+)
+from lynxscale.controlplane.operator_api import READ_PATH, REPLACE_PATH, UPDATE_PATH
 from lynxscale.controlplane.status import ControlStatus, render
 from lynxscale.coordination.store import Store
 from lynxscale.runtime.commands import CheckSettings, call, fail, print_status, read_file
 from lynxscale.runtime.durable_files import ReadOnlyFiles
 from lynxscale.runtime.exit_codes import ExitCode
+from lynxscale.runtime.http_types import Response
 
 
 @cappa.command(help="Run a control process; the variable LYNXSCALE_SETTINGS names its settings file.")
@@ -25,13 +38,13 @@
     """Run a control process until SIGTERM."""
 
     def __call__(self) -> None:
-        """Run."""
-        from lynxscale.controlplane.__main__ import main as run
+        """Exit with the code of the process."""
+        from lynxscale.controlplane.__main__ import main as run  # the other commands need no event loop
 
         raise cappa.Exit(code=run())
 
 
-@cappa.command(name="check", help="Check a configuration file; all findings are told at once, each with its place.")
+@cappa.command(name="check", help="Check a configuration file; all findings are printed at once, each with its path.")
 @dataclass
 class Check:
     """Check a configuration without sending it."""
@@ -39,39 +52,37 @@
     file: str
 
     def __call__(self) -> None:
-        """Tell the findings."""
-        checked = check(read_file(self.file))
+        """Print the findings; exit code 1 where there are any."""
+        checked = check_configuration(read_file(self.file))
         if isinstance(checked, Failure):
-            raise fail("\n".join(f"{self.file}: {finding}" for finding in checked.failure()), ExitCode.FINDINGS)
-        table = checked.unwrap()
-        print(f"{self.file}: good, version {table['generation']}, {len(table['routes'])} routes")
+            raise fail(_finding_lines(self.file, checked.failure()), ExitCode.FINDINGS)
+        configuration = checked.unwrap()
+        print(f"{self.file}: good, version {configuration['generation']}, {len(configuration['routes'])} routes")
 
 
-@cappa.command(help="Tell what a control process knows; ADDRESS is its control address.")
+@cappa.command(help="Print the status of a control process; ADDRESS is its control address.")
 @dataclass
 class Status:
-    """The status of a member."""
+    """Print the status of a member."""
 
     address: str
     json: Annotated[bool, cappa.Arg(long=True, help="As JSON.")] = False
 
     def __call__(self) -> None:
-        """Print it."""
+        """Print it as text or JSON."""
         print_status(self.address, self.json, ControlStatus, render)
 
 
 @cappa.command(help="Read the configuration in force from any control process.")
 @dataclass
 class Read:
-    """The newest configuration."""
+    """Read the configuration in force."""
 
     address: str
 
     def __call__(self) -> None:
         """Print it as it was sent."""
-        response = call(self.address, "GET", "/config/read")
-        if response.status != 200:
-            raise fail(f"{self.address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
+        response = _checked(self.address, call(self.address, "GET", READ_PATH))
         print(response.body.decode())
 
 
@@ -86,16 +97,14 @@
     update: Annotated[bool, cappa.Arg(long=True, help="FILE is an update: generation, upsert and remove.")] = False
 
     def __call__(self) -> None:
-        """Send it and tell the answer."""
-        fields = ((b"lynxscale-base-version", b"%d" % self.base),)
-        path = "/config/update" if self.update else "/config/replace"
-        response = call(self.address, "POST", path, read_file(self.file), fields)
-        if response.status != 200:
-            raise fail(f"{self.address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
+        """Send it; exit code 1 where it was not acknowledged."""
+        fields = ((BASE_HEADER, b"%d" % self.base),)
+        path = UPDATE_PATH if self.update else REPLACE_PATH
+        _checked(self.address, call(self.address, "POST", path, read_file(self.file), fields))
         print(f"{self.file}: acknowledged")
 
 
-@cappa.command(help="Tell which routes and services differ between two configuration files.")
+@cappa.command(help="Print which routes and services differ between two configuration files.")
 @dataclass
 class Diff:
     """Compare two configurations by name."""
@@ -105,51 +114,71 @@
     update: Annotated[bool, cappa.Arg(long=True, help="AFTER is an update of BEFORE.")] = False
 
     def __call__(self) -> None:
-        """One line for each difference; exit code 1 where there are any."""
-        before = _table(self.before)
-        after = _updated(before, self.after) if self.update else _table(self.after)
-        lines = [line for part in ("routes", "services") for line in differences(part, before, after)]
+        """Print one line for each difference; exit code 1 where there are any."""
+        before = _load(self.before)
+        after = _load_updated(before, self.after) if self.update else _load(self.after)
+        lines = [
+            line
+            for name in NAMED_LISTS
+            for line in differences(name, named_entries(before, name), named_entries(after, name))
+        ]
         print("\n".join(lines) if lines else "no difference")
         if lines:
             raise cappa.Exit(code=ExitCode.FINDINGS)
 
 
-def _updated(before: Configuration, path: str) -> Configuration:
-    changed = check_update(read_file(path)).bind(lambda update: apply_update(before, update))
-    if isinstance(changed, Failure):
-        raise fail("\n".join(f"{path}: {finding}" for finding in changed.failure()), ExitCode.UNUSABLE)
-    return changed.unwrap()
+def _checked(address: str, response: Response) -> Response:
+    """Return the response where its status is 200. Raises cappa.Exit."""
+    if response.status != 200:
+        raise fail(f"{address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
+    return response
+
+
+def _load(path: str) -> Configuration:
+    return _unwrap(path, check_configuration(read_file(path)))
+
 
+def _load_updated(before: Configuration, path: str) -> Configuration:
+    return _unwrap(path, check_update(read_file(path)).bind(lambda update: apply_update(before, update)))
 
-def _table(path: str) -> Configuration:
-    checked = check(read_file(path))
+
+def _unwrap(path: str, checked: Result[Configuration, Findings]) -> Configuration:
+    """Return the configuration that was read from a file. Raises cappa.Exit."""
     if isinstance(checked, Failure):
-        raise fail("\n".join(f"{path}: {finding}" for finding in checked.failure()), ExitCode.UNUSABLE)
+        raise fail(_finding_lines(path, checked.failure()), ExitCode.UNUSABLE)
     return checked.unwrap()
 
 
-def differences(part: str, before: dict, after: dict) -> list[str]:
-    """Lines ``+``, ``-`` and ``~`` for entries added, removed and changed."""
-    old, new = ({entry["name"]: entry for entry in table[part]} for table in (before, after))
-    lines = [f"- {part} {name}" for name in old if name not in new]
-    lines += [f"+ {part} {name}" for name in new if name not in old]
-    for name in old:
-        if name in new and old[name] != new[name]:
-            fields = sorted(key for key in old[name] | new[name] if old[name].get(key) != new[name].get(key))
-            lines.append(f"~ {part} {name}: {', '.join(fields)}")
+def _finding_lines(path: str, findings: Findings) -> str:
+    return "\n".join(f"{path}: {finding}" for finding in findings)
+
+
+def differences(name: str, before: list[Entry], after: list[Entry]) -> list[str]:
+    """Return the lines ``-``, ``+`` and ``~`` for the entries of a list that were removed, added and changed."""
+    old = {entry["name"]: entry for entry in before}
+    new = {entry["name"]: entry for entry in after}
+    lines = [f"- {name} {entry}" for entry in old if entry not in new]
+    lines += [f"+ {name} {entry}" for entry in new if entry not in old]
+    for entry in old:
+        if entry in new and old[entry] != new[entry]:
+            lines.append(f"~ {name} {entry}: {', '.join(_changed_fields(old[entry], new[entry]))}")
     return lines
 
 
+def _changed_fields(before: Entry, after: Entry) -> list[str]:
+    return sorted(field for field in before | after if before.get(field) != after.get(field))
+
+
 @cappa.command(help="Check every file of a stopped member's data folder; nothing is changed.")
 @dataclass
 class Verify:
-    """Verify stored versions."""
+    """Verify the stored state."""
 
     folder: str
 
     def __call__(self) -> None:
-        """Tell the position reached, and each file that shows that something is missing."""
-        store = _store(self.folder)
+        """Print the position reached, and each file that shows that something is missing."""
+        store = _open_store(self.folder)
         print(f"{self.folder}: position {store.position.epoch}/{store.position.index}, {len(store.values)} keys")
         if not store.intact:
             findings = (f"{self.folder}/{name}: damaged, or nothing leads to it" for name in store.damage)
@@ -165,11 +194,11 @@
 
     def __call__(self) -> None:
         """Print it, sorted by key."""
-        for key, value in sorted(_store(self.folder).values.items()):
+        for key, value in sorted(_open_store(self.folder).values.items()):
             print(msgspec.json.encode({"key": key, "value": value}).decode())
 
 
-def _store(folder: str) -> Store:
+def _open_store(folder: str) -> Store:
     if not Path(folder).is_dir():
         raise fail(f"{folder}: no such folder", ExitCode.UNUSABLE)
     return Store(ReadOnlyFiles(folder))
@@ -186,7 +215,7 @@
 @cappa.command(name="storage", help="The data folder of a member that is stopped.")
 @dataclass
 class Storage:
-    """Commands on stored versions."""
+    """Commands on the stored state."""
 
     command: cappa.Subcommands[Verify | Export]
 
@@ -194,13 +223,13 @@
 @cappa.command(name="lynxscale-controlplane", help="Configuration, endpoints, budgets and conversations of a tier.")
 @dataclass
 class ControlPlane:
-    """All commands."""
+    """All commands of the control plane."""
 
     command: cappa.Subcommands[Run | CheckSettings | Check | Status | Config | Storage]
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Entry point."""
+    """Parse the arguments, those of the process by default, and run the command."""
     cappa.invoke(ControlPlane, argv=arguments)
 
 
--- /dev/null
+++ b/lynxscale/controlplane/configuration_endpoint.py
@@ -0,0 +1,139 @@
+"""The configuration in force, and the operator's requests that read, replace or update it.
+
+A request names the version that it builds on, and makes a later one. A repeated request is acknowledged again, also by
+another primary and when later ones were committed since; ``lynxscale.controlplane.idempotency`` says how.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+from returns.result import Failure, Result, Success
+
+from lynxscale.controlplane.configuration import Configuration, Finding
+from lynxscale.controlplane.configuration_check import check_configuration
+from lynxscale.controlplane.configuration_update import (
+    EMPTY_CONFIGURATION,
+    ConfigurationUpdate,
+    apply_update,
+    check_update,
+)
+from lynxscale.controlplane.http_responses import (
+    JSON_CONTENT,
+    CommittedResponses,
+    invalid_request,
+    json_response,
+    undecided,
+)
+from lynxscale.controlplane.idempotency import ChangeKind, IdempotencyRecords, idempotency_key
+from lynxscale.coordination.member import ControlMember
+from lynxscale.coordination.messages import put_value
+from lynxscale.coordination.outcomes import CommitOutcome
+from lynxscale.runtime.http_server import Responder
+from lynxscale.runtime.http_types import Head, Request, Response
+
+CURRENT_KEY = "config/current"
+BASE_HEADER = b"lynxscale-base-version"
+
+
+class CurrentConfiguration(msgspec.Struct, frozen=True):
+    """The configuration in force: its version, and its JSON, byte for byte as sent where it was sent complete."""
+
+    generation: int
+    body: msgspec.Raw
+
+
+class ConfigurationEndpoint:
+    """Handles requests on the configuration; only the primary may be asked to change it."""
+
+    def __init__(self, member: ControlMember, responses: CommittedResponses, on_commit: Callable[[], None]) -> None:
+        """``on_commit()`` is called once a new configuration is committed."""
+        self._member = member
+        self._responses = responses
+        self._on_commit = on_commit
+        self._records = IdempotencyRecords(member)
+
+    def current(self) -> CurrentConfiguration | None:
+        """Return the newest configuration in this member's store; None where there is none yet."""
+        raw = self._member.store.values.get(CURRENT_KEY)
+        return None if raw is None else msgspec.json.decode(raw, type=CurrentConfiguration)
+
+    def read(self, responder: Responder) -> None:
+        """Send the configuration in force, once it is known to be."""
+        self._member.barrier(lambda outcome: responder.respond(self._read_response(outcome)))
+
+    def change(self, kind: ChangeKind, request: Request, responder: Responder) -> None:
+        """Replace or update the configuration, and answer once that is committed or rejected."""
+        base = request.head.text(BASE_HEADER, "0").strip()
+        key = idempotency_key(kind, base, request.body)
+        if self._records.contains(key):
+            self._responses.send_after_barrier(responder, json_response(200, {"state": "taken before"}))
+            return
+        if kind is ChangeKind.REPLACE:
+            self._replace(base, key, request.body, responder)
+        else:
+            self._update(base, key, request.body, responder)
+
+    def _replace(self, base: str, key: str, body: bytes, responder: Responder) -> None:
+        checked = check_configuration(body)
+        if isinstance(checked, Failure):
+            responder.respond(invalid_request(checked.failure()))
+            return
+        generation = checked.unwrap()["generation"]
+        if not self._rejects_version(base, generation, responder):
+            self._commit(generation, body, key, responder)
+
+    def _update(self, base: str, key: str, body: bytes, responder: Responder) -> None:
+        checked = check_update(body)
+        if isinstance(checked, Failure):
+            responder.respond(invalid_request(checked.failure()))
+            return
+        update = checked.unwrap()
+        if not self._rejects_version(base, update["generation"], responder):
+            self._commit_update(update, key, responder)
+
+    def _read_response(self, outcome: CommitOutcome) -> Response:
+        current = self.current()
+        if not outcome.committed or current is None:
+            return undecided("no configuration yet")
+        return Response(200, Head(JSON_CONTENT), bytes(current.body))
+
+    def _rejects_version(self, base: str, generation: int, responder: Responder) -> bool:
+        """Reject a change that builds on another version than that in force, or that makes no later one."""
+        rejection = self._version_rejection(base, generation)
+        if rejection is not None:
+            self._responses.send_after_barrier(responder, rejection)
+        return rejection is not None
+
+    def _version_rejection(self, base: str, generation: int) -> Response | None:
+        current = self.current()
+        in_force = current.generation if current else 0
+        if base != str(in_force) and self._records.may_be_evicted(base):
+            return undecided("orders on so old a version are remembered no longer")
+        if base != str(in_force):
+            return json_response(412, {"error": f"version {in_force} is current"})
+        if generation <= in_force:
+            return invalid_request((Finding("generation", f"want a version above {in_force}"),))
+        return None
+
+    def _commit_update(self, update: ConfigurationUpdate, key: str, responder: Responder) -> None:
+        updated = self._updated(update)
+        if isinstance(updated, Failure):
+            # The configuration that it is applied to may not be committed yet.
+            self._responses.send_after_barrier(responder, invalid_request(updated.failure()))
+            return
+        self._commit(update["generation"], msgspec.json.encode(updated.unwrap()), key, responder)
+
+    def _updated(self, update: ConfigurationUpdate) -> Result[Configuration, tuple[Finding, ...]]:
+        current = self.current()
+        in_force: Result[Configuration, tuple[Finding, ...]] = (
+            Success(EMPTY_CONFIGURATION) if current is None else check_configuration(bytes(current.body))
+        )
+        return in_force.bind(lambda configuration: apply_update(configuration, update))
+
+    def _commit(self, generation: int, body: bytes, key: str, responder: Responder) -> None:
+        value = CurrentConfiguration(generation, msgspec.Raw(body))
+        puts = (put_value(CURRENT_KEY, value), *self._records.add(key, generation))
+        response = json_response(200, {"generation": generation})
+        self._responses.send_after_commit(responder, puts, response, self._on_commit)
--- /dev/null
+++ b/lynxscale/controlplane/exceptions.py
@@ -0,0 +1,37 @@
+"""Errors of the control plane."""
+
+from __future__ import annotations
+
+from lynxscale.exceptions import LynxscaleError
+
+
+class ControlPlaneError(LynxscaleError):
+    """Base of the control plane's errors."""
+
+
+class AdmissionError(ControlPlaneError):
+    """A turn that may not run. ``status`` is the HTTP status that the relay answers its client with."""
+
+    status: int
+
+
+class TurnNotFoundError(AdmissionError):
+    """The turn to continue from is not retained: it never completed, or its retention is over."""
+
+    status = 404
+
+    def __init__(self, turn: str) -> None:
+        super().__init__(f"no retained turn {turn!r}")
+        self.turn = turn
+
+
+class BudgetExceededError(AdmissionError):
+    """The budget does not cover the largest number of tokens that the turn may use."""
+
+    status = 402
+
+    def __init__(self, program: str, requested: int, available: int) -> None:
+        super().__init__(f"program {program!r} requests {requested} tokens, {available} are available")
+        self.program = program
+        self.requested = requested
+        self.available = available
--- /dev/null
+++ b/lynxscale/controlplane/relay_requests.py
@@ -0,0 +1,102 @@
+"""Requests of relays: turns to admit and to finish, and subscriptions to topics. Only a serving primary answers."""
+
+from __future__ import annotations
+
+from lynxscale.controlplane.turn_admission import TurnAdmission
+from lynxscale.coordination.member import ControlMember
+from lynxscale.coordination.messages import (
+    AdmitTurn,
+    Attach,
+    Call,
+    Put,
+    Redirect,
+    Reply,
+    Suspicion,
+    TurnAdmitted,
+    TurnFinished,
+    TurnRejected,
+)
+from lynxscale.coordination.outcomes import CommitOutcome
+from lynxscale.coordination.ports import Network
+from lynxscale.coordination.relay_roster import Roster
+from lynxscale.coordination.topic_publisher import Publisher
+
+MAX_PENDING_REDIRECTS = 10_000  # relays that sent requests while no primary was known
+
+
+class RelayRequestHandler:
+    """Answers relays, or redirects them to the primary as soon as it is known.
+
+    A member that leads serves relays between ``start_serving`` and ``stop_serving``.
+    """
+
+    def __init__(self, member: ControlMember, publisher: Publisher, network: Network) -> None:
+        self._member = member
+        self._publisher = publisher
+        self._network = network
+        self._admission: TurnAdmission | None = None
+        self._roster: Roster | None = None
+        self._pending_redirects: set[str] = set()
+
+    def start_serving(self, admission: TurnAdmission, roster: Roster) -> None:
+        """Answer requests from now on, by the state that this primary has begun with."""
+        self._admission = admission
+        self._roster = roster
+
+    def stop_serving(self) -> None:
+        """Redirect all requests from now on."""
+        self._admission = self._roster = None
+
+    def on_call(self, call: Call) -> None:
+        """Admit or finish a turn; the reply is sent once the change is durable."""
+        if self._admission is None or not self._member.leads():
+            self._redirect(call.caller)
+        elif isinstance(call.body, AdmitTurn):
+            answer, puts = self._admission.admit(call.body)
+            self._reply_when_durable(call, answer, puts)
+        else:
+            self._reply_when_durable(call, TurnFinished(), self._admission.finish(call.body))
+
+    def on_attach(self, message: Attach) -> None:
+        """Enter a relay into the roster and send it the topics that it lacks."""
+        if self._roster is None or not self._member.leads():
+            self._redirect(message.sender)
+            return
+        self._roster.on_attach(message.sender, message.zone)
+        self._publisher.on_attach(message, self._publisher.address, self._member.record.epoch, 0.0)
+
+    def on_suspicion(self, message: Suspicion) -> None:
+        """Count a relay's report that another one misses its heartbeats."""
+        if self._roster is not None:
+            self._roster.on_suspicion(message)
+
+    def send_pending_redirects(self) -> None:
+        """Redirect the relays that sent requests while no primary was known, where one is known now."""
+        if self._pending_redirects and self._serving_primary():
+            addresses, self._pending_redirects = self._pending_redirects, set()
+            for address in addresses:
+                self._redirect(address)
+
+    def _reply_when_durable(
+        self, call: Call, answer: TurnAdmitted | TurnRejected | TurnFinished, puts: tuple[Put, ...]
+    ) -> None:
+        def on_outcome(outcome: CommitOutcome) -> None:
+            if outcome.committed and self._member.leads():
+                self._network.send(call.caller, Reply(call.number, call.incarnation, answer))
+
+        if puts:
+            self._member.submit(puts, on_outcome)
+        else:
+            self._member.barrier(on_outcome)
+
+    def _redirect(self, address: str) -> None:
+        primary = self._serving_primary()
+        if primary:
+            self._network.send(address, Redirect(primary, self._member.record.epoch))
+        elif len(self._pending_redirects) < MAX_PENDING_REDIRECTS:
+            self._pending_redirects.add(address)
+
+    def _serving_primary(self) -> str:
+        """Return the primary's address; empty where it is unknown, or this member and not serving yet."""
+        starting = self._member.leads() and self._admission is None
+        return "" if starting else self._member.primary()
--- a/lynxscale/controlplane/retention.py
+++ b/lynxscale/controlplane/retention.py
@@ -1,50 +1,68 @@
-"""How long records are kept: by durations that the primary counts on its steady clock, never by the time of day.
+"""Retention of stored records: durations that the primary counts on its monotonic clock, never wall-clock times.
 
-A lead begins to count anew for all there is, as nobody knows how long the lead before had counted. A turn is kept for
-as long as any turn that goes on from it.
+Each new primary restarts all durations, as nobody knows how much of them the primary before had counted. A turn is
+retained for as long as any turn that continues from it.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 
+import msgspec
+
 from lynxscale.coordination.ports import Clock
 
 
-class Retention:
-    """When each key may go. Keys are those of the store."""
+class RetentionRecord(msgspec.Struct):
+    """The fields that a stored program or turn has in common: its retention in seconds, and its parent turn.
+
+    Stored names are those of ``ProgramRecord`` and ``TurnRecord``.
+    """
+
+    retention_s: float = msgspec.field(default=0.0, name="keep_s")
+    previous: str = ""
+
+
+class RetentionTracker:
+    """Tracks when keys of the store expire. A key does not expire before its children have."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._until: dict[str, float] = {}
-        self._leads_on_from: dict[str, str] = {}
-        self._followers: Counter[str] = Counter()
-
-    def keep(self, key: str, seconds: float, leads_on_from: str = "") -> None:
-        """Keep a key for so long from now on, and the key that it leads on from for as long as this one."""
-        self._until[key] = self._clock.now() + seconds
-        if leads_on_from and key not in self._leads_on_from:
-            self._leads_on_from[key] = leads_on_from
-            self._followers[leads_on_from] += 1
-
-    def take_expired(self) -> list[str]:
-        """Keys whose time is over and that nothing leads on from; they are tracked no longer."""
+        self._expires_at: dict[str, float] = {}
+        self._parents: dict[str, str] = {}
+        self._child_counts: Counter[str] = Counter()
+
+    def clear(self) -> None:
+        """Track no keys."""
+        self._expires_at.clear()
+        self._parents.clear()
+        self._child_counts.clear()
+
+    def retain(self, key: str, retention_s: float, parent: str = "") -> None:
+        """Retain a key for ``retention_s`` seconds from now on, and its parent for at least as long."""
+        self._expires_at[key] = self._clock.now() + retention_s
+        if parent and key not in self._parents:
+            self._parents[key] = parent
+            self._child_counts[parent] += 1
+
+    def pop_expired(self) -> list[str]:
+        """Return the expired keys without children, children before parents, and stop tracking them."""
         now = self._clock.now()
-        over = [key for key, until in self._until.items() if until < now]
-        gone = []
-        while over:
-            free = [key for key in over if not self._followers[key]]
-            if not free:
+        candidates = [key for key, expires_at in self._expires_at.items() if expires_at < now]
+        expired: list[str] = []
+        while candidates:
+            leaves = [key for key in candidates if not self._child_counts[key]]
+            if not leaves:
                 break
-            for key in free:
-                self._drop(key)
-            gone += free
-            over = [key for key in over if key in self._until]
-        return gone
-
-    def _drop(self, key: str) -> None:
-        del self._until[key]
-        self._followers.pop(key, None)
-        before = self._leads_on_from.pop(key, "")
-        if before:
-            self._followers[before] -= 1
+            for key in leaves:
+                self._forget(key)
+            expired += leaves
+            candidates = [key for key in candidates if key in self._expires_at]
+        return expired
+
+    def _forget(self, key: str) -> None:
+        del self._expires_at[key]
+        self._child_counts.pop(key, None)
+        parent = self._parents.pop(key, "")
+        if parent:
+            self._child_counts[parent] -= 1
--- a/lynxscale/controlplane/status.py
+++ b/lynxscale/controlplane/status.py
@@ -1,4 +1,7 @@
-"""What a member tells of itself: ``GET /status`` at its control address."""
+"""The status of a control process: ``GET /status`` at its control address, and its rendering as text.
+
+JSON field names are those of the operators' pages.
+"""
 
 from __future__ import annotations
 
@@ -6,17 +9,21 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """One member, as the primary knows it."""
+    """One member of the group, as the primary knows it."""
 
     member: str
     node: str
     witness: bool
     in_sync: bool
-    heard_s: float
+    last_heard_s: float = msgspec.field(name="heard_s")  # seconds ago
 
 
 class ControlStatus(msgspec.Struct, frozen=True):
-    """One control process. ``leads``: it holds the lease now. Ages are in seconds."""
+    """One control process.
+
+    ``leads``: it holds the lease. ``position``: epoch and index of the last stored batch. ``configuration``: the
+    version in force. ``endpoints``, ``relays`` and ``replicas`` are known to the primary alone.
+    """
 
     node: str
     member: str
@@ -33,7 +40,7 @@
 
 
 def render(status: ControlStatus) -> str:
-    """The status as text, one fact a line."""
+    """Return the status as text, one fact a line."""
     lines = [
         f"node           {status.node}",
         f"state          {status.state}{' (holds the lease)' if status.leads else ''}",
@@ -45,11 +52,11 @@
         lines.append(f"endpoints      {status.endpoints}")
         lines.append(f"relays         {len(status.relays)}: {' '.join(status.relays)}")
         lines.append(f"retiring       {' '.join(status.retiring) or 'none'}")
-        lines += [_replica_line(replica) for replica in status.replicas]
+        lines += [_render_replica(replica) for replica in status.replicas]
     return "\n".join(lines)
 
 
-def _replica_line(replica: ReplicaStatus) -> str:
-    words = [word for word, holds in (("witness", replica.witness), ("in_sync", replica.in_sync)) if holds]
-    role = " ".join(words) or "spare"
-    return f"replica        {replica.node or replica.member} {role}, heard {replica.heard_s:.1f} s ago"
+def _render_replica(replica: ReplicaStatus) -> str:
+    roles = [role for role, holds in (("witness", replica.witness), ("in_sync", replica.in_sync)) if holds]
+    description = " ".join(roles) or "spare"
+    return f"replica        {replica.node or replica.member} {description}, heard {replica.last_heard_s:.1f} s ago"
--- /dev/null
+++ b/lynxscale/controlplane/turn_history.py
@@ -0,0 +1,65 @@
+"""Retained turns of conversations, as records of the replicated store. Each turn names the one it continues from."""
+
+from __future__ import annotations
+
+import msgspec
+
+from lynxscale.controlplane.exceptions import TurnNotFoundError
+from lynxscale.controlplane.retention import RetentionTracker
+from lynxscale.coordination.messages import FinishTurn, Put, TurnAdmitted, put_value
+
+TURN_PREFIX = "turn/"
+RETENTION_MARGIN_S = 30.0  # clients count retention from the end of the answer, which comes after the record
+MAX_CHAIN_TURNS = 10_000  # a longer chain would be a loop of records
+
+
+class TurnRecord(msgspec.Struct):
+    """A retained turn: its input and output, and the id of the turn it continues from, empty for none.
+
+    Stored under the names given to ``msgspec.field``; folders of earlier versions are read with them.
+    """
+
+    content: bytes
+    previous: str = ""
+    retention_s: float = msgspec.field(default=0.0, name="keep_s")
+
+
+class TurnHistory:
+    """Records turns and composes histories. ``values`` is the store's memory; changes are returned, not made."""
+
+    def __init__(self, values: dict[str, msgspec.Raw], retention: RetentionTracker) -> None:
+        self._values = values
+        self._retention = retention
+
+    def compose(self, last: str, cached: str) -> TurnAdmitted:
+        """Return the contents of the chain up to turn ``last``, oldest first; empty where ``last`` is.
+
+        Where turn ``cached`` is part of the chain, only what follows it, as the relay has the rest. A turn is retained
+        as long as any that continues from it, so nothing before a retained turn is missing. Raises TurnNotFoundError.
+        """
+        contents: list[bytes] = []
+        turn = last
+        while turn and turn != cached:
+            raw = self._values.get(turn_key(turn))
+            if raw is None or len(contents) > MAX_CHAIN_TURNS:
+                raise TurnNotFoundError(turn)
+            record = msgspec.json.decode(raw, type=TurnRecord)
+            contents.append(record.content)
+            turn = record.previous
+        if turn and turn_key(turn) not in self._values:
+            raise TurnNotFoundError(turn)
+        return TurnAdmitted(b"".join(reversed(contents)), turn)
+
+    def record(self, request: FinishTurn) -> tuple[Put, ...]:
+        """Return the puts that retain a turn that has completed; none where it is not to be retained."""
+        if request.content is None:
+            return ()
+        record = TurnRecord(request.content, request.previous, request.retention_s + RETENTION_MARGIN_S)
+        key = turn_key(request.request)
+        self._retention.retain(key, record.retention_s, turn_key(request.previous))
+        return (put_value(key, record),)
+
+
+def turn_key(turn: str) -> str:
+    """Return the store's key of a turn; empty for no turn."""
+    return TURN_PREFIX + turn if turn else ""
--- a/tests/controlplane/test_golden_state.py
+++ b/tests/controlplane/test_golden_state.py
@@ -5,11 +5,11 @@
 
 import pytest
 
-from lynxscale.controlplane import operator_api
+from lynxscale.controlplane import idempotency
 from tests import golden
 
 BEFORE, AFTER = golden.lines("before.jsonl"), golden.lines("after.jsonl")
-MOST_ORDERS = 4  # of the golden state
+MAX_IDEMPOTENCY_RECORDS = 4  # of the golden state
 
 
 def compared(answer):
@@ -40,7 +40,7 @@
 
 
 def test_the_same_inputs_get_the_golden_answers_and_leave_the_golden_files(tmp_path, monkeypatch):
-    monkeypatch.setattr(operator_api, "MOST_ORDERS", MOST_ORDERS)
+    monkeypatch.setattr(idempotency, "MAX_IDEMPOTENCY_RECORDS", MAX_IDEMPOTENCY_RECORDS)
     tier = golden.start_tier(tmp_path)
     answers = golden.drive(tier, BEFORE)
     assert [compared(one) for one in answers] == [compared(step["answer"]) for step in BEFORE]
--- a/tests/data/tier/generate.py
+++ b/tests/data/tier/generate.py
@@ -18,14 +18,14 @@
 import msgspec
 
 from lab.tier.simulated_tier import default_configuration
-from lynxscale.controlplane import operator_api
+from lynxscale.controlplane import idempotency
 from lynxscale.coordination import snapshot_writer
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import VersionFiles
 from lynxscale.runtime.durable_files import DurableFiles
 from tests import golden
 
-MOST_ORDERS = 4  # remembered, so that some are forgotten
+MAX_IDEMPOTENCY_RECORDS = 4  # few, so that some are forgotten
 SMALL_CHUNK = 200  # bytes: several frames in a whole version
 FOLDED_AT = 9  # batches that are folded
 LONG_S, SHORT_S = 3600.0, 0.0
@@ -259,11 +259,11 @@
 
 def write_tier(target: Path, scratch: Path) -> None:
     """The folders of four control members, and the answers before and after a restart from them."""
-    usual, operator_api.MOST_ORDERS = operator_api.MOST_ORDERS, MOST_ORDERS
+    usual, idempotency.MAX_IDEMPOTENCY_RECORDS = idempotency.MAX_IDEMPOTENCY_RECORDS, MAX_IDEMPOTENCY_RECORDS
     tier = golden.start_tier(target / "members")
     write_lines(target / "before.jsonl", answered(BEFORE_RESTART, golden.drive(tier, BEFORE_RESTART)))
     tier.world.run(tier.world.time + golden.SETTLE_S)
-    operator_api.MOST_ORDERS = usual
+    idempotency.MAX_IDEMPOTENCY_RECORDS = usual
     shutil.copytree(target / "members", scratch / "members")
     again = golden.start_tier(scratch / "members")
     write_lines(target / "after.jsonl", answered(AFTER_RESTART, golden.drive(again, AFTER_RESTART)))
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -16,7 +16,7 @@
 
 from lab.tier.simulated_tier import INTERNAL_PORT, SimulatedTier
 from lab.tier.world import World
-from lynxscale.controlplane import ledger, operator_api, status
+from lynxscale.controlplane import configuration_endpoint, program_state, retention, status, turn_history
 from lynxscale.coordination import acceptor_state, messages
 from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.store import Store
@@ -44,10 +44,10 @@
     "topic": messages.Topic,
     "endpoint": Endpoint,
     "roster_entry": messages.RosterEntry,
-    "program": ledger.Program,
-    "turn": ledger.Turn,
-    "kept": ledger.Kept,
-    "current_configuration": operator_api.CurrentConfiguration,
+    "program": program_state.ProgramRecord,
+    "turn": turn_history.TurnRecord,
+    "kept": retention.RetentionRecord,
+    "current_configuration": configuration_endpoint.CurrentConfiguration,
     "register_state": acceptor_state.AcceptorState,
     "page": EndpointPage,
     "replica_status": status.ReplicaStatus,
--- a/tests/test_tier_checks.py
+++ b/tests/test_tier_checks.py
@@ -7,7 +7,7 @@
 from lab.tier.histories import History
 from lab.tier.simulated_tier import SimulatedTier
 from lab.tier.world import World
-from lynxscale.controlplane.configuration import check
+from lynxscale.controlplane.configuration_check import check_configuration
 from lynxscale.controlplane.configuration_update import apply_update, check_update
 from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import AcceptorState, AcceptorStateFile, MemberIdentity
@@ -106,14 +106,14 @@
     ],
 )
 def test_what_cannot_be_read_is_told_by_place(body, places):
-    assert [finding.place for finding in check(body).failure()] == places
+    assert [finding.path for finding in check_configuration(body).failure()] == places
 
 
 def test_weights_that_sum_to_nothing_and_unknown_services_are_found():
     route = {"name": "r", "host": "h", "path-prefix": "/", "route-type": "safe", "timeout-ms": 5}
     split = [{"backend": "a", "weight": 0}, {"backend": "b", "weight": 0}]
     table = {"generation": 2, "routes": [route | {"weighted-backends": split}], "services": [{"name": "a"}]}
-    findings = [str(finding) for finding in check(msgspec.json.encode(table)).failure()]
+    findings = [str(finding) for finding in check_configuration(msgspec.json.encode(table)).failure()]
     assert findings == [
         "routes[0].weighted-backends[1].backend: no service 'b'",
         "routes[0].weighted-backends: the weights sum to 0",
@@ -136,7 +136,7 @@
     ],
 )
 def test_what_is_wrong_with_an_update_is_told_by_place(body, places):
-    assert [finding.place for finding in check_update(body).failure()] == places
+    assert [finding.path for finding in check_update(body).failure()] == places
 
 
 def test_an_update_changes_only_what_it_names_and_its_outcome_is_checked_whole():
@@ -157,9 +157,7 @@
         "result.routes[2]": outcome(upsert={"routes": [added | {"path-prefix": "/o/"}]}),
         "result.routes[0].timeout-ms": outcome(upsert={"routes": [route | {"timeout-ms": 0}]}),
     }
-    assert {place: answer.failure()[0].place for place, answer in refused.items()} == {
-        place: place for place in refused
-    }
+    assert {place: answer.failure()[0].path for place, answer in refused.items()} == {place: place for place in refused}
 
 
 def test_an_update_never_drops_one_of_two_items_with_one_name_in_silence():
@@ -170,5 +168,5 @@
     other = {"generation": 3, "upsert": {"services": [{"name": "b"}]}}
     assert apply_update(table, other).unwrap()["routes"] == [route, twin]
     both = apply_update(table, {"generation": 3, "upsert": {"routes": [route | {"timeout-ms": 9}]}})
-    assert [finding.place for finding in both.failure()] == ["result.routes[1]"]
+    assert [finding.path for finding in both.failure()] == ["result.routes[1]"]
     assert apply_update(table, {"generation": 3, "remove": {"routes": ["r"]}}).unwrap()["routes"] == []
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -8,7 +8,7 @@
 from lab.tier.models.catalogue import MODELS, Scope
 from lab.tier.simulated_tier import SimulatedTier, default_configuration
 from lab.tier.world import ProcessEnded, World
-from lynxscale.controlplane.ledger import Ledger
+from lynxscale.controlplane.turn_admission import TurnAdmission
 from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import ACCEPTOR_STATE_FILE, AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.checksummed_file import SECOND_FILE_SUFFIX
@@ -307,7 +307,7 @@
     """Seen from reading: each turn of a chain expired by itself, so a long conversation got 404 after its first."""
     machine = World(1).machine("a:1")
     values: dict[str, msgspec.Raw] = {}
-    ledger = Ledger(values, machine.clock())
+    admission = TurnAdmission(values, machine.clock())
 
     def put(puts: tuple[Put, ...]) -> None:
         for one in puts:
@@ -318,19 +318,19 @@
 
     for number in range(6):
         previous = f"t{number - 1}" if number else ""
-        put(ledger.finish(FinishTurn("p", f"t{number}", 0, 60.0, b"x", previous)))
+        put(admission.finish(FinishTurn("p", f"t{number}", 0, 60.0, b"x", previous)))
         machine.world.time += 50.0
-        put(ledger.expired())
+        put(admission.remove_expired())
     asked = AdmitTurn("p", "t6", -1, 0, 60.0, True, "t5")
-    answer, _ = ledger.admit(asked)
+    answer, _ = admission.admit(asked)
     assert isinstance(answer, TurnAdmitted) and answer.history == b"x" * 6
-    later = Ledger(values, machine.clock())
-    later.begin()
+    later = TurnAdmission(values, machine.clock())
+    later.restart_retention()
     machine.clock_step_s = 7200.0
-    put(later.expired())
+    put(later.remove_expired())
     assert len(values) == 6
     machine.world.time += 91.0
-    put(later.expired())
+    put(later.remove_expired())
     assert not values
 
 
@@ -367,6 +367,8 @@
 def test_old_orders_are_forgotten_and_then_neither_refused_nor_taken(monkeypatch):
     monkeypatch.setattr("lynxscale.controlplane.operator_api.MOST_ORDERS", 8)
     tier = SimulatedTier(World(5)).start_serving()
+    monkeypatch.setattr("lynxscale.controlplane.idempotency.MAX_IDEMPOTENCY_RECORDS", 8)
+    tier = SimulatedTier(World(5)).settle()
     for number in range(2, 21):
         assert tier.push(default_configuration(number), number - 1).status == 200
     orders = [key for key in tier.primary().member.store.values if key.startswith("order/")]
--- a/tests/test_tier_whole.py
+++ b/tests/test_tier_whole.py
@@ -161,7 +161,7 @@
     places = [finding["place"] for finding in msgspec.json.decode(answer.body)["findings"]]
     assert answer.status == 400
     assert places == ["routes[0].backend", "routes[1].timeout-ms", "routes[3]"]
-    assert one.primary().api.current().generation == 1
+    assert one.primary().operator_api.configuration.current().generation == 1
 
 
 # Endpoints and membership -----------------------------------------------------------------------------
@@ -209,7 +209,7 @@
     lost = one.relay_hosts[2]
     one.kill_relay(lost)
     one.world.run(one.world.time + 6)
-    listed = [entry.address.partition(":")[0] for entry in one.primary().roster.entries()]
+    listed = [entry.address.partition(":")[0] for entry in one.primary().publication.roster.entries()]
     assert sorted(listed) == sorted(host for host in one.relay_hosts if host != lost)
 
 
