--- /dev/null
+++ b/tests/controlplane/test_program_state.py
@@ -0,0 +1,47 @@
+"""Token budgets of programs, on a simulated tier."""
+
+from lab.tier.simulated_tier import SimulatedTier
+from lab.tier.world import World
+from tests.simulated_tier import settled_tier
+
+
+def test_a_budget_is_spent_once_and_further_turns_get_402():
+    """Four events of ten tokens a turn: three turns fit into 120, with the most of each reserved."""
+    tier = settled_tier()
+    statuses = [tier.turn("p", 120, most=40, relay=tier.relay_hosts[n % 3]).status for n in range(4)]
+    assert statuses == [200, 200, 200, 402]
+
+
+def test_concurrent_turns_do_not_exceed_a_budget():
+    tier = settled_tier()
+    fields = {"program": "p", "budget": "100", "lynxscale_token_count": "100,40"}
+    answers = [tier.start_request("/open/stream", relay=relay, **fields)[0] for relay in tier.relay_hosts * 2]
+    tier.world.run(tier.world.time + 2)
+    assert sorted(answer.status for answer in answers) == [200, 200, 402, 402, 402, 402]
+
+
+def test_a_reservation_survives_the_loss_of_primary_and_relay():
+    tier = settled_tier()
+    for endpoint in tier.endpoints.values():
+        endpoint.service_time_s = 1.0
+    tier.start_request("/open/stream", program="p", budget="40", lynxscale_token_count="100,40")
+    tier.world.run(tier.world.time + 0.3)
+    tier.kill_relay(tier.relay_hosts[0])
+    tier.kill_control(tier.primary().publisher.address.partition(":")[0])
+    answer = tier.turn("p", 40, path="/open/stream", relay=tier.relay_hosts[1])
+    assert answer.status == 402
+
+
+def test_an_admission_after_its_deadline_returns_its_reservation():
+    tier = SimulatedTier(World(3)).start_serving()
+    tier.world.run(tier.world.time + 1)
+    own = f"{tier.relay_hosts[0]}:7000"
+    for host in tier.control_hosts:
+        tier.world.partition(f"{host}:7000", own, both_ways=False)  # the admission arrives, its answer does not
+    answer, _ = tier.start_request("/kept/stream", program="p", budget="40", lynxscale_token_count="1,40")
+    assert tier.world.run_until(lambda: answer.ended, 4.0)
+    assert answer.status == 503
+    tier.world.heal()
+    tier.world.run(tier.world.time + 3)
+    again = tier.turn("p", 40, most=40)
+    assert again.status == 200
