--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -25,7 +25,7 @@
     Result,
     TimerDue,
 )
-from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings import Effect, MessageClass, Settings
 
 NET_MS, DIAL_MS = 20.0, 40.0  # one way; a connect that fails
@@ -127,7 +127,7 @@
         self.life, self.alive = self.life + 1, True
         self.tries.clear()
         self.out.clear()
-        self.sender = Sender(settings, fleet.random.getrandbits(60))
+        self.scheduler = Scheduler(settings, fleet.random.getrandbits(60))
         self.give(
             MembershipUpdate(
                 MembershipKind.CACHED,
@@ -139,7 +139,7 @@
     def give(self, *events: object) -> None:
         fleet = self.fleet
         calls: dict[int, list[list[tuple[Attempt, int]]]] = {}  # by endpoint: what goes there in this step
-        for action in self.sender.step(fleet.now, list(events)):
+        for action in self.scheduler.step(fleet.now, list(events)):
             kind = type(action)
             if kind is SetTimer:
                 self.later(max(0.0, action.at - fleet.now) + 0.001, self.give, TimerDue(action.timer_id))
--- a/lynxscale/cli/trace/replay.py
+++ b/lynxscale/cli/trace/replay.py
@@ -18,10 +18,12 @@
 from lynxscale.trace.view import iso
 
 
-@example("lynxscale trace replay relay-a/\nlynxscale trace replay --module next/brain.py relay-a/")
+@example("lynxscale trace replay relay-a/\nlynxscale trace replay --module next/scheduler.py relay-a/")
 @group.command()
 @files
-@click.option("--module", type=click.Path(dir_okay=False), help="A Python file with another Sender: what would it do?")
+@click.option(
+    "--module", type=click.Path(dir_okay=False), help="A Python file with another Scheduler: what would it do?"
+)
 @to_json
 @click.pass_context
 def replay(ctx: click.Context, files: tuple[str, ...], module: str | None, as_json: bool) -> None:
@@ -30,12 +32,12 @@
     Every action is compared; the first difference is shown with what led to it, and ends with exit code 1. With
     --module another version is stepped, and what it decided otherwise is counted.
     """
-    from lynxscale.scheduling.scheduler import Sender
+    from lynxscale.scheduling.scheduler import Scheduler
     from lynxscale.trace.recorder import policy_hash
     from lynxscale.trace.replay import NotReplayable
     from lynxscale.trace.replay import replay as play
 
-    make = _module(module) if module else Sender
+    make = _module(module) if module else Scheduler
     try:
         played = play(progress(Merge(checked(files), Losses()), "replaying"), make, strict=not module)
     except NotReplayable as error:
@@ -59,7 +61,7 @@
     found = importlib.util.module_from_spec(spec)
     try:
         spec.loader.exec_module(found)
-        return found.Sender
+        return getattr(found, "Scheduler", None) or found.Sender  # the class's name in earlier versions
     except Exception as error:
         raise Misused(f"{path}: cannot be loaded as a decision module: {type(error).__name__}: {error}") from error
 
--- a/lynxscale/dataplane/endpoint_state.py
+++ b/lynxscale/dataplane/endpoint_state.py
@@ -9,7 +9,7 @@
 from lynxscale.dataplane.failure_rate import FailureRate
 from lynxscale.discovery.endpoint import Endpoint
 from lynxscale.runtime.http_client import Dial
-from lynxscale.scheduling.restart_timeout import INF, TrySample
+from lynxscale.scheduling.restart_timeout import INF, AttemptSample
 
 READY = "ready"  # the platform's state of an endpoint that takes requests
 
@@ -43,7 +43,7 @@
         self.in_flight = 0
         self.tokens_in_flight = 0
         self.window = 1
-        self.sample = TrySample()
+        self.sample = AttemptSample()
         self.recent_latency_ms = 0.0
         self.restart_tokens = INITIAL_RESTART_TOKENS
         self.cooldown_until = -INF
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -138,7 +138,7 @@
         request = attrs.evolve(self._request, head=Head(fields))
         self._attempt = Attempt(endpoint, request, self, self._clock, self._demand.max_tokens)
         if retry_policy.may_restart(self._route, self._executions):
-            restart_timeout_ms = endpoint.sample.tau
+            restart_timeout_ms = endpoint.sample.restart_timeout_ms
             if restart_timeout_ms < self._remaining_ms:
                 self._attempt.start_restart_timer(restart_timeout_ms)
 
--- a/lynxscale/dataplane/status.py
+++ b/lynxscale/dataplane/status.py
@@ -43,7 +43,7 @@
 
 def endpoint_status(endpoint_id: str, state: EndpointState) -> EndpointStatus:
     """The status of one endpoint."""
-    restart_timeout_ms = state.sample.tau if math.isfinite(state.sample.tau) else None
+    restart_timeout_ms = state.sample.restart_timeout_ms if math.isfinite(state.sample.restart_timeout_ms) else None
     service = state.endpoint.backend
     return EndpointStatus(endpoint_id, service, state.ready, state.in_flight, state.window, restart_timeout_ms)
 
--- a/lynxscale/relay/core.py
+++ b/lynxscale/relay/core.py
@@ -37,7 +37,7 @@
     Subscribe,
 )
 from lynxscale.scheduling.events import Message, Outcome, Result, TimerDue, Withdrawn
-from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings import Effect, Settings
 
 log = structlog.get_logger()
@@ -66,7 +66,7 @@
     ) -> None:
         self.settings, self.loop, self.deadlines = settings, loop, deadlines
         self.journal, self.counters = journal, counters
-        self.sender = Sender(settings, seed)
+        self.scheduler = Scheduler(settings, seed)
         self.pending: SlotTable = SlotTable()
         self.by_id: dict[str, int] = {}
         self.peers: PeersPort
@@ -251,11 +251,11 @@
         of that way is ended by its backstop.
         """
         try:
-            return self.sender.step(now_ms, events), False
+            return self.scheduler.step(now_ms, events), False
         except Exception:
             log.exception("module_failed")
             self.counters.add("module", "failed")
-            return list(self.sender.actions), True
+            return list(self.scheduler.actions), True
 
     def _guarded(self, call: Callable[..., None], *args: Any) -> None:
         """Guards against a fault in one action or response of a turn that would skip all those after it."""
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -16,7 +16,7 @@
 from lynxscale.relay.upgrade.follow import Follower
 from lynxscale.relay.upgrade.kept import keep, kept
 from lynxscale.relay.upgrade.succession import Order, Succession
-from lynxscale.scheduling.learned_state import export, take
+from lynxscale.scheduling.learned_state import export, restore
 
 log = structlog.get_logger()
 
@@ -226,7 +226,7 @@
 
     def keep(self) -> None:
         """Keep what the module has learned for the heir."""
-        keep(self._claim.state, export(self._relay.sender), self._name_of, self._relay.loop.now())
+        keep(self._claim.state, export(self._relay.scheduler), self._name_of, self._relay.loop.now())
 
     def _learn(self) -> None:
         if self._relay.trace is not None and self._relay.trace.decisions:
@@ -235,7 +235,7 @@
         if told is None:
             return
         try:
-            lanes = take(self._relay.sender, told, self._relay.loop.now() / 1000)
+            lanes = restore(self._relay.scheduler, told, self._relay.loop.now() / 1000)
         except ValueError as error:
             log.warning("nothing_learned", error=str(error))
             return
--- a/lynxscale/scheduling/__init__.py
+++ b/lynxscale/scheduling/__init__.py
@@ -1,19 +1,22 @@
-"""Decisions of sending, without I/O or a clock: ``Sender`` serves a relay, ``restart`` is shared with the tier."""
+"""Scheduling decisions, without I/O or a clock.
+
+``Scheduler`` serves a relay; ``restart_timeout`` is shared with the serving tier.
+"""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from lynxscale.scheduling.scheduler import Sender
+    from lynxscale.scheduling.scheduler import Scheduler
 
-__all__ = ["Sender"]
+__all__ = ["Scheduler"]
 
 
 def __getattr__(name: str) -> Any:
-    """``Sender`` on first use (PEP 562): whoever needs restart times alone need not load it."""
-    if name == "Sender":
-        from lynxscale.scheduling.scheduler import Sender
+    """``Scheduler`` on first use (PEP 562): programs that need restart timeouts alone do not load it."""
+    if name == "Scheduler":
+        from lynxscale.scheduling.scheduler import Scheduler
 
-        return Sender
+        return Scheduler
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- /dev/null
+++ b/lynxscale/scheduling/admission.py
@@ -0,0 +1,168 @@
+"""Admission: accepts messages, counts tenants' quotas, sheds load, and ends messages that are not delivered."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+from lynxscale.scheduling.actions import Fail, Refuse
+from lynxscale.scheduling.events import Message
+from lynxscale.scheduling.model import Destination, PendingMessage
+
+if TYPE_CHECKING:
+    from lynxscale.scheduling.context import SchedulerContext
+    from lynxscale.scheduling.key_sequencing import KeySequencer
+    from lynxscale.scheduling.message_queue import MessageQueue
+    from lynxscale.scheduling.model import QueueEntry
+    from lynxscale.scheduling.retry_policy import RetryPolicy
+    from lynxscale.scheduling.routing_table import RoutingTable
+
+INF = math.inf
+TENANT_BURST_S = 2.0  # seconds of its quota that a tenant may send at once and stay within it
+QUEUE_MS = 10_000.0  # of its limit's part that a destination may have waiting; more would be too late
+SHED_FROM, SHED_TO = 0.95, 0.85  # shares of the pending messages allowed: shed from the first down to the second
+SHED_PART = 4  # one entry in so many of the longest queue is shed at a time
+CLOSED_WEIGHT_MS = 1000  # queue lengths are compared by waiting messages times this and the time until they go
+RETRY_AFTER_MIN_MS = 750.0  # at once would be too soon
+STALE_SHARE = 0.5  # of its value in time: attempted in vain and worth less, it makes way for fresher ones
+
+
+class Admission:
+    """Pending messages from their arrival to their end."""
+
+    def __init__(
+        self,
+        context: SchedulerContext,
+        retries: RetryPolicy,
+        queue: MessageQueue,
+        keys: KeySequencer,
+        table: RoutingTable,
+        pending: dict[int, PendingMessage],
+    ) -> None:
+        self._context, self._retries, self._queue, self._keys, self._table = context, retries, queue, keys, table
+        self.pending = pending  # by id
+        self._quota_tokens = [INF for _ in context.settings.tenants]
+        self._quota_counted_at = [0.0 for _ in context.settings.tenants]
+        queue.on_hopeless = self.give_up
+
+    # Arrival -------------------------------------------------------------------------------------
+
+    def accept(self, event: Message) -> None:
+        """Take in a new message and queue it, unless others of its key go first."""
+        cls = self._context.settings.classes[event.cls]
+        destination = self._table.destination(event.destination)
+        message = PendingMessage(event, destination, self._context.next_number())
+        target_ms = cls.aim_ms + (cls.aim_stretch or 0.0) * (event.work_hint or 0.0)
+        message.target_at = event.expires - cls.deadline_ms + min(target_ms, cls.deadline_ms)
+        message.over_quota = not self._is_within_quota(event.tenant)
+        self.pending[message.id] = message
+        self._give_up_when_hopeless(message)
+        message.key = message.key if cls.ordered else 0
+        if not message.key or self._keys.add(message):
+            self._queue.add(message)
+
+    def _is_within_quota(self, tenant: int) -> bool:
+        """Count a message of the tenant; beyond its quota messages have little value, and so go last."""
+        tenants = self._context.settings.tenants
+        quota = tenants[tenant].quota_per_s if tenant < len(tenants) else None
+        if not quota:
+            return True
+        now, rate = self._context.now, quota / self._context.settings.senders
+        earned = rate * (now - self._quota_counted_at[tenant]) / 1000
+        tokens = min(max(1.0, rate * TENANT_BURST_S), self._quota_tokens[tenant] + earned)
+        within = tokens >= 1
+        self._quota_tokens[tenant] = tokens - within
+        self._quota_counted_at[tenant] = now
+        return within
+
+    def _give_up_when_hopeless(self, message: PendingMessage) -> None:
+        """Set anew whenever the message is queued again."""
+        self._context.timers.schedule(self._retries.hopeless_at(message), self.give_up, message)
+
+    def requeue(self, message: PendingMessage) -> None:
+        """An attempt did not deliver it: queue it again, or give it up."""
+        now = self._context.now
+        earliest = now + message.destination.closed_for(now)
+        in_time = self._queue.value(message, message.target_at)
+        stale = self._queue.value(message, earliest) < STALE_SHARE * in_time
+        attempts_cap = self._context.settings.attempts_cap or INF
+        if now >= message.expires or stale or message.attempts >= attempts_cap:
+            self.give_up(message)
+        else:
+            self._give_up_when_hopeless(message)
+            self._queue.add(message)
+
+    # End -----------------------------------------------------------------------------------------
+
+    def give_up(self, message: PendingMessage) -> None:
+        """End the message undelivered, at once: rejected where the client may safely retry, otherwise failed."""
+        if message.ended or message.attempt is not None:
+            return  # its time is up while an attempt is in flight: the outcome decides
+        if self._retries.may_be_rejected(message):
+            self._context.actions.append(Refuse(message.id, self._retry_after(message)))
+        else:
+            self._context.actions.append(Fail(message.id))
+        self.end(message)
+
+    def _retry_after(self, message: PendingMessage) -> float:
+        settings = self._context.settings
+        longest = (settings.max_retry_after_ms or 0.0) if settings.may_advise_retry else 0.0
+        return min(max(RETRY_AFTER_MIN_MS, message.destination.closed_for(self._context.now)), longest)
+
+    def end(self, message: PendingMessage) -> None:
+        """The message has its final answer: the next of its key may go."""
+        self.pending.pop(message.id, None)
+        message.ended = True
+        self._queue.remove(message)
+        if message.key and message.attempt is None:
+            self._keys.remove(message)
+
+    def withdrawn(self, message_id: int) -> None:
+        """The client no longer waits for this message."""
+        message = self.pending.get(message_id)
+        if message is not None:
+            self.end(message)
+
+    def attempt_ended(self, message: PendingMessage, finished: bool) -> None:
+        """An attempt of the message has its outcome; ``finished``: no other is wanted."""
+        if message.ended:
+            if message.key:
+                self._keys.remove(message)
+        elif finished:
+            self.end(message)
+        else:
+            self.requeue(message)
+
+    # Load shedding -------------------------------------------------------------------------------
+
+    def shed_load(self) -> None:
+        """Give up what would be too late, and near the limit the least valuable of the longest queues."""
+        allowed = self._context.settings.most_held or INF
+        target = SHED_TO * allowed if len(self.pending) >= SHED_FROM * allowed else INF
+        for destination in list(self._queue.active.values()):
+            if destination.waiting >= 2 and destination.routes:
+                self._shed_beyond_rate(destination)
+        while len(self.pending) > target:
+            entries = self._sheddable(self._longest_queue())
+            if not entries:
+                return
+            for entry in entries[-max(1, len(entries) // SHED_PART) :]:
+                self.give_up(entry.message)
+
+    def _shed_beyond_rate(self, destination: Destination) -> None:
+        """What its rate limit lets through too late is answered now."""
+        room = sum(max(1.0, route.rate_share.calls_in(QUEUE_MS)) * route.per_call for route in destination.routes)
+        if destination.waiting > room:
+            for entry in self._sheddable(destination, int(room)):
+                self.give_up(entry.message)
+
+    def _longest_queue(self) -> Destination:
+        now = self._context.now
+        return max(
+            self._table.destinations.values(),
+            key=lambda destination: destination.waiting * (CLOSED_WEIGHT_MS + destination.closed_for(now)),
+        )
+
+    def _sheddable(self, destination: Destination, behind: int = 0) -> list[QueueEntry]:
+        """Entries behind the first so many, but for messages that a restart found untried."""
+        return [e for e in self._queue.entries(destination)[behind:] if not e.message.first_attempt_owed]
--- a/lynxscale/scheduling/connection_reuse.py
+++ b/lynxscale/scheduling/connection_reuse.py
@@ -1,6 +1,7 @@
-"""What is known of connections: from which idle age on kept ones fail, and whether tables at endpoints are full.
+"""Which idle connections are still good, and whether connection tables at endpoints are full.
 
-No I/O, no clock; times are milliseconds.
+Connections may be dropped unseen, by a device between or by the far end: what is sent on one is lost. Learned from
+how calls end. No I/O, no clock; times are milliseconds.
 """
 
 from __future__ import annotations
@@ -11,82 +12,95 @@
 from lynxscale.scheduling.events import Result
 
 INF = math.inf
-SHARE, MEMORY_MS = 0.5, 30_000.0  # of the idle age that failed: older connections are not reused; for so long
-LEAST_MS = 2000.0  # idle for less, one that fails was likely reset with its endpoint: counted
-RISK, RISK_UNSAFE = 0.35, 0.03  # more resets than on new connections: too old for reuse, and for what must not
-SEEN, COUNT, YOUNG_MS = 3, 100, 10_000.0  # run twice; resets needed, most counted, memory
-CROWDED, WEIGHT = 0.05, 0.02  # of connects that full tables failed: too many; smoothing
-ROWS = 13  # by doubled idle ages, new connections first
-
-
-class Reuse:
-    """Connections dropped unseen (by a box on the way or the far end): what is sent on one is lost.
-
-    Silence does not count, as a stall looks alike. One that failed while it was young is no sign alone, as
-    connections end with their endpoint, too: more resets than on new connections are. Hurts after a crash:
+AGE_SHARE = 0.5  # of the idle age at which a connection failed: older ones are not reused ...
+AGE_MEMORY_MS = 30_000.0  # ... for so long
+YOUNG_BELOW_MS = 2000.0  # idle for less, one that fails was likely reset with its endpoint: resets are counted
+RESET_RISK = 0.35  # reset rate above that of new connections from which an idle age is too old
+RESET_RISK_UNSAFE = 0.03  # the same for messages that must not be executed twice
+RESETS_MIN = 3  # needed for that
+USES_MAX = 100  # counted; then both counts are halved
+YOUNG_MEMORY_MS = 10_000.0  # for which an age learned from counts holds
+FULL_TABLES_SHARE = 0.05  # of connects that full tables failed: from there on tables count as crowded
+FULL_TABLES_WEIGHT = 0.02  # of the newest connect in that moving average
+AGE_ROWS = 13  # counts by doubled idle ages, new connections first
+SAYS_SOMETHING = (Result.OK, Result.FULL, Result.ERROR, Result.RESET)
+
+
+class ConnectionReuse:
+    """The idle age from which connections are not used again.
+
+    A missing answer does not count, as a stall looks alike. A connection that fails while young is no sign alone, as
+    connections end with their endpoint, too: a higher reset rate than on new connections is. After a crash this costs
     handshakes for a while.
     """
 
     def __init__(self) -> None:
-        self.age, self.age_at = INF, -INF  # idle age from which connections fail, and when one failed
-        self.young = [(INF, 0.0), (INF, 0.0)]  # such ages learned by count, until when; second: unsafe
-        self.rows = [[0.0, 0.0] for _ in range(ROWS)]  # resets, uses
-
-    def most(self, now: float, unsafe: bool) -> float:
-        """The idle age from which a connection is not used again."""
-        if now - self.age_at > MEMORY_MS:
-            self.age = INF
-        age, until = self.young[unsafe]
-        return min(self.age, age) if until > now else self.age
+        self._failed_age = INF  # idle age from which connections fail
+        self._failed_at = -INF  # when one failed
+        self._young = [(INF, 0.0), (INF, 0.0)]  # ages learned by counting, and until when they hold; second: unsafe
+        self._counts = [[0.0, 0.0] for _ in range(AGE_ROWS)]  # resets, uses
+
+    def max_idle(self, now: float, unsafe: bool) -> float:
+        """The idle age (ms) from which a connection is not used again."""
+        if now - self._failed_at > AGE_MEMORY_MS:
+            self._failed_age = INF
+        age, until = self._young[unsafe]
+        return min(self._failed_age, age) if until > now else self._failed_age
 
     def ended(self, now: float, idle: float, result: Result) -> None:
         """How a call ended; ``idle``: its connection's age in the pool, 0 for a new one."""
-        if result not in (Result.OK, Result.FULL, Result.ERROR, Result.RESET):
+        if result not in SAYS_SOMETHING:
             return
-        row = self.rows[min(ROWS - 1, 1 + int(math.log2(max(1.0, idle)))) if idle else 0]
-        row[0], row[1] = row[0] + (result == Result.RESET), row[1] + 1
-        if row[1] >= COUNT:
-            row[0], row[1] = row[0] / 2, row[1] / 2
+        counts = self._counts[min(AGE_ROWS - 1, 1 + int(math.log2(max(1.0, idle)))) if idle else 0]
+        counts[0] += result == Result.RESET
+        counts[1] += 1
+        if counts[1] >= USES_MAX:
+            counts[0], counts[1] = counts[0] / 2, counts[1] / 2
         if result != Result.RESET or not idle:
             return
-        if idle >= LEAST_MS:
-            self.age, self.age_at = min(self.age, SHARE * idle), now
-        new = self.rows[0][0] / max(1.0, self.rows[0][1])
-        for unsafe, risk in enumerate((RISK, RISK_UNSAFE)):
-            bad = (
-                place
-                for place, (resets, uses) in enumerate(self.rows)
-                if place and resets >= SEEN and resets / uses > new + risk
-            )
-            if (place := next(bad, None)) is not None:
-                self.young[unsafe] = (2.0 ** (place - 1), now + YOUNG_MS)
-
-
-class Connects(Protocol):
+        if idle >= YOUNG_BELOW_MS:
+            self._failed_age, self._failed_at = min(self._failed_age, AGE_SHARE * idle), now
+        for unsafe, risk in enumerate((RESET_RISK, RESET_RISK_UNSAFE)):
+            row = self._risky_row(risk)
+            if row is not None:
+                self._young[unsafe] = (2.0 ** (row - 1), now + YOUNG_MEMORY_MS)
+
+    def _risky_row(self, risk: float) -> int | None:
+        """The first row of idle ages with a reset rate so far above that of new connections."""
+        new_resets, new_uses = self._counts[0]
+        acceptable = new_resets / max(1.0, new_uses) + risk
+        for row, (resets, uses) in enumerate(self._counts):
+            if row and resets >= RESETS_MIN and resets / uses > acceptable:
+                return row
+        return None
+
+
+class ConnectHistory(Protocol):
     """What an endpoint keeps of its connects."""
 
     kind: int
-    unconnected: int  # failed since a success
-    unconnected_at: float
+    failed_connects: int  # since a success
+    connect_failed_at: float
 
 
-class Tables:
-    """Full tables refuse new connections while older ones serve; one that is gone serves on none."""
+class ConnectionTables:
+    """Full connection tables reject new connections while older ones serve; a crashed endpoint serves on none."""
 
     def __init__(self) -> None:
-        self.shares: dict[int, float] = {}  # by kind: share of connects of late that full tables failed
+        self._failed_shares: dict[int, float] = {}  # by kind: share of recent connects that full tables failed
 
-    def crowded(self, kind: int) -> bool:
-        return self.shares.get(kind, 0.0) > CROWDED
+    def is_crowded(self, kind: int) -> bool:
+        """Do full tables fail many connects to endpoints of this kind?"""
+        return self._failed_shares.get(kind, 0.0) > FULL_TABLES_SHARE
 
-    def ended(self, now: float, endpoint: Connects, sent: float, idle: float, result: Result) -> None:
+    def ended(self, now: float, endpoint: ConnectHistory, sent: float, idle: float, result: Result) -> None:
         """How a call ended; ``idle``: its connection's age in the pool, 0 for a new one."""
-        full = 0
+        failed_by_tables = 0
         if result == Result.CONNECT_FAILED:
-            endpoint.unconnected, endpoint.unconnected_at = endpoint.unconnected + 1, now
-        elif result == Result.OK and sent >= endpoint.unconnected_at:
-            older = idle and sent - idle <= endpoint.unconnected_at
-            full, endpoint.unconnected = endpoint.unconnected if older else 0, 0
-        if full or not idle:
-            share = self.shares.get(endpoint.kind, 0.0)
-            self.shares[endpoint.kind] = min(1.0, share + (full - share) * WEIGHT)
+            endpoint.failed_connects, endpoint.connect_failed_at = endpoint.failed_connects + 1, now
+        elif result == Result.OK and sent >= endpoint.connect_failed_at:
+            older = idle and sent - idle <= endpoint.connect_failed_at
+            failed_by_tables, endpoint.failed_connects = endpoint.failed_connects if older else 0, 0
+        if failed_by_tables or not idle:
+            share = self._failed_shares.get(endpoint.kind, 0.0)
+            self._failed_shares[endpoint.kind] = min(1.0, share + (failed_by_tables - share) * FULL_TABLES_WEIGHT)
--- /dev/null
+++ b/lynxscale/scheduling/endpoint_choice.py
@@ -0,0 +1,98 @@
+"""Choice of an endpoint: which may be called now, and which of these costs least."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+from lynxscale.scheduling.endpoint_health import TRIAL_GAP_MIN_MS, HealthState
+
+if TYPE_CHECKING:
+    from lynxscale.scheduling.class_ejection import ClassEjection
+    from lynxscale.scheduling.concurrency_window import ConcurrencyLimits
+    from lynxscale.scheduling.connection_pools import ConnectionPools
+    from lynxscale.scheduling.context import SchedulerContext
+    from lynxscale.scheduling.endpoint_health import HealthTracker
+    from lynxscale.scheduling.model import Destination, Endpoint, PendingMessage
+
+INF = math.inf
+FAULT_COST = 1.0  # points for an endpoint that failed this message, or whose route is not healthy
+LATENCY_COST = 0.1  # points for a latency of the complete target
+
+
+class EndpointChoice:
+    """Finds the endpoint for a message."""
+
+    def __init__(
+        self,
+        context: SchedulerContext,
+        limits: ConcurrencyLimits,
+        health: HealthTracker,
+        ejection: ClassEjection,
+        pools: ConnectionPools,
+    ) -> None:
+        self._context, self._limits, self._health = context, limits, health
+        self._ejection, self._pools = ejection, pools
+
+    def choose(self, destination: Destination, message: PendingMessage) -> tuple[Endpoint | None, float]:
+        """The cheapest endpoint that may be called now, otherwise ``None`` and when one may."""
+        now = self._context.now
+        routes = destination.routes
+        unhealthy = any(route.health.state is HealthState.FAILING or route.is_slow() for route in routes)
+        no_slot = self._limits.is_full(destination, unhealthy)
+        best, least_cost, opens_at = None, INF, INF
+        for endpoint in self._candidates(destination, message):
+            at = self._opens_at(endpoint, no_slot)
+            cost = self._cost(endpoint, message) if at <= now else INF
+            opens_at = min(opens_at, at)
+            if cost < least_cost:
+                best, least_cost = endpoint, cost
+        return best, opens_at
+
+    def _candidates(self, destination: Destination, message: PendingMessage) -> list[Endpoint]:
+        zone = message.zone
+        ready = [
+            endpoint
+            for route in destination.routes
+            for endpoint in route.endpoints
+            if endpoint.ready and zone in (None, endpoint.zone)
+        ]
+        return [endpoint for endpoint in ready if not self._ejection.is_ejected(endpoint, message.cls)] or ready
+
+    def _opens_at(self, endpoint: Endpoint, no_slot: bool) -> float:
+        """When a message may go there; INF where only an outcome can change that."""
+        now, route = self._context.now, endpoint.route
+        if route.blocked_until > now:
+            return route.blocked_until
+        if self.can_join(endpoint):
+            return 0.0
+        if (opens_at := route.rate_share.opens_at(now)) > now:
+            return opens_at
+        if no_slot or self._limits.window_is_full(route):
+            return INF
+        if route.health.state is HealthState.FAILING and self._limits.outage_slots_exhausted():
+            return now + TRIAL_GAP_MIN_MS
+        opens_at = max(endpoint.cooldown_until, 0.0)
+        for health in endpoint.healths:
+            opens_at = max(opens_at, self._health.opens_at(endpoint, health))
+        return opens_at
+
+    def can_join(self, endpoint: Endpoint) -> bool:
+        """May one more message join the endpoint's call of this step?"""
+        call = endpoint.latest_call
+        if call is None or call.step_number != self._context.step_number:
+            return False
+        return call.size < (endpoint.per_call if endpoint.route.health.state is not HealthState.FAILING else 1)
+
+    def _cost(self, endpoint: Endpoint, message: PendingMessage) -> float:
+        """Fees and expected faults of an endpoint on one scale, in points for a message."""
+        settings, route = self._context.settings, endpoint.route
+        cost = endpoint.fee if len(route.destination.routes) > 1 else 0.0
+        cost += settings.cross_price if endpoint.zone != settings.zone else 0.0
+        self._pools.drop_closed(endpoint)
+        if not self.can_join(endpoint) and not endpoint.idle_since:
+            cost += settings.handshake_price or 0.0
+        if endpoint is message.last_endpoint or route.health.state is not HealthState.OK:
+            cost += FAULT_COST
+        target_ms = settings.classes[message.cls].aim_ms or 1.0
+        return cost + LATENCY_COST * route.recent_latency * (1 + endpoint.in_flight) / target_ms
--- a/lynxscale/scheduling/learned_state.py
+++ b/lynxscale/scheduling/learned_state.py
@@ -1,8 +1,9 @@
-"""What a sender has learned of its destinations, as plain values: for the process that goes on in its place.
+"""What a scheduler has learned of its destinations, as plain values for the process that replaces it.
 
-Without it a new process meets each limit, wait and outage anew, and is one that had seen a destination fail. Numbers of
-endpoints are the sender's own; who carries the values over puts names in their place. Times are milliseconds on a clock
-that both processes share. No I/O.
+Without it a new process meets each limit, wait and outage anew, and takes part in an outage as one that has not seen
+a failure. Numbers of endpoints are the scheduler's own; the caller that transfers the values puts names in their
+place. Values stand by position, so the order of the tuples below is a format. Times are milliseconds on a clock that
+both processes share. No I/O.
 """
 
 from __future__ import annotations
@@ -10,107 +11,154 @@
 import math
 from typing import Any
 
-from lynxscale.scheduling.scheduler import FAILING, OK, WARMING, Health, Lane, Sender
-
-LANE = ("window", "restarts", "lost_restarts", "tau", "median", "recent", "limit", "wait_until")
-HEALTH = (
+from lynxscale.scheduling.endpoint_health import Health, HealthState
+from lynxscale.scheduling.model import Route
+from lynxscale.scheduling.scheduler import Scheduler
+
+ROUTE_FIELDS = (
+    "window",
+    "restarts",
+    "lost_restarts",
+    "restart_timeout_ms",
+    "median",
+    "recent_latency",
+    "limit",
+    "blocked_until",
+)
+HEALTH_FIELDS = (
     "state",
-    "streak",
-    "hard",
-    "bad_at",
-    "last_ok",
+    "failures",
+    "definite_failures",
+    "last_failure_at",
+    "last_success_at",
     "count",
     "count_at",
-    "warm_from",
-    "next_try",
-    "base",
-    "first_bad",
+    "slow_start_from",
+    "next_trial_at",
+    "base_rate",
+    "first_failure_at",
+)
+RATE_SHARE_FIELDS = (
+    "rejection_factor",
+    "level_factor",
+    "boost_factor",
+    "factor_recovered_at",
+    "rejected_at",
+    "answered_at",
 )
-SHARE = ("cut", "level", "boost", "cut_at", "refused_at", "heard_at")
-ENDPOINT = ("rest_until", "unconnected", "unconnected_at", "answered", "pace")
-SAMPLE = 40  # finished and unfinished tries of each lane that go along: enough for a time-out
-STATES = (OK, FAILING, WARMING)
-
-
-def export(sender: Sender) -> dict[str, Any]:
-    """All that is worth telling: a JSON object; infinities are None."""
-    lanes, endpoints = [], []
-    for dest in sender.dests.values():
-        for lane in dest.lanes:
-            if not lane.tries and not lane.wait_until and not lane.health.streak:
+ENDPOINT_FIELDS = ("cooldown_until", "failed_connects", "connect_failed_at", "answered_sent_at", "latency_ratio")
+SAMPLE_EXPORTED = 40  # latest attempts of each route that are exported: enough for a restart timeout
+
+
+def export(scheduler: Scheduler) -> dict[str, Any]:
+    """All that is worth transferring: a JSON object; infinities are ``None``."""
+    routes, endpoints = [], []
+    for destination in scheduler.table.destinations.values():
+        for route in destination.routes:
+            if not route.attempts and not route.blocked_until and not route.health.failures:
                 continue  # never called
-            lanes.append(
-                [
-                    dest.number,
-                    [one.number for one in lane.endpoints],
-                    _told(lane, LANE),
-                    _told(lane.health, HEALTH),
-                    _told(lane.share, SHARE),
-                    [[round(at), _finite(took)] for at, took in list(lane.tries)[-SAMPLE:]],
-                ]
-            )
-            for one in lane.endpoints:
-                own = [_told(health, HEALTH) for health in one.healths if health is not lane.health]
-                endpoints.append([one.number, _told(one, ENDPOINT), own])
-    return {"lanes": lanes, "endpoints": endpoints, "classes": sender.class_mean, "rest": sender.rest}
-
-
-def take(sender: Sender, told: dict[str, Any], now: float) -> int:
-    """Go on from there; how many lanes are known now. Raises ValueError where the values are none of ``export``."""
-    lanes = 0
+            routes.append(_export_route(route))
+            for endpoint in route.endpoints:
+                own = [_values(health, HEALTH_FIELDS) for health in endpoint.healths if health is not route.health]
+                endpoints.append([endpoint.number, _values(endpoint, ENDPOINT_FIELDS), own])
+    return {
+        "lanes": routes,
+        "endpoints": endpoints,
+        "classes": scheduler.latencies.class_means,
+        "rest": scheduler.backoff.base_ms,
+    }
+
+
+def _export_route(route: Route) -> list:
+    return [
+        route.destination.number,
+        [endpoint.number for endpoint in route.endpoints],
+        _values(route, ROUTE_FIELDS),
+        _values(route.health, HEALTH_FIELDS),
+        _values(route.rate_share, RATE_SHARE_FIELDS),
+        [[round(at), _finite(latency)] for at, latency in list(route.attempts)[-SAMPLE_EXPORTED:]],
+    ]
+
+
+def restore(scheduler: Scheduler, exported: dict[str, Any], now: float) -> int:
+    """Continue from what ``export`` returned.
+
+    Returns
+    -------
+    int
+        Routes that are known now.
+
+    Raises
+    ------
+    ValueError
+        The values are none of ``export``.
+    """
     try:
-        for number, values, own in told["endpoints"]:
-            one = sender.endpoints.get(number)
-            if one is None:
-                continue
-            _take(one, ENDPOINT, values)
-            for health, values_ in zip((h for h in one.healths if h is not one.lane.health), own, strict=False):
-                _health(health, values_, now)
-        for dest, numbers, values, health, share, sample in told["lanes"]:
-            lane = next((sender.endpoints[number].lane for number in numbers if number in sender.endpoints), None)
-            if lane is None or lane.dest.number != dest:
-                continue
-            lanes += 1
-            _lane(lane, values, sample)
-            _health(lane.health, health, now)
-            _take(lane.share, SHARE, share)
-            lane.share.told(lane.limit or lane.weight())
-            lane.share.tokens, lane.share.at = 0.0, now  # what may go at once the other one has used
-        if len(told["classes"]) == len(sender.class_mean):
-            sender.class_mean = [[float(mean), int(count)] for mean, count in told["classes"]]
-        sender.rest = float(told["rest"])
+        _restore_endpoints(scheduler, exported["endpoints"], now)
+        routes = _restore_routes(scheduler, exported["lanes"], now)
+        if len(exported["classes"]) == len(scheduler.latencies.class_means):
+            scheduler.latencies.class_means = [[float(mean), int(count)] for mean, count in exported["classes"]]
+        scheduler.backoff.base_ms = float(exported["rest"])
     except (KeyError, TypeError, IndexError, AttributeError) as error:
-        raise ValueError(f"not what a sender tells of itself: {error!r}") from error
-    return lanes
-
-
-def _lane(lane: Lane, values: list, sample: list) -> None:
-    _take(lane, LANE, values)
-    lane.window = max(1, int(lane.window))
-    lane.tries.extend((float(at), math.inf if took is None else float(took)) for at, took in sample)
-    lane.fresh = len(lane.tries)
-
-
-def _health(health: Health, values: list, now: float) -> None:
-    if values[0] not in STATES:
+        raise ValueError(f"not what a scheduler exports: {error!r}") from error
+    return routes
+
+
+def _restore_endpoints(scheduler: Scheduler, rows: list, now: float) -> None:
+    for number, values, own in rows:
+        endpoint = scheduler.table.endpoints.get(number)
+        if endpoint is None:
+            continue
+        _set(endpoint, ENDPOINT_FIELDS, values)
+        healths = (health for health in endpoint.healths if health is not endpoint.route.health)
+        for health, health_values in zip(healths, own, strict=False):
+            _restore_health(health, health_values, now)
+
+
+def _restore_routes(scheduler: Scheduler, rows: list, now: float) -> int:
+    endpoints = scheduler.table.endpoints
+    restored = 0
+    for destination, numbers, values, health, rate_share, sample in rows:
+        route = next((endpoints[number].route for number in numbers if number in endpoints), None)
+        if route is None or route.destination.number != destination:
+            continue
+        restored += 1
+        _restore_route(route, values, sample)
+        _restore_health(route.health, health, now)
+        _set(route.rate_share, RATE_SHARE_FIELDS, rate_share)
+        route.rate_share.set_limit(route.limit or route.weight())
+        route.rate_share.tokens, route.rate_share.tokens_at = 0.0, now  # the other process has used its burst
+    return restored
+
+
+def _restore_route(route: Route, values: list, sample: list) -> None:
+    _set(route, ROUTE_FIELDS, values)
+    route.window = max(1, int(route.window))
+    route.attempts.extend((float(at), math.inf if latency is None else float(latency)) for at, latency in sample)
+    route.added = len(route.attempts)
+
+
+def _restore_health(health: Health, values: list, now: float) -> None:
+    if values[0] not in set(HealthState):
         raise ValueError(f"no state: {values[0]!r}")
-    health.state = values[0]
-    _take(health, HEALTH[1:], values[1:])
+    health.state = HealthState(values[0])
+    _set(health, HEALTH_FIELDS[1:], values[1:])
     health.tokens, health.tokens_at = 0.0, now
 
 
-def _told(one: object, names: tuple[str, ...]) -> list:
-    return [value if isinstance(value := getattr(one, name), str) else _finite(value) for name in names]
+def _values(source: object, names: tuple[str, ...]) -> list:
+    values = [getattr(source, name) for name in names]
+    return [value.value if isinstance(value, HealthState) else _finite(value) for value in values]
 
 
 def _finite(value: float) -> float | None:
     return round(value, 3) if math.isfinite(value) else None
 
 
-def _take(one: object, names: tuple[str, ...], values: list) -> None:
+def _set(target: object, names: tuple[str, ...], values: list) -> None:
     for name, value in zip(names, values, strict=True):
-        if value is not None:  # an infinity: as it begins
-            setattr(one, name, value + 0)
+        if value is not None:  # an infinity: as it is at the start
+            setattr(target, name, value + 0)
 
 
-__all__ = ["export", "take"]
+__all__ = ["export", "restore"]
--- a/lynxscale/scheduling/rate_limits.py
+++ b/lynxscale/scheduling/rate_limits.py
@@ -1,8 +1,8 @@
-"""A sender's part of a limit that all senders of the fleet fill together, none of them seeing the others.
+"""A node's share of a rate limit that all nodes of the fleet fill together, without seeing each other.
 
-Where refused calls use the limit up, a fleet that goes on calling above it gets nothing through. So a sender paces
-itself by its even part of the told limit, times a factor that it learns: under one after a refusal, about one where
-answers tell that little of the allowance is left, and slowly more where there is plenty, as others then send less.
+Where rejected calls use up the limit too, a fleet that keeps calling above it gets nothing through. So a node paces
+itself by its even share of the known limit, times a factor that it learns: below one after a rejection, about one
+where answers say that little of the allowance is left, and slowly more where there is plenty, as others send less.
 Times are milliseconds, limits calls a second. No I/O, no clock, no randomness.
 """
 
@@ -11,73 +11,91 @@
 import math
 
 INF = math.inf
-REFUSED, LEAST = 0.6, 0.3  # of the factor, at a refusal: what others send is then too much already; the least
-MEMORY_MS = 6000.0  # in which a cut factor comes back: what was too much then is not for ever
-AIM, GAIN, GAIN_ABOVE = 0.4, 0.6, 0.3  # the allowance left is held here, so gently: reports are old, more would swing
-PLENTY, BOOST, BOOST_MOST = 0.75, 0.07, 6.0  # with so much left a sender may go beyond its part, more each second
-HEARD_MOST_MS = 2000.0  # one answer tells of so much time before it at most
-TIGHT = 1.2  # factor up to which the limit is felt
-BURST_MS = 700.0  # of the pace may go at once, one call at least
+REJECTED_FACTOR, REJECTED_FACTOR_MIN = 0.6, 0.3  # for each rejection, as what others send is too much then; at least
+REJECTION_MEMORY_MS = 6000.0  # within which a reduced factor recovers: what was too much is not for ever
+ALLOWANCE_TARGET = 0.4  # share of the allowance that is left unused
+GAIN_BELOW, GAIN_ABOVE = 0.6, 0.3  # of the controller that keeps it there; reports are old, more would oscillate
+PLENTY_LEFT = 0.75  # with so much left a node may exceed its share
+BOOST_PER_S, BOOST_MAX = 0.07, 6.0  # by so much more each second, and so many times at most
+ANSWER_SPAN_MAX_MS = 2000.0  # one answer counts for so much time before it at most
+TIGHT_FACTOR_MAX = 1.2  # up to this factor the limit is felt
+BURST_MS = 700.0  # of the pace that may go at once, one call at least
 
 
-class Share:
-    """The pace at which one sender may call what has one limit. Without a told limit it bounds nothing."""
+class RateShare:
+    """The pace at which one node may call what has one limit. While the limit is unknown there is no bound."""
 
     def __init__(self, senders: int, now: float) -> None:
-        self.part = 1 / max(1, senders) / 1000
-        self.limit, self.cut, self.level, self.boost, self.tokens = 0.0, 1.0, 1.0, 1.0, 1.0
-        self.at = self.cut_at = self.refused_at = self.heard_at = now
+        self._share_per_ms = 1 / max(1, senders) / 1000
+        self.limit = 0.0  # calls a second of all nodes; 0: unknown
+        self.rejection_factor = 1.0
+        self.level_factor = 1.0
+        self.boost_factor = 1.0
+        self.tokens = 1.0  # calls that may go now
+        self.tokens_at = now
+        self.factor_recovered_at = self.rejected_at = self.answered_at = now
 
     @property
     def factor(self) -> float:
-        return self.cut * self.level * self.boost
+        """What the even share is multiplied by."""
+        return self.rejection_factor * self.level_factor * self.boost_factor
 
-    def pace(self) -> float:  # calls a millisecond
-        return self.limit * self.part * self.factor
+    def pace(self) -> float:
+        """Calls a millisecond that this node may send."""
+        return self.limit * self._share_per_ms * self.factor
 
     @property
-    def tight(self) -> bool:
-        """Has the limit been felt of late? What is sent then is missed by others."""
-        return self.limit > 0 and self.factor <= TIGHT
+    def is_tight(self) -> bool:
+        """Has the limit been felt recently? What is sent then is missed by others."""
+        return self.limit > 0 and self.factor <= TIGHT_FACTOR_MAX
 
-    def takes(self, span: float) -> float:  # so many calls in that time
+    def calls_in(self, span: float) -> float:
+        """Calls that may go within so many ms."""
         return self.pace() * span if self.limit > 0 else INF
 
-    def told(self, limit: float) -> None:
-        """The limit of now, 0 where none is told."""
+    def set_limit(self, limit: float) -> None:
+        """The present limit, 0 if unknown."""
         self.limit = limit
 
-    def opens(self, now: float) -> float:
+    def opens_at(self, now: float) -> float:
         """When a call may go: 0 for now."""
         if self.limit <= 0:
             return 0.0
-        self.cut += (1 - self.cut) * min(1.0, (now - self.cut_at) / MEMORY_MS)
-        self.cut_at = now
+        recovered = min(1.0, (now - self.factor_recovered_at) / REJECTION_MEMORY_MS)
+        self.rejection_factor += (1 - self.rejection_factor) * recovered
+        self.factor_recovered_at = now
         pace = self.pace()
-        self.tokens = min(max(1.0, pace * BURST_MS), self.tokens + pace * (now - self.at))
-        self.at = now
+        self.tokens = min(max(1.0, pace * BURST_MS), self.tokens + pace * (now - self.tokens_at))
+        self.tokens_at = now
         return 0.0 if self.tokens >= 1 - 1e-6 else now + (1 - self.tokens) / pace
 
-    def spend(self, calls: float = 1.0) -> None:
-        """A call goes, or comes back as it never got there."""
-        self.tokens -= calls
+    def spend(self) -> None:
+        """A call is sent."""
+        self.tokens -= 1.0
+
+    def give_back(self) -> None:
+        """A call never reached the destination."""
+        self.tokens += 1.0
 
     def answered(self, now: float, sent: float, left: float | None) -> None:
-        """A call sent then was taken; ``left``: the share of the allowance that its answer tells."""
-        if sent < self.refused_at:
+        """A call sent at that time was served; ``left``: the share of the allowance left that its answer reports."""
+        if sent < self.rejected_at:
             return
-        since, self.heard_at = min(HEARD_MOST_MS, now - self.heard_at), now
+        since, self.answered_at = min(ANSWER_SPAN_MAX_MS, now - self.answered_at), now
         left = 1.0 if left is None else left
-        self.level = 1 + (GAIN if left < AIM else GAIN_ABOVE) * (left - AIM)
-        if left >= PLENTY:
-            self.boost = min(BOOST_MOST, self.boost * (1 + BOOST * since / 1000))
-        elif left < AIM:
-            self.boost = 1 + (self.boost - 1) / 2
-
-    def refused(self, now: float, sent: float, later: float) -> None:
-        """A call sent then was refused; ``later``, from 0 to 1, spreads the senders' next ones."""
-        if sent >= self.refused_at:  # a volley is one refusal
-            self.cut, self.cut_at, self.refused_at = max(LEAST, self.cut * REFUSED), now, now
-            self.boost, self.level = 1 + (self.boost - 1) / 4, min(1.0, self.level)
-        self.tokens = min(self.tokens, -later)
-        self.at = now
+        gain = GAIN_BELOW if left < ALLOWANCE_TARGET else GAIN_ABOVE
+        self.level_factor = 1 + gain * (left - ALLOWANCE_TARGET)
+        if left >= PLENTY_LEFT:
+            self.boost_factor = min(BOOST_MAX, self.boost_factor * (1 + BOOST_PER_S * since / 1000))
+        elif left < ALLOWANCE_TARGET:
+            self.boost_factor = 1 + (self.boost_factor - 1) / 2
+
+    def rejected(self, now: float, sent: float, jitter: float) -> None:
+        """A call sent at that time was rejected; ``jitter``, from 0 to 1, spreads the nodes' next ones."""
+        if sent >= self.rejected_at:  # a volley is one rejection
+            self.rejection_factor = max(REJECTED_FACTOR_MIN, self.rejection_factor * REJECTED_FACTOR)
+            self.factor_recovered_at = self.rejected_at = now
+            self.boost_factor = 1 + (self.boost_factor - 1) / 4
+            self.level_factor = min(1.0, self.level_factor)
+        self.tokens = min(self.tokens, -jitter)
+        self.tokens_at = now
--- a/lynxscale/scheduling/restart_timeout.py
+++ b/lynxscale/scheduling/restart_timeout.py
@@ -1,49 +1,70 @@
-"""Restart timing, shared by the relay and the tier (van Moorsel and Wolter, "Analysis of restart mechanisms")."""
+"""Restart timing, shared by the relay and the serving tier.
+
+After A. van Moorsel and K. Wolter, "Analysis of restart mechanisms in software systems" (IEEE TSE 32(8), 2006): an
+attempt that has run for the restart timeout τ is cancelled and started again, where τ minimises the expected time to
+completion over a sample of recent attempts. Times are milliseconds.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 
 INF = float("inf")
-SAMPLE_SIZE = 100  # tries kept: enough for a 95th percentile, few enough to sort often
-SAMPLE_AGE_MS = 60_000.0  # older tries tell of another day's pace
-LEAST_FINISHED = 20  # below this many finished tries the time-out is the time left (design)
-RELEARN_EVERY = 8  # new tries between two computations of the time-out, to spare CPU
+SAMPLE_SIZE = 100  # attempts kept: enough for a 95th percentile, few enough to sort often
+SAMPLE_AGE_MS = 60_000.0  # older attempts say little of the present latency
+MIN_FINISHED = 20  # with fewer finished attempts there is no restart timeout
+RECOMPUTE_EVERY = 8  # new attempts between two computations of the timeout, to save CPU
 
 
 def best_timeout(sample: list[float], cost: float) -> float:
-    """The candidate τ that minimises M1/F + (1-F)/F (τ+c); INF entries are unfinished tries."""
-    finished = sorted(x for x in sample if x < INF)
-    if len(finished) < LEAST_FINISHED:
+    """The candidate τ that minimises M1/F + (1-F)/F (τ+c); INF entries are unfinished attempts.
+
+    Parameters
+    ----------
+    sample
+        Latencies of attempts in ms, INF for those without an answer.
+    cost
+        Cost c of a restart in ms.
+
+    Returns
+    -------
+    float
+        τ in ms, not below the median; INF where too few attempts have finished.
+    """
+    finished = sorted(latency for latency in sample if latency < INF)
+    if len(finished) < MIN_FINISHED:
         return INF
-    n, total, best, tau = len(sample), 0.0, INF, INF
+    total, best, best_tau = 0.0, INF, INF
+    n = len(sample)
     least = finished[(len(finished) - 1) // 2]
-    for k, x in enumerate(finished, 1):
-        total += x
-        share = k / n
-        expected = total / n / share + (1 - share) / share * (x + cost)
-        if x >= least and expected <= best:
-            best, tau = expected, x
-    return tau
+    for rank, tau in enumerate(finished, 1):
+        total += tau
+        share = rank / n
+        expected = total / n / share + (1 - share) / share * (tau + cost)
+        if tau >= least and expected <= best:
+            best, best_tau = expected, tau
+    return best_tau
 
 
-class TrySample:
-    """A destination's latest tries, bounded and aged, and the restart time ``tau`` that they give (ms)."""
+class AttemptSample:
+    """The latest attempts at a destination, bounded and aged, and the restart timeout that they give."""
 
     def __init__(self) -> None:
-        self.tries: deque[tuple[float, float]] = deque(maxlen=SAMPLE_SIZE)  # (when, latency or INF)
-        self.fresh, self.median, self.tau = 0, 0.0, INF
+        self.attempts: deque[tuple[float, float]] = deque(maxlen=SAMPLE_SIZE)  # (when, latency or INF)
+        self.added = 0
+        self.median = 0.0  # ms, 0 if unknown
+        self.restart_timeout_ms = INF
 
     def add(self, now: float, latency: float, cost: float) -> None:
-        """One try; INF: unfinished. ``cost``: of a restart, in median latencies."""
-        self.tries.append((now, latency))
-        self.fresh += 1
-        if self.fresh % RELEARN_EVERY and self.median:
+        """Add one attempt; INF: unfinished. ``cost``: of a restart, in median latencies."""
+        self.attempts.append((now, latency))
+        self.added += 1
+        if self.added % RECOMPUTE_EVERY and self.median:
             return
-        while self.tries[0][0] < now - SAMPLE_AGE_MS:
-            self.tries.popleft()
-        tries = [x for _, x in self.tries]
-        finished = sorted(x for x in tries if x < INF)
+        while self.attempts[0][0] < now - SAMPLE_AGE_MS:
+            self.attempts.popleft()
+        latencies = [latency for _, latency in self.attempts]
+        finished = sorted(latency for latency in latencies if latency < INF)
         if finished:
             self.median = finished[(len(finished) - 1) // 2]
-        self.tau = best_timeout(tries, self.median * cost)
+        self.restart_timeout_ms = best_timeout(latencies, self.median * cost)
--- /dev/null
+++ b/lynxscale/scheduling/retry_policy.py
@@ -0,0 +1,59 @@
+"""Whether a message may be sent, or sent again: idempotency, attempts and time left."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+from lynxscale.scheduling.events import Result
+from lynxscale.scheduling.settings import Effect
+
+if TYPE_CHECKING:
+    from lynxscale.scheduling.context import SchedulerContext
+    from lynxscale.scheduling.latency_estimates import LatencyEstimates
+    from lynxscale.scheduling.model import PendingMessage
+
+INF = math.inf
+KEY_MEMORY_SHARE = 0.9  # of the time that an idempotency key is remembered: a call takes time to arrive
+MIN_LATENCIES_LEFT = 2.0  # usual latencies that must be left for an attempt, as half of the calls take longer
+MAYBE_EXECUTED = (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the endpoint may have executed it
+IN_DOUBT = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # it may even execute it later
+NOT_SENT = (Result.CONNECT_FAILED, Result.MOOT)
+
+
+class RetryPolicy:
+    """Judges the attempts of a message."""
+
+    def __init__(self, context: SchedulerContext, latencies: LatencyEstimates) -> None:
+        self._context, self._latencies = context, latencies
+
+    def may_repeat(self, message: PendingMessage, first_sent: float) -> bool:
+        """May it be sent (again) although an attempt first sent at that time may have been executed?"""
+        cls = self._context.settings.classes[message.cls]
+        if cls.effect == Effect.KEYED:
+            memory = (cls.memory_span_ms or 0.0) * KEY_MEMORY_SHARE
+            return self._context.now - (message.maybe_executed_at or first_sent) < memory
+        return cls.effect == Effect.IDEMPOTENT
+
+    def is_hopeless(self, message: PendingMessage) -> bool:
+        """Is there too little time, no attempt left, or an attempt that may have been executed and not be repeated?"""
+        if message.expires - self._context.now <= MIN_LATENCIES_LEFT * self._latencies.usual(message):
+            return True
+        if message.attempts >= (self._context.settings.attempts_cap or INF):  # all made by an earlier incarnation
+            return True
+        maybe = message.maybe_executed_at
+        return bool(maybe) and not self.may_repeat(message, maybe)
+
+    def hopeless_at(self, message: PendingMessage) -> float:
+        """When the message becomes hopeless, as far as time decides that."""
+        until = message.expires - MIN_LATENCIES_LEFT * self._latencies.usual(message)
+        cls = self._context.settings.classes[message.cls]
+        if message.maybe_executed_at and cls.effect == Effect.KEYED:
+            until = min(until, message.maybe_executed_at + (cls.memory_span_ms or 0.0) * KEY_MEMORY_SHARE)
+        return until
+
+    def may_be_rejected(self, message: PendingMessage) -> bool:
+        """Is it harmless if the client sends it again? If not, it has to be failed."""
+        cls = self._context.settings.classes[message.cls]
+        deduplicated = cls.effect == Effect.KEYED and cls.group == "all"
+        return not message.maybe_executed_at or deduplicated or cls.effect == Effect.IDEMPOTENT
--- a/lynxscale/scheduling/simulator_adapter.py
+++ b/lynxscale/scheduling/simulator_adapter.py
@@ -36,7 +36,7 @@
     TimerDue,
     Withdrawn,
 )
-from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings import Settings
 
 BATCH_HEAD = struct.Struct("<IId")
@@ -216,7 +216,7 @@
     """Instances by number; they share nothing but this table."""
 
     def __init__(self) -> None:
-        self.senders: dict[int, Sender] = {}
+        self.schedulers: dict[int, Scheduler] = {}
         self.tables: dict[int, list[Member]] = {}
 
     def reply(self, frame: bytes) -> bytes:
@@ -249,18 +249,18 @@
             settings = settings_from(_tail(frame, tail, offset, size))
             pending[node] = []
             try:
-                self.senders[node] = Sender(settings, seed)
+                self.schedulers[node] = Scheduler(settings, seed)
             except Exception as error:
                 broken[node] = f"{type(error).__name__}: {error}"
             return
         if code not in READERS and code not in (E_REGISTRY, E_KILLED):
             raise WireError(f"unknown record code {code}")
-        if node not in self.senders:
+        if node not in self.schedulers:
             if node in broken:
                 return
             raise WireError(f"event {code} for instance {node}, which was never started")
         if code == E_KILLED:
-            del self.senders[node]
+            del self.schedulers[node]
             pending.pop(node, None)
         elif code == E_REGISTRY:
             pending.setdefault(node, []).append(self._membership(frame, at))
@@ -280,7 +280,7 @@
         if node not in broken:
             try:
                 records = []
-                for action in self.senders[node].step(now, events):
+                for action in self.schedulers[node].step(now, events):
                     records.append(encode(node, action, used))
                     used += len(records[-1][1])
                 return records
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -18,6 +18,7 @@
 import orjson
 from crc32c import crc32c
 
+from lynxscale import scheduling
 from lynxscale.relay.conf.table import TraceConf
 from lynxscale.scheduling.actions import Attempt, Cancel, CloseIdle, Fail, Note, Probe, Refuse, SetTimer, Subscribe
 from lynxscale.scheduling.events import HealthChecked, MembershipUpdate, Message, Outcome, Result, TimerDue, Withdrawn
@@ -60,10 +61,11 @@
 
 
 def policy_hash() -> str:
-    """What tells one text of the decision module from another."""
-    from lynxscale.scheduling import scheduler as brain
-
-    return hashlib.sha256(Path(brain.__file__).read_bytes()).hexdigest()[:16]
+    """Digest of the text of all scheduling modules: the same for the same decisions' code."""
+    digest = hashlib.sha256()
+    for path in sorted(Path(scheduling.__file__).parent.glob("*.py")):
+        digest.update(path.name.encode() + b"\0" + path.read_bytes())
+    return digest.hexdigest()[:16]
 
 
 def _version() -> str:
--- a/lynxscale/trace/replay.py
+++ b/lynxscale/trace/replay.py
@@ -181,7 +181,7 @@
             raise NotReplayable(f"{frame.source}: it was recorded at level {values[3]}; a replay needs decisions")
         if not values[7]:
             raise NotReplayable(f"{frame.source}: its settings are not in the trace")
-        self.sender = make(settings_from_json(values[7]), int(values[6]))
+        self.scheduler = make(settings_from_json(values[7]), int(values[6]))
         self.played = Played(frame.source, values[8])
         self.next = frame.seq
         self.strict = strict
@@ -214,9 +214,9 @@
         played.actions += len(recorded)
         played.messages += sum(type(event) is Message for event in events)
         try:
-            replayed, broke = list(self.sender.step(frame.time / 1000, events)), False
+            replayed, broke = list(self.scheduler.step(frame.time / 1000, events)), False
         except Exception:  # as the relay does: what it did before counts
-            replayed, broke = list(self.sender.actions), True
+            replayed, broke = list(self.scheduler.actions), True
         if self.strict:
             self.led_up.append(f"step {played.steps} at {frame.time / 1000:.3f} ms: {events} -> {recorded}")
             if played.difference is None:
--- a/tests/dataplane/test_forwarding.py
+++ b/tests/dataplane/test_forwarding.py
@@ -68,7 +68,7 @@
     restarted = [number for number in range(4) if len(endpoints_that_ran(tier, f"c{number}")) == 2]
     assert restarted
     relay = tier.relays[tier.relay_hosts[0]]
-    assert relay.balancer.states[hung].sample.tau < 200
+    assert relay.balancer.states[hung].sample.restart_timeout_ms < 200
 
 
 def test_a_broken_resumable_stream_continues_at_another_endpoint_within_one_response():
--- a/tests/driver.py
+++ b/tests/driver.py
@@ -1,4 +1,4 @@
-"""A hand-cranked destination for tests: feeds events to a ``Sender`` and keeps what it did."""
+"""A hand-cranked destination for tests: feeds events to a ``Scheduler`` and keeps what it did."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     Result,
     TimerDue,
 )
-from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings import Effect, MessageClass, Settings
 
 SAFE, UNSAFE, KEYED, ORDERED = range(4)
@@ -60,7 +60,7 @@
 
     def __init__(self, members=None, seed: int = 7, **changes) -> None:
         self.now = 1000.0
-        self.sender = Sender(settings(**changes), seed)
+        self.scheduler = Scheduler(settings(**changes), seed)
         self.log: list[tuple[float, object]] = []
         self.out: dict[tuple[int, int], tuple[Attempt, float]] = {}
         self.count: dict[int, int] = {}
@@ -71,7 +71,7 @@
         self.give(MembershipUpdate(MembershipKind.CACHED, 1, listed))
 
     def give(self, *events) -> list:
-        actions = self.sender.step(self.now, list(events))
+        actions = self.scheduler.step(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
             self._keep(action)
--- a/tests/golden_relay.py
+++ b/tests/golden_relay.py
@@ -53,7 +53,7 @@
     old = Driver(members=[member(11), member(12, dest=2)])
     old.warm_up(30)
     old.finish(old.message(dest=2), Result.FULL, wait=500.0)
-    return orjson.loads(orjson.dumps(export(old.sender))), old
+    return orjson.loads(orjson.dumps(export(old.scheduler))), old
 
 
 def write(state: Path) -> None:
--- a/tests/relay/test_core.py
+++ b/tests/relay/test_core.py
@@ -55,7 +55,7 @@
     def test_scheduler_gets_an_end_time_before_the_deadline(self):
         """A message read late by a process at its start is over for the platform before the relay would end it."""
         seen = []
-        self.relay.sender.step = lambda _now, events: seen.extend(events) or []
+        self.relay.scheduler.step = lambda _now, events: seen.extend(events) or []
         self.submit("m1")
         self.submit("m2", left=0.2)
         begun = self.relay.loop.now() / 1000
@@ -70,7 +70,7 @@
         self.turns.run()
         self.assertEqual(self.answers, [("m1", Verdict.REJECTED)])
         seen = []
-        self.relay.sender.step = lambda _now, events: seen.extend(events) or []
+        self.relay.scheduler.step = lambda _now, events: seen.extend(events) or []
         self.submit("m2")
         begun = self.relay.loop.now() / 1000
         self.turns.run()
@@ -84,7 +84,7 @@
         self.submit("m1")
         self.turns.run()
         self.turns.run()
-        self.assertEqual((self.relay.sender.tries, self.relay.in_flight), ({}, 0))
+        self.assertEqual((self.relay.scheduler.limits.attempts, self.relay.in_flight), ({}, 0))
 
     def test_duplicate_in_one_turn_is_answered_twice_and_accepted_once(self):
         self.submit("m1", left=0.0)
@@ -109,14 +109,14 @@
         """What it lost track of is taken, kept, and ended once its time is up."""
 
         def fault(_now, _events):
-            self.relay.sender.actions = []
+            self.relay.scheduler.context.actions = []
             raise ZeroDivisionError
 
-        step, self.relay.sender.step = self.relay.sender.step, fault
+        step, self.relay.scheduler.step = self.relay.scheduler.step, fault
         with capture_logs() as seen:
             self.submit("m1", left=0.001)
             self.turns.run()
-        self.relay.sender.step = step
+        self.relay.scheduler.step = step
         self.assertEqual(seen[-1]["event"], "module_failed")
         self.assertEqual(self.answers, [("m1", Verdict.ACCEPTED)])
         with capture_logs() as seen:
@@ -165,7 +165,7 @@
         self.turns.run()
         self.assertEqual(len(started), 1)
         out = self.relay.pending.get(self.relay.by_id["m1"]).in_flight
-        self.assertEqual((len(self.relay.sender.tries), self.relay.in_flight), (out, out))
+        self.assertEqual((len(self.relay.scheduler.limits.attempts), self.relay.in_flight), (out, out))
         return out
 
     def test_attempt_that_fails_to_start_frees_its_slot(self):
--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -678,7 +678,7 @@
         d = Driver(members=[member(11, weight=1.0)], weights="nominal")
         d.give(Message(100, 1, SAFE, 0, d.now + 8000.0, inherited=True))
         d.finish(100, result)
-        assert d.sender.held[100].owed is owed
+        assert d.scheduler.admission.pending[100].first_attempt_owed is owed
 
 
 def test_recovered_messages_wait_for_a_list_and_for_retry_after():
--- a/tests/relay/test_restart_rules.py
+++ b/tests/relay/test_restart_rules.py
@@ -76,7 +76,7 @@
         )
         loop.at_end = self.relay.turn
         self.relay.peers = self.relay.group = self.relay.notices = FakePorts()
-        self.relay.sender.step = lambda _now, _events: []
+        self.relay.scheduler.step = lambda _now, _events: []
         self.relay.recovery.replay(journal.open())
         self.turns.run()
 
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -66,7 +66,9 @@
     assert reply[8:20] == bytes.fromhex("0101 0300 c4913a5d 074a1203")
     assert struct.unpack_from("<d", reply, 20) == (7000.0,)
     host.reply(frame(VERDICT))
-    assert not host.senders[3].held and host.senders[3].dests[57].lanes[0].limit == 1.25
+    assert (
+        not host.schedulers[3].admission.pending and host.schedulers[3].table.destinations[57].routes[0].limit == 1.25
+    )
 
 
 @pytest.mark.parametrize(
@@ -110,7 +112,7 @@
     host.reply(frame(CALL))
     head, text = hello()
     host.reply(frame(bytes.fromhex("09010300"), head, tail=text))
-    assert not host.senders[3].held and not host.senders[3].endpoints
+    assert not host.schedulers[3].admission.pending and not host.schedulers[3].table.endpoints
 
 
 def test_an_exception_becomes_broken():
--- a/tests/test_defences.py
+++ b/tests/test_defences.py
@@ -77,7 +77,7 @@
     once, begin = d.message(UNSAFE), len(d.sent())
     outage(d, 6000.0)
     assert 4 <= len(d.sent()) - begin <= 8
-    assert once in d.sender.held and d.count.get(once, 0) == 0
+    assert once in d.scheduler.admission.pending and d.count.get(once, 0) == 0
 
 
 def test_a_return_is_paced_for_the_destination_not_for_each_endpoint_besides():
@@ -226,7 +226,7 @@
         if d.is_out(number):
             d.finish(number)
     d.pass_time(2500)
-    assert len(struck) > 4 and not d.sender.avoided(d.sender.endpoints[11], UNSAFE)
+    assert len(struck) > 4 and not d.scheduler.ejection.is_ejected(d.scheduler.table.endpoints[11], UNSAFE)
 
 
 def test_failing_class_still_goes_to_an_only_endpoint():
--- a/tests/test_golden_relay.py
+++ b/tests/test_golden_relay.py
@@ -10,7 +10,7 @@
 from lynxscale.relay.upgrade.board import Board
 from lynxscale.relay.upstream.files import digest_of
 from lynxscale.relay.upstream.list_store import ListStore
-from lynxscale.scheduling.learned_state import take
+from lynxscale.scheduling.learned_state import restore
 from tests import golden_relay as relay
 from tests.driver import Driver, member
 from tests.golden import files_of
@@ -67,6 +67,10 @@
     assert {key: told[key] for key in written} == written
     new = Driver(members=[member(11), member(12, dest=2)])
     new.now = old.now
-    assert take(new.sender, told, new.now) == 2
-    before, after = (one.sender.endpoints[11].lane for one in (old, new))
-    assert (after.window, after.tau, after.median) == (before.window, before.tau, before.median)
+    assert restore(new.scheduler, told, new.now) == 2
+    before, after = (one.scheduler.table.endpoints[11].route for one in (old, new))
+    assert (after.window, after.restart_timeout_ms, after.median) == (
+        before.window,
+        before.restart_timeout_ms,
+        before.median,
+    )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -2,20 +2,20 @@
 
 from lynxscale.scheduling.actions import Cancel, Note
 from lynxscale.scheduling.events import Message, Outcome, Result
-from lynxscale.scheduling.rate_limits import Share
+from lynxscale.scheduling.rate_limits import RateShare
 from tests.driver import SAFE, UNSAFE, Driver, classes, member
 
 
-def share(senders: int = 40, limit: float = 40.0) -> Share:
-    found = Share(senders, 0.0)
-    found.told(limit)
+def share(senders: int = 40, limit: float = 40.0) -> RateShare:
+    found = RateShare(senders, 0.0)
+    found.set_limit(limit)
     return found
 
 
-def sent_in(one: Share, begin: float, span: float) -> int:
+def sent_in(one: RateShare, begin: float, span: float) -> int:
     count, now = 0, begin
     while now < begin + span:
-        if one.opens(now) <= now:
+        if one.opens_at(now) <= now:
             one.spend()
             count += 1
         now += 10
@@ -25,16 +25,16 @@
 def test_after_a_refusal_a_sender_keeps_under_its_part_and_comes_back_to_it():
     one = share()
     sent_in(one, 0.0, 1000.0)
-    one.refused(1000.0, 990.0, 0.5)
+    one.rejected(1000.0, 990.0, 0.5)
     assert sent_in(one, 1000.0, 2000.0) <= 1
     assert 16 <= sent_in(one, 10_000.0, 20_000.0) <= 20
 
 
 def test_a_volley_is_one_refusal():
     one = share()
-    one.refused(1000.0, 990.0, 0.0)
+    one.rejected(1000.0, 990.0, 0.0)
     before = one.factor
-    one.refused(1010.0, 995.0, 0.0)
+    one.rejected(1010.0, 995.0, 0.0)
     assert one.factor == before
 
 
@@ -51,14 +51,14 @@
 def test_plenty_is_taken_slowly_as_all_the_others_see_it_too():
     """All senders hear of the same allowance at once: what each adds of a sudden comes forty times."""
     one = share()
-    one.refused(500.0, 490.0, 0.0)
+    one.rejected(500.0, 490.0, 0.0)
     one.answered(3000.0, 2900.0, 1.0)
     one.answered(4000.0, 3900.0, 1.0)
     assert one.factor < 1.2
 
 
 def test_without_a_told_limit_nothing_is_bound():
-    one = Share(40, 0.0)
+    one = RateShare(40, 0.0)
     assert sent_in(one, 0.0, 1000.0) == 100
 
 
@@ -66,7 +66,7 @@
     d = Driver([member(11, weight=40.0)], senders=40, weights="nominal", per_call=[3])
     d.give(*(Message(id, 1, SAFE, 0, d.now + 8000.0) for id in (1, 2, 3)))
     assert len(d.out) == 3
-    share = d.sender.dests[1].lanes[0].share
+    share = d.scheduler.table.destinations[1].routes[0].rate_share
     before = share.tokens
     d.give(*(Outcome(key[0], key[1], 11, Result.CONNECT_FAILED, 40.0, False) for key in list(d.out)))
     assert share.tokens == before + 1
@@ -123,8 +123,8 @@
             d.pass_time(100)
             d.finish(number, report=(left, 400.0))
             d.pass_time(200)
-        share = d.sender.dests[1].lanes[0].share
-        assert share.tight == (left < 0.5)
+        share = d.scheduler.table.destinations[1].routes[0].rate_share
+        assert share.is_tight == (left < 0.5)
         d.message(SAFE)
         d.pass_time(1500)
         cut.append(any(isinstance(a, Cancel) for _, a in d.log))
@@ -157,5 +157,5 @@
     while not d.out:
         d.pass_time(20)
     d.finish(next(iter(d.out))[0])
-    health = d.sender.dests[1].lanes[0].health
-    assert health.state == "warming" and failed - 2000 < health.warm_from < d.now - 50
+    health = d.scheduler.table.destinations[1].routes[0].health
+    assert health.state == "warming" and failed - 2000 < health.slow_start_from < d.now - 50
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -137,7 +137,7 @@
     d = Driver(per_call=[5])
     numbers = range(1, 8)
     d.give(*[Message(n, 1, SAFE, 0, d.now + 8000.0) for n in numbers])
-    assert len(d.sent()) == 5 and d.sender.used == 1
+    assert len(d.sent()) == 5 and d.scheduler.limits.used == 1
 
 
 def test_surplus_of_a_tenant_waits_behind_the_shares_of_others():
@@ -184,5 +184,5 @@
             d.pass_time(800.0 if call % 5 == 4 else 100.0 + call % 7)
             if d.is_out(number):
                 d.finish(number)
-        taus.append(d.sender.endpoints[11].lane.tau)
+        taus.append(d.scheduler.table.endpoints[11].route.restart_timeout_ms)
     assert taus[0] < 200.0 < taus[1]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -385,7 +385,7 @@
     for calls in (2, 200):
         d = Driver(seed=3)
         d.warm_up(calls)
-        d.sender.rest = 5000.0  # as learned from refusals elsewhere
+        d.scheduler.backoff.base_ms = 5000.0  # as learned from refusals elsewhere
         number = d.message(SAFE, left=60000.0)
         d.finish(number, Result.FULL, wait=100)
         start, count = d.now, len(d.sent())
@@ -429,7 +429,7 @@
 
 def test_clumps_of_refusals_rest_longer_each_time():
     d = Driver(seed=5)
-    d.sender.rest = 200.0
+    d.scheduler.backoff.base_ms = 200.0
     number, gaps = d.message(UNSAFE), []
     for _ in range(5):
         d.finish(number, Result.FULL, wait=100)
--- a/tests/test_timeout.py
+++ b/tests/test_timeout.py
@@ -2,14 +2,14 @@
 
 import math
 
-from lynxscale.scheduling import scheduler as brain
 from lynxscale.scheduling.actions import Cancel, Refuse
-from lynxscale.scheduling.restart_timeout import best_timeout
+from lynxscale.scheduling.restart_budget import RESTARTS_MAX
+from lynxscale.scheduling.restart_timeout import MIN_FINISHED, best_timeout
 from tests.driver import SAFE, UNSAFE, Driver, member
 
 
 def test_cold_start_has_no_timeout():
-    assert best_timeout([100.0] * (brain.LEAST_FINISHED - 1), 0.0) == math.inf
+    assert best_timeout([100.0] * (MIN_FINISHED - 1), 0.0) == math.inf
     assert best_timeout([math.inf] * 50, 0.0) == math.inf
 
 
@@ -66,7 +66,7 @@
     numbers = [d.message(SAFE) for _ in range(12)]
     d.pass_time(150)
     cuts = [a for _, a in d.log if isinstance(a, Cancel)]
-    assert 1 <= len(cuts) <= brain.RESTART_BANK < len(numbers)
+    assert 1 <= len(cuts) <= RESTARTS_MAX < len(numbers)
 
 
 def test_quick_class_does_not_set_the_timeout_of_a_slow_one():
@@ -108,7 +108,7 @@
     d.warm_up(60)
     lost = lose(d, 5)
     d.pass_time(500)
-    assert cut(d) == lost and len(lost) > brain.RESTART_BANK
+    assert cut(d) == lost and len(lost) > RESTARTS_MAX
 
 
 def test_slow_calls_are_not_taken_for_lost():
@@ -118,7 +118,7 @@
     for _ in range(12):
         d.message(SAFE)
     d.pass_time(900)
-    assert len(cut(d)) <= brain.RESTART_BANK
+    assert len(cut(d)) <= RESTARTS_MAX
 
 
 def test_lost_calls_that_must_not_be_repeated_give_way_when_no_slot_is_left():
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -12,7 +12,7 @@
 
 from lab.standins import PATIENCE, reply, row, settings, until
 from lynxscale.relay.conf.table import TraceConf
-from lynxscale.scheduling.scheduler import Sender
+from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings_reader import settings_from
 from lynxscale.trace import records as r
 from lynxscale.trace.merge import Merge
@@ -83,7 +83,7 @@
         until(lambda: self.counters()["tries"].get("cancelled"), "a cut")
         self.act = lambda call: reply(200)
         self.end()
-        played = replay(Merge(self.files()), Sender)
+        played = replay(Merge(self.files()), Scheduler)
         self.assertEqual([one.difference for one in played], [None] * 3)
         self.assertEqual([one.whole for one in sorted(played, key=lambda one: one.whole)], [False, False, True])
         self.assertGreaterEqual(sum(one.messages for one in played), 450)
@@ -96,9 +96,9 @@
         path = Path(self.folder.name, "other.py")
         path.write_text(
             "from lynxscale.scheduling import scheduler\nfrom lynxscale.scheduling.actions import Note\n\n"
-            "class Sender(scheduler.Sender):\n"
+            "class Scheduler(scheduler.Scheduler):\n"
             "    def step(self, now, events):\n        actions = super().step(now, events)\n"
-            "        if self.steps == 40:\n            actions.append(Note('odd'))\n"
+            "        if self.context.step_number == 40:\n            actions.append(Note('odd'))\n"
             "        return actions\n"
         )
         command = [sys.executable, "-m", "lynxscale", "trace", "replay"]
@@ -108,13 +108,13 @@
         self.assertEqual({one["replayed"].get("Note", 0) - one["recorded"].get("Note", 0) for one in told}, {1})
         space: dict = {}
         exec(path.read_text(), space)
-        for one in replay(Merge(self.files()), space["Sender"]):
+        for one in replay(Merge(self.files()), space["Scheduler"]):
             self.assertEqual((one.difference.step, one.difference.replayed.text), (40, "odd"))
             self.assertEqual(len(one.difference.led_up), 12)
         frames = list(Merge(self.files()[:1]))
         for part, why in ((frames[1:], "does not begin"), (frames[:5] + frames[6:], "records .* are missing")):
             with self.assertRaisesRegex(NotReplayable, why):
-                replay(part, Sender)
+                replay(part, Scheduler)
 
     def test_a_kill_loses_nothing_of_what_was_written_before(self):
         """The same six times here; fifty in ``make soak-trace``."""
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -22,7 +22,7 @@
 from lynxscale.relay.upgrade.follow import Follower
 from lynxscale.relay.upgrade.succession import Order, Succession
 from lynxscale.scheduling.events import Result
-from lynxscale.scheduling.learned_state import export, take
+from lynxscale.scheduling.learned_state import export, restore
 from tests.driver import Driver, member
 from tests.relay.node import NodeCase
 
@@ -163,16 +163,20 @@
     old = Driver(members=[member(11), member(12, dest=2)])
     old.warm_up(30)
     old.finish(old.message(dest=2), Result.FULL, wait=500.0)
-    return orjson.loads(orjson.dumps(export(old.sender))), old
+    return orjson.loads(orjson.dumps(export(old.scheduler))), old
 
 
 def test_what_was_learned_goes_along():
     told, old = learned()
     new = Driver(members=[member(11), member(12, dest=2)])
     new.now = old.now
-    assert take(new.sender, told, new.now) == 2
-    before, after = (one.sender.endpoints[11].lane for one in (old, new))
-    assert (after.window, after.tau, after.median) == (before.window, before.tau, before.median)
+    assert restore(new.scheduler, told, new.now) == 2
+    before, after = (one.scheduler.table.endpoints[11].route for one in (old, new))
+    assert (after.window, after.restart_timeout_ms, after.median) == (
+        before.window,
+        before.restart_timeout_ms,
+        before.median,
+    )
     number = new.message(dest=2)
     assert not new.is_out(number)  # the told wait holds on
     new.pass_time(5000.0)
@@ -193,7 +197,7 @@
     told, old = learned()
     spoil(told)
     with pytest.raises(ValueError):
-        take(Driver().sender, told, old.now)
+        restore(Driver().scheduler, told, old.now)
 
 
 @pytest.mark.parametrize(
