--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -149,11 +149,15 @@
         if not retry_policy.restart_is_worthwhile(attempt.endpoint, self._remaining_ms):
             return
         attempt.endpoint.on_restart()
+        self._cancel_attempt(attempt)
+        self._executions += 1
+        self._dispatch()
+
+    def _cancel_attempt(self, attempt: Attempt) -> None:
+        """The endpoint's slot is released at once."""
         attempt.cancel()
         self._attempt = None
-        self._executions += 1
         self._balancer.queue.notify(self._service)
-        self._dispatch()
 
     def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """Part of AttemptListener."""
@@ -175,9 +179,7 @@
         """The attempt may have been executed, and its response is not complete."""
         if self._may_execute_again():
             self._send_again()
-            return
-        self._close_turn()
-        if self.state is RequestState.STREAMING:
+        elif self.state is RequestState.STREAMING:
             self._abort()
         else:
             self._respond(relay_response(BAD_GATEWAY))
@@ -192,7 +194,6 @@
         """Continue the stream at another endpoint; a client in the midst of a response does not wait for a slot."""
         endpoint = self._balancer.choose(self._service, self._demand, self._attempted)
         if endpoint is None or self._remaining_ms < retry_policy.MIN_REMAINING_MS:
-            self._close_turn()
             self._abort()
         else:
             self._send(endpoint)
@@ -222,7 +223,6 @@
         elif self._response.status >= FIRST_SERVER_ERROR and self._may_execute_again():
             self._send_again()
         else:
-            self._close_turn()
             self._transition(RequestState.ENDED)
             self._response.respond_at_once()
 
@@ -230,7 +230,6 @@
         if self.state is RequestState.SENT:
             self._response.start()
         if self._turn is None or not self._route.retained:
-            self._close_turn()
             self._end_stream()
             return
         self._transition(RequestState.COMMITTING)
@@ -250,7 +249,6 @@
 
     def _give_up(self) -> None:
         """Nothing is sent any more and no byte of a response has gone out: reject what was not executed, else fail."""
-        self._close_turn()
         if self._executions:
             self._respond(relay_response(BAD_GATEWAY))
         else:
@@ -259,49 +257,37 @@
     def _deadline_expired(self) -> None:
         if self.state is RequestState.ENDED:
             return
-        attempt, self._attempt = self._attempt, None
+        attempt = self._attempt
         if attempt is not None:
             attempt.endpoint.on_deadline_expired()
-            attempt.cancel()
+            self._cancel_attempt(attempt)
             self._executions += 1
-            self._balancer.queue.notify(self._service)
         if self.state in (RequestState.STREAMING, RequestState.COMMITTING):
-            self._close_turn()
             self._abort()
         elif self._executions:
-            self._close_turn()
             self._respond(relay_response(GATEWAY_TIMEOUT))
         else:
             self._give_up()
 
     def on_client_disconnected(self) -> None:
-        """Part of Exchange. The endpoint's slot is released at once; a commit goes on."""
+        """Part of Exchange. The attempt is cancelled; a commit goes on."""
         if self.state is RequestState.ENDED:
             return
-        attempt, self._attempt = self._attempt, None
-        if attempt is not None:
-            attempt.cancel()
-            self._balancer.queue.notify(self._service)
-        if self.state is not RequestState.COMMITTING:
-            self._close_turn()
+        if self._attempt is not None:
+            self._cancel_attempt(self._attempt)
         self._transition(RequestState.ENDED)
 
     @property
     def _generated_tokens(self) -> int:
         return self._response.events.event_count * self._tokens_per_event
 
-    def _close_turn(self) -> None:
-        """Charge what was generated and release the rest of the reservation."""
-        if self._turn is not None and self.state not in (RequestState.ADMITTING, RequestState.ENDED):
-            self._turn.close(self._generated_tokens)
-
     def _respond(self, response: Response) -> None:
         self._transition(RequestState.ENDED)
         self._responder.respond(response)
 
     def _end_stream(self) -> None:
-        self._responder.end()
         self._transition(RequestState.ENDED)
+        self._responder.end()
 
     def _abort(self) -> None:
         """End the connection, so that the response cannot be taken for complete."""
@@ -309,7 +295,7 @@
         self._responder.abort()
 
     def _transition(self, state: RequestState) -> None:
-        """The only change of state; timers and the place in the queue go with the states that they belong to."""
+        """The only change of state; place in the queue, timers and turn end with the states that they belong to."""
         if state is not RequestState.QUEUED:
             self._balancer.queue.remove(self._service, self)
             if self._queue_wait_timer is not None:
@@ -317,8 +303,14 @@
                 self._queue_wait_timer = None
         if state is RequestState.ENDED:
             self._deadline_timer.cancel()
+            self._close_turn()
         self.state = state
 
+    def _close_turn(self) -> None:
+        """Charge what was generated and release the rest, unless the turn is committed or not yet admitted."""
+        if self._turn is not None and self.state is not RequestState.ADMITTING:
+            self._turn.close(self._generated_tokens)
+
 
 def endpoint_demand(head: Head, route: Route, kv_cache_tokens: int) -> EndpointDemand:
     """What a request asks of an endpoint."""
