--- a/tests/coordination/control_groups.py
+++ b/tests/coordination/control_groups.py
@@ -44,7 +44,7 @@
 
 
 def damage_batch_file(group: ControlGroup, address: str, how: str, where: str) -> None:
-    """Damage, tear or remove (``how``) the middle or last batch file of a member that is not running."""
+    """Corrupt, truncate or remove (``how``) the middle or last batch file of a member that is not running."""
     files = group.world.machine(address).files
     batches = [name for name in files.names() if name.startswith(BATCH_PREFIX)]
     name = batches[len(batches) // 2] if where == "middle" else batches[-1]
--- a/tests/coordination/test_recovery.py
+++ b/tests/coordination/test_recovery.py
@@ -29,7 +29,7 @@
     assert reloaded.values.keys() == {"k1", "k2"}
 
 
-@pytest.mark.parametrize("how", ["damage", "tear", "missing"])
+@pytest.mark.parametrize("how", ["corrupt", "truncate", "missing"])
 @pytest.mark.parametrize("where", ["middle", "last"])
 def test_a_backup_with_a_gap_in_its_files_never_leads_from_there(how, where):
     """Seen: it led from where its chain of files broke, and eight of twelve acknowledged values were gone."""
@@ -88,7 +88,7 @@
     group.world.run(group.world.time + 1.5)
     address = backups_of(group)[0]
     group.kill(address)
-    damage_batch_file(group, address, "damage", "middle")
+    damage_batch_file(group, address, "corrupt", "middle")
     group.world.machine(address).bytes_per_s = 5_000.0
     member = group.start(address)
     leader = group.wait_for_leader()
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -103,7 +103,7 @@
         assert group.value("b") == 2
 
 
-@pytest.mark.parametrize("how", ["damage", "tear", "missing"])
+@pytest.mark.parametrize("how", ["corrupt", "truncate", "missing"])
 def test_one_damaged_register_file_loses_nothing_and_two_make_another_member(how):
     """Seen from reading: a damaged register ended the process at each start, a missing one was a first start."""
     group = start_group()
