--- a/lab/tier/failover_time.py
+++ b/lab/tier/failover_time.py
@@ -48,7 +48,7 @@
     if case.busy:
         _keep_writing(group)
     world.run(world.time + WARM_S + draws.uniform(0.0, 0.5))
-    lost = address_of(group.wait_for_leader(5.0).me)
+    lost = address_of(group.wait_for_leader(5.0).member_id)
     begun = world.time
     _lose(group, lost, case.how)
     committed: list[bool] = []
@@ -78,7 +78,7 @@
 def _try_to_write(group: ControlGroup, lost: str, committed: list[bool]) -> None:
     """Ask every primary but the lost one, again and again."""
     for leader in group.leaders():
-        if address_of(leader.me) != lost:
+        if address_of(leader.member_id) != lost:
             group.submit(leader, "last", group.world.time, committed.append)
     group.world.call_at(group.world.time + WRITE_EVERY_S, lambda: _try_to_write(group, lost, committed))
 
--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -230,7 +230,7 @@
         """Does the member hold a copy that counts?"""
         primary = self.tier.primary()
         service = self.tier.controls.get(host)
-        return primary is not None and service is not None and service.member.me in primary.member.record.in_sync
+        return primary is not None and service is not None and service.member.member_id in primary.member.record.in_sync
 
     def _drain(self) -> None:
         listed = self.tier.platform.listed
--- a/lab/tier/history_checker.py
+++ b/lab/tier/history_checker.py
@@ -9,7 +9,7 @@
 
 from lab.tier.fakes import ClientResponse
 from lab.tier.simulated_tier import SimulatedTier
-from lynxscale.coordination.membership_plan import MIN_VOTERS
+from lynxscale.coordination.membership_plan import voters_wanted
 from lynxscale.runtime.http_types import Request
 
 MAX_TOKENS, STRIDE, EVENTS = 40, 10, 4
@@ -82,10 +82,10 @@
         self._check_budgets()
         self._check_orders()
         counted = self.tier.primary().member.record.in_sync
-        copies = [one.member for one in self.tier.controls.values() if one.member.me in counted]
+        copies = [one.member for one in self.tier.controls.values() if one.member.member_id in counted]
         sums = {member.store.checksum() for member in copies}
         # Everybody is back for seconds: as many copies count as there are to be voters, so nobody was left behind.
-        if len(copies) < max(MIN_VOTERS, 2 * self.tier.tolerated + 1):
+        if len(copies) < voters_wanted(self.tier.tolerated):
             self.broken["member_left_behind"] += 1
         if len(sums) > 1:
             self.broken["copies_differ"] += 1
--- a/lab/tier/models/admission.py
+++ b/lab/tier/models/admission.py
@@ -13,9 +13,10 @@
 from dataclasses import dataclass
 
 from lab.model_checker import Event, InvariantViolation
-from lynxscale.coordination.acceptor import majority
-from lynxscale.coordination.membership_plan import PeerView, PlanInput, can_remove, plan_next_record
+from lynxscale.coordination.membership_plan import PlanInput, can_remove, plan_next_record
 from lynxscale.coordination.messages import EpochRecord
+from lynxscale.coordination.peer_table import PeerView
+from lynxscale.coordination.quorum import is_majority
 
 SILENT_S = 0.3
 
@@ -115,11 +116,11 @@
     def _leads(self) -> bool:
         member = self.members[self.primary]
         present = {one for one, other in self.members.items() if other.present and not other.gone}
-        return member.present and not member.gone and majority(self.record.voters, present)
+        return member.present and not member.gone and is_majority(self.record.voters, present)
 
     def _heirs(self) -> list[str]:
         present = {one for one, other in self.members.items() if other.present and not other.gone}
-        if not majority(self.record.voters, present):
+        if not is_majority(self.record.voters, present):
             return []
         voters = set(self.record.voters) & set(self.record.in_sync) & present
         return sorted(voters - {self.primary})
@@ -168,7 +169,7 @@
         }
         return PlanInput(
             base=self.record,
-            me=self.primary,
+            primary=self.primary,
             now=0.0,
             unresponsive_after=SILENT_S,
             tolerated=self.bounds.tolerated,
@@ -193,7 +194,7 @@
         if not set(record.in_sync) <= set(record.voters):
             raise InvariantViolation(f"a copy counts that is no voter's: {record}")
         whole = {one for one in record.voters if not self.members[one].gone}
-        if not majority(record.voters, whole):
+        if not is_majority(record.voters, whole):
             raise InvariantViolation(f"no majority is left of {record.voters}")
         if not any(one in whole and self.members[one].holds for one in record.in_sync):
             raise InvariantViolation(f"no copy is left of {record.in_sync}")
--- a/lab/tier/models/election.py
+++ b/lab/tier/models/election.py
@@ -17,7 +17,7 @@
 
 from lab.model_checker import Event, InvariantViolation, frozen
 from lab.tier.world import World
-from lynxscale.coordination.acceptor import Acceptor, Proposal, majority
+from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.eligibility import decide_candidacy
 from lynxscale.coordination.lease import LEASE_S, LeaderLease
@@ -36,7 +36,9 @@
     encode,
     member_id,
 )
+from lynxscale.coordination.proposal import Proposal
 from lynxscale.coordination.proposer import Proposer
+from lynxscale.coordination.quorum import is_majority
 from lynxscale.coordination.version_files import INITIAL_POSITION
 
 ADDRESSES = ("a:1", "b:1", "c:1")
@@ -85,7 +87,7 @@
     def stand(self) -> None:
         """Ask for an epoch."""
         self.primary = False
-        self.lease.drop()
+        self.lease.relinquish()
         self.proposer.propose()
 
     def ask_for_lease(self) -> None:
@@ -96,7 +98,7 @@
             if one != self.acceptor.member:
                 self.send(address_of(one), request)
         if self.acceptor.grant(request):
-            self.lease.grant(request.round, self.acceptor.member, record.voters)
+            self.lease.on_grant(request.round, self.acceptor.member, record.voters)
 
     def receive(self, message: Message) -> None:
         """As ControlMember does."""
@@ -118,7 +120,7 @@
         elif isinstance(message, LeaseRequest):
             self._on_lease_request(message)
         elif isinstance(message, LeaseGrant) and message.granted and message.epoch == self.acceptor.record.epoch:
-            self.lease.grant(message.round, message.member, self.acceptor.record.voters)
+            self.lease.on_grant(message.round, message.member, self.acceptor.record.voters)
 
     def _on_lease_request(self, message: LeaseRequest) -> None:
         if message.record.epoch < self.acceptor.record.epoch:
@@ -133,7 +135,7 @@
     def _step_down(self) -> None:
         if self.primary:
             self.primary = False
-            self.lease.drop()
+            self.lease.relinquish()
         self.proposer.cancel()
 
 
@@ -212,7 +214,7 @@
                 round(node.acceptor.lease_left, 3),
                 node.acceptor._lease_holder if node.acceptor.lease_left else "",
                 node.primary,
-                round(max(0.0, node.lease.until - self.world.time), 3),
+                round(max(0.0, node.lease.expires_at - self.world.time), 3),
                 frozen(node.lease._granted),
                 frozen(node.lease._sent),
                 frozen(node.proposer._proposal),
@@ -229,7 +231,7 @@
         for epoch, records in self._accepted.items():
             if len(records) > 1:
                 raise InvariantViolation(f"two records under epoch {epoch}: {sorted(records)}")
-        holders = [address for address, node in self.nodes.items() if node.primary and node.lease.held]
+        holders = [address for address, node in self.nodes.items() if node.primary and node.lease.valid]
         if len(holders) > 1:
             raise InvariantViolation(f"{holders} hold the lease at once")
         for holder in holders:
@@ -237,7 +239,7 @@
             for records in self._accepted.values():
                 for name, accepted in records.items():
                     record = self._records[name]
-                    passed = record.epoch > own and majority(record.voters, accepted)
+                    passed = record.epoch > own and is_majority(record.voters, accepted)
                     if passed and record.primary != founder(holder):
                         raise InvariantViolation(
                             f"{holder} holds the lease of epoch {own} while {record.epoch} is decided"
--- a/lab/tier/mutations/epochs.py
+++ b/lab/tier/mutations/epochs.py
@@ -4,17 +4,19 @@
 
 from lab.tier.mutations.detectors import Patches
 from lynxscale.coordination import acceptor_state
-from lynxscale.coordination.acceptor import Acceptor, Proposal, majority
+from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.leadership import Leadership
 from lynxscale.coordination.lease import LEASE_S, NEVER, LeaderLease
 from lynxscale.coordination.messages import EpochRecord, Prepare
+from lynxscale.coordination.proposal import Proposal
 from lynxscale.coordination.proposer import Proposer
+from lynxscale.coordination.quorum import is_majority
 
 
 def lease_is_never_checked() -> Patches:
     """A primary acts although its lease has ended."""
 
-    return [(LeaderLease, "held", property(lambda self: True)), (Leadership, "lost", property(lambda self: False))]
+    return [(LeaderLease, "valid", property(lambda self: True)), (Leadership, "lost", property(lambda self: False))]
 
 
 def promise_while_another_holds_a_lease() -> Patches:
@@ -60,10 +62,10 @@
 def lease_runs_from_the_answer() -> Patches:
     """The holder counts its lease from when it was granted, not from when it was asked for."""
 
-    def grant(self: LeaderLease, number: int, member: str, voters: tuple[str, ...]) -> None:
+    def on_grant(self: LeaderLease, number: int, member: str, voters: tuple[str, ...]) -> None:
         original(self, number, member, voters)
-        if self._until > NEVER and number in self._granted and majority(voters, self._granted[number]):
+        if self._until > NEVER and number in self._granted and is_majority(voters, self._granted[number]):
             self._until = self._clock.now() + LEASE_S
 
-    original = LeaderLease.grant
-    return [(LeaderLease, "grant", grant)]
+    original = LeaderLease.on_grant
+    return [(LeaderLease, "on_grant", on_grant)]
--- a/lab/tier/mutations/replication.py
+++ b/lab/tier/mutations/replication.py
@@ -80,9 +80,9 @@
 def vote_goes_and_copy_stays() -> Patches:
     """A voter is replaced although its copy goes on to count."""
 
-    def replaced(plan: PlanInput, member: str, successor: str | None) -> membership_plan.Change:
+    def replaced(plan: PlanInput, member: str, successor: str | None) -> membership_plan.MembershipChange:
         voters = [successor if one == member else one for one in plan.base.voters]
-        return plan.base.in_sync, tuple(one for one in voters if one is not None)
+        return membership_plan.MembershipChange(plan.base.in_sync, tuple(one for one in voters if one is not None))
 
     return [(membership_plan, "_without_voter", replaced)]
 
--- a/lab/tier/second_failure.py
+++ b/lab/tier/second_failure.py
@@ -153,7 +153,7 @@
     """Addresses of the present voters, the primary first."""
     leader = group.wait_for_leader()
     voters = [address_of(one) for one in leader.record.voters]
-    own = address_of(leader.me)
+    own = address_of(leader.member_id)
     return [own, *(one for one in voters if one != own and one in group.members)]
 
 
--- a/lynxscale/controlplane/__main__.py
+++ b/lynxscale/controlplane/__main__.py
@@ -47,7 +47,7 @@
         await loop.create_server(
             lambda: ServerConnection(service.handle_request, limits, clock, connections), host, port
         )
-    log.info("event=started member=%s state=%s", service.member.me, service.member.state.value)
+    log.info("event=started member=%s state=%s", service.member.member_id, service.member.role.value)
     watcher = SettingsWatcher(settings, service.settings_changed)
     loop.add_signal_handler(signal.SIGHUP, watcher.reload)
     await watch_until(stopped, watcher)
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -91,8 +91,8 @@
         current = self.operator_api.configuration.current()
         return ControlStatus(
             node=member.settings.node,
-            member=member.me,
-            state=member.state.value,
+            member=member.member_id,
+            state=member.role.value,
             leads=leads,
             epoch=member.record.epoch,
             primary=member.primary(),
--- a/lynxscale/coordination/acceptor_state.py
+++ b/lynxscale/coordination/acceptor_state.py
@@ -1,8 +1,10 @@
-"""What a voter must never forget: who it is, the record it accepted, and the epoch it promised.
+"""The durable state of an acceptor: its member id, the record it accepted, and the epoch it promised.
 
 The id of a member holds an incarnation, drawn once for each disk. Founders are the seeds of the first start; their ids
-are the same in everybody's eyes, with no message. A member whose register is gone is another member: it has forgotten
-its promises and the lease it may have granted, so it draws a new id and waits to be admitted.
+follow from their addresses, with no message. A member whose state is lost is another member: it has forgotten its
+promises and the lease it may have granted, so it draws a new id and waits to be admitted.
+
+The field names of ``AcceptorState`` and the name of its file are stored.
 """
 
 from __future__ import annotations
@@ -32,7 +34,7 @@
 
 
 class AcceptorState(msgspec.Struct, frozen=True):
-    """The register's content. ``promised_to`` is the candidate of the promised epoch."""
+    """What is stored. ``promised_to`` is the candidate of the promised epoch."""
 
     member: str
     accepted: EpochRecord
@@ -41,7 +43,7 @@
 
 
 class AcceptorStateFile:
-    """The register of one process. ``restored``: did an earlier process of this disk write it?"""
+    """Loads and stores the state of one process. ``restored``: did an earlier process on this disk write it?"""
 
     def __init__(self, identity: MemberIdentity, files: Files, random: Random) -> None:
         """Raises OSError where a first one cannot be stored."""
@@ -51,25 +53,25 @@
         self.restored = stored is not None
         if stored is not None:
             self.state = msgspec.json.decode(stored, type=AcceptorState)
-            if not self._pair.whole:
-                # What is promised from here on may rest on one file: were it damaged, the other would tell less.
+            if not self._pair.consistent:
+                # Later promises may rest on one file: were that one damaged, the other would hold an older state.
                 self.save(self.state)
         else:
             self.save(_new_state(identity, first_start, random))
 
     def save(self, state: AcceptorState) -> None:
-        """Store the state, and only then go by it. Raises OSError."""
+        """Store the state before it takes effect. Raises OSError."""
         self._pair.save(msgspec.json.encode(state))
         self.state = state
 
 
 def founder_id(address: str) -> str:
-    """The id of a founder, which everybody can tell from its address."""
+    """The member id of a founder, which follows from its address."""
     return member_id(address, FIRST_INCARNATION)
 
 
 def _new_state(identity: MemberIdentity, first_start: bool, random: Random) -> AcceptorState:
-    """On an empty disk at the group's first start a founder's; else that of a member nobody knows yet."""
+    """A founder's on an empty disk at the group's first start; else that of a member not known to the group yet."""
     founding = first_start and identity.bootstrap
     if founding and identity.address in identity.seeds:
         member = founder_id(identity.address)
--- /dev/null
+++ b/lynxscale/coordination/candidacy.py
@@ -0,0 +1,111 @@
+"""A member's candidacy: from a won pre-vote, or the primary's wish, to an epoch of its own."""
+
+from __future__ import annotations
+
+import logging
+
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.disk_failure import DiskFailureHandler
+from lynxscale.coordination.election import ElectionCampaign
+from lynxscale.coordination.eligibility import CandidacyDecision, decide_candidacy
+from lynxscale.coordination.lease import LEASE_S
+from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.messages import EpochRecord, PrepareRejected, TakeOver, address_of
+from lynxscale.coordination.ports import Network
+from lynxscale.coordination.primary_tracker import PrimaryTracker
+from lynxscale.coordination.proposal import Proposal
+from lynxscale.coordination.proposer import Proposer
+from lynxscale.coordination.store import Store
+
+log = logging.getLogger(__name__)
+
+
+class Candidacy:
+    """``tolerated``: machines that may be lost at once."""
+
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        store: Store,
+        network: Network,
+        role: RoleState,
+        tracker: PrimaryTracker,
+        campaign: ElectionCampaign,
+        proposer: Proposer,
+        disk: DiskFailureHandler,
+        tolerated: int,
+    ) -> None:
+        self._acceptor = acceptor
+        self._store = store
+        self._network = network
+        self._role = role
+        self._tracker = tracker
+        self._campaign = campaign
+        self._proposer = proposer
+        self._disk = disk
+        self._tolerated = tolerated
+
+    @property
+    def eligible(self) -> bool:
+        """May this member stand? Only a backup with a vote and a complete in-sync replica."""
+        record, member = self._acceptor.record, self._acceptor.member
+        counts = self._store.intact and member in record.in_sync and member in record.voters
+        return counts and self._role.current is MemberRole.BACKUP
+
+    def on_pre_vote_won(self, more_complete: str) -> None:
+        """A majority would promise. ``more_complete``: an in-sync voter that has to stand instead, empty for none."""
+        if more_complete:
+            self._yield_to(self._acceptor.record, more_complete)
+        else:
+            self._start()
+
+    def on_take_over(self, message: TakeOver) -> None:
+        """The primary, or a candidate with a less complete replica, asks this member to stand."""
+        if message.epoch == self._acceptor.record.epoch and self.eligible:
+            self._tracker.forget()
+            self._start()
+
+    def on_prepare_rejected(self, message: PrepareRejected) -> None:
+        """A voter does not promise."""
+        if self._proposer.on_prepare_rejected(message) and self._role.current is MemberRole.CANDIDATE:
+            self._give_up(message.lease_left)
+
+    def choose_record(self, proposal: Proposal) -> EpochRecord | None:
+        """The record to propose now that a majority has promised; None to give the round up."""
+        decision = CandidacyDecision()
+        if self._role.current is MemberRole.CANDIDATE:
+            position = self._store.durable_position
+            decision = decide_candidacy(self._acceptor.member, position, proposal, self._tolerated)
+        if decision.more_complete:
+            self._yield_to(proposal.base, decision.more_complete)
+        elif decision.record is None:
+            self._acceptor.learn(proposal.base)
+            self._role.follow(is_voter=self._acceptor.member in proposal.base.voters)
+        return decision.record
+
+    def check_timeout(self) -> None:
+        """Called regularly: a candidate whose round had too few answers in time becomes a backup again."""
+        if self._role.current is MemberRole.CANDIDATE and self._proposer.timed_out:
+            self._role.apply(RoleChange.ROUND_TIMED_OUT)
+            self._campaign.postpone(0.0)
+
+    def _start(self) -> None:
+        self._role.apply(RoleChange.STARTED_CANDIDACY)
+        self._campaign.defer_to(self._acceptor.member)
+        try:
+            rejected = self._proposer.propose()
+        except OSError as error:
+            self._disk.on_failure(error)
+            return
+        if rejected is not None:
+            self._give_up(rejected.lease_left)
+
+    def _give_up(self, lease_left_s: float) -> None:
+        self._role.apply(RoleChange.PREPARE_REJECTED)
+        self._campaign.postpone(min(lease_left_s, LEASE_S))
+
+    def _yield_to(self, base: EpochRecord, more_complete: str) -> None:
+        log.warning("event=stands_aside member=%s", more_complete)
+        self._role.apply(RoleChange.YIELDED_TO_REPLICA)
+        self._campaign.postpone(LEASE_S)
+        self._network.send(address_of(more_complete), TakeOver(base.epoch))
--- a/lynxscale/coordination/checksummed_file.py
+++ b/lynxscale/coordination/checksummed_file.py
@@ -1,4 +1,4 @@
-"""Files that tell by a checksum whether they hold what was written, and values that are kept in two such files."""
+"""Files with a checksum at their end, and small values that are stored in two such files."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 
 def append_checksum(content: bytes) -> bytes:
-    """The content with its checksum behind."""
+    """The content, followed by its checksum."""
     return content + encode_checksum(zlib.crc32(content))
 
 
 def encode_checksum(checksum: int) -> bytes:
-    """The end of a sealed file whose content has this CRC-32."""
+    """The last bytes of a file whose content has this CRC-32: eight lower-case hexadecimal digits."""
     return b"%08x" % checksum
 
 
-def strip_checksum(name: str, sealed: bytes) -> bytes:
-    """The content of a sealed file. Raises StorageCorrupt."""
-    content, checksum = sealed[:-CHECKSUM_BYTES], sealed[-CHECKSUM_BYTES:]
+def strip_checksum(name: str, stored: bytes) -> bytes:
+    """The content of a file with a checksum. Raises StorageCorrupt."""
+    content, checksum = stored[:-CHECKSUM_BYTES], stored[-CHECKSUM_BYTES:]
     if checksum != encode_checksum(zlib.crc32(content)):
         raise StorageCorrupt(name)
     return content
 
 
 class ChecksummedFilePair:
-    """A small value in two sealed files, so that one damaged or missing file loses nothing."""
+    """A small value in two files with a checksum each, so that one damaged or missing file loses nothing."""
 
     def __init__(self, files: Files, name: str) -> None:
         self._files = files
         self._names = (name, name + SECOND_FILE_SUFFIX)
 
     def load(self) -> bytes | None:
-        """The value saved last, None where neither file holds one. The first file counts where it is whole."""
+        """The value saved last, None where neither file holds one. The first file counts where it is intact."""
         first, second = map(self._read, self._names)
         return second if first is None else first
 
     @property
-    def whole(self) -> bool:
+    def consistent(self) -> bool:
         """Do both files hold the same value?"""
         first, second = map(self._read, self._names)
         return first is not None and first == second
@@ -52,10 +52,10 @@
         self._files.write_all(dict.fromkeys(self._names, append_checksum(content)))
 
     def _read(self, name: str) -> bytes | None:
-        sealed = self._files.read(name)
-        if sealed is None:
+        stored = self._files.read(name)
+        if stored is None:
             return None
         try:
-            return strip_checksum(name, sealed)
+            return strip_checksum(name, stored)
         except StorageCorrupt:
             return None
--- a/lynxscale/coordination/eligibility.py
+++ b/lynxscale/coordination/eligibility.py
@@ -1,41 +1,45 @@
-"""What a candidate proposes once a majority has promised it an epoch: itself, or that another should stand."""
+"""Who is eligible as primary, and what a candidate proposes once a majority has promised it an epoch."""
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 
-from lynxscale.coordination.acceptor import Proposal
 from lynxscale.coordination.messages import EpochRecord, Position
+from lynxscale.coordination.proposal import Proposal
 from lynxscale.coordination.store import NO_POSITION
 
 
 @dataclass(frozen=True, slots=True)
 class CandidacyDecision:
-    """The outcome: a record to propose, or a member whose copy reaches further, or neither."""
+    """A record to propose; or ``more_complete``, a voter that has to stand instead; or neither, to give up."""
 
     record: EpochRecord | None = None
-    further: str = ""
+    more_complete: str = ""
 
 
-def decide_candidacy(me: str, held: Position, proposal: Proposal, tolerated: int) -> CandidacyDecision:
-    """``held``: how far the own copy reaches. Only a voter whose copy counts may lead.
+def decide_candidacy(candidate: str, position: Position, proposal: Proposal, tolerated: int) -> CandidacyDecision:
+    """Decide by the promises. ``position``: how far the candidate's replica reaches.
 
-    Those in sync that have not promised are left out where enough copies remain, as they may be gone.
+    Only a voter whose replica counts may lead. In-sync members that have not promised are left out of the record where
+    more than ``tolerated`` replicas remain, as they may be gone.
     """
     base = proposal.base
-    if me not in base.in_sync or me not in base.voters:
+    if base is None or candidate not in base.in_sync or candidate not in base.voters:
         return CandidacyDecision()
-    further = _more_complete_voter(me, held, proposal)
-    if further:
-        return CandidacyDecision(further=further)
-    present = tuple(one for one in base.in_sync if proposal.promised.get(one, NO_POSITION) != NO_POSITION)
+    more_complete = more_complete_voter(base, proposal.promised, position)
+    if more_complete:
+        return CandidacyDecision(more_complete=more_complete)
+    present = tuple(member for member in base.in_sync if proposal.promised.get(member, NO_POSITION) != NO_POSITION)
     in_sync = present if len(present) > tolerated else base.in_sync
-    return CandidacyDecision(EpochRecord(proposal.epoch, me, in_sync, base.voters))
+    return CandidacyDecision(EpochRecord(proposal.epoch, candidate, in_sync, base.voters))
 
 
-def _more_complete_voter(me: str, held: Position, proposal: Proposal) -> str:
-    """An in-sync voter whose copy reaches further than the candidate's, which may have lost its last files."""
-    base = proposal.base
-    voters = [one for one in base.in_sync if one in base.voters and one in proposal.promised]
-    best = max(voters, key=lambda one: proposal.promised[one], default=me)
-    return best if proposal.promised.get(best, NO_POSITION) > held else ""
+def more_complete_voter(record: EpochRecord, positions: Mapping[str, Position], own: Position) -> str:
+    """The in-sync voter whose replica reaches furthest, if that is beyond ``own``; else empty.
+
+    An in-sync replica that reaches less far has lost its last files.
+    """
+    voters = [member for member in record.in_sync if member in record.voters and member in positions]
+    best = max(voters, key=lambda member: positions[member], default="")
+    return best if best and positions[best] > own else ""
--- a/lynxscale/coordination/exceptions.py
+++ b/lynxscale/coordination/exceptions.py
@@ -1,4 +1,7 @@
-"""Errors of the coordination package."""
+"""Errors of the coordination package.
+
+A disk that fails raises ``OSError``, as the operating system names it; see ``disk_failure``.
+"""
 
 from __future__ import annotations
 
--- a/lynxscale/coordination/graceful_leave.py
+++ b/lynxscale/coordination/graceful_leave.py
@@ -1,49 +1,49 @@
-"""The end of a member that is asked to stop: it goes on voting and copying until nothing depends on it.
+"""The graceful shutdown of a member: it goes on voting and replicating until nothing depends on it.
 
-States: STAYING, LEAVING (it tells so, again and again) and RELEASED: a primary told that no decided record counts its
-copy any more, and either none names its vote or nobody could take its place. A stop that is followed by a return is
-not told apart; where nobody could take its place the release takes one round of the register.
+The primary approves the leave once no decided record counts the member's replica, and either none names its vote or
+nobody could take its place. The member asks again and again until then. A stop that is followed by a return is treated
+the same; where nobody could take its place the approval takes one register round.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import Enum
+from enum import Enum, auto
 
 
 class LeaveState(Enum):
-    """Where a member stands on its way out."""
+    """How far a member's shutdown has come."""
 
-    STAYING = "staying"
-    LEAVING = "leaving"
-    RELEASED = "released"
+    NOT_REQUESTED = auto()
+    PENDING = auto()
+    APPROVED = auto()
 
 
 class GracefulLeave:
-    """One process's way out. ``on_release()`` is called once."""
+    """One process's shutdown. ``on_approved()`` is called once."""
 
     def __init__(self) -> None:
-        self.state = LeaveState.STAYING
-        self._on_release: Callable[[], None] = lambda: None
+        self._state = LeaveState.NOT_REQUESTED
+        self._on_approved: Callable[[], None] = lambda: None
 
     @property
-    def leaving(self) -> bool:
-        """Is the member to stop, released or not?"""
-        return self.state is not LeaveState.STAYING
+    def requested(self) -> bool:
+        """Is the member to stop, approved or not?"""
+        return self._state is not LeaveState.NOT_REQUESTED
 
     @property
     def pending(self) -> bool:
-        """Does it wait to be released?"""
-        return self.state is LeaveState.LEAVING
+        """Does it wait for approval?"""
+        return self._state is LeaveState.PENDING
 
-    def begin(self, on_release: Callable[[], None]) -> None:
-        """The process was asked to stop."""
-        if self.state is LeaveState.STAYING:
-            self._on_release = on_release
-            self.state = LeaveState.LEAVING
+    def request(self, on_approved: Callable[[], None]) -> None:
+        """The process was asked to stop; a repeated request is ignored."""
+        if self._state is LeaveState.NOT_REQUESTED:
+            self._on_approved = on_approved
+            self._state = LeaveState.PENDING
 
-    def release(self) -> None:
+    def approve(self) -> None:
         """Nothing depends on the member any more."""
-        if self.state is LeaveState.LEAVING:
-            self.state = LeaveState.RELEASED
-            self._on_release()
+        if self.pending:
+            self._state = LeaveState.APPROVED
+            self._on_approved()
--- /dev/null
+++ b/lynxscale/coordination/joining.py
@@ -0,0 +1,87 @@
+"""How a member announces itself to the group, as a newcomer, after a silence, or on its way out."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.graceful_leave import GracefulLeave
+from lynxscale.coordination.lease import NEVER
+from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.messages import Join, LeaveApproved, Redirect, address_of
+from lynxscale.coordination.ports import Clock, Network
+from lynxscale.coordination.primary_tracker import PrimaryTracker
+
+JOIN_INTERVAL_S = 0.25
+LEAVE_INTERVAL_S = 0.1  # for a member that waits for its leave to be approved
+
+
+class JoinProtocol:
+    """``contacts()``: internal addresses of members that may be asked, beside those of the record."""
+
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        node: str,
+        clock: Clock,
+        network: Network,
+        role: RoleState,
+        tracker: PrimaryTracker,
+        graceful_leave: GracefulLeave,
+        contacts: Callable[[], Iterable[str]],
+    ) -> None:
+        self._acceptor = acceptor
+        self._node = node
+        self._clock = clock
+        self._network = network
+        self._role = role
+        self._tracker = tracker
+        self._graceful_leave = graceful_leave
+        self._contacts = contacts
+        self._announced_at = NEVER
+
+    def announce_if_due(self) -> None:
+        """Called regularly: announce this member while it is not known to be heard.
+
+        Also as a candidate: the others may have replaced it meanwhile, and only a primary's heartbeat shows that.
+        """
+        pending = self._graceful_leave.pending
+        follows = self._role.is_any_of(MemberRole.BACKUP, MemberRole.CANDIDATE)
+        unheard = self._role.current is MemberRole.JOINING or (follows and self._tracker.silent)
+        interval_s = LEAVE_INTERVAL_S if pending else JOIN_INTERVAL_S
+        if (unheard or pending) and self._clock.now() - self._announced_at >= interval_s:
+            self.announce()
+
+    def announce(self) -> None:
+        """Announce this member to the primary; to everyone known where there is none, or where it is to stop."""
+        self._announced_at = self._clock.now()
+        primary = self._tracker.address()
+        if primary and not self._graceful_leave.pending:
+            self._network.send(primary, Join(self._acceptor.member, self._node, False))
+            return
+        record = self._acceptor.record
+        known = [address_of(member) for member in (record.primary, *record.voters) if member]
+        own = address_of(self._acceptor.member)
+        for address in dict.fromkeys([*known, *self._contacts()]):
+            if address != own:
+                self._network.send(address, self._join())
+
+    def redirect(self, message: Join) -> None:
+        """Another member announces itself here: tell it the primary, where that is known."""
+        if address := self._tracker.address():
+            self._network.send(address_of(message.member), Redirect(address, self._acceptor.record.epoch))
+
+    def on_redirect(self, message: Redirect) -> None:
+        """Another member tells which primary it knows of."""
+        if message.epoch > self._acceptor.record.epoch and self._role.current is MemberRole.PRIMARY:
+            self._role.apply(RoleChange.SAW_LATER_EPOCH)
+        if self._role.current is MemberRole.JOINING and message.primary:
+            self._network.send(message.primary, self._join())
+
+    def on_leave_approved(self, message: LeaveApproved) -> None:
+        """A primary approves the leave; a former primary's approval does not count."""
+        if message.epoch >= self._acceptor.record.epoch and self._role.current is not MemberRole.PRIMARY:
+            self._graceful_leave.approve()
+
+    def _join(self) -> Join:
+        return Join(self._acceptor.member, self._node, self._graceful_leave.requested)
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -1,13 +1,13 @@
-"""What a member does while it is primary: heartbeats, its lease, replication, and who votes and copies."""
+"""What a member does while it is primary: heartbeats, its lease, replication, and the group's membership."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Callable
 
-from lynxscale.coordination.acceptor import Acceptor, Proposal
-from lynxscale.coordination.lease import LEASE_S, LeaderLease
-from lynxscale.coordination.membership_plan import PeerView, PlanInput, can_remove, plan_next_record
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.lease import LEASE_S, NEVER, LeaderLease
+from lynxscale.coordination.membership_plan import PlanInput, can_remove, plan_next_record
 from lynxscale.coordination.messages import (
     DigestReply,
     DigestRequest,
@@ -23,24 +23,27 @@
     TakeOver,
     address_of,
 )
+from lynxscale.coordination.peer_table import PeerTable, PeerView
 from lynxscale.coordination.ports import Clock, Network
+from lynxscale.coordination.proposal import Proposal
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.replication import Replicator
 from lynxscale.coordination.store import Store
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.05
+TICK_S = 0.05  # between two calls of ``tick``
 HEARTBEAT_S = 0.08
-UNRESPONSIVE_AFTER_S = 0.32  # a member unheard so long is not waited for
-MEMBERSHIP_KNOWN_AFTER_S = 0.6  # a lead so old has heard of everybody who is there
-GONE_AFTER_S = 3.0  # a machine unheard for so long is gone, as far as a retirement goes
+UNRESPONSIVE_AFTER_S = 0.32  # silence after which a member is not waited for
+MEMBERSHIP_KNOWN_AFTER_S = 0.6  # age of a lead that has heard every member that is there
+GONE_AFTER_S = 3.0  # silence after which a machine counts as gone for a retirement
 
 
 class Leadership:
     """One lead of one member, from the decision of its first epoch to its end.
 
-    ``retiring()``: names of the machines that are to be emptied.
+    ``node``: the own machine's name. ``tolerated``: machines that may be lost at once. ``retiring()``: names of the
+    machines that are to be vacated.
     """
 
     def __init__(
@@ -55,8 +58,8 @@
         retiring: Callable[[], frozenset[str]],
         on_disk_failure: Callable[[OSError], None],
     ) -> None:
-        self.me = acceptor.member
-        self.replicator = Replicator(self.me, store, clock, network, tolerated + 1, on_disk_failure)
+        self.member_id = acceptor.member
+        self.replicator = Replicator(self.member_id, store, clock, network, tolerated + 1, on_disk_failure)
         self.lease = LeaderLease(clock)
         self._node = node
         self._acceptor = acceptor
@@ -66,62 +69,61 @@
         self._proposer = proposer
         self._tolerated = tolerated
         self._retiring = retiring
-        self._begun_at = clock.now()
-        self._heartbeat_at = -1e9
-        others = dict.fromkeys((*acceptor.record.voters, *acceptor.record.in_sync))
-        self._peers = {one: PeerView(heard_at=self._begun_at) for one in others if one != self.me}
+        self._started_at = clock.now()
+        self._heartbeat_at = NEVER
+        self._peers = PeerTable(self.member_id, (*acceptor.record.voters, *acceptor.record.in_sync), clock)
 
     # State -------------------------------------------------------------------------------------------
 
     @property
     def established(self) -> bool:
-        """Does the lease run, and is all that earlier primaries committed known to be so?"""
-        return self.lease.held and self.replicator.committed.epoch > 0
+        """Is the lease valid, and is all that earlier primaries committed known to be so?"""
+        return self.lease.valid and self.replicator.committed.epoch > 0
 
     @property
     def lost(self) -> bool:
-        """Has the lease ended, or did it never come about in a lease's time?"""
-        return self._clock.now() >= max(self.lease.until, self._begun_at + LEASE_S)
+        """Has the lease expired, or was it never granted within a lease's time?"""
+        return self._clock.now() >= max(self.lease.expires_at, self._started_at + LEASE_S)
 
     @property
     def peers(self) -> dict[str, PeerView]:
-        """The other members that were heard of in this lead."""
-        return self._peers
+        """The other members that were heard in this lead."""
+        return self._peers.views
 
     @property
-    def settled(self) -> bool:
-        """Has this lead lasted long enough to have heard of every member that is there?"""
-        return self._clock.now() - self._begun_at > MEMBERSHIP_KNOWN_AFTER_S
+    def membership_known(self) -> bool:
+        """Has this lead lasted long enough to have heard every member that is there?"""
+        return self._age_s > MEMBERSHIP_KNOWN_AFTER_S
+
+    @property
+    def _age_s(self) -> float:
+        return self._clock.now() - self._started_at
 
     def live_nodes(self) -> set[str]:
-        """Machines that are heard of, and to stay."""
-        return self._nodes_heard(UNRESPONSIVE_AFTER_S) - self._retiring()
+        """Machines that are heard now and are to stay."""
+        return self._nodes_within(UNRESPONSIVE_AFTER_S)
 
     def possibly_live_nodes(self) -> set[str] | None:
-        """Machines that may be there, also where they are silent just now; None where this lead cannot tell yet."""
-        if self._clock.now() - self._begun_at < GONE_AFTER_S:
-            return None
-        return self._nodes_heard(GONE_AFTER_S) - self._retiring()
+        """Machines that may be there although they are silent now; None where this lead is too young to know."""
+        return None if self._age_s < GONE_AFTER_S else self._nodes_within(GONE_AFTER_S)
 
-    def _nodes_heard(self, within_s: float) -> set[str]:
-        oldest = self._clock.now() - within_s
-        heard = {peer.node for peer in self._peers.values() if peer.heard_at > oldest and not peer.leaving}
-        return (heard | {self._node}) - {""}
+    def _nodes_within(self, seconds: float) -> set[str]:
+        own = {self._node} - {""}
+        return (self._peers.nodes_within(seconds) | own) - self._retiring()
 
     def is_vacated(self, node: str) -> bool:
-        """Does no copy that counts stand on the machine, and are there enough without it?
+        """Does no replica that counts stand on the machine, and are there enough without it?
 
-        Not before this lead has heard which members are on the machine.
+        Not before this lead knows which members are on the machine.
         """
         record = self._acceptor.record
         counted = {*record.in_sync, *record.voters}
-        unknown = any(not self._peers[one].node for one in counted if one != self.me and one in self._peers)
-        there = {one for one, peer in self._peers.items() if peer.node == node}
-        enough = len(record.in_sync) > self._tolerated
-        known = self.settled and not unknown and not self._proposer.active
-        return known and node != self._node and not there & counted and enough
+        unknown = any(not self.peers[member].node for member in counted if member in self.peers)
+        known = self.membership_known and not unknown and not self._proposer.active
+        vacated = node != self._node and not self._peers.members_on(node) & counted
+        return known and vacated and len(record.in_sync) > self._tolerated
 
-    # What happens ------------------------------------------------------------------------------------
+    # Events ------------------------------------------------------------------------------------------
 
     def begin_epoch(self, record: EpochRecord) -> None:
         """A record with this member as primary was decided."""
@@ -132,7 +134,7 @@
 
     def end(self) -> None:
         """Another may lead from now on."""
-        self.lease.drop()
+        self.lease.relinquish()
         self.replicator.abort()
 
     def tick(self) -> None:
@@ -146,15 +148,13 @@
         self._approve_leaving()
 
     def heartbeat(self) -> None:
-        """Ask for the lease anew, and let everybody know of the record."""
+        """Ask the voters to renew the lease, and announce the record to every member heard."""
         self._heartbeat_at = self._clock.now()
         record = self._acceptor.record
         request = LeaseRequest(record, self.lease.begin_round())
-        oldest = self._heartbeat_at - GONE_AFTER_S
-        heard = [one for one, peer in self._peers.items() if peer.heard_at > oldest]
-        self._send_all((*record.voters, *heard), request)
+        self._send_all((*record.voters, *self._peers.heard_within(GONE_AFTER_S)), request)
         if self._acceptor.grant(request):
-            self.lease.grant(request.round, self.me, record.voters)
+            self.lease.on_grant(request.round, self.member_id, record.voters)
 
     def receive(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
         """Handle an answer of another member to this epoch."""
@@ -170,54 +170,54 @@
     def on_lease_grant(self, message: LeaseGrant) -> None:
         """A member has answered a heartbeat."""
         record = self._acceptor.record
-        self._mark_alive(message.member, message.node).leaving = message.leaving
+        self._peers.mark_announced(message.member, message.node, message.leaving)
         if message.granted:
-            self.lease.grant(message.round, message.member, record.voters)
+            self.lease.on_grant(message.round, message.member, record.voters)
         elif message.promised > record.epoch and message.member in record.voters:
             self._overtake_promise(message.promised)
         self.replicator.on_position(message.member, message.position)
 
     def on_join(self, message: Join) -> None:
-        """A member tells that it is there, or about to go."""
-        self._mark_alive(message.member, message.node).leaving = message.leaving
+        """A member announces itself, or that it is to stop."""
+        self._peers.mark_announced(message.member, message.node, message.leaving)
         self.consider_plan()
         self._approve_leaving()
 
     def on_snapshot_progress(self, message: SnapshotProgress) -> None:
-        """A member tells how far a transfer of the whole state has come."""
-        self._mark_alive(message.member)
+        """A member reports how much of a snapshot it has received."""
+        self._peers.mark_heard(message.member)
         self.replicator.on_progress(message)
 
     def on_replicate_ack(self, message: ReplicateAck) -> None:
-        """A member tells what it has stored."""
-        self._mark_alive(message.member)
+        """A member acknowledges what it has stored."""
+        self._peers.mark_heard(message.member)
         self.replicator.on_position(message.member, message.position)
 
     def on_digest_reply(self, message: DigestReply) -> None:
-        """A copy's checksum: one that differs is sent anew."""
+        """A replica's checksum: a replica that differs is sent a snapshot."""
         own = self._store.checksum_at(message.position)
         if own is not None and message.checksum != own:
             log.error("event=copy_differs member=%s", message.member)
             self.replicator.repair(message.member)
 
     def scrub(self) -> None:
-        """Compare the copies with the own one, at what was committed last."""
+        """Ask the in-sync replicas for their checksums at the last committed position."""
         record = self._acceptor.record
         if self.established:
             self._send_all(record.in_sync, DigestRequest(record.epoch, self.replicator.committed))
 
-    # Who votes and copies ------------------------------------------------------------------------------
+    # Membership ----------------------------------------------------------------------------------------
 
     def plan(self, proposal: Proposal) -> EpochRecord:
-        """The record that a round of this primary proposes; until it is decided, more copies are needed."""
+        """The record that a round of this primary proposes; until it is decided, commits need the replicas of both."""
         record = plan_next_record(self._plan_input(proposal.base), proposal.epoch)
         self.replicator.require_also(set(proposal.base.in_sync) | set(record.in_sync))
         return record
 
     def consider_plan(self) -> None:
-        """Propose a new epoch where other members should vote or copy."""
-        young = not self.established and self._clock.now() - self._begun_at < UNRESPONSIVE_AFTER_S
-        if self._proposer.active or not self.lease.held or young:
+        """Propose a new epoch where other members should vote or be in sync."""
+        young = not self.established and self._age_s < UNRESPONSIVE_AFTER_S
+        if self._proposer.active or not self.lease.valid or young:
             return
         record = self._acceptor.record
         planned = plan_next_record(self._plan_input(record), record.epoch)
@@ -225,22 +225,25 @@
             self._proposer.propose()
 
     def transfer_leadership(self) -> bool:
-        """Give the lease back and let an in-sync member stand; False where there is none."""
+        """Give the lease back and ask an in-sync member to take over; False where none is ready."""
         record = self._acceptor.record
-        oldest = self._clock.now() - UNRESPONSIVE_AFTER_S
-        others = [one for one in record.in_sync if one != self.me and self._peers[one].heard_at > oldest]
         plan = self._plan_input(record)
-        ready = [one for one in others if self.replicator.caught_up(one) and not plan.departing(one)]
+        live = set(self._peers.heard_within(UNRESPONSIVE_AFTER_S))
+        ready = [
+            member
+            for member in record.in_sync
+            if member in live and self.replicator.caught_up(member) and not plan.departing(member)
+        ]
         if not ready:
             return False
-        self.release(ready[0])
+        self.release_lease(successor=ready[0])
         self._network.send(address_of(ready[0]), TakeOver(record.epoch))
         return True
 
-    def release(self, successor: str = "") -> None:
-        """Give the lease back, or tell that it has ended, so that nobody waits for it."""
+    def release_lease(self, successor: str = "") -> None:
+        """Give the lease back, or announce that it has expired, so that nobody waits for it."""
         record = self._acceptor.record
-        self.lease.drop()
+        self.lease.relinquish()
         self._acceptor.release(record.epoch)
         self._send_all(record.voters, LeaseRelease(record.epoch, successor))
 
@@ -248,41 +251,35 @@
         retiring = self._retiring()
         return PlanInput(
             base=base,
-            me=self.me,
+            primary=self.member_id,
             now=self._clock.now(),
             unresponsive_after=UNRESPONSIVE_AFTER_S,
             tolerated=self._tolerated,
-            peers=self._peers,
-            caught_up={one for one in self._peers if self.replicator.caught_up(one)},
+            peers=self.peers,
+            caught_up={member for member in self.peers if self.replicator.caught_up(member)},
             lagging=self.replicator.lagging(),
             behind=self.replicator.behind(),
-            retiring={one for one, peer in self._peers.items() if peer.node in retiring},
+            retiring={member for member, peer in self.peers.items() if peer.node in retiring},
         )
 
     def _approve_leaving(self) -> None:
-        """Tell members that are about to go once nothing depends on them any more."""
+        """Approve the leave of members that nothing depends on any more."""
         if self._proposer.active or not self.established:
             return
         record = self._acceptor.record
         plan = self._plan_input(record)
-        for one, peer in self._peers.items():
-            in_record = one in record.voters
-            if peer.leaving and can_remove(plan, one) and (self.settled or not in_record):
-                self._network.send(address_of(one), LeaveApproved(record.epoch))
+        for member, peer in self.peers.items():
+            known = self.membership_known or member not in record.voters
+            if peer.leaving and can_remove(plan, member) and known:
+                self._network.send(address_of(member), LeaveApproved(record.epoch))
 
     def _overtake_promise(self, promised: int) -> None:
-        """A voter that promised a candidate's epoch, of which nothing came, is bound until a later one is decided."""
+        """A voter that promised an epoch that was never decided grants no lease until a later one is decided."""
         self._proposer.note_higher_promise(promised)
-        if not self._proposer.active and self.lease.held:
+        if not self._proposer.active and self.lease.valid:
             self._proposer.propose()
 
-    def _mark_alive(self, member: str, node: str = "") -> PeerView:
-        peer = self._peers.setdefault(member, PeerView())
-        peer.heard_at = self._clock.now()
-        peer.node = node or peer.node
-        return peer
-
     def _send_all(self, members: tuple[str, ...], message: Message) -> None:
-        for one in dict.fromkeys(members):
-            if one != self.me:
-                self._network.send(address_of(one), message)
+        for member in dict.fromkeys(members):
+            if member != self.member_id:
+                self._network.send(address_of(member), message)
--- a/lynxscale/coordination/lease.py
+++ b/lynxscale/coordination/lease.py
@@ -1,18 +1,21 @@
-"""The primary's own view of its lease: granted by a majority of the voters, and over before theirs."""
+"""The primary's own view of its leader lease: granted by a majority of the voters, and over before theirs ends.
+
+The lease runs from when the heartbeat was sent, not from the arrival of the grants (Gray and Cheriton, "Leases", 1989).
+"""
 
 from __future__ import annotations
 
-from lynxscale.coordination.acceptor import majority
 from lynxscale.coordination.ports import Clock
+from lynxscale.coordination.quorum import is_majority
 
 LEASE_S = 0.4
 LEASE_MARGIN = 0.85  # the holder's share of a lease: its clock may run slower than the voters'
 ROUNDS_REMEMBERED = 16  # heartbeats whose grants are still counted
-NEVER = -1e9
+NEVER = -1e9  # seconds: a time before all that happens
 
 
 class LeaderLease:
-    """Counts grants by heartbeat. The lease runs from when the heartbeat was sent, not from the grants' arrival."""
+    """Counts the grants of each heartbeat. Times are of the own steady clock, in seconds."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -22,17 +25,17 @@
         self._granted: dict[int, set[str]] = {}
 
     @property
-    def held(self) -> bool:
-        """Does it run?"""
+    def valid(self) -> bool:
+        """Is the lease running now?"""
         return self._clock.now() < self._until
 
     @property
-    def until(self) -> float:
-        """When it ends, by the own steady clock."""
+    def expires_at(self) -> float:
+        """When the lease ends, ``NEVER`` where there is none."""
         return self._until
 
-    def drop(self) -> None:
-        """It is held no longer."""
+    def relinquish(self) -> None:
+        """End the lease now."""
         self._until = NEVER
         self.discard_rounds()
 
@@ -49,11 +52,11 @@
         self._granted.pop(self._round - ROUNDS_REMEMBERED, None)
         return self._round
 
-    def grant(self, number: int, member: str, voters: tuple[str, ...]) -> None:
-        """A voter granted the heartbeat of that number."""
+    def on_grant(self, number: int, member: str, voters: tuple[str, ...]) -> None:
+        """A voter granted the heartbeat of that number; a majority of grants renews the lease."""
         granted = self._granted.get(number)
         if granted is None:
             return
         granted.add(member)
-        if majority(voters, granted):
+        if is_majority(voters, granted):
             self._until = max(self._until, self._sent[number] + LEASE_S * LEASE_MARGIN)
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -1,8 +1,14 @@
-"""A control member: acceptor, replica and, in its epoch, primary.
+"""A control member: voter, replica and, in its epoch, primary.
 
-States: JOINING (no vote yet), BACKUP, CANDIDATE (asks the voters for an epoch of its own) and PRIMARY (holds a lease
-from a majority of the voters and stops before it ends). ``_become`` is the one place of change. A member that is
-about to stop keeps its state until it is released (``graceful_leave.py``).
+``ControlMember`` puts the parts together, hands each message to the part that owns it, and keeps the lead:
+
+- ``member_role``: the role, and the table of its changes
+- ``voter``: answers to candidates and to the primary, by the ``acceptor``'s durable state
+- ``election``, ``candidacy`` and ``proposer``: when to stand, standing, and the rounds of Paxos
+- ``leadership``: what it does while it is primary
+- ``follower``: what it stores for a primary
+- ``joining`` and ``graceful_leave``: how it comes and goes
+- ``disk_failure``: what happens where a write fails
 """
 
 from __future__ import annotations
@@ -10,18 +16,20 @@
 import logging
 from collections.abc import Callable
 from dataclasses import dataclass
-from enum import Enum
 from random import Random
 
-from lynxscale.coordination.acceptor import Acceptor, Proposal
+from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import AcceptorStateFile
+from lynxscale.coordination.candidacy import Candidacy
+from lynxscale.coordination.disk_failure import DISK_FAILURE_COOLDOWN_S, DiskFailureHandler
 from lynxscale.coordination.election import ElectionCampaign
-from lynxscale.coordination.eligibility import CandidacyDecision, decide_candidacy
 from lynxscale.coordination.follower import Follower
 from lynxscale.coordination.graceful_leave import GracefulLeave
+from lynxscale.coordination.joining import JoinProtocol
 from lynxscale.coordination.leadership import TICK_S, Leadership
-from lynxscale.coordination.lease import LEASE_S
-from lynxscale.coordination.membership_plan import MIN_VOTERS
+from lynxscale.coordination.lease import LEASE_S, NEVER
+from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.membership_plan import voters_wanted
 from lynxscale.coordination.messages import (
     Accept,
     Accepted,
@@ -49,35 +57,27 @@
     SnapshotProbe,
     SnapshotProgress,
     TakeOver,
-    address_of,
 )
 from lynxscale.coordination.outcomes import CommitCallback, CommitOutcome
 from lynxscale.coordination.ports import Clock, Files, Network
+from lynxscale.coordination.primary_tracker import PrimaryTracker
+from lynxscale.coordination.proposal import Proposal
 from lynxscale.coordination.proposer import Proposer
 from lynxscale.coordination.store import Store
+from lynxscale.coordination.voter import Voter
 
 log = logging.getLogger(__name__)
 
-JOIN_INTERVAL_S = 0.25
-DISK_FAILURE_COOLDOWN_S = 1.0  # a member whose disk failed does not stand for so long
-LEAVE_INTERVAL_S = 0.1  # a member that is about to stop tells so
-WATERMARK_INTERVAL_S = 1.0  # the position is noted apart from the versions
-
-
-class State(Enum):
-    """Where a member stands."""
+WATERMARK_INTERVAL_S = 1.0  # between two records of the position apart from the versions
 
-    JOINING = "joining"
-    BACKUP = "backup"
-    CANDIDATE = "candidate"
-    PRIMARY = "primary"
+MessageHandler = Callable[[Message], None]
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """Who a member is.
+    """What an operator decides of a member.
 
-    ``node``: its machine's name; ``contacts``: internal addresses to join by; ``tolerated``: machines that may be lost
+    ``node``: its machine's name. ``contacts``: internal addresses to join by. ``tolerated``: machines that may be lost
     at once.
     """
 
@@ -87,69 +87,112 @@
 
 
 class ControlMember:
-    """One member of the group that holds the control state. ``on_lead(leading)`` is told of its leads."""
+    """One member of the group that holds the control state.
+
+    ``on_leadership_change(leads)`` is called when this member becomes primary or stops being it.
+
+    ``contacts`` and ``retiring`` (names of machines that are to be vacated) may be set at any time.
+    """
 
     def __init__(
         self,
         settings: MemberSettings,
-        register: AcceptorStateFile,
+        state_file: AcceptorStateFile,
         clock: Clock,
         network: Network,
         files: Files,
         random: Random,
-        on_lead: Callable[[bool], None],
+        on_leadership_change: Callable[[bool], None],
     ) -> None:
         self.settings = settings
-        self.me = register.state.member
+        self.member_id = state_file.state.member
         self.contacts = settings.contacts
-        self.acceptor = Acceptor(register, clock, LEASE_S)
-        self.state = State.BACKUP if self.me in self.acceptor.record.voters else State.JOINING
-        self.store = Store(files, self._defer)
-        self.departure = GracefulLeave()
         self.retiring: frozenset[str] = frozenset()
+        self.acceptor = Acceptor(state_file, clock, LEASE_S)
+        self.store = Store(files, self._defer_write)
         self.leadership: Leadership | None = None
         self._clock = clock
         self._network = network
-        self._random = random
-        self._on_lead = on_lead
-        self._proposer = Proposer(self.acceptor, clock, network, self._held, self._choose, self._decided)
-        self._follower = Follower(self.me, self.store, network, self._follows, self._recorded_primary)
+        self._on_leadership_change = on_leadership_change
+        self._graceful_leave = GracefulLeave()
+        self._disk = DiskFailureHandler(clock, self._stand_aside)
+        role = MemberRole.BACKUP if self.member_id in self.record.voters else MemberRole.JOINING
+        self._role = RoleState(role, self._epoch, self._on_role_change)
+        self._tracker = PrimaryTracker(self.acceptor, self._role, clock, self.leads)
+        self._proposer = Proposer(
+            self.acceptor, clock, network, self._replica_position, self._choose_record, self._on_epoch_decided
+        )
+        self._follower = Follower(self.member_id, self.store, network, self._accepts_writes_of, self._recorded_primary)
         self._campaign = ElectionCampaign(
-            self.acceptor, clock, network, random, self._held, self._eligible, self._on_pre_vote_won
+            self.acceptor, clock, network, random, self._replica_position, self._eligible, self._on_pre_vote_won
+        )
+        self._candidacy = Candidacy(
+            self.acceptor,
+            self.store,
+            network,
+            self._role,
+            self._tracker,
+            self._campaign,
+            self._proposer,
+            self._disk,
+            settings.tolerated,
+        )
+        self._voter = Voter(
+            self.acceptor,
+            settings.node,
+            network,
+            self._role,
+            self._tracker,
+            self._campaign,
+            self._graceful_leave,
+            self._replica_position,
+        )
+        self._joining = JoinProtocol(
+            self.acceptor,
+            settings.node,
+            clock,
+            network,
+            self._role,
+            self._tracker,
+            self._graceful_leave,
+            lambda: self.contacts,
         )
         self._handlers = self._message_handlers()
-        self._join_at = self._disk_failed_at = self._mark_at = -1e9
-        self._primary_heard_at = clock.now()
+        self._watermark_at = NEVER
+        self._start()
+
+    def _start(self) -> None:
         # A primary whose process ended holds no lease any more: it may stand at once, and the others let it.
-        free = self.record.epoch == 0 or self.record.primary == self.me
-        self._campaign.wait(0.0 if free else LEASE_S)
-        clock.call_later(TICK_S, self._tick)
+        may_stand_at_once = self.record.epoch == 0 or self.record.primary == self.member_id
+        self._campaign.postpone(0.0 if may_stand_at_once else LEASE_S)
+        self._clock.call_later(TICK_S, self._on_tick)
         if not self.store.intact:
             log.error("event=files_missing damage=%s", ",".join(self.store.damage))
 
-    # What the process asks ---------------------------------------------------------------------------
+    # For the process -----------------------------------------------------------------------------------
+
+    @property
+    def role(self) -> MemberRole:
+        """What this member is to the group now."""
+        return self._role.current
 
     @property
     def record(self) -> EpochRecord:
-        """The record of epochs known here."""
+        """The epoch record known here."""
         return self.acceptor.record
 
     @property
     def min_members(self) -> int:
         """With fewer the group could not bear the tolerated losses."""
-        return max(MIN_VOTERS, 2 * self.settings.tolerated + 1)
+        return voters_wanted(self.settings.tolerated)
 
     def leads(self) -> bool:
-        """Is this the primary, with its lease running and all that earlier primaries committed at hand?"""
+        """Is this the primary, with a valid lease and all that earlier primaries committed at hand?"""
         return self.leadership is not None and self.leadership.established
 
     def primary(self) -> str:
-        """The primary's internal address, empty where none was heard of lately."""
-        if self.leads():
-            return address_of(self.me)
-        recent = self._clock.now() - self._primary_heard_at < LEASE_S
-        other = self.record.primary != self.me and self.state is not State.PRIMARY
-        return address_of(self.record.primary) if recent and other else ""
+        """The primary's internal address, empty where none was heard within a lease's time."""
+        return self._tracker.address()
 
     def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
         """Change the state as primary; ``on_outcome(outcome)`` once it is known what became of the change."""
@@ -159,7 +202,7 @@
             on_outcome(CommitOutcome.NOT_LEADER)
 
     def barrier(self, on_outcome: CommitCallback) -> None:
-        """``COMMITTED`` once everything submitted before is committed and the lease still runs."""
+        """``COMMITTED`` once everything submitted before is committed and the lease is still valid."""
         if self.leads():
             self.leadership.replicator.barrier(
                 lambda outcome: on_outcome(outcome if self.leads() else CommitOutcome.UNKNOWN)
@@ -167,125 +210,40 @@
         else:
             on_outcome(CommitOutcome.NOT_LEADER)
 
-    def leave(self, on_release: Callable[[], None]) -> None:
-        """The process is to stop. It votes and copies on; ``on_release()`` once nothing depends on it any more."""
-        self.departure.begin(on_release)
+    def leave(self, on_approved: Callable[[], None]) -> None:
+        """The process is to stop. The member goes on until nothing depends on it, then ``on_approved()`` is called."""
+        self._graceful_leave.request(on_approved)
         self._campaign.leaving = True
-        self.step_down_in_favour()
-        self._announce()
+        self._transfer_leadership()
+        self._joining.announce()
 
-    def step_down_in_favour(self) -> None:
-        """As primary, let another in-sync member take over, and stay as its backup."""
-        if self.leadership is not None and self.leadership.transfer_leadership():
-            self._become(State.BACKUP)
-
-    # Messages ------------------------------------------------------------------------------------
+    # Messages ------------------------------------------------------------------------------------------
 
     def receive(self, message: Message) -> bool:
-        """Handle a message of the members; False where it is of another kind."""
+        """Handle a message between members; False where it is of another kind."""
         handler = self._handlers.get(type(message))
         if handler is None:
             return False
-        try:
-            handler(message)
-        except OSError as error:
-            self._on_disk_failure(error)
+        self._disk.guard(handler, message)
         return True
 
-    def _on_prepare(self, message: Prepare) -> None:
-        answer = self.acceptor.prepare(message, self._held())
-        if isinstance(answer, Promise):
-            self._campaign.support(message.candidate)
-            if message.candidate != self.me and self.state is State.PRIMARY:
-                self._become(State.BACKUP)
-        self._network.send(address_of(message.candidate), answer)
-
-    def _on_prepare_rejected(self, message: PrepareRejected) -> None:
-        if self._proposer.on_prepare_rejected(message) and self.state is State.CANDIDATE:
-            self._wait_for_lease(message.lease_left)
-
-    def _wait_for_lease(self, lease_left: float) -> None:
-        self._become(State.BACKUP)
-        self._campaign.wait(min(lease_left, LEASE_S))
-
-    def _on_accept(self, message: Accept) -> None:
-        answer = self.acceptor.accept(message.record)
-        if answer is not None:
-            self._campaign.support(message.record.primary)
-            self._network.send(address_of(message.record.primary), answer)
-
-    def _on_lease_request(self, message: LeaseRequest) -> None:
-        record = message.record
-        if record.epoch < self.record.epoch:
-            self._network.send(address_of(record.primary), Redirect(self.primary(), self.record.epoch))
-            return
-        self.acceptor.learn(record)
-        if record.primary == self.me:
-            return
-        self._become(State.BACKUP if self.me in record.voters else State.JOINING)
-        self._primary_heard_at = self._clock.now()
-        self._campaign.on_primary_heartbeat()
-        granted = self.acceptor.grant(message)
-        promised = self.acceptor.state.promised
-        answer = LeaseGrant(
-            record.epoch,
-            message.round,
-            self.me,
-            self.settings.node,
-            granted,
-            promised,
-            self._held(),
-            self.departure.leaving,
-        )
-        self._network.send(address_of(record.primary), answer)
-
-    def _on_lease_release(self, message: LeaseRelease) -> None:
-        if message.epoch != self.record.epoch:
-            return
-        self.acceptor.release(message.epoch)
-        if message.successor:
-            self._campaign.support(message.successor)
-        else:
-            self._campaign.wait(0.0)
-
-    def _on_take_over(self, message: TakeOver) -> None:
-        if message.epoch == self.record.epoch and self.state is State.BACKUP and self._eligible():
-            self._primary_heard_at = -1e9
-            self._start_candidacy()
-
-    def _on_join(self, message: Join) -> None:
-        if self.leadership is not None:
-            self.leadership.on_join(message)
-        elif address := self.primary():
-            self._network.send(address_of(message.member), Redirect(address, self.record.epoch))
-
-    def _on_leave_approved(self, message: LeaveApproved) -> None:
-        if message.epoch >= self.record.epoch and self.leadership is None:
-            self.departure.release()
-
-    def _on_redirect(self, message: Redirect) -> None:
-        if message.epoch > self.record.epoch and self.state is State.PRIMARY:
-            self._become(State.BACKUP)
-        if self.state is State.JOINING and message.primary:
-            self._network.send(message.primary, Join(self.me, self.settings.node, self.departure.leaving))
-
-    def _message_handlers(self) -> dict[type[Message], Callable[[Message], None]]:
-        """Whose business each message is: this member's own, or one of its parts'."""
+    def _message_handlers(self) -> dict[type[Message], MessageHandler]:
+        """The part that owns each message."""
         return {
             PreVote: self._campaign.on_pre_vote,
             PreVoteReply: self._campaign.on_reply,
             CandidacyAnnounced: self._campaign.on_candidacy_announced,
-            Prepare: self._on_prepare,
+            Prepare: self._voter.on_prepare,
             Promise: self._proposer.on_promise,
-            PrepareRejected: self._on_prepare_rejected,
-            Accept: self._on_accept,
+            PrepareRejected: self._candidacy.on_prepare_rejected,
+            Accept: self._voter.on_accept,
             Accepted: self._proposer.on_accepted,
-            LeaseRequest: self._on_lease_request,
-            LeaseRelease: self._on_lease_release,
-            TakeOver: self._on_take_over,
+            LeaseRequest: self._voter.on_lease_request,
+            LeaseRelease: self._voter.on_lease_release,
+            TakeOver: self._candidacy.on_take_over,
             Join: self._on_join,
-            LeaveApproved: self._on_leave_approved,
-            Redirect: self._on_redirect,
+            LeaveApproved: self._joining.on_leave_approved,
+            Redirect: self._joining.on_redirect,
             Replicate: self._follower.on_replicate,
             SnapshotChunk: self._follower.on_state_part,
             SnapshotProbe: self._follower.on_transfer_ask,
@@ -297,136 +255,90 @@
         }
 
     def _forward_to_leadership(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
-        """An answer to a primary, of this lead's present epoch."""
+        """An answer to a primary counts in the epoch that it was sent for."""
         if self.leadership is not None and message.epoch == self.record.epoch:
             self.leadership.receive(message)
 
-    def _follows(self, epoch: int) -> bool:
-        """May a primary of that epoch still write here? Not once a later one was promised."""
-        current = epoch == self.record.epoch and self.acceptor.state.promised <= epoch
-        return current and self.state is not State.PRIMARY
+    def _on_join(self, message: Join) -> None:
+        if self.leadership is not None:
+            self.leadership.on_join(message)
+        else:
+            self._joining.redirect(message)
 
-    # Rounds of the register ----------------------------------------------------------------------
+    # What the parts ask of the member ------------------------------------------------------------------
 
-    def _choose(self, proposal: Proposal) -> EpochRecord | None:
-        """The record to propose: as primary the planned one, as candidate oneself, if in sync."""
-        base = proposal.base
-        if self.leadership is not None and base.primary == self.me:
-            return self.leadership.plan(proposal)
-        decided = CandidacyDecision()
-        if self.state is State.CANDIDATE:
-            decided = decide_candidacy(self.me, self._held(), proposal, self.settings.tolerated)
-        if decided.further:
-            self._yield_to(base, decided.further)
-        elif decided.record is None:
-            self.acceptor.learn(base)
-            self._become(State.BACKUP if self.me in base.voters else State.JOINING)
-        return decided.record
-
-    def _yield_to(self, base: EpochRecord, further: str) -> None:
-        log.warning("event=stands_aside member=%s", further)
-        self._become(State.BACKUP)
-        self._campaign.wait(LEASE_S)
-        self._network.send(address_of(further), TakeOver(base.epoch))
-
-    def _held(self) -> Position:
+    def _epoch(self) -> int:
+        return self.record.epoch
+
+    def _replica_position(self) -> Position:
         return self.store.durable_position
 
     def _recorded_primary(self) -> str:
         return self.record.primary
 
-    def _decided(self, record: EpochRecord) -> None:
-        if self.state is State.CANDIDATE:
-            self._become(State.PRIMARY)
+    def _retiring_nodes(self) -> frozenset[str]:
+        return self.retiring
+
+    def _eligible(self) -> bool:
+        return self._candidacy.eligible
+
+    def _on_pre_vote_won(self, more_complete: str) -> None:
+        self._candidacy.on_pre_vote_won(more_complete)
+
+    def _accepts_writes_of(self, epoch: int) -> bool:
+        """May a primary of that epoch still write here? Not once a later one was promised."""
+        current = epoch == self.record.epoch and self.acceptor.state.promised <= epoch
+        return current and self.role is not MemberRole.PRIMARY
+
+    def _choose_record(self, proposal: Proposal) -> EpochRecord | None:
+        """The record to propose: as primary the planned one, as candidate one that names this member primary."""
+        if self.leadership is not None and proposal.base.primary == self.member_id:
+            return self.leadership.plan(proposal)
+        return self._candidacy.choose_record(proposal)
+
+    def _on_epoch_decided(self, record: EpochRecord) -> None:
+        if self.role is MemberRole.CANDIDATE:
+            self._role.apply(RoleChange.EPOCH_DECIDED)
         if self.leadership is not None:
             counts = len(record.in_sync), len(record.voters)
             log.info("event=epoch epoch=%d in_sync=%d voters=%d", record.epoch, *counts)
             self.leadership.begin_epoch(record)
 
-    # Time ----------------------------------------------------------------------------------------
+    # Time ----------------------------------------------------------------------------------------------
 
-    def _tick(self) -> None:
-        self._clock.call_later(TICK_S, self._tick)
-        try:
-            self._run_periodic_work()
-        except OSError as error:
-            self._on_disk_failure(error)
+    def _on_tick(self) -> None:
+        self._clock.call_later(TICK_S, self._on_tick)
+        self._disk.guard(self._do_periodic_work, self._clock.now())
 
-    def _run_periodic_work(self) -> None:
-        now = self._clock.now()
+    def _do_periodic_work(self, now: float) -> None:
         if self.leadership is not None:
-            self._tick_primary()
-        elif self.state is State.CANDIDATE and self._proposer.timed_out:
-            self._become(State.BACKUP)
-            self._campaign.wait(0.0)
-        # Also as a candidate: others may have replaced this member meanwhile, and only a primary's heartbeat tells.
-        waits = self.state in (State.BACKUP, State.CANDIDATE)
-        unheard = waits and now - self._primary_heard_at > LEASE_S
-        calls = self.state is State.JOINING or unheard
-        every = LEAVE_INTERVAL_S if self.departure.pending else JOIN_INTERVAL_S
-        if (calls or self.departure.pending) and now - self._join_at >= every:
-            self._announce()
-        if now - self._mark_at >= WATERMARK_INTERVAL_S:
-            self._mark_at = now
+            self._tick_primary(self.leadership)
+        else:
+            self._candidacy.check_timeout()
+        self._joining.announce_if_due()
+        if now - self._watermark_at >= WATERMARK_INTERVAL_S:
+            self._watermark_at = now
             self.store.save_watermark()
 
-    def _tick_primary(self) -> None:
-        if self.leadership.lost:
+    def _tick_primary(self, leadership: Leadership) -> None:
+        if leadership.lost:
             log.warning("event=lease_lost epoch=%d", self.record.epoch)
-            self.leadership.release()
-            self._become(State.BACKUP)
+            leadership.release_lease()
+            self._role.apply(RoleChange.LEASE_EXPIRED)
             return
-        if self.settings.node in self.retiring or self.departure.leaving:
-            self.step_down_in_favour()
+        if self.settings.node in self.retiring or self._graceful_leave.requested:
+            self._transfer_leadership()
         if self.leadership is not None:
             self.leadership.tick()
 
-    def _eligible(self) -> bool:
-        eligible = self.store.intact and self.me in self.record.in_sync and self.me in self.record.voters
-        return eligible and self.state is State.BACKUP
-
-    def _on_pre_vote_won(self, further: str) -> None:
-        """A majority would promise; a member whose copy reaches further is to stand instead."""
-        if further:
-            self._yield_to(self.record, further)
-        else:
-            self._start_candidacy()
+    # The lead ------------------------------------------------------------------------------------------
 
-    def _start_candidacy(self) -> None:
-        self._become(State.CANDIDATE)
-        self._campaign.support(self.me)
-        try:
-            denied = self._proposer.propose()
-        except OSError as error:
-            self._on_disk_failure(error)
-            return
-        if denied is not None:
-            self._wait_for_lease(denied.lease_left)
-
-    def _announce(self) -> None:
-        self._join_at = self._clock.now()
-        primary = self.primary()
-        if primary and not self.departure.pending:
-            self._network.send(primary, Join(self.me, self.settings.node, False))
-            return
-        known = [address_of(one) for one in (self.record.primary, *self.record.voters) if one]
-        own = address_of(self.me)
-        for address in dict.fromkeys([*known, *self.contacts]):
-            if address != own:
-                self._network.send(address, Join(self.me, self.settings.node, self.departure.leaving))
-
-    # The one change of state -----------------------------------------------------------------------
-
-    def _become(self, state: State) -> None:
-        before, self.state = self.state, state
-        if before is state:
-            return
-        log.info("event=state state=%s epoch=%d", state.value, self.record.epoch)
-        if state is not State.CANDIDATE:
+    def _on_role_change(self, before: MemberRole, after: MemberRole) -> None:
+        if after is not MemberRole.CANDIDATE:
             self._proposer.cancel()
-        if state is State.PRIMARY:
+        if after is MemberRole.PRIMARY:
             self._start_leading()
-        elif before is State.PRIMARY:
+        elif before is MemberRole.PRIMARY:
             self._stop_leading()
 
     def _start_leading(self) -> None:
@@ -439,38 +351,38 @@
             self._proposer,
             self.settings.tolerated,
             self._retiring_nodes,
-            self._on_disk_failure,
+            self._disk.on_failure,
         )
-        self._on_lead(True)
+        self._on_leadership_change(True)
 
     def _stop_leading(self) -> None:
-        self._campaign.wait(LEASE_S)
+        self._campaign.postpone(LEASE_S)
         leadership, self.leadership = self.leadership, None
-        leadership.end()
-        self._on_lead(False)
+        if leadership is not None:
+            leadership.end()
+        self._on_leadership_change(False)
 
-    def _retiring_nodes(self) -> frozenset[str]:
-        return self.retiring
+    def _transfer_leadership(self) -> None:
+        """As primary, let another in-sync member take over, and stay as its backup."""
+        if self.leadership is not None and self.leadership.transfer_leadership():
+            self._role.apply(RoleChange.TRANSFERRED_LEADERSHIP)
 
-    def _defer(self, step: Callable[[], None]) -> None:
-        """Make a step of what is written once other work has had its turn."""
-        self._clock.call_later(0.0, lambda: self._write_step(step))
+    # Disk failures -------------------------------------------------------------------------------------
 
-    def _write_step(self, step: Callable[[], None]) -> None:
+    def _defer_write(self, step: Callable[[], None]) -> None:
+        """Make a step of a long write once other work has had its turn."""
+        self._clock.call_later(0.0, lambda: self._run_write_step(step))
+
+    def _run_write_step(self, step: Callable[[], None]) -> None:
         try:
             step()
         except OSError as error:
             self._follower.abandon_transfer()
-            self._on_disk_failure(error)
-
-    def _on_disk_failure(self, error: OSError) -> None:
-        """This member can promise and store nothing: it stands aside for a while."""
-        now = self._clock.now()
-        if now - self._disk_failed_at > DISK_FAILURE_COOLDOWN_S:
-            log.error("event=disk_failed error=%s", error)
-            self._disk_failed_at = now
+            self._disk.on_failure(error)
+
+    def _stand_aside(self) -> None:
         if self.leadership is not None:
             self.leadership.transfer_leadership()
-        if self.state in (State.PRIMARY, State.CANDIDATE):
-            self._become(State.BACKUP)
-        self._campaign.wait_at_least(DISK_FAILURE_COOLDOWN_S)
+        if self._role.is_any_of(MemberRole.PRIMARY, MemberRole.CANDIDATE):
+            self._role.apply(RoleChange.DISK_FAILED)
+        self._campaign.postpone_at_least(DISK_FAILURE_COOLDOWN_S)
--- /dev/null
+++ b/lynxscale/coordination/pre_vote.py
@@ -0,0 +1,36 @@
+"""One pre-vote round: a member asks the voters whether they would promise, before it asks for an epoch.
+
+A pre-vote writes nothing, so a member that could not win disturbs nobody (Ongaro, "Consensus: Bridging Theory and
+Practice", 2014, section 9.6).
+"""
+
+from __future__ import annotations
+
+from lynxscale.coordination.messages import Position, PreVoteReply
+from lynxscale.coordination.quorum import is_majority
+
+
+class PreVoteRound:
+    """The replies to one question. ``asked_at``: steady time in seconds; ``positions``: each voter's replica's."""
+
+    def __init__(self, number: int, voters: tuple[str, ...], asked_at: float) -> None:
+        self.number = number
+        self.asked_at = asked_at
+        self.positions: dict[str, Position] = {}
+        self._voters = voters
+        self._free_at: dict[str, float] = {}
+
+    def on_reply(self, reply: PreVoteReply, now: float) -> None:
+        """Count a reply."""
+        self.positions[reply.voter] = reply.position
+        self._free_at[reply.voter] = now if reply.granted else now + reply.wait_s
+
+    def is_won(self, now: float) -> bool:
+        """Would a majority promise now?"""
+        return is_majority(self._voters, {voter for voter, free_at in self._free_at.items() if free_at <= now})
+
+    def majority_free_at(self) -> float | None:
+        """The time from which a majority may promise, by its replies; None where too few have replied."""
+        replied = sorted(free_at for voter, free_at in self._free_at.items() if voter in self._voters)
+        needed = len(self._voters) // 2 + 1
+        return replied[needed - 1] if len(replied) >= needed else None
--- /dev/null
+++ b/lynxscale/coordination/proposal.py
@@ -0,0 +1,48 @@
+"""The proposer's count of one round: promises, then accepts, from a majority of the old and the new voters."""
+
+from __future__ import annotations
+
+from lynxscale.coordination.messages import Accepted, EpochRecord, Position, Promise
+from lynxscale.coordination.quorum import is_majority
+
+
+class Proposal:
+    """One round of a proposer, from its prepare to a majority's accepts.
+
+    ``base``: the latest record among the promises; ``record``: the one proposed, None before it is chosen;
+    ``promised``: how far the replica of each voter that promised reaches.
+    """
+
+    def __init__(self, epoch: int, candidate: str, voters: tuple[str, ...]) -> None:
+        self.epoch = epoch
+        self.candidate = candidate
+        self.base: EpochRecord | None = None
+        self.record: EpochRecord | None = None
+        self.promised: dict[str, Position] = {}
+        self.accepted: set[str] = set()
+        self._voters = voters
+
+    @property
+    def voters(self) -> tuple[str, ...]:
+        """Members to ask: the voters known at the start, those of the base, those of the proposed record."""
+        known = dict.fromkeys(self._voters)
+        for record in (self.base, self.record):
+            known.update(dict.fromkeys(record.voters if record else ()))
+        return tuple(known)
+
+    def promise(self, answer: Promise) -> bool:
+        """Count a promise; True once the record may be chosen from ``base``."""
+        if answer.epoch != self.epoch or self.record is not None:
+            return False
+        self.promised[answer.voter] = answer.position
+        if self.base is None or answer.accepted.epoch > self.base.epoch:
+            self.base = answer.accepted
+        return is_majority(self.base.voters, set(self.promised))
+
+    def accept(self, answer: Accepted) -> bool:
+        """Count an accept; True once the record is decided."""
+        if answer.epoch != self.epoch or self.record is None or self.base is None:
+            return False
+        self.accepted.add(answer.voter)
+        old, new = self.base.voters, self.record.voters
+        return is_majority(old, self.accepted) and is_majority(new, self.accepted)
--- /dev/null
+++ b/lynxscale/coordination/quorum.py
@@ -0,0 +1,10 @@
+"""Majority quorums: any two of them share a voter."""
+
+from __future__ import annotations
+
+from collections.abc import Set
+
+
+def is_majority(voters: tuple[str, ...], members: Set[str]) -> bool:
+    """Do ``members`` include more than half of the voters? Members that have no vote do not count."""
+    return 2 * len(members & set(voters)) > len(voters)
--- a/lynxscale/coordination/vote_deference.py
+++ b/lynxscale/coordination/vote_deference.py
@@ -1,8 +1,8 @@
-"""Whom a voter keeps out of the way of: one member that asks, or one that is about to lead.
+"""To whom a voter defers: one member that asks by a pre-vote, or one that is about to lead.
 
-A voter that has told a member that it would promise prefers that one for a moment, unless a member with a better rank
+A voter that has answered a pre-vote with yes prefers that member for one round, unless a member with a better rank
 asks; it supports one that stands, was promised, or was asked to take over, until that one must have a lease. All this
-is advice, kept in memory; what is safe rests on the registers and leases alone.
+is advice, kept in memory; safety rests on the acceptors' durable state and on leases alone.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from lynxscale.coordination.lease import NEVER
 from lynxscale.coordination.ports import Clock
 
-ROUND_S = 0.05  # for question and answer, beside what disks take
+ROUND_S = 0.05  # for a pre-vote and its replies, beside what disks take
 ELECTION_S, ELECTION_WRITE_FACTOR = 0.1, 6.0  # from a won pre-vote to the lease of the new primary
-FRUITLESS_ROUNDS = 5.0  # a member that asks for so long and never stands may hear no answers: others go first as long
+FRUITLESS_ROUNDS = 5.0  # a member that asks for so long and never stands may hear no replies: it backs off as long
 
 
 class VoteDeference:
-    """One voter's support. How long it lasts follows from how long this member's own register writes take."""
+    """One voter's deference. How long it lasts follows from the latency of this member's own acceptor writes."""
 
     def __init__(self, acceptor: Acceptor, clock: Clock) -> None:
         self._acceptor = acceptor
@@ -28,7 +28,7 @@
 
     @property
     def round_s(self) -> float:
-        """Seconds for a question and its answers, and for which one that asked is preferred."""
+        """Seconds for a pre-vote and its replies, and for which a member that asked is preferred."""
         return ROUND_S + self._acceptor.write_s
 
     @property
@@ -37,15 +37,15 @@
         return ELECTION_S + ELECTION_WRITE_FACTOR * self._acceptor.write_s
 
     def rank(self, member: str) -> int:
-        """A member's place among those that may stand; the primary that was lost comes last."""
+        """A member's rank among those that may stand, 0 for the first; the primary that was lost comes last."""
         record = self._acceptor.record
         ranked = [one for one in record.in_sync if one != record.primary or one == self._acceptor.member]
         return ranked.index(member) if member in ranked else len(ranked)
 
-    def bound_for(self, candidate: str) -> float:
-        """Seconds for which a lease of another's may run, or this voter keeps out of another's way; 0 or less: none."""
+    def wait_s(self, candidate: str) -> float:
+        """Seconds for which another's lease may run, or this voter defers to another; 0 or less: a yes."""
         now = self._clock.now()
-        waits = [self._acceptor.bound_for(candidate), self._rest_of(candidate, now)]
+        waits = [self._acceptor.lease_left_for_other(candidate), self._backoff_left(candidate, now)]
         if candidate != self._supported:
             waits.append(self._supported_until - now)
         if candidate != self._preferred and self._preferred and self.rank(self._preferred) <= self.rank(candidate):
@@ -53,25 +53,25 @@
         return max(waits)
 
     def prefer(self, candidate: str) -> None:
-        """A member asked, and was told that it would be promised."""
+        """A member asked, and the reply was yes."""
         now = self._clock.now()
         self._preferred, self._preferred_until = candidate, now + self.round_s
         self._asking_since.setdefault(candidate, now)
 
-    def give(self, candidate: str) -> None:
+    def support(self, candidate: str) -> None:
         """A member is about to lead."""
         until = self._clock.now() + self.election_s
-        again = candidate == self._supported
-        self._supported_until = max(self._supported_until, until) if again else until
+        repeated = candidate == self._supported
+        self._supported_until = max(self._supported_until, until) if repeated else until
         self._supported = candidate
         self._preferred = ""
         self._asking_since.pop(candidate, None)
 
     def on_primary_heartbeat(self) -> None:
-        """Somebody leads: who asked before did so for an earlier reason."""
+        """Somebody leads: pre-votes of before had an earlier reason and do not count as fruitless."""
         self._asking_since.clear()
 
-    def _rest_of(self, candidate: str, now: float) -> float:
+    def _backoff_left(self, candidate: str, now: float) -> float:
         """Seconds for which others go first, as the member has asked for long and never stood."""
         since = self._asking_since.get(candidate)
         if since is None:
--- /dev/null
+++ b/lynxscale/coordination/voter.py
@@ -0,0 +1,104 @@
+"""The voter's side of elections and leases: how a member answers candidates and the primary."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.election import ElectionCampaign
+from lynxscale.coordination.graceful_leave import GracefulLeave
+from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.messages import (
+    Accept,
+    LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
+    Position,
+    Prepare,
+    Promise,
+    Redirect,
+    address_of,
+)
+from lynxscale.coordination.ports import Network
+from lynxscale.coordination.primary_tracker import PrimaryTracker
+
+
+class Voter:
+    """Answers by the acceptor's durable state, in each role; ``replica_position()``: how far the own replica reaches.
+
+    Handlers raise OSError where the acceptor's state cannot be stored.
+    """
+
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        node: str,
+        network: Network,
+        role: RoleState,
+        tracker: PrimaryTracker,
+        campaign: ElectionCampaign,
+        graceful_leave: GracefulLeave,
+        replica_position: Callable[[], Position],
+    ) -> None:
+        self._acceptor = acceptor
+        self._node = node
+        self._network = network
+        self._role = role
+        self._tracker = tracker
+        self._campaign = campaign
+        self._graceful_leave = graceful_leave
+        self._replica_position = replica_position
+
+    def on_prepare(self, message: Prepare) -> None:
+        """A candidate asks for a promise. A primary that gives it to another stops leading."""
+        answer = self._acceptor.prepare(message, self._replica_position())
+        if isinstance(answer, Promise):
+            self._campaign.defer_to(message.candidate)
+            if message.candidate != self._acceptor.member and self._role.current is MemberRole.PRIMARY:
+                self._role.apply(RoleChange.PROMISED_OTHER)
+        self._network.send(address_of(message.candidate), answer)
+
+    def on_accept(self, message: Accept) -> None:
+        """A candidate asks to store its record; a record that was passed by is not answered."""
+        answer = self._acceptor.accept(message.record)
+        if answer is not None:
+            self._campaign.defer_to(message.record.primary)
+            self._network.send(address_of(message.record.primary), answer)
+
+    def on_lease_request(self, message: LeaseRequest) -> None:
+        """A primary's heartbeat: follow it and grant its lease, or tell a former primary of the present one."""
+        record, member = message.record, self._acceptor.member
+        if record.epoch < self._acceptor.record.epoch:
+            redirect = Redirect(self._tracker.address(), self._acceptor.record.epoch)
+            self._network.send(address_of(record.primary), redirect)
+            return
+        self._acceptor.learn(record)
+        if record.primary == member:
+            return
+        self._role.follow(is_voter=member in record.voters)
+        self._tracker.on_heartbeat()
+        self._campaign.on_primary_heartbeat()
+        self._network.send(address_of(record.primary), self._grant(message))
+
+    def _grant(self, message: LeaseRequest) -> LeaseGrant:
+        granted = self._acceptor.grant(message)
+        return LeaseGrant(
+            message.record.epoch,
+            message.round,
+            self._acceptor.member,
+            self._node,
+            granted,
+            self._acceptor.state.promised,
+            self._replica_position(),
+            self._graceful_leave.requested,
+        )
+
+    def on_lease_release(self, message: LeaseRelease) -> None:
+        """The primary's lease has ended early: defer to its successor, or ask the voters at once."""
+        if message.epoch != self._acceptor.record.epoch:
+            return
+        self._acceptor.release(message.epoch)
+        if message.successor:
+            self._campaign.defer_to(message.successor)
+        else:
+            self._campaign.postpone(0.0)
--- a/tests/coordination/control_groups.py
+++ b/tests/coordination/control_groups.py
@@ -16,7 +16,7 @@
 
 def backups_of(group: ControlGroup) -> list[str]:
     """The addresses of the founders that are not primary."""
-    leader = address_of(group.wait_for_leader().me)
+    leader = address_of(group.wait_for_leader().member_id)
     return [address for address in group.seeds if address != leader]
 
 
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -128,5 +128,6 @@
     member, record, promised, candidate = REGISTERS["promised"][2]
     voter = Acceptor(register, World(golden.SEED).machine(golden.SEEDS[0]).clock(), LEASE_S)
     assert voter.member == member and golden.positional(voter.record) == golden.tuples(record)
-    assert (voter.lease_left, voter.bound_for(record[1]), voter.bound_for(candidate)) == (LEASE_S, 0.0, LEASE_S)
+    assert (voter.lease_left, voter.lease_left_for_other(record[1])) == (LEASE_S, 0.0)
+    assert voter.lease_left_for_other(candidate) == LEASE_S
     assert golden.positional(voter.state)[2:] == (promised, candidate)
--- a/tests/coordination/test_recovery.py
+++ b/tests/coordination/test_recovery.py
@@ -43,7 +43,7 @@
         damage_batch_file(group, backup, how, where)
         member = group.start(backup)
         assert not member.store.intact and member.store.durable_position == NO_POSITION
-        group.kill(address_of(group.wait_for_leader().me), power=True)
+        group.kill(address_of(group.wait_for_leader().member_id), power=True)
         assert group.put("after", 1)
         assert all(group.value(f"k{number}") == number for number in range(12)), (seed, how, where)
         assert group.world.run_until(lambda: member.store.intact, 6.0)  # noqa: B023
@@ -92,6 +92,6 @@
     group.world.machine(address).bytes_per_s = 5_000.0
     member = group.start(address)
     leader = group.wait_for_leader()
-    assert group.world.run_until(lambda: member.me not in leader.record.in_sync, 1.0)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 6.0)
+    assert group.world.run_until(lambda: member.member_id not in leader.record.in_sync, 1.0)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 6.0)
     assert member.store.checksum() == leader.store.checksum()
--- a/tests/coordination/test_replica_progress.py
+++ b/tests/coordination/test_replica_progress.py
@@ -15,7 +15,7 @@
     """Seen on a bench day: batches went on to a member that lacked earlier ones, so it never caught up."""
     group = start_group()
     leader = group.wait_for_leader()
-    backup = next(a for a in group.seeds if a != address_of(leader.me))
+    backup = next(a for a in group.seeds if a != address_of(leader.member_id))
 
     def write():
         if leader.leads():
@@ -26,15 +26,15 @@
     group.kill(backup, power=True)
     group.world.run(group.world.time + 2)
     member = group.start(backup)
-    assert member.me not in leader.record.in_sync
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 1.0)
+    assert member.member_id not in leader.record.in_sync
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 1.0)
 
 
 def test_a_returning_member_is_sent_each_batch_about_once():
     """Seen on a variant's day: each of its steps had all the rest sent again, 50 MB in 0.2 s, and the primary died."""
     group = start_group()
     leader = group.wait_for_leader()
-    backup = next(a for a in group.seeds if a != address_of(leader.me))
+    backup = next(a for a in group.seeds if a != address_of(leader.member_id))
     group.kill(backup)
     for number in range(300):
         assert group.put(f"k{number}", number)
@@ -45,7 +45,7 @@
         deliver(source, target, message),
     )
     member = group.start(backup)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 3.0)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 3.0)
     assert sent.count("Replicate") < 400
 
 
@@ -60,7 +60,7 @@
     group.world.machine(address).bytes_per_s = bytes_per_s
     member = group.start(address)
     leader = group.wait_for_leader()
-    return group.world.run_until(lambda: member.me in leader.record.in_sync, within_s)
+    return group.world.run_until(lambda: member.member_id in leader.record.in_sync, within_s)
 
 
 def test_a_large_snapshot_arrives_over_a_slow_link_amid_writes():
@@ -87,13 +87,13 @@
         sent.extend(put.key for put in message.puts) if isinstance(message, SnapshotChunk) else None,
         deliver(source, target, message),
     )
-    group.kill(address_of(group.wait_for_leader().me))
+    group.kill(address_of(group.wait_for_leader().member_id))
     group.wait_for_leader()
     for one in group.members:
         group.world.partition(one, address)
     group.world.run(group.world.time + 0.7)
     group.world.heal()
-    assert group.world.run_until(lambda: member.me in group.wait_for_leader().record.in_sync, 14.0)
+    assert group.world.run_until(lambda: member.member_id in group.wait_for_leader().record.in_sync, 14.0)
     assert len(set(sent)) < 160  # of 200 and more: the rest had arrived before
 
 
@@ -113,7 +113,7 @@
     scrub()
     assert group.world.run_until(lambda: member.store.values["big00001"] == leader.store.values["big00001"], 5.0)
     group.world.run(group.world.time + 1)
-    assert member.me in leader.record.in_sync
+    assert member.member_id in leader.record.in_sync
 
 
 def test_a_replica_that_differs_is_out_of_the_in_sync_set_until_it_is_repaired():
@@ -125,8 +125,8 @@
     member.store.apply((put_value("lost", 1),))
     group.world.run(group.world.time + 0.05)
     leader.leadership.scrub()
-    assert group.world.run_until(lambda: member.me not in leader.record.in_sync, 0.5)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 3.0)
+    assert group.world.run_until(lambda: member.member_id not in leader.record.in_sync, 0.5)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 3.0)
     assert "lost" not in member.store.values
 
 
@@ -154,7 +154,7 @@
     group.world.run(group.world.time + 0.3)
     member = group.start(wiped)
     leader = group.wait_for_leader()
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 6.0)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 6.0)
     group.world.run(group.world.time + 4.0)
     assert member.store.checksum() == leader.store.checksum(), set(leader.store.values) - set(member.store.values)
 
@@ -165,8 +165,8 @@
     group.kill(address)
     for number in range(1000):
         assert group.put(f"k{number % 40}", number)
-    assert len(group.world.machine(address_of(group.wait_for_leader().me)).files.names()) < 1100
+    assert len(group.world.machine(address_of(group.wait_for_leader().member_id)).files.names()) < 1100
     member = group.start(address)
     leader = group.wait_for_leader()
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 3.0)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 3.0)
     assert member.store.checksum() == leader.store.checksum()
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -66,7 +66,7 @@
     group.leave(leaving)
     assert group.world.run_until(lambda: leaving not in group.members, 6.0)
     record = group.wait_for_leader().record
-    assert newcomer.me in record.in_sync and newcomer.me in record.voters
+    assert newcomer.member_id in record.in_sync and newcomer.member_id in record.voters
     assert leaving not in [address_of(one) for one in (*record.voters, *record.in_sync)]
 
 
@@ -99,7 +99,7 @@
             files._files.pop(name, None)
         for address in (first, second):
             group.start(address)
-        assert group.wait_for_leader().me == group.members[second].me
+        assert group.wait_for_leader().member_id == group.members[second].member_id
         assert group.value("b") == 2
 
 
@@ -128,8 +128,8 @@
     break_file(ACCEPTOR_STATE_FILE)
     break_file(ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX)
     member = group.start(address, bootstrap=True)
-    assert member.me != before.member
-    assert group.world.run_until(lambda: member.me in group.wait_for_leader().record.in_sync, 4.0)
+    assert member.member_id != before.member
+    assert group.world.run_until(lambda: member.member_id in group.wait_for_leader().record.in_sync, 4.0)
 
 
 # Epochs ------------------------------------------------------------------------------------------------
@@ -139,7 +139,7 @@
     """Else its next life asks for the same epoch, and two records may stand under it."""
     group = start_group()
     candidate = group.members[backups_of(group)[0]]
-    machine = group.world.machine(address_of(candidate.me))
+    machine = group.world.machine(address_of(candidate.member_id))
     asked: list[tuple[int, int]] = []
     deliver = group.world.deliver
 
@@ -153,7 +153,7 @@
 
     group.world.deliver = watch
     for _ in range(4):
-        group.kill(address_of(group.wait_for_leader().me))
+        group.kill(address_of(group.wait_for_leader().member_id))
         group.world.run(group.world.time + 2)
         for address in group.seeds:
             if address not in group.members:
@@ -268,11 +268,13 @@
         group.world.heal()
         member = group.members[cut]
         leader = group.wait_for_leader()
-        assert member.me not in leader.record.voters
+        assert member.member_id not in leader.record.voters
         assert group.world.run_until(lambda m=member, r=leader.record: m.record == r, 1.0), seed
-        lost = next(a for a in group.seeds if a not in (cut, address_of(leader.me)))
+        lost = next(a for a in group.seeds if a not in (cut, address_of(leader.member_id)))
         group.kill(lost, wipe=True)
-        assert group.world.run_until(lambda m=member, g=group: m.me in g.wait_for_leader().record.in_sync, 2.0), seed
+        assert group.world.run_until(
+            lambda m=member, g=group: m.member_id in g.wait_for_leader().record.in_sync, 2.0
+        ), seed
 
 
 def test_the_time_of_day_is_stepped_and_nothing_depends_on_it():
--- a/tests/test_tier_group.py
+++ b/tests/test_tier_group.py
@@ -20,7 +20,7 @@
 def test_a_killed_primary_is_replaced_and_nothing_committed_is_lost(seed):
     group = start_group(seed)
     assert group.put("a", "kept")
-    old = address_of(group.leaders()[0].me)
+    old = address_of(group.leaders()[0].member_id)
     group.kill(old, power=True)
     before = group.world.time
     assert group.put("b", 2)
@@ -32,11 +32,11 @@
     group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
-    wiped = next(a for a in group.seeds if a != address_of(leader.me))
+    wiped = next(a for a in group.seeds if a != address_of(leader.member_id))
     group.kill(wiped, power=True, wipe=True)
     group.world.run(group.world.time + 0.5)
     member = group.start(wiped)
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 4.0)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 4.0)
     assert member.store.values.keys() == {"a"}
     assert len(leader.record.voters) == 3
 
@@ -45,18 +45,18 @@
     group = start_group()
     assert group.put("a", 1)
     leader = group.wait_for_leader()
-    gone = next(a for a in group.seeds if a != address_of(leader.me))
+    gone = next(a for a in group.seeds if a != address_of(leader.member_id))
     group.kill(gone, wipe=True)
     group.world.run(group.world.time + 1)
     member = group.start("10.0.0.9:7000")
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 4.0)
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 4.0)
     assert gone not in [address_of(one) for one in leader.record.voters]
 
 
 def test_a_primary_cut_off_stops_before_another_begins():
     group = start_group()
     leader = group.wait_for_leader()
-    own = address_of(leader.me)
+    own = address_of(leader.member_id)
     for other in group.seeds:
         if other != own:
             group.world.partition(own, other)
@@ -77,7 +77,7 @@
 def test_a_frozen_primary_finds_out_before_its_next_act():
     group = start_group()
     leader = group.wait_for_leader()
-    group.world.machine(address_of(leader.me)).freeze(3.0)
+    group.world.machine(address_of(leader.member_id)).freeze(3.0)
     group.world.run(group.world.time + 2)
     assert not leader.leads()
     assert group.wait_for_leader() is not leader
@@ -117,9 +117,9 @@
     leader = group.wait_for_leader()
     extra = group.start("10.0.0.9:7000")
     group.world.run(group.world.time + 1)
-    retiring = next(a for a in group.seeds if a != address_of(leader.me))
+    retiring = next(a for a in group.seeds if a != address_of(leader.member_id))
     leader.retiring = frozenset({f"node-{retiring}"})
-    assert group.world.run_until(lambda: extra.me in leader.record.in_sync, 4.0)
+    assert group.world.run_until(lambda: extra.member_id in leader.record.in_sync, 4.0)
     group.world.run(group.world.time + 0.5)
     assert retiring not in [address_of(one) for one in (*leader.record.voters, *leader.record.in_sync)]
 
@@ -128,15 +128,15 @@
     """Seen in an incident: it had promised itself epoch after epoch, and refused the primary's for good."""
     group = start_group()
     leader = group.wait_for_leader()
-    cut = next(a for a in group.seeds if a != address_of(leader.me))
+    cut = next(a for a in group.seeds if a != address_of(leader.member_id))
     for other in group.seeds:
         if other != cut:
             group.world.partition(cut, other)
     group.world.run(group.world.time + 12)
     group.world.heal()
     member = group.members[cut]
-    assert group.world.run_until(lambda: member.me in leader.record.in_sync, 1.5)
-    third = next(a for a in group.seeds if a not in (cut, address_of(leader.me)))
+    assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 1.5)
+    third = next(a for a in group.seeds if a not in (cut, address_of(leader.member_id)))
     group.kill(third)
     assert group.put("a", 1, within=1.5)
     assert leader.leads()
@@ -145,7 +145,7 @@
 def test_a_full_disk_at_the_primary_moves_the_lead():
     group = start_group()
     leader = group.wait_for_leader()
-    group.world.machine(address_of(leader.me)).files.full = True
+    group.world.machine(address_of(leader.member_id)).files.full = True
     assert group.put("a", 1)
     assert group.wait_for_leader() is not leader
     assert group.put("b", 1)
--- a/tests/test_tier_takeover.py
+++ b/tests/test_tier_takeover.py
@@ -52,7 +52,7 @@
                 asked.add(message.candidate)
             deliver(source, target, message)
 
-        lost = address_of(group.wait_for_leader().me)
+        lost = address_of(group.wait_for_leader().member_id)
         group.kill(lost)
         group.world.deliver = watch
         group.wait_for_leader(2.0)
@@ -65,7 +65,7 @@
     leader = group.wait_for_leader()
     backup = next(one for one in group.members.values() if one is not leader)
     epoch, promised = leader.record.epoch, backup.acceptor.state.promised
-    group.world.partition(address_of(leader.me), address_of(backup.me), both_ways=False)
+    group.world.partition(address_of(leader.member_id), address_of(backup.member_id), both_ways=False)
     group.world.run(group.world.time + 5)
     assert leader.leads() and backup.acceptor.state.promised in (promised, leader.record.epoch)
     assert leader.record.epoch <= epoch + 2  # it left the in-sync set, no more
@@ -84,7 +84,7 @@
     world.run(LEASE_S)
     allowed = []
     for _ in range(40):
-        allowed.append(support.bound_for("b#0") <= 0)
+        allowed.append(support.wait_s("b#0") <= 0)
         if allowed[-1]:
             support.prefer("b#0")
         world.run(world.time + support.round_s / 2)
@@ -92,8 +92,8 @@
     next_yes = allowed.index(True, first_no)
     assert 9 <= first_no <= 12 and 8 <= next_yes - first_no <= 11, allowed
     world.run(world.time + support.round_s)
-    support.give("b#0")
-    assert support.bound_for("c#0") > 0 and support.bound_for("b#0") <= 0
+    support.support("b#0")
+    assert support.wait_s("c#0") > 0 and support.wait_s("b#0") <= 0
 
 
 def test_the_better_rank_is_preferred_among_those_that_ask_at_once():
@@ -105,11 +105,11 @@
     support = VoteDeference(Acceptor(register, machine.clock(), LEASE_S), machine.clock())
     world.run(LEASE_S)
     support.prefer("c#0")
-    assert support.bound_for("b#0") <= 0
+    assert support.wait_s("b#0") <= 0
     support.prefer("b#0")
-    assert support.bound_for("c#0") > 0
-    support.give("c#0")
-    assert support.bound_for("b#0") > 0
+    assert support.wait_s("c#0") > 0
+    support.support("c#0")
+    assert support.wait_s("b#0") > 0
 
 
 def test_a_member_outside_the_group_announces_itself_to_the_primary_alone():
@@ -128,11 +128,11 @@
 
     group.world.deliver = watch
     group.world.run(group.world.time + 2.0)
-    primary = address_of(group.wait_for_leader().me)
+    primary = address_of(group.wait_for_leader().member_id)
     assert joins and set(joins) == {primary}
     group.kill(primary)
     group.world.run(group.world.time + 2.0)
-    assert address_of(group.wait_for_leader().me) in joins
+    assert address_of(group.wait_for_leader().member_id) in joins
 
 
 def test_a_primary_keeps_its_lease_while_its_own_next_epoch_takes_long():
