--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -18,14 +18,13 @@
 from lynxscale.dataplane.load_balancer import EndpointDemand, LoadBalancer
 from lynxscale.dataplane.request_state import RequestState
 from lynxscale.dataplane.response_stream import ResponseStream
-from lynxscale.dataplane.responses import relay_response
+from lynxscale.dataplane.responses import BAD_GATEWAY, GATEWAY_TIMEOUT, SERVICE_UNAVAILABLE, relay_response
 from lynxscale.dataplane.routing import Route, RouteTable
 from lynxscale.dataplane.turns import Turn, TurnClient
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Head, Request, Response
 
 RETRY_AFTER_S = 0.1
-BAD_GATEWAY, SERVICE_UNAVAILABLE, GATEWAY_TIMEOUT = 502, 503, 504
 
 
 @attrs.frozen
--- a/lynxscale/dataplane/pending_until_configured.py
+++ b/lynxscale/dataplane/pending_until_configured.py
@@ -6,7 +6,7 @@
 
 from lynxscale.coordination.ports import Clock
 from lynxscale.dataplane.headers import DEADLINE_MS
-from lynxscale.dataplane.responses import relay_response
+from lynxscale.dataplane.responses import SERVICE_UNAVAILABLE, relay_response
 from lynxscale.runtime.http_server import Exchange, Responder
 from lynxscale.runtime.http_types import Request
 
@@ -43,7 +43,7 @@
     def add(self, request: Request, responder: Responder) -> PendingRequest | None:
         """Let a request wait; None where it is rejected at once, as too many wait already."""
         if len(self._pending) >= MAX_PENDING:
-            responder.respond(relay_response(503, RETRY_AFTER_S))
+            responder.respond(relay_response(SERVICE_UNAVAILABLE, RETRY_AFTER_S))
             return None
         pending = PendingRequest(request, responder)
         self._pending.append(pending)
@@ -65,4 +65,4 @@
             self._pending.remove(pending)
         if pending.waiting:
             pending.waiting = False
-            pending.responder.respond(relay_response(503, RETRY_AFTER_S))
+            pending.responder.respond(relay_response(SERVICE_UNAVAILABLE, RETRY_AFTER_S))
--- a/lynxscale/dataplane/response_stream.py
+++ b/lynxscale/dataplane/response_stream.py
@@ -5,13 +5,12 @@
 
 from __future__ import annotations
 
-from lynxscale.dataplane.responses import forwarded_response
+from lynxscale.dataplane.responses import OK, forwarded_response
 from lynxscale.dataplane.routing import Route
 from lynxscale.dataplane.server_sent_events import EventScanner
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Head
 
-OK = 200
 NO_FIELDS = Head(())
 
 
--- a/lynxscale/dataplane/responses.py
+++ b/lynxscale/dataplane/responses.py
@@ -5,6 +5,11 @@
 from lynxscale.dataplane.headers import CONTENT_LENGTH, RETRY_AFTER
 from lynxscale.runtime.http_types import Head, Headers, Response
 
+OK, NOT_FOUND = 200, 404
+BAD_GATEWAY = 502  # the request may have been executed
+SERVICE_UNAVAILABLE = 503  # the request was not executed and may be sent again
+GATEWAY_TIMEOUT = 504  # the request may have been executed, and its time is over
+
 
 def relay_response(status: int, retry_after_s: float | None = None) -> Response:
     """A response of the relay itself, without a body; ``retry_after_s`` invites the client to send it again."""
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -17,7 +17,7 @@
 from lynxscale.dataplane.forwarding import ForwardedRequest, ForwardingContext
 from lynxscale.dataplane.load_balancer import LoadBalancer
 from lynxscale.dataplane.pending_until_configured import PendingUntilConfigured
-from lynxscale.dataplane.responses import relay_response
+from lynxscale.dataplane.responses import NOT_FOUND, OK, SERVICE_UNAVAILABLE, relay_response
 from lynxscale.dataplane.routing import ClientLimits, RouteTable, decode_route_table
 from lynxscale.dataplane.status import UNKNOWN_AGE_S, RelayStatus, endpoint_status
 from lynxscale.dataplane.turns import TurnClient
@@ -99,9 +99,9 @@
     def handle_readiness(self, request: Request, responder: Responder) -> None:
         """Answer the platform's health check and requests for the status."""
         if request.path == "/status":
-            responder.respond(Response(200, Head(()), msgspec.json.encode(self.status())))
+            responder.respond(Response(OK, Head(()), msgspec.json.encode(self.status())))
         else:
-            responder.respond(relay_response(200 if self.ready else 503))
+            responder.respond(relay_response(OK if self.ready else SERVICE_UNAVAILABLE))
 
     def handle_request(self, request: Request, responder: Responder) -> Exchange | None:
         """Begin to serve a client's request."""
@@ -113,7 +113,7 @@
         assert self.route_table is not None  # nothing is forwarded before the relay is configured
         route = self.route_table.find(request.head.text(b"host"), request.path)
         if route is None:
-            responder.respond(relay_response(404))
+            responder.respond(relay_response(NOT_FOUND))
             return None
         exchange = ForwardedRequest(request, route, self.route_table, responder, self._context)
         exchange.start()
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -13,6 +13,7 @@
 from lynxscale.coordination.primary_calls import PrimaryCalls
 from lynxscale.dataplane import headers
 from lynxscale.dataplane.history_cache import HistoryCache
+from lynxscale.dataplane.responses import SERVICE_UNAVAILABLE
 from lynxscale.dataplane.routing import Route
 from lynxscale.runtime.http_types import Request
 
@@ -21,7 +22,6 @@
 COMMIT_TIMEOUT_S = 2.5
 CLOSE_TIMEOUT_S = 10.0  # no client waits for it
 NO_BUDGET = -1  # on the wire: the program's budget is not limited
-SERVICE_UNAVAILABLE = 503  # it is not certain whether the turn was admitted
 
 
 class TurnListener(Protocol):
--- /dev/null
+++ b/tests/dataplane/test_connection_pool.py
@@ -0,0 +1,39 @@
+"""The idle connections to an endpoint."""
+
+from lab.tier.world import World
+from lynxscale.dataplane.connection_pool import MAX_IDLE, ConnectionPool
+from lynxscale.runtime.http_client import ClientConnection, ClientState
+
+
+def pool_with_connections(count: int) -> tuple[World, ConnectionPool, list[ClientConnection]]:
+    """A pool, and connections from it that are idle again but not yet released."""
+    world = World(1)
+    pool = ConnectionPool("10.0.0.1:1", world.machine("a:1").clock(), lambda address, connection: None, closed=False)
+    connections = [pool.acquire() for _ in range(count)]
+    for connection in connections:
+        connection.state = ClientState.IDLE
+        connection.idle_until = world.time + 1.0
+    return world, pool, connections
+
+
+def test_the_most_recently_released_connection_is_used_first_and_expired_ones_never():
+    world, pool, (first, second) = pool_with_connections(2)
+    pool._release(first)
+    pool._release(second)
+    assert pool.has_idle
+    assert pool.acquire() is second
+    first.idle_until = world.time
+    assert not pool.has_idle
+    assert pool.acquire() not in (first, second)
+    assert first.state is ClientState.CLOSED
+
+
+def test_a_full_or_closed_pool_closes_what_is_released():
+    world, pool, connections = pool_with_connections(MAX_IDLE + 1)
+    for connection in connections:
+        pool._release(connection)
+    world.run(world.time + 0.01)
+    assert [connection.state for connection in connections].count(ClientState.CLOSED) == 1
+    pool.close()
+    assert all(connection.state is ClientState.CLOSED for connection in connections)
+    assert not pool.has_idle
