--- a/Makefile
+++ b/Makefile
@@ -45,7 +45,7 @@
 
 soak-upgrade: build
 	for seed in 1 2 3 4 5 6; do UPGRADE_SEED=$$seed UPGRADE_ROUNDS=8 \
-		$(PYTHON) -m pytest -q -p no:cacheprovider tests/test_upgrade.py -k kill -s || exit 1; done
+		$(PYTHON) -m pytest -q -p no:cacheprovider tests/relay/test_upgrade.py -k kill -s || exit 1; done
 
 soak-journal: build
 	JOURNAL_KILLS=1000 $(PYTHON) -m pytest -q -p no:cacheprovider tests/test_journal_live.py -k kills -s
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -29,7 +29,7 @@
 
 def _folder(state: str) -> Path:
     """The newest of the journals: after an upgrade half way there are two."""
-    from lynxscale.relay.upgrade.folders import folder_of, generations
+    from lynxscale.relay.upgrade.journal_folders import folder_of, generations
 
     there = generations(Path(state)) if Path(state).is_dir() else []
     return folder_of(Path(state), there[-1] if there else 0)
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -29,8 +29,8 @@
 from lynxscale.relay.net.clients import Clients
 from lynxscale.relay.net.close_reason import CloseReason
 from lynxscale.relay.net.peers import Peers
-from lynxscale.relay.upgrade.folders import Claim, sweep
 from lynxscale.relay.upgrade.handover import Handover
+from lynxscale.relay.upgrade.journal_folders import Claim, remove_leftovers
 from lynxscale.relay.upstream.group import FILES, SOURCES, Group
 from lynxscale.relay.upstream.verdict_reporter import VerdictReporter
 from lynxscale.relay.wall_clock import unix_clock
@@ -175,7 +175,7 @@
         """What earlier processes left open, also those that kept one file; it is removed once its messages are kept."""
         file = self.conf.state / old.NAME
         older = list(old.read(file.read_bytes())[0].values()) if file.is_file() else []
-        sweep(self.conf.state)
+        remove_leftovers(self.conf.state)
         entries = self.journal.open(older)
         if file.is_file():
             file.unlink()  # before anything can end: else a message that has ended would be recovered again
@@ -235,7 +235,7 @@
         """Begin a graceful shutdown."""
         if not self.lifecycle.stopping:
             log.info("stopping", open=len(self.relay.pending))
-        self.lifecycle.stop(self.loop.now(), self.handover.has_heir())
+        self.lifecycle.stop(self.loop.now(), self.handover.has_successor())
         self._advance_lifecycle()
 
     def _advance_lifecycle(self) -> None:
@@ -269,7 +269,7 @@
             self.clients.close_idle()
         elif action is LifecycleAction.STOP_ACCEPTING:
             self.clients.stop_accepting()
-            self.handover.let_go()
+            self.handover.stopped_accepting()
         elif action is LifecycleAction.RELEASE:
             self.handover.release()
         elif action is LifecycleAction.STOP_SENDING:
--- /dev/null
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -0,0 +1,225 @@
+"""The journal folders of one relay: which process owns which, which may start, and what an ended one left behind."""
+
+from __future__ import annotations
+
+import errno
+import os
+import shutil
+import time
+from contextlib import suppress
+from pathlib import Path
+
+from lynxscale.relay.journal.format import UID, Entry
+from lynxscale.relay.journal.log import manifest_of, segment_name
+from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.recover import Gap, recover
+from lynxscale.relay.upgrade.board import Board, BoardHalf
+
+FIRST = "segments"
+GONE_SUFFIX = ".gone"  # of a folder that is about to be removed
+TAKEN_FILE = "taken"  # numbers of messages that another process has taken over
+RELEASED_FILE = "released"  # numbers of messages that its process has released while it runs
+START_LOCK = "heir"  # held by a process from its start until it is alone
+RELEASED_SIZE = UID.size  # bytes of one number
+RETRY_INTERVAL_S = 0.02
+
+
+def generation_of(name: str) -> int | None:
+    """The generation of a folder's name; None for others."""
+    if name == FIRST:
+        return 0
+    stem, dot, digits = name.partition(".")
+    return int(digits) if stem == FIRST and dot and digits.isascii() and digits.isdigit() else None
+
+
+def folder_of(state: Path, generation: int) -> Path:
+    """The folder of a generation."""
+    return state / (f"{FIRST}.{generation}" if generation else FIRST)
+
+
+def generations(state: Path) -> list[int]:
+    """The generations whose folder exists, the oldest first."""
+    return sorted(
+        number for path in state.iterdir() if path.is_dir() and (number := generation_of(path.name)) is not None
+    )
+
+
+class Claim:
+    """A process's claim to one folder, and those of earlier processes that it must take over.
+
+    ``half``: its own half of the board, ``other``: that of its predecessor or successor; None without a board.
+    """
+
+    def __init__(self, state: Path, inode: int | None) -> None:
+        self.state, self._inode = state, inode
+        self.generation, self.is_successor = 0, False
+        self.earlier: list[int] = []
+        self.predecessor = -1  # of a successor: the generation that serves; other earlier ones have ended
+        self.half: BoardHalf | None = None
+        self.other: BoardHalf | None = None
+        self._start_lock = Folder(state, START_LOCK)
+
+    @property
+    def path(self) -> Path:
+        """Its folder."""
+        return folder_of(self.state, self.generation)
+
+    def wait(self, seconds: float) -> None:
+        """Raises BlockingIOError where another process holds the folder for longer, and this is no successor."""
+        end = time.monotonic() + seconds
+        board = Board(self.state) if self._inode is not None else None
+        while not self._try(board):
+            # One that was asked to stop may still be stopping: the platform starts the next at once.
+            if time.monotonic() > end:
+                raise BlockingIOError(errno.EAGAIN, "another process has this journal", str(self.state))
+            time.sleep(RETRY_INTERVAL_S)
+
+    def _try(self, board: Board | None) -> bool:
+        """One try; with True this process holds the start lock, until ``release_start_lock``."""
+        try:
+            self._start_lock.lock()
+        except BlockingIOError:
+            return False  # there are two processes already
+        there = generations(self.state)
+        live = [number for number in there if not _is_free(folder_of(self.state, number))]
+        halves = board.halves() if board is not None else None
+        if not live:
+            self.is_successor, self.generation = False, there[-1] if there else 0
+            index = 0
+        elif len(live) == 1 and halves is not None and (index := self._half_of(halves, live[0])) is not None:
+            self.is_successor, self.generation, self.predecessor = True, there[-1] + 1, live[0]
+            index = 1 - index
+        else:
+            self._start_lock.unlock()
+            return False
+        self.earlier = [number for number in there if number != self.generation]
+        if halves is not None:
+            self.half, self.other = halves[index], halves[1 - index]
+            self.half.begin(self.generation, self._inode or 0)
+        return True
+
+    def _half_of(self, halves: tuple[BoardHalf, BoardHalf], generation: int) -> int | None:
+        """The half of the process that serves, if it has this very listening socket."""
+        for half in halves:
+            published = half.read()
+            if published is not None and published[1] == generation and published[2] == self._inode:
+                return half.index
+        return None
+
+    def release_start_lock(self) -> None:
+        """No other process is left: the next successor may start."""
+        self.is_successor = False
+        self._start_lock.unlock()
+
+
+def _is_free(path: Path) -> bool:
+    port = Folder(path)
+    try:
+        port.lock()
+    except BlockingIOError:
+        return False
+    port.unlock()
+    return True
+
+
+def alive(state: Path, generation: int) -> bool:
+    """Does a process hold the folder of this generation?"""
+    path = folder_of(state, generation)
+    return path.is_dir() and not _is_free(path)
+
+
+class InheritedJournal:
+    """What an ended process left in its folder. Messages marked as taken there belong to another process for good."""
+
+    def __init__(self, state: Path, generation: int) -> None:
+        self.path, self._port = folder_of(state, generation), Folder(folder_of(state, generation))
+        self.gaps: list[Gap] = []
+        self._taken_handle = -1
+
+    def lock(self) -> bool:
+        """Keep others out; False while its process runs."""
+        try:
+            self._port.lock()
+        except BlockingIOError:
+            return False
+        return True
+
+    def read(self) -> dict[int, Entry]:
+        """The open messages that are not taken, by their number there. Raises OSError or Refused."""
+        names = self._port.names()
+        manifest = manifest_of(self._port, names)
+        if manifest is None:
+            return {}
+        found = recover(
+            manifest,
+            {
+                row.number: self._port.read(segment_name(row.number))
+                for row in manifest.rows
+                if segment_name(row.number) in names
+            },
+        )
+        self.gaps = found.gaps
+        data = self._port.read(TAKEN_FILE) if TAKEN_FILE in names else b""
+        # A truncated number is of a message that the successor has and never sent: it knows it by its id.
+        taken = {number for (number,) in UID.iter_unpack(data[: len(data) // UID.size * UID.size])}
+        return {uid: entry for uid, entry in found.entries.items() if uid not in taken}
+
+    def mark_taken(self, numbers: list[int]) -> None:
+        """Another process has these in its journal from now on. Raises OSError: then they must not be sent."""
+        if self._taken_handle < 0:
+            path = self.path / TAKEN_FILE
+            size = path.stat().st_size if path.exists() else 0
+            handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+            os.ftruncate(handle, size // UID.size * UID.size)
+            self._taken_handle = handle
+        data = b"".join(UID.pack(number) for number in numbers)
+        before = os.fstat(self._taken_handle).st_size
+        if os.write(self._taken_handle, data) != len(data):
+            os.ftruncate(self._taken_handle, before)  # none of them: the caller takes over none
+            raise OSError(errno.ENOSPC, "no space for numbers of messages")
+
+    def close(self) -> None:
+        """Mark no more."""
+        if self._taken_handle >= 0:
+            os.close(self._taken_handle)
+            self._taken_handle = -1
+
+    def abandon(self) -> None:
+        """Leave it as it is, unlocked. Guards against a lock that looks like a running process."""
+        self.close()
+        self._port.unlock()
+
+    def remove(self) -> None:
+        """All messages are taken: remove the folder, atomically."""
+        self.close()
+        gone = self.path.with_name(self.path.name + GONE_SUFFIX)
+        with suppress(OSError):
+            os.rename(self.path, gone)
+            shutil.rmtree(gone, ignore_errors=True)
+        self._port.unlock()
+
+
+def release(path: Path, numbers: list[int]) -> None:
+    """Release messages to the successor. Raises OSError: it then gets them once this process ends."""
+    handle = os.open(path / RELEASED_FILE, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
+    try:
+        os.write(handle, b"".join(UID.pack(number) for number in numbers))
+    finally:
+        os.close(handle)
+
+
+def released(path: Path, at: int) -> tuple[list[int], int]:
+    """What was released from byte ``at`` on, and where to read on."""
+    with suppress(OSError), open(path / RELEASED_FILE, "rb") as file:
+        file.seek(at)
+        data = file.read()
+        complete = len(data) // UID.size * UID.size
+        return [number for (number,) in UID.iter_unpack(data[:complete])], at + complete
+    return [], at
+
+
+def remove_leftovers(state: Path) -> None:
+    """Remove what an earlier process was about to remove."""
+    for path in state.iterdir():
+        if path.name.endswith(GONE_SUFFIX) and generation_of(path.name.removesuffix(GONE_SUFFIX)) is not None:
+            shutil.rmtree(path, ignore_errors=True)
--- a/lynxscale/relay/upgrade/follow.py
+++ b/lynxscale/relay/upgrade/journal_follower.py
@@ -1,7 +1,8 @@
-"""Another process's journal, read while it is written: which messages it holds, and their state."""
+"""Another process's journal, read while it is written: which messages are open there, and their state."""
 
 from __future__ import annotations
 
+import errno
 import os
 from contextlib import suppress
 from pathlib import Path
@@ -12,11 +13,11 @@
 from lynxscale.relay.journal.port import Folder
 from lynxscale.relay.journal.recover import recover
 
-READ_MOST = 256 << 10  # in one look, so that no turn is long
+MAX_READ_BYTES = 256 << 10  # in one poll, so that no turn takes long
 
 
-class Follower:
-    """``entries``: the open messages by their number there, as of the last look."""
+class JournalFollower:
+    """``entries``: the open messages by their number there, as of the last poll."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -25,34 +26,35 @@
         self._number = -1  # the segment that is read
         self._handle = -1
         self._at = self._salt = 0
-        self._seen = 0  # the last record's sequence number
+        self._last_seq = 0  # of the last record
 
     def close(self) -> None:
+        """Close the segment that is read."""
         if self._handle >= 0:
             os.close(self._handle)
             self._handle = -1
 
-    def holds(self, id_: str) -> bool:
-        """Does the other process hold this message, as far as it has written by now?"""
-        if not self.look():
+    def contains(self, id_: str) -> bool:
+        """Is this message open in the other process, as far as it has written by now?"""
+        if not self.poll():
             return False
         return self._ids.get(id_) in self.entries
 
-    def look(self) -> bool:
+    def poll(self) -> bool:
         """Read what is new; False where the journal cannot be read just now."""
         try:
             if self._number < 0:
                 self._begin()
-            while self._read() or self._next():
+            while self._read() or self._next_segment():
                 pass
         except (OSError, Refused):
             self.close()
-            self._number = -1  # from the start at the next look
+            self._number = -1  # from the start at the next poll
             return False
         return True
 
     def _begin(self) -> None:
-        """Everything so far. Raises OSError where a segment went meanwhile."""
+        """Everything so far. Raises OSError where a segment was removed meanwhile."""
         port = Folder(self._path)
         manifest = manifest_of(port, port.names())
         if manifest is None or not manifest.rows:
@@ -64,20 +66,20 @@
             return  # its head is not written yet
         self._handle = os.open(self._path / segment_name(last), os.O_RDONLY | os.O_CLOEXEC)
         self._number, self._at, self._salt = last, found.sizes[last], found.salts[last]
-        self.entries, self._seen = found.entries, found.next_seq - 1
+        self.entries, self._last_seq = found.entries, found.next_seq - 1
         self._ids = {entry.id: uid for uid, entry in self.entries.items()}
 
     def _read(self) -> bool:
         """More of the segment; False at its end."""
         if self._handle < 0:
             return False
-        data = os.pread(self._handle, READ_MOST, self._at)
+        data = os.pread(self._handle, MAX_READ_BYTES, self._at)
         before = self._at
         for one in f.records(data, 0, self._salt):
             self._at += one.size
-            if one.seq <= self._seen:
+            if one.seq <= self._last_seq:
                 continue
-            self._seen = one.seq
+            self._last_seq = one.seq
             ended = self.entries.get(one.uid) if one.kind == f.END else None
             f.apply(self.entries, one)
             if ended is not None:
@@ -86,8 +88,8 @@
                 self._ids[self.entries[one.uid].id] = one.uid
         return self._at > before
 
-    def _next(self) -> bool:
-        """On to the segment behind, if there is one."""
+    def _next_segment(self) -> bool:
+        """On to the next segment, if there is one."""
         if self._handle < 0:
             return False
         with suppress(FileNotFoundError):
@@ -96,13 +98,10 @@
                 _number, _first, salt = f.read_segment_head(os.pread(handle, f.HEAD_SIZE, 0))
             except Refused:
                 os.close(handle)
-                return False  # its head is on the way
+                return False  # its head is not complete yet
             self.close()
             self._handle, self._number, self._at, self._salt = handle, self._number + 1, f.HEAD_SIZE, salt
             return True
         if any(name.endswith(SUFFIX) and name > segment_name(self._number) for name in os.listdir(self._path)):
-            raise OSError(2, "a segment was passed over")
+            raise OSError(errno.ENOENT, "a segment was skipped")
         return False
-
-
-__all__ = ["Follower"]
--- a/lynxscale/relay/upgrade/succession.py
+++ b/lynxscale/relay/upgrade/succession.py
@@ -1,4 +1,4 @@
-"""Who takes clients, whose messages are whose: the decisions of two processes of one relay, without I/O."""
+"""Which of two processes of one relay accepts clients and owns which messages: decisions without I/O."""
 
 from __future__ import annotations
 
@@ -7,38 +7,38 @@
 from lynxscale.relay.upgrade.board import Stage
 
 
-class Order(Enum):
-    """What the driver is to do."""
+class SuccessionAction(Enum):
+    """What the handover must do. The values stand in the log."""
 
-    SHARE = "share"  # descriptors with the other process
-    ALONE = "alone"  # all descriptors are this one's again
-    ACCEPT = "accept"  # take clients
-    ADOPT = "adopt"  # the other has ended: take over what it left
+    SHARE = "share"  # the descriptors with the other process
+    ALONE = "alone"  # all descriptors are this process's again
+    ACCEPT = "accept"  # clients
+    ADOPT = "adopt"  # what the other process, which has ended, left
 
 
 class Succession:
-    """``heir``: another process was serving when this one started."""
+    """One process's view. ``is_successor``: another process was serving when this one started."""
 
-    def __init__(self, heir: bool) -> None:
-        self.waiting = heir  # it does not take clients yet
-        self.predecessor = heir  # what the other one holds is still its own
-        self.shared = False
+    def __init__(self, is_successor: bool) -> None:
+        self.waiting = is_successor  # it does not accept clients yet
+        self.has_predecessor = is_successor  # the other process still owns its messages
+        self.shared = False  # both processes run
 
-    def look(self, other: Stage, alive: bool) -> list[Order]:
-        """``other``: the stage of the other process as the board tells it; ``alive``: it has its folder."""
-        orders = []
+    def advance(self, other: Stage, alive: bool) -> list[SuccessionAction]:
+        """What is due. ``other``: the stage of the other process on the board; ``alive``: it holds its folder."""
+        actions = []
         there = alive and other is not Stage.NONE
         if there != self.shared:
             self.shared = there
-            orders.append(Order.SHARE if there else Order.ALONE)
-        if self.waiting and (not alive or other is Stage.HANDING):
+            actions.append(SuccessionAction.SHARE if there else SuccessionAction.ALONE)
+        if self.waiting and (not alive or other is Stage.HANDED_OVER):
             self.waiting = False
-            orders.append(Order.ACCEPT)
-        if self.predecessor and not alive:
-            self.predecessor = False
-            orders.append(Order.ADOPT)
-        return orders
-
-    def has_heir(self, other: Stage, alive: bool) -> bool:
-        """Could another process take the clients that come?"""
-        return alive and not self.predecessor and other in (Stage.READY, Stage.SERVING)
+            actions.append(SuccessionAction.ACCEPT)
+        if self.has_predecessor and not alive:
+            self.has_predecessor = False
+            actions.append(SuccessionAction.ADOPT)
+        return actions
+
+    def has_successor(self, other: Stage, alive: bool) -> bool:
+        """Could another process accept the clients that come?"""
+        return alive and not self.has_predecessor and other in (Stage.READY, Stage.SERVING)
--- a/tests/golden_relay.py
+++ b/tests/golden_relay.py
@@ -17,7 +17,7 @@
 from lynxscale.relay import wall_clock as wall
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.outcome_log import OutcomeLog
-from lynxscale.relay.upgrade import folders, kept
+from lynxscale.relay.upgrade import journal_folders, learned_file
 from lynxscale.relay.upgrade.board import Board, Stage
 from lynxscale.relay.upstream.files import digest_of
 from lynxscale.relay.upstream.list_store import ListStore
@@ -64,7 +64,7 @@
     _write_upgrade(state)
     wall._save(state / wall.FILE, BOOT, ZERO)
     with mock.patch.object(time, "time_ns", lambda: UNIX_NS):
-        kept.keep(state, learned()[0], ENDPOINTS.get, NOW)
+        learned_file.save(state, learned()[0], ENDPOINTS.get, NOW)
 
 
 def _write_lists(state: Path) -> None:
@@ -87,18 +87,18 @@
 def _write_upgrade(state: Path) -> None:
     mine, heir = Board(state).halves()
     mine.begin(4, 99)
-    mine.enter(Stage.HANDING)
-    mine.out(3)
-    mine.tell(7, NOW + 1000, NOW)
-    mine.tell(8, NOW + 2000, NOW)
+    mine.set_stage(Stage.HANDED_OVER)
+    mine.set_in_flight(3)
+    mine.publish_wait(7, NOW + 1000, NOW)
+    mine.publish_wait(8, NOW + 2000, NOW)
     heir.begin(5, 99)
-    heir.enter(Stage.READY)
-    folder = folders.folder_of(state, 2)
+    heir.set_stage(Stage.READY)
+    folder = journal_folders.folder_of(state, 2)
     folder.mkdir()
-    estate = folders.Estate(state, 2)
-    estate.mark(MARKED)
-    estate.close()
-    folders.release(folder, RELEASED)
+    inherited = journal_folders.InheritedJournal(state, 2)
+    inherited.mark_taken(MARKED)
+    inherited.close()
+    journal_folders.release(folder, RELEASED)
 
 
 if __name__ == "__main__":
--- a/tests/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -16,11 +16,11 @@
 from lab.standins import PATIENCE, Client, reply, until
 from lynxscale.relay.journal import Entry, Journal
 from lynxscale.relay.journal.port import Folder
-from lynxscale.relay.upgrade import folders, kept
-from lynxscale.relay.upgrade.board import MOST_WAITS, Board, Stage
-from lynxscale.relay.upgrade.folders import Claim, Estate
-from lynxscale.relay.upgrade.follow import Follower
-from lynxscale.relay.upgrade.succession import Order, Succession
+from lynxscale.relay.upgrade import journal_folders, learned_file
+from lynxscale.relay.upgrade.board import MAX_WAITS, Board, Stage
+from lynxscale.relay.upgrade.journal_folders import Claim, InheritedJournal
+from lynxscale.relay.upgrade.journal_follower import JournalFollower
+from lynxscale.relay.upgrade.succession import Succession, SuccessionAction
 from lynxscale.scheduling.events import Result
 from lynxscale.scheduling.learned_state import export, restore
 from tests.driver import Driver, member
@@ -35,17 +35,17 @@
     again = Board(tmp_path).halves()[0]
     assert theirs.read() is None and again.read() is None
     mine.begin(4, 99)
-    mine.enter(Stage.HANDING)
-    mine.out(3)
-    assert again.read() == (Stage.HANDING, 4, 99, 3)
-    mine.tell(7, 5_000, 1_000)
-    mine.tell(7, 4_000, 1_000)  # shorter: the longer one binds
+    mine.set_stage(Stage.HANDED_OVER)
+    mine.set_in_flight(3)
+    assert again.read() == (Stage.HANDED_OVER, 4, 99, 3)
+    mine.publish_wait(7, 5_000, 1_000)
+    mine.publish_wait(7, 4_000, 1_000)  # shorter: the longer one binds
     assert (again.wait_until(7), again.wait_until(8)) == (5_000, 0)
-    for dest in range(1000, 1000 + MOST_WAITS + 5):
-        mine.tell(dest, 10_000 + dest, 6_000)
-    assert again.wait_until(7) == 0 and again.wait_until(1000 + MOST_WAITS + 4)
+    for dest in range(1000, 1000 + MAX_WAITS + 5):
+        mine.publish_wait(dest, 10_000 + dest, 6_000)
+    assert again.wait_until(7) == 0 and again.wait_until(1000 + MAX_WAITS + 4)
     mine.begin(6, 99)
-    assert again.wait_until(1000 + MOST_WAITS + 4) == 0 and again.read()[0] is Stage.STARTING
+    assert again.wait_until(1000 + MAX_WAITS + 4) == 0 and again.read()[0] is Stage.STARTING
     (tmp_path / "board").write_bytes(b"LXUP\x02\0" + bytes(100))
     assert Board(tmp_path).halves()[0].read() is None  # another version, or none
 
@@ -55,22 +55,28 @@
     [
         (
             True,
-            [(Stage.SERVING, True), (Stage.HANDING, True), (Stage.NONE, False)],
-            [[Order.SHARE], [Order.ACCEPT], [Order.ALONE, Order.ADOPT]],
+            [(Stage.SERVING, True), (Stage.HANDED_OVER, True), (Stage.NONE, False)],
+            [[SuccessionAction.SHARE], [SuccessionAction.ACCEPT], [SuccessionAction.ALONE, SuccessionAction.ADOPT]],
+        ),
+        (
+            True,
+            [(Stage.SERVING, True), (Stage.NONE, False)],
+            [[SuccessionAction.SHARE], [SuccessionAction.ALONE, SuccessionAction.ACCEPT, SuccessionAction.ADOPT]],
         ),
-        (True, [(Stage.SERVING, True), (Stage.NONE, False)], [[Order.SHARE], [Order.ALONE, Order.ACCEPT, Order.ADOPT]]),
         (
             False,
             [(Stage.NONE, False), (Stage.STARTING, True), (Stage.READY, True), (Stage.NONE, False)],
-            [[], [Order.SHARE], [], [Order.ALONE]],
+            [[], [SuccessionAction.SHARE], [], [SuccessionAction.ALONE]],
         ),
     ],
 )
 def test_who_does_what(heir, told, orders):
     one = Succession(heir)
-    assert [one.look(*seen) for seen in told] == orders
-    assert one.look(*told[-1]) == [] and not one.waiting
-    assert Succession(False).has_heir(Stage.READY, True) and not Succession(False).has_heir(Stage.STARTING, True)
+    assert [one.advance(*seen) for seen in told] == orders
+    assert one.advance(*told[-1]) == [] and not one.waiting
+    assert Succession(False).has_successor(Stage.READY, True) and not Succession(False).has_successor(
+        Stage.STARTING, True
+    )
 
 
 def entry(name: str) -> Entry:
@@ -78,7 +84,7 @@
 
 
 def filled(state: Path, generation: int, names: list[str]) -> None:
-    journal = Journal(Folder(folders.folder_of(state, generation)), 1_000_000, lambda: 5_000_000)
+    journal = Journal(Folder(journal_folders.folder_of(state, generation)), 1_000_000, lambda: 5_000_000)
     journal.open()
     for number, name in enumerate(names):
         journal.take(number, entry(name))
@@ -87,21 +93,21 @@
 
 def test_what_is_marked_is_left_out_and_a_cut_mark_is_none(tmp_path):
     filled(tmp_path, 0, ["a", "b", "c"])
-    estate = Estate(tmp_path, 0)
-    assert estate.take() and not Estate(tmp_path, 0).take()
-    found = estate.read()
+    inherited = InheritedJournal(tmp_path, 0)
+    assert inherited.lock() and not InheritedJournal(tmp_path, 0).lock()
+    found = inherited.read()
     assert [(one.id, one.tries, one.maybe) for one in found.values()] == [(name, 1, [5]) for name in "abc"]
-    estate.mark([list(found)[0]])
-    with (estate.path / "taken").open("ab") as file:
+    inherited.mark_taken([list(found)[0]])
+    with (inherited.path / "taken").open("ab") as file:
         file.write(b"\1\0\0")
-    assert [one.id for one in estate.read().values()] == ["b", "c"]
-    estate._port.unlock()
-    later = Estate(tmp_path, 0)
-    later.take()
-    later.mark([list(found)[2]])
+    assert [one.id for one in inherited.read().values()] == ["b", "c"]
+    inherited._port.unlock()
+    later = InheritedJournal(tmp_path, 0)
+    later.lock()
+    later.mark_taken([list(found)[2]])
     assert [one.id for one in later.read().values()] == ["b"]
     later.remove()
-    assert folders.generations(tmp_path) == []
+    assert journal_folders.generations(tmp_path) == []
 
 
 def test_who_may_start(tmp_path):
@@ -110,22 +116,22 @@
     first.wait(0)
     serving = Folder(first.path)
     serving.lock()
-    first.settled()
+    first.release_start_lock()
     for stranger in (Claim(tmp_path, None), Claim(tmp_path, 42)):
         with pytest.raises(BlockingIOError):
             stranger.wait(0.05)
     heir = Claim(tmp_path, 41)
     heir.wait(0)
-    assert (heir.heir, heir.generation, heir.earlier, heir.path.name) == (True, 1, [0], "segments.1")
+    assert (heir.is_successor, heir.generation, heir.earlier, heir.path.name) == (True, 1, [0], "segments.1")
     with pytest.raises(BlockingIOError):
         Claim(tmp_path, 41).wait(0.05)
     its = Folder(heir.path)
     its.lock()
     its.unlock()  # it dies before its yes
-    heir._door.unlock()
+    heir._start_lock.unlock()
     second = Claim(tmp_path, 41)
     second.wait(0)
-    assert (second.generation, second.earlier, second.half.place) == (2, [0, 1], heir.half.place)
+    assert (second.generation, second.earlier, second.half.index) == (2, [0, 1], heir.half.index)
     assert second.predecessor == 0  # the one that serves, and not the one that died in between
 
 
@@ -133,7 +139,7 @@
     rng = random.Random(SEED)
     journal = Journal(Folder(tmp_path / "segments"), 200_000, lambda: 5_000_000)
     journal.open()
-    follower = Follower(tmp_path / "segments")
+    follower = JournalFollower(tmp_path / "segments")
     open_, number = {}, 0
     for _step in range(3000):
         if rng.random() < 0.5 or not open_:
@@ -145,17 +151,17 @@
         else:
             gone = rng.choice(list(open_))
             journal.end(gone)
-            assert not follower.holds(open_.pop(gone))
+            assert not follower.contains(open_.pop(gone))
         if len(open_) > 60:
             for gone in list(open_)[:30]:
                 journal.end(gone)
                 del open_[gone]
         journal.turn()
         if rng.random() < 0.1:
-            assert follower.look()
+            assert follower.poll()
             found = {one.id: (one.tries, one.maybe) for one in follower.entries.values()}
             assert found == {one.id: (one.tries, one.maybe) for one in journal.entries()}
-            assert all(follower.holds(name) for name in open_.values())
+            assert all(follower.contains(name) for name in open_.values())
     assert min(journal.plan.segments) > 5  # it was cleaned meanwhile
 
 
@@ -206,16 +212,16 @@
 def test_knowledge_is_read_once_and_only_while_it_is_fresh(tmp_path, change, taken):
     told, _old = learned()
     names = {11: ("a", "127.0.0.1:1"), 12: ("b", "127.0.0.1:2")}
-    kept.keep(tmp_path, told, names.get, 5_000_000)
-    path = tmp_path / kept.NAME
+    learned_file.save(tmp_path, told, names.get, 5_000_000)
+    path = tmp_path / learned_file.NAME
     path.write_bytes(orjson.dumps(orjson.loads(path.read_bytes()) | change))
     numbers = {"a": 31, "b": 32}
-    again = kept.kept(tmp_path, lambda id_, _address: numbers.get(id_), 5_100_000)
+    again = learned_file.load(tmp_path, lambda id_, _address: numbers.get(id_), 5_100_000)
     assert (again is not None) == taken
     if again is not None:
         assert [row[0] for row in again["endpoints"]] == [31, 32]
         assert again["lanes"][0][1] == [31] and again["lanes"][0][2:] == told["lanes"][0][2:]
-    assert not path.exists() and kept.kept(tmp_path, lambda *_: None, 5_100_000) is None
+    assert not path.exists() and learned_file.load(tmp_path, lambda *_: None, 5_100_000) is None
 
 
 class Upgrades(NodeCase):
@@ -347,13 +353,13 @@
         """Three, of upgrades that were cut short one after the other: none is left for the start after this one."""
         ends = int((time.time() + 60) * 1e6)
         for generation in range(3):
-            journal = Journal(Folder(folders.folder_of(self.state, generation)), 1_000_000, lambda: 5_000_000)
+            journal = Journal(Folder(journal_folders.folder_of(self.state, generation)), 1_000_000, lambda: 5_000_000)
             journal.open()
             journal.take(0, Entry(f"m{generation}", "once", "acme", "", 1, ends, b"body"))
             journal.close()
         self.begin()
         until(lambda: len(self.calls()) == 3, "all are delivered")
-        until(lambda: folders.generations(self.state) == [2], "one folder")
+        until(lambda: journal_folders.generations(self.state) == [2], "one folder")
         self.assertEqual(sorted(call[1]["req-id"] for call in self.calls()), ["m0", "m1", "m2"])
 
     def test_a_folder_that_cannot_be_read_stays_and_bars_nobody(self):
@@ -399,7 +405,7 @@
             "their ends",
         )
         self.assertIsNone(third.poll())
-        until(lambda: folders.generations(self.state) == [2], "one folder")
+        until(lambda: journal_folders.generations(self.state) == [2], "one folder")
 
     def test_an_upgrade_in_a_drain_and_a_reload_in_an_upgrade(self):
         old = self.begin()
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -503,9 +503,9 @@
 
 
 ENDS_AS_IT_KEEPS = """import os, signal
-from lynxscale.relay.upstream.list_store import Lists
-keep = Lists.keep
-Lists.keep = lambda *args: (keep(*args), os.kill(os.getpid(), signal.SIGKILL))
+from lynxscale.relay.upstream.list_store import ListStore
+save_good = ListStore.save_good
+ListStore.save_good = lambda *args: (save_good(*args), os.kill(os.getpid(), signal.SIGKILL))
 from lynxscale.__main__ import main
 main()"""
 
--- a/tests/test_golden_relay.py
+++ b/tests/test_golden_relay.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lynxscale.relay import wall_clock as wall
-from lynxscale.relay.upgrade import folders, kept
+from lynxscale.relay.upgrade import journal_folders, learned_file
 from lynxscale.relay.upgrade.board import Board
 from lynxscale.relay.upstream.files import digest_of
 from lynxscale.relay.upstream.list_store import ListStore
@@ -55,14 +55,14 @@
 
 
 def test_marks_and_released_numbers_are_read(state):
-    assert folders.generations(state) == [2]
-    assert folders.released(folders.folder_of(state, 2), 0) == (relay.RELEASED, 16)
+    assert journal_folders.generations(state) == [2]
+    assert journal_folders.released(journal_folders.folder_of(state, 2), 0) == (relay.RELEASED, 16)
 
 
 def test_what_was_learned_is_taken_over(state, monkeypatch):
     monkeypatch.setattr(time, "time_ns", lambda: relay.UNIX_NS + 1_000_000_000)
     numbers = {name: number for number, name in relay.ENDPOINTS.items()}
-    told = kept.kept(state, lambda *name: numbers.get(name), relay.NOW + 1)
+    told = learned_file.load(state, lambda *name: numbers.get(name), relay.NOW + 1)
     written, old = relay.learned()
     assert {key: told[key] for key in written} == written
     new = Driver(members=[member(11), member(12, dest=2)])
