--- a/tests/controlplane/test_program_state.py
+++ b/tests/controlplane/test_program_state.py
@@ -1,10 +1,54 @@
-"""Token budgets of programs, on a simulated tier."""
+"""Token budgets of programs: by themselves, and on a simulated tier."""
+
+import msgspec
+import pytest
 
 from lab.tier.simulated_tier import SimulatedTier
 from lab.tier.world import World
+from lynxscale.controlplane.exceptions import BudgetExceededError
+from lynxscale.controlplane.program_state import NO_BUDGET, ProgramRecord, ProgramState
+from lynxscale.controlplane.retention import RetentionTracker
+from lynxscale.coordination.messages import AdmitTurn, FinishTurn
 from tests.simulated_tier import settled_tier
 
 
+def program_state() -> tuple[ProgramState, dict[str, msgspec.Raw]]:
+    values: dict[str, msgspec.Raw] = {}
+    return ProgramState(values, RetentionTracker(World(1).machine("a:1").clock())), values
+
+
+def admission(request: str, tokens: int, budget: int = 100) -> AdmitTurn:
+    return AdmitTurn("p", request, budget, tokens, 60.0, False)
+
+
+def test_a_repeated_request_reserves_its_tokens_once():
+    state, values = program_state()
+    for _ in range(2):
+        for put in state.reserve(admission("r1", 60)):
+            values[put.key] = put.value
+    assert msgspec.json.decode(values["program/p"], type=ProgramRecord).reservations == {"r1": 60}
+    with pytest.raises(BudgetExceededError) as raised:
+        state.reserve(admission("r2", 41))
+    assert (raised.value.status, raised.value.requested, raised.value.available) == (402, 41, 40)
+
+
+def test_settling_replaces_the_reservation_and_a_repeated_one_changes_nothing():
+    state, values = program_state()
+    for put in state.reserve(admission("r1", 60)):
+        values[put.key] = put.value
+    finish = FinishTurn("p", "r1", 25, 60.0)
+    for put in state.settle(finish):
+        values[put.key] = put.value
+    assert state.settle(finish) == ()
+    record = msgspec.json.decode(values["program/p"], type=ProgramRecord)
+    assert (record.spent_tokens, record.reservations, record.committed_tokens) == (25, {}, 25)
+
+
+def test_turns_without_a_budget_reserve_nothing():
+    state, _ = program_state()
+    assert state.reserve(admission("r1", 60, budget=NO_BUDGET)) == ()
+
+
 def test_a_budget_is_spent_once_and_further_turns_get_402():
     """Four events of ten tokens a turn: three turns fit into 120, with the most of each reserved."""
     tier = settled_tier()
