--- a/tests/golden_relay.py
+++ b/tests/golden_relay.py
@@ -23,7 +23,7 @@
 from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.scheduling.events import Result
 from lynxscale.scheduling.learned_state import export
-from tests.driver import Driver, member
+from tests.scheduling.driver import Driver, member
 
 DATA = Path(__file__).parent / "data" / "relay" / "v1"
 UNIX_NS = 1_800_000_000_123_456_000
--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -14,8 +14,8 @@
 from lab.standins import PATIENCE, Discovery, message, read_http, reply, row, settings, until
 from lynxscale.scheduling.actions import Subscribe
 from lynxscale.scheduling.events import MembershipKind, MembershipUpdate, Message, Result
-from tests.driver import KEYED, SAFE, UNSAFE, Driver, member
 from tests.relay.node import NodeCase
+from tests.scheduling.driver import KEYED, SAFE, UNSAFE, Driver, member
 
 
 class Frozen(contextlib.AbstractContextManager):
--- a/tests/relay/test_restart_rules.py
+++ b/tests/relay/test_restart_rules.py
@@ -20,8 +20,8 @@
 from lynxscale.scheduling.events import Message, Result
 from lynxscale.scheduling.settings import Effect, MessageClass
 from lynxscale.scheduling.settings_reader import settings_from
-from tests.driver import Driver, member
 from tests.relay.fakes import FakePorts, ManualLoop
+from tests.scheduling.driver import Driver, member
 
 SOAK = bool(os.environ.get("RARE_SEED"))  # then the draws are other ones each time
 
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -23,8 +23,8 @@
 from lynxscale.relay.upgrade.succession import Succession, SuccessionAction
 from lynxscale.scheduling.events import Result
 from lynxscale.scheduling.learned_state import export, restore
-from tests.driver import Driver, member
 from tests.relay.node import NodeCase
+from tests.scheduling.driver import Driver, member
 
 SEED = int(os.environ.get("UPGRADE_SEED", "7"))
 ROUNDS = int(os.environ.get("UPGRADE_ROUNDS", "3"))
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -19,7 +19,7 @@
 from lynxscale.relay.upstream.slow_start import SlowStart
 from lynxscale.relay.upstream.validation import NOTHING, ActiveList, Guards, OwnershipIndex, evaluate
 from lynxscale.scheduling.events import Lifecycle, MembershipKind
-from tests.driver import settings as module_settings
+from tests.scheduling.driver import settings as module_settings
 
 RULES = files.Rules(nets(["10.0.0.0/8", "127.0.0.0/8"], ["10.9.0.0/16"]), frozenset({"club"}), frozenset({"a"}))
 READY, DRAINING = Lifecycle.READY, Lifecycle.DRAINING
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -26,7 +26,7 @@
 from lynxscale.relay.upstream.model import Endpoint
 from lynxscale.relay.upstream.rules import rules_of
 from lynxscale.relay.upstream.verdict_reporter import VerdictReporter
-from tests.driver import settings as module_settings
+from tests.scheduling.driver import settings as module_settings
 
 SEED = int(os.environ.get("LISTS_SEED", "1"))
 REWRITES = int(os.environ.get("LISTS_REWRITES", "400"))
--- /dev/null
+++ b/tests/scheduling/test_concurrency_window.py
@@ -0,0 +1,53 @@
+"""Slots and windows."""
+
+from lynxscale.scheduling.actions import Cancel, Fail
+from lynxscale.scheduling.events import (
+    Result,
+)
+from tests.scheduling.driver import SAFE, UNSAFE, Driver, member
+
+
+def lose(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
+    """So many calls without an answer, each overtaken by one that is answered in the usual time."""
+    lost = []
+    for _ in range(calls):
+        lost.append(d.message(cls))
+        d.pass_time(1)
+        d.warm_up(1)
+    return lost
+
+
+def cut(d: Driver) -> list[int]:
+    return [a.id for _, a in d.log if isinstance(a, Cancel)]
+
+
+def test_one_destination_stays_under_three_quarters_of_the_slots():
+    d = Driver(slots=20)
+    d.warm_up(60)
+    for _ in range(40):
+        d.message(SAFE)
+    assert 10 < len(d.out) < 15
+
+
+def test_unresponsive_calls_do_not_keep_every_slot():
+    members = [member(10 + dest, dest) for dest in range(1, 8)]
+    d = Driver(members=members, slots=4)
+    stuck = [d.message(UNSAFE, dest) for dest in range(1, 5)]
+    d.pass_time(4000)
+    waiting = d.message(UNSAFE, 6)
+    cut = [a.id for _, a in d.log if isinstance(a, Cancel)]
+    assert cut == stuck[:3]
+    d.finish(stuck[0], Result.CANCELLED)
+    assert isinstance(d.finals[stuck[0]][0], Fail) and d.is_out(waiting)
+
+
+def test_lost_calls_that_must_not_be_repeated_give_way_when_no_slot_is_left():
+    d = Driver(members=[member(11, 1), member(12, 2)], slots=6)
+    d.warm_up(30, dest=2)
+    d.warm_up(60)
+    lost = lose(d, 2, UNSAFE)
+    d.pass_time(2000)
+    assert not cut(d)
+    for dest in (1, 1, 2, 2, 2, 2):
+        d.message(SAFE, dest=dest)
+    assert sorted(cut(d)) == lost
--- /dev/null
+++ b/tests/scheduling/test_dispatcher.py
@@ -0,0 +1,40 @@
+"""Turns of destinations, and calls that carry several messages."""
+
+from lynxscale.scheduling.events import (
+    Message,
+)
+from tests.scheduling.driver import SAFE, UNSAFE, Driver, member
+
+
+def test_messages_to_one_endpoint_share_a_call():
+    d = Driver(per_call=[5])
+    numbers = range(1, 8)
+    d.give(*[Message(n, 1, SAFE, 0, d.now + 8000.0) for n in numbers])
+    assert len(d.sent()) == 5 and d.scheduler.limits.used == 1
+
+
+def test_destination_under_half_its_share_of_slots_goes_before_others_on_time():
+    """A quick one with messages past their aim must not wait for all those of a busy one that is slow."""
+    d = Driver([member(10 + dest, dest=dest) for dest in (1, 2, 3)], slots=8)
+    for dest in (1, 2, 3):
+        d.warm_up(10, dest=dest)
+    busy = [d.message(UNSAFE, dest=1) for _ in range(9)]
+    for _ in range(3):
+        d.message(UNSAFE, dest=3)
+    assert len(d.out) == 8
+    late = d.message(UNSAFE, dest=2, left=5000.0)  # past its aim
+    d.finish(busy[0])
+    assert d.is_out(late)
+
+
+def test_destination_beyond_half_its_share_of_slots_waits_for_those_on_time():
+    d = Driver([member(10 + dest, dest=dest) for dest in (1, 2, 3)], slots=12)
+    for dest in (1, 2, 3):
+        d.warm_up(10, dest=dest)
+    busy = [d.message(UNSAFE, dest=1) for _ in range(12)]
+    for dest in (2, 2, 3, 3):
+        d.message(UNSAFE, dest=dest)
+    assert len(d.out) == 12
+    late = d.message(UNSAFE, dest=2, left=5000.0)  # past its aim, with two calls out
+    d.finish(busy[0])
+    assert not d.is_out(late) and len(d.out) == 12
--- /dev/null
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -0,0 +1,22 @@
+"""Which endpoint gets a message."""
+
+from lynxscale.scheduling.events import (
+    MembershipKind,
+    MembershipUpdate,
+)
+from tests.scheduling.driver import Driver, member
+
+
+def test_a_call_stays_in_its_zone_where_crossing_costs():
+    """The other floor's endpoint stands first in the list, and is as good in all else."""
+    members = [member(11, zone=1), member(12, zone=0)]
+    for price, used in ((0.03, {12}), (0.0, {11})):
+        d = Driver(members=members, cross_price=price, zone=0)
+        d.warm_up(10)
+        assert {attempt.endpoint for attempt in d.sent()} == used
+    d = Driver(members=members, cross_price=0.03, zone=0)
+    d.give(
+        MembershipUpdate(MembershipKind.DELTA, 2, [member(12, life=2, zone=0)])
+    )  # it drains: only the far one is left
+    d.warm_up(2)
+    assert {attempt.endpoint for attempt in d.sent()} == {11}
--- /dev/null
+++ b/tests/scheduling/test_endpoint_health.py
@@ -0,0 +1,230 @@
+"""Outages and slow start."""
+
+import pytest
+
+from lynxscale.scheduling.actions import Note
+from lynxscale.scheduling.events import (
+    MembershipKind,
+    MembershipUpdate,
+    Result,
+)
+from tests.scheduling.driver import KEYED, SAFE, UNSAFE, Driver, member
+
+OK, FULL, FAILED, ERROR = Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.ERROR
+
+
+def rates_of_a_returning_fleet(senders: int, outage: float, ms: float) -> int:
+    """Calls that reach a destination in the first span after its return; each node holds a message or two."""
+    calls = 0
+    for seed in range(senders):
+        d = Driver([member(11, weight=60.0)], seed, slots=3, senders=senders, weights="rough")
+        back, arrive = d.now + outage, d.now + outage * (seed % 20) / 20
+        while d.now < back + ms:
+            if d.now >= arrive:
+                d.message(UNSAFE)
+                arrive += outage
+            for number, _ in list(d.out):
+                d.finish(number, OK if d.now >= back else FAILED)
+            d.pass_time(50)
+        calls += sum(t >= back for t in d.sent_at())
+    return calls
+
+
+def notes(d: Driver) -> list[str]:
+    return [a.text for _, a in d.log if isinstance(a, Note)]
+
+
+def failing_outage(d: Driver, ms: float, cls: int = SAFE) -> None:
+    """Every try fails for so long, while messages come four times a second."""
+    end = d.now + ms
+    while d.now < end:
+        d.message(cls)
+        d.pass_time(250)
+        for number, _ in list(d.out):
+            d.finish(number, ERROR)
+
+
+def outage(d: Driver, result: Result, wait: float = 0.0, ms: float = 10000.0) -> None:
+    end = d.now + ms
+    while d.now < end:
+        d.message(SAFE)
+        for key in list(d.out):
+            d.finish(key[0], result, wait=wait)
+        d.pass_time(100)
+
+
+def load_on_return(d: Driver, ms: float) -> list[float]:
+    start = d.now
+    while d.now < start + ms:
+        for _ in range(3):
+            d.message(SAFE)
+        for key in list(d.out):
+            d.finish(key[0])
+        d.pass_time(100)
+    return [t for t in d.sent_at() if t >= start]
+
+
+@pytest.mark.parametrize(
+    "result, wait",
+    [
+        (Result.CONNECT_FAILED, 0),
+        (Result.RESET, 0),
+        (Result.ERROR, 0),
+        (Result.FULL, 0),
+        (Result.FULL, 1500),
+    ],
+)
+def test_returning_destination_is_loaded_by_slow_start(result, wait):
+    d = Driver()
+    d.warm_up(150)  # ten a second, so that much is the least it can do when warm
+    outage(d, result, wait)
+    times = load_on_return(d, 6000)
+    for start in range(0, 3001, 250):
+        t0 = times[0] + start
+        share = 0.2 + 0.8 * start / 10000 + 0.8 * 3000 / 10000 / 2
+        assert sum(t0 <= t < t0 + 3000 for t in times) <= 2.0 * share * 10 * 3 + 2
+
+
+def test_trials_in_an_outage_are_sparse():
+    d = Driver()
+    d.warm_up(100)
+    begin = len(d.sent())
+    outage(d, Result.CONNECT_FAILED)
+    assert len(d.sent()) - begin < 15
+
+
+def test_hung_destination_is_noticed_by_overdue_calls():
+    d = Driver()
+    d.warm_up(100)
+    for _ in range(50):
+        d.message(UNSAFE)
+        d.pass_time(100)
+    assert len(d.out) <= 14
+    assert any("failing" in a.text for _, a in d.log if isinstance(a, Note))
+
+
+def test_slow_start_ends():
+    d = Driver()
+    d.warm_up(100)
+    outage(d, Result.CONNECT_FAILED)
+    load_on_return(d, 14000)
+    states = [a.text.rsplit(" ", 1)[1] for _, a in d.log if isinstance(a, Note)]
+    assert states.index("failing") < states.index("warming") < len(states) - 1
+    assert states[-1] == "ok"
+
+
+def test_slow_answers_are_not_an_outage():
+    d = Driver()
+    d.warm_up(40)
+    d.pass_time(10)
+    slow = [d.message(UNSAFE) for _ in range(3)]
+    d.pass_time(3000)
+    assert any("failing" in a.text for _, a in d.log if isinstance(a, Note))
+    for number in slow:
+        if d.is_out(number):
+            d.finish(number)
+    assert [a.text for _, a in d.log if isinstance(a, Note)][-1].endswith("ok")
+
+
+def test_trials_grow_sparser_with_the_age_of_an_outage():
+    """Hundreds of nodes may each hold one message: their tries add up at the destination."""
+    d = Driver(slots=3, senders=240, weights="rough", members=[member(11, weight=30.0)])
+    d.message(SAFE, left=60000.0)
+    end = d.now + 40000
+    while d.now < end:
+        d.pass_time(50)
+        for number, _ in list(d.out):
+            d.finish(number, Result.CONNECT_FAILED)
+    times = d.sent_at()
+    gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
+    assert len(times) <= 8 and gaps[-1] > 5000 > 1500 > gaps[0]
+
+
+def test_slow_start_counts_from_between_the_last_failure_and_the_first_success():
+    d = Driver([member(11, weight=40.0)], slots=6, senders=40, weights="nominal")
+    d.warm_up(10, latency=1500.0)
+    end = d.now + 8000
+    while d.now < end:
+        d.message(SAFE)
+        d.pass_time(100)
+        for number, _ in list(d.out):
+            d.finish(number, Result.CONNECT_FAILED)
+    failed = d.now
+    d.message(SAFE)
+    while not d.out:
+        d.pass_time(20)
+    d.finish(next(iter(d.out))[0])
+    health = d.scheduler.table.destinations[1].routes[0].health
+    assert health.state == "warming" and failed - 2000 < health.slow_start_from < d.now - 50
+
+
+def test_destination_that_hung_has_a_slow_start():
+    """Nothing but silence and cut calls, which leave no failure to go by, then a quick answer."""
+    d = Driver()
+    d.warm_up(60)
+    for _ in range(9):
+        d.message(UNSAFE)
+        d.pass_time(1000)
+    for number, _ in list(d.out):
+        d.finish(number, Result.CANCELLED)
+    d.message(UNSAFE)
+    while not d.out:
+        d.pass_time(50)
+    d.finish(min(d.out)[0])
+    assert any(text.endswith("warming") for text in notes(d))
+
+
+def test_trials_in_an_outage_are_a_second_apart_and_spare_unsafe_messages():
+    d = Driver([member(11, weight=20.0)], weights="nominal", attempts_cap=50)
+    d.warm_up(40)
+    failing_outage(d, 6000.0)
+    once, begin = d.message(UNSAFE), len(d.sent())
+    failing_outage(d, 6000.0)
+    assert 4 <= len(d.sent()) - begin <= 8
+    assert once in d.scheduler.admission.pending and d.count.get(once, 0) == 0
+
+
+def test_slow_start_paces_the_destination_and_not_each_endpoint_besides():
+    """One of two endpoints drains: the other may take what the destination bears, not half of it."""
+    d = Driver([member(11, weight=40.0), member(12, weight=40.0)], weights="nominal", attempts_cap=50)
+    d.warm_up(40)
+    failing_outage(d, 8000.0)
+    d.give(MembershipUpdate(MembershipKind.DELTA, 2, [member(12, life=2, weight=40.0)]))
+    begin, end = len(d.sent()), d.now + 6000.0
+    while d.now < end:
+        d.message(SAFE)
+        d.pass_time(20)
+        for number, _ in list(d.out):
+            d.finish(number)
+    assert 36 <= len(d.sent()) - begin <= 72
+
+
+@pytest.mark.parametrize("figure", [None, 0.0])
+@pytest.mark.parametrize("result", [FULL, Result.CONNECT_FAILED, ERROR])
+def test_slow_start_settings_absent_or_zero(figure, result):
+    d = Driver(cold_share=figure, ramp_time_ms=figure, tip_multiple=figure, tip_after_ms=figure, slots=3)
+    numbers = []
+    for _ in range(60):
+        numbers.append(d.message(KEYED))
+        d.pass_time(100)
+        for number, _ in list(d.out):
+            d.finish(number, result)
+    d.pass_time(25000)
+    assert sorted(d.finals) == numbers and all(len(f) == 1 for f in d.finals.values())
+
+
+def test_timeouts_of_calls_with_little_time_left_say_nothing_of_health():
+    """A queue drained at its deadlines must not make a destination that answers look failing."""
+    d = Driver()
+    d.warm_up(40)
+    for _ in range(4):
+        d.message(SAFE, left=300.0)
+        d.pass_time(301.0)
+    assert len(d.sent()) == 44 and not d.out
+    assert not any(text.endswith("failing") for text in notes(d))
+
+
+def test_returning_destination_with_hundreds_of_small_nodes():
+    # 200 nodes at 10 s a message bring 20 a second, a third of the listed rate; each has seen the outage.
+    budget = 2.0 * (0.2 + 0.8 * 1500 / 10000) * 60 * 3
+    assert 10 < rates_of_a_returning_fleet(200, 10000.0, 3000.0) < budget
--- /dev/null
+++ b/tests/scheduling/test_message_queue.py
@@ -0,0 +1,18 @@
+"""Order of messages."""
+
+from lynxscale.scheduling.events import Result
+from tests.scheduling.driver import SAFE, Driver, member
+
+REPORTS = dict(senders=40, slots=6, report_left=0, report_limit=1, weights="nominal")
+
+
+def test_late_message_goes_behind_one_within_its_latency_target():
+    """While a limit lets through less than comes in, serving the late first makes all late."""
+    d = Driver([member(11, weight=40.0)], **REPORTS)
+    d.finish(d.message(SAFE), Result.FULL, wait=2000.0, report=(0.0, 40.0))
+    old = d.message(SAFE)
+    d.pass_time(1900)
+    new = d.message(SAFE)
+    d.pass_time(4000)
+    first = next(a.id for a in d.sent()[1:])
+    assert first == new and first != old
--- /dev/null
+++ b/tests/scheduling/test_restart_budget.py
@@ -0,0 +1,93 @@
+"""Attempts that are cancelled and sent again."""
+
+from lynxscale.scheduling.actions import Cancel
+from lynxscale.scheduling.rate_limits import RateShare
+from lynxscale.scheduling.restart_budget import RESTARTS_MAX
+from tests.scheduling.driver import SAFE, UNSAFE, Driver, member
+
+REPORTS = dict(senders=40, slots=6, report_left=0, report_limit=1, weights="nominal")
+
+
+def share(senders: int = 40, limit: float = 40.0) -> RateShare:
+    found = RateShare(senders, 0.0)
+    found.set_limit(limit)
+    return found
+
+
+def lose(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
+    """So many calls without an answer, each overtaken by one that is answered in the usual time."""
+    lost = []
+    for _ in range(calls):
+        lost.append(d.message(cls))
+        d.pass_time(1)
+        d.warm_up(1)
+    return lost
+
+
+def cut(d: Driver) -> list[int]:
+    return [a.id for _, a in d.log if isinstance(a, Cancel)]
+
+
+def test_idempotent_attempt_is_restarted_at_the_restart_timeout():
+    d = Driver()
+    d.warm_up(60)
+    number = d.message(SAFE)
+    d.pass_time(150)
+    cuts = [a for _, a in d.log if isinstance(a, Cancel)]
+    assert [c.id for c in cuts] == [number]
+    d.finish(number, 7)
+    assert d.is_out(number) and d.count[number] == 2
+
+
+def test_unsafe_attempt_runs_to_its_deadline():
+    d = Driver()
+    d.warm_up(60)
+    number = d.message(UNSAFE)
+    assert d.sent()[-1].timeout == 20000.0
+    d.pass_time(3000)
+    assert not any(isinstance(a, Cancel) for _, a in d.log) and d.is_out(number)
+
+
+def test_restarts_are_rationed():
+    d = Driver()
+    d.warm_up(60)
+    numbers = [d.message(SAFE) for _ in range(12)]
+    d.pass_time(150)
+    cuts = [a for _, a in d.log if isinstance(a, Cancel)]
+    assert 1 <= len(cuts) <= RESTARTS_MAX < len(numbers)
+
+
+def test_lost_calls_are_restarted_beyond_the_budget():
+    d = Driver()
+    d.warm_up(60)
+    lost = lose(d, 5)
+    d.pass_time(500)
+    assert cut(d) == lost and len(lost) > RESTARTS_MAX
+
+
+def test_slow_calls_are_not_taken_for_lost():
+    """None is overtaken: all are slow alike."""
+    d = Driver()
+    d.warm_up(60)
+    for _ in range(12):
+        d.message(SAFE)
+    d.pass_time(900)
+    assert len(cut(d)) <= RESTARTS_MAX
+
+
+def test_no_call_is_restarted_while_a_rate_limit_is_felt():
+    """The repeat would take another sender's turn: the cut call has used its own."""
+    cut = []
+    for left in (0.9, 0.1):
+        d = Driver([member(11, weight=400.0)], **REPORTS)
+        for _ in range(40):
+            number = d.message(SAFE)
+            d.pass_time(100)
+            d.finish(number, report=(left, 400.0))
+            d.pass_time(200)
+        share = d.scheduler.table.destinations[1].routes[0].rate_share
+        assert share.is_tight == (left < 0.5)
+        d.message(SAFE)
+        d.pass_time(1500)
+        cut.append(any(isinstance(a, Cancel) for _, a in d.log))
+    assert cut == [True, False]
--- /dev/null
+++ b/tests/scheduling/test_settings_reader.py
@@ -0,0 +1,46 @@
+"""Settings that are wrong or absent."""
+
+import re
+
+import pytest
+
+from lab.standins import settings as settings_table
+from lynxscale.scheduling.settings_reader import SettingsError, settings_from
+
+
+@pytest.mark.parametrize(
+    ("path", "value", "told"),
+    [
+        (("grades",), [], "grades is missing"),
+        (("grades", 0, "effect"), "twice", "grades[0].effect is missing or unknown: 'twice'"),
+        (("grades", 1, "memory_span_ms"), None, "grades[1].memory_span_ms is missing"),
+        (("grades", 1, "memory_span_ms"), 0, "grades[1].memory_span_ms is not a number of use: 0, want 1 at least"),
+        (("grades", 1, "name"), "safe", "grades[1].name is there twice: 'safe'"),
+        (("grades", 2, "deadline_ms"), 0, "grades[2].deadline_ms is not a number of use: 0, want 1 at least"),
+        (("grades", 2, "deadline_ms"), float("inf"), "grades[2].deadline_ms is not a number of use: inf"),
+        (("family_info", "max_calls"), 1e18, "family_info.max_calls is not a number of use: 1e+18, want 1 to 1e+06"),
+        (("family_info", "max_calls"), 0, "family_info.max_calls is not a number of use: 0"),
+        (("family_info", "per_call"), [0], "family_info.per_call is not of use: [0]"),
+        (("allowed", "most_held"), 0, "allowed.most_held is not a number of use: 0"),
+        (("balancers",), 0, "balancers is not a number of use: 0"),
+        (("orgs",), ["acme"], "orgs[0] has the wrong form"),
+        (("orgs",), [{"name": "acme"}, {"name": "acme"}], "orgs[1].name is there twice: 'acme'"),
+    ],
+)
+def test_wrong_settings_are_rejected_with_their_key(path, value, told):
+    whole = settings_table()
+    table = whole
+    for key in path[:-1]:
+        table = table[key]
+    table[path[-1]] = value
+    with pytest.raises(SettingsError, match=re.escape(f"setting {told}")):
+        settings_from(whole)
+
+
+def test_class_without_keys_needs_no_memory_span_and_a_cap_of_0_is_none():
+    whole = settings_table()
+    del whole["grades"][0]["memory_span_ms"]
+    whole["grades"][2]["memory_span_ms"] = 0
+    whole["allowed"]["attempts_cap"] = 0
+    read = settings_from(whole)
+    assert (read.classes[0].memory_span_ms, read.classes[2].memory_span_ms, read.attempts_cap) == (None, 0.0, 0)
--- a/tests/test_golden_relay.py
+++ b/tests/test_golden_relay.py
@@ -12,8 +12,8 @@
 from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.scheduling.learned_state import restore
 from tests import golden_relay as relay
-from tests.driver import Driver, member
 from tests.golden import files_of
+from tests.scheduling.driver import Driver, member
 
 
 @pytest.fixture
