--- a/lynxscale/coordination/checksummed_file.py
+++ b/lynxscale/coordination/checksummed_file.py
@@ -4,7 +4,7 @@
 
 import zlib
 
-from lynxscale.coordination.exceptions import StorageCorrupt
+from lynxscale.coordination.exceptions import StorageCorruptError
 from lynxscale.coordination.ports import Files
 
 CHECKSUM_BYTES = 8
@@ -22,10 +22,10 @@
 
 
 def strip_checksum(name: str, stored: bytes) -> bytes:
-    """The content of a file with a checksum. Raises StorageCorrupt."""
+    """The content of a file with a checksum. Raises StorageCorruptError."""
     content, checksum = stored[:-CHECKSUM_BYTES], stored[-CHECKSUM_BYTES:]
     if checksum != encode_checksum(zlib.crc32(content)):
-        raise StorageCorrupt(name)
+        raise StorageCorruptError(name)
     return content
 
 
@@ -57,5 +57,5 @@
             return None
         try:
             return strip_checksum(name, stored)
-        except StorageCorrupt:
+        except StorageCorruptError:
             return None
--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -103,7 +103,7 @@
 
     @property
     def isolated(self) -> bool:
-        """Has no primary confirmed the versions here for long?"""
+        """Whether no primary has confirmed the versions here for too long."""
         return self.age_s > ISOLATED_AFTER_INTERVALS * self._interval_s
 
     @property
@@ -145,7 +145,7 @@
             self._choose_parent()
 
     def _confirms_all(self, message: TopicUpdate) -> bool:
-        """Does the sender have no topic newer than here?"""
+        """Whether the sender has no topic newer than here."""
         sender = message.known_versions
         return all(sender.get(name, version) <= version for name, version in self.publisher.versions().items())
 
--- a/lynxscale/coordination/exceptions.py
+++ b/lynxscale/coordination/exceptions.py
@@ -16,7 +16,7 @@
     """A peer sent bytes that are no netstring, or one longer than the limit; the text says what was wrong."""
 
 
-class StorageCorrupt(CoordinationError):
+class StorageCorruptError(CoordinationError):
     """A file does not hold what was written to it; ``name`` is the file's name."""
 
     def __init__(self, name: str) -> None:
--- a/lynxscale/coordination/messages/replication.py
+++ b/lynxscale/coordination/messages/replication.py
@@ -18,7 +18,7 @@
 
     @property
     def removes(self) -> bool:
-        """Does this remove the key?"""
+        """Whether this removes the key."""
         return bytes(self.value) == b"null"
 
     @property
--- a/lynxscale/coordination/recent_batches.py
+++ b/lynxscale/coordination/recent_batches.py
@@ -31,7 +31,7 @@
             del self._sequence_numbers[oldest.previous]
 
     def continues_from(self, position: Position) -> bool:
-        """Is the batch that follows this position in memory?"""
+        """Whether the batch that follows this position is in memory."""
         return position in self._sequence_numbers
 
     def after(self, position: Position) -> Batch | None:
--- a/lynxscale/coordination/recovery.py
+++ b/lynxscale/coordination/recovery.py
@@ -10,7 +10,7 @@
 
 from lynxscale.coordination import netstring
 from lynxscale.coordination.checksummed_file import strip_checksum
-from lynxscale.coordination.exceptions import StorageCorrupt
+from lynxscale.coordination.exceptions import StorageCorruptError
 from lynxscale.coordination.key_value_table import KeyValueTable
 from lynxscale.coordination.messages import Batch, Position, Put
 from lynxscale.coordination.ports import Files
@@ -111,7 +111,7 @@
     def _read(self, name: str) -> bytes | None:
         try:
             return strip_checksum(name, self._files.read(name) or b"")
-        except StorageCorrupt:
+        except StorageCorruptError:
             self._corrupt.append(name)
             return None
 
--- a/lynxscale/coordination/replica_progress.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -109,7 +109,7 @@
 
     @property
     def repairing(self) -> bool:
-        """Was the replica's state found to differ, and is not yet replaced?"""
+        """Whether the replica's state was found to differ and is not replaced yet."""
         return self._repairing
 
     def begin(self, epoch: int) -> None:
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -66,7 +66,7 @@
 
     @property
     def idle(self) -> bool:
-        """Is everything that was submitted committed?"""
+        """Whether everything that was submitted is committed."""
         return not self._pending and self._in_flight is None
 
     # Membership --------------------------------------------------------------------------------------
@@ -157,7 +157,7 @@
         return self.awaited
 
     def caught_up(self, member: str) -> bool:
-        """Does the member hold all that may be committed, also by earlier primaries?"""
+        """Whether the member holds all that may be committed, also by earlier primaries."""
         replica = self.replicas.get(member)
         if replica is None or not replica.known or replica.repairing:
             return False
@@ -178,7 +178,7 @@
     # Batches -----------------------------------------------------------------------------------------
 
     def _memory_is_at_position(self) -> bool:
-        """Is the memory the state at the store's position, with no submission that waits for its batch?"""
+        """Whether the memory is the state at the store's position: no submission waits for its batch."""
         return not self._pending
 
     def _replicate_to(self, members: Iterable[str]) -> None:
--- a/lynxscale/coordination/send_window.py
+++ b/lynxscale/coordination/send_window.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, Protocol
 
 from lynxscale.coordination.ports import Clock
 
@@ -18,6 +18,13 @@
 MIN_LINK_BYTES_PER_S = 200_000.0
 
 
+class Ordered(Protocol):
+    """A position or a key. A window holds only one kind at a time."""
+
+    def __le__(self, other: Any, /) -> bool:
+        """Part of the order."""
+
+
 @dataclass(frozen=True, slots=True)
 class InFlight:
     """A batch or chunk that is not acknowledged.
@@ -26,7 +33,7 @@
     bytes of keys and values.
     """
 
-    end: Any  # Position or str; a window never holds both
+    end: Ordered
     size: int
     sent_at: float
 
@@ -46,12 +53,12 @@
 
     @property
     def empty(self) -> bool:
-        """Is nothing in flight?"""
+        """Whether nothing is in flight."""
         return not self._in_flight
 
     @property
     def full(self) -> bool:
-        """Must the next batch or chunk wait for an acknowledgement?"""
+        """Whether the next batch or chunk must wait for an acknowledgement."""
         return self._bytes_in_flight >= self._window
 
     @property
@@ -59,11 +66,11 @@
         """Seconds without progress after which what is in flight counts as lost."""
         return RESEND_AFTER_S + self._bytes_in_flight / MIN_LINK_BYTES_PER_S
 
-    def add(self, end: Any, size: int) -> None:
+    def add(self, end: Ordered, size: int) -> None:
         """Something of so many bytes was sent."""
         self._in_flight.append(InFlight(end, size, self._clock.now()))
 
-    def acknowledge(self, end: Any) -> bool:
+    def acknowledge(self, end: Ordered) -> bool:
         """The replica has everything up to ``end``; True if that acknowledges anything in flight."""
         acknowledged = False
         while self._in_flight and self._in_flight[0].end <= end:
--- a/lynxscale/coordination/snapshot_stream.py
+++ b/lynxscale/coordination/snapshot_stream.py
@@ -38,7 +38,7 @@
 
     @property
     def begun(self) -> bool:
-        """Was a chunk sent?"""
+        """Whether a chunk was sent."""
         return bool(self.last_key)
 
     def reset(self) -> None:
--- a/lynxscale/coordination/snapshot_writer.py
+++ b/lynxscale/coordination/snapshot_writer.py
@@ -74,7 +74,7 @@
 
     @property
     def active(self) -> bool:
-        """Is a snapshot being written?"""
+        """Whether a snapshot is being written."""
         return self._writer is not None
 
     def start(self, writer: SnapshotWriter, on_complete: Callable[[SnapshotWriter], None]) -> None:
--- a/lynxscale/coordination/store.py
+++ b/lynxscale/coordination/store.py
@@ -46,7 +46,7 @@
 
     @property
     def intact(self) -> bool:
-        """Do the files hold all that was ever stored here? If not, only a snapshot of another member repairs it."""
+        """Whether the files hold all that was ever stored here; if not, only another member's snapshot repairs them."""
         return not self.damage
 
     @property
@@ -85,7 +85,7 @@
         return self.recent_batches.after(position)
 
     def continues_from(self, position: Position) -> bool:
-        """Do the batches in memory lead from a position to the present one?"""
+        """Whether the batches in memory lead from a position to the present one."""
         return position == self.position or self.recent_batches.continues_from(position)
 
     def save_watermark(self) -> None:
--- a/lynxscale/coordination/topic_publisher.py
+++ b/lynxscale/coordination/topic_publisher.py
@@ -29,7 +29,7 @@
     sent: dict[str, SentVersion] = field(default_factory=dict)
 
     def needs(self, name: str, version: Version, now: float) -> bool:
-        """Is this version to be sent? Not while an earlier one is unconfirmed: it would queue up behind that."""
+        """Whether to send this version: not while an earlier one is unconfirmed, as it would queue up behind that."""
         known = self.known_versions.get(name, Version())
         sent = self.sent.get(name)
         unconfirmed = sent is not None and sent.version > known and now - sent.sent_at < RESEND_AFTER_S
