--- a/lab/tier/models/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -101,9 +101,9 @@
 
     def _start_follower(self) -> None:
         self.follower_store = Store(self.world.machine(FOLLOWER).files)
-        self.follower = Follower(FOLLOWER, self.follower_store, self._back, self._follows, lambda: PRIMARY)
+        self.follower = Follower(FOLLOWER, self.follower_store, self._back, self._accepts_writes_of, lambda: PRIMARY)
 
-    def _follows(self, epoch: int) -> bool:
+    def _accepts_writes_of(self, epoch: int) -> bool:
         return epoch == self._epoch
 
     def _submit(self) -> None:
@@ -152,8 +152,8 @@
         message = self._there.messages.popleft()
         handlers = {
             Replicate: self.follower.on_replicate,
-            SnapshotChunk: self.follower.on_state_part,
-            SnapshotProbe: self.follower.on_transfer_ask,
+            SnapshotChunk: self.follower.on_snapshot_chunk,
+            SnapshotProbe: self.follower.on_snapshot_probe,
         }
         handlers[type(message)](message)
 
--- a/lab/tier/mutations/replication.py
+++ b/lab/tier/mutations/replication.py
@@ -35,10 +35,10 @@
     """A copy takes a batch although it lacks the one before."""
 
     def on_replicate(self: Follower, message: Replicate) -> None:
-        if self._follows(message.epoch) and message.batch.position > self._store.position:
+        if self._accepts_writes_of(message.epoch) and message.batch.position > self._store.position:
             self._store.save(message.batch)
             self._store.apply(message.batch.puts)
-            self._tell_position(message.epoch)
+            self._acknowledge(message.epoch)
 
     return [(Follower, "on_replicate", on_replicate)]
 
@@ -105,15 +105,15 @@
 def snapshot_mixes_two_positions() -> Patches:
     """A transfer goes on at another position, and its parts are taken whatever they belong behind."""
 
-    def on_state_part(self: Follower, message: SnapshotChunk) -> None:
-        if not self._follows(message.epoch) or self._transfer.installing:
+    def on_snapshot_chunk(self: Follower, message: SnapshotChunk) -> None:
+        if not self._accepts_writes_of(message.epoch) or self._transfer.installing:
             return
         if not message.after_key:
             self._transfer = type(self._transfer)(message.position)
         transfer = self._transfer
         transfer.table.apply(message.puts)
         transfer.position, transfer.upto = message.position, message.last_key
-        self._tell_progress(message.epoch, 0)
+        self._report_progress(message.epoch, 0)
         if message.final:
             self._install(message.epoch)
 
@@ -125,7 +125,7 @@
             snapshot._cursor = bisect_right(snapshot._keys, message.last_key)
 
     original = ReplicaProgress._resume
-    return [(Follower, "on_state_part", on_state_part), (ReplicaProgress, "_resume", resume)]
+    return [(Follower, "on_snapshot_chunk", on_snapshot_chunk), (ReplicaProgress, "_resume", resume)]
 
 
 def batches_between_chunks_are_lost() -> Patches:
@@ -133,7 +133,11 @@
 
     def on_replicate(self: Follower, message: Replicate) -> None:
         transfer = self._transfer
-        if self._follows(message.epoch) and message.batch.previous == transfer.position and not transfer.installing:
+        if (
+            self._accepts_writes_of(message.epoch)
+            and message.batch.previous == transfer.position
+            and not transfer.installing
+        ):
             transfer.position = message.batch.position
         else:
             original(self, message)
--- a/lynxscale/coordination/candidacy.py
+++ b/lynxscale/coordination/candidacy.py
@@ -4,18 +4,15 @@
 
 import logging
 
-from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.disk_failure import DiskFailureHandler
 from lynxscale.coordination.election import ElectionCampaign
 from lynxscale.coordination.eligibility import CandidacyDecision, decide_candidacy
 from lynxscale.coordination.lease import LEASE_S
-from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.member_context import MemberContext
+from lynxscale.coordination.member_role import MemberRole, RoleChange
 from lynxscale.coordination.messages import EpochRecord, PrepareRejected, TakeOver, address_of
-from lynxscale.coordination.ports import Network
-from lynxscale.coordination.primary_tracker import PrimaryTracker
 from lynxscale.coordination.proposal import Proposal
 from lynxscale.coordination.proposer import Proposer
-from lynxscale.coordination.store import Store
 
 log = logging.getLogger(__name__)
 
@@ -25,21 +22,17 @@
 
     def __init__(
         self,
-        acceptor: Acceptor,
-        store: Store,
-        network: Network,
-        role: RoleState,
-        tracker: PrimaryTracker,
+        context: MemberContext,
         campaign: ElectionCampaign,
         proposer: Proposer,
         disk: DiskFailureHandler,
         tolerated: int,
     ) -> None:
-        self._acceptor = acceptor
-        self._store = store
-        self._network = network
-        self._role = role
-        self._tracker = tracker
+        self._acceptor = context.acceptor
+        self._store = context.store
+        self._network = context.network
+        self._role = context.role
+        self._tracker = context.tracker
         self._campaign = campaign
         self._proposer = proposer
         self._disk = disk
--- a/lynxscale/coordination/eligibility.py
+++ b/lynxscale/coordination/eligibility.py
@@ -25,7 +25,7 @@
     more than ``tolerated`` replicas remain, as they may be gone.
     """
     base = proposal.base
-    if base is None or candidate not in base.in_sync or candidate not in base.voters:
+    if candidate not in base.in_sync or candidate not in base.voters:
         return CandidacyDecision()
     more_complete = more_complete_voter(base, proposal.promised, position)
     if more_complete:
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -1,4 +1,4 @@
-"""A backup's side of replication: it stores what its primary sends, and tells how far it has come."""
+"""A backup's side of replication: it stores what its primary sends, and acknowledges how far it has come."""
 
 from __future__ import annotations
 
@@ -23,8 +23,11 @@
 
 
 @dataclass
-class Transfer:
-    """A whole state on its way here: all keys up to ``upto`` as they are at ``position``."""
+class SnapshotTransfer:
+    """A snapshot that is being received: all keys up to ``upto`` as they are at ``position``.
+
+    ``installing``: the snapshot is complete and is being made durable.
+    """
 
     position: Position = NO_POSITION
     upto: str = ""
@@ -33,26 +36,29 @@
 
 
 class Follower:
-    """``follows(epoch)``: may a primary of that epoch write here? ``primary()``: its member id."""
+    """Stores batches and snapshots.
+
+    ``accepts_writes_of(epoch)``: may a primary of that epoch write here? ``primary()``: its member id.
+    """
 
     def __init__(
         self,
         member: str,
         store: Store,
         network: Network,
-        follows: Callable[[int], bool],
+        accepts_writes_of: Callable[[int], bool],
         primary: Callable[[], str],
     ) -> None:
         self._member = member
         self._store = store
         self._network = network
-        self._follows = follows
+        self._accepts_writes_of = accepts_writes_of
         self._primary = primary
-        self._transfer = Transfer()
+        self._transfer = SnapshotTransfer()
 
     def on_replicate(self, message: Replicate) -> None:
-        """Store a batch that fits behind what is here. Raises OSError."""
-        if not self._follows(message.epoch):
+        """Store a batch that follows the own position. Raises OSError."""
+        if not self._accepts_writes_of(message.epoch):
             return
         batch, transfer = message.batch, self._transfer
         if transfer.installing:
@@ -67,52 +73,52 @@
             self._store.complete_batch()
         elif staged:
             return
-        self._tell_position(message.epoch)
+        self._acknowledge(message.epoch)
 
-    def on_transfer_ask(self, message: SnapshotProbe) -> None:
-        """Tell how far the transfer has come."""
-        if self._follows(message.epoch):
-            self._tell_progress(message.epoch, message.probe_id)
+    def on_snapshot_probe(self, message: SnapshotProbe) -> None:
+        """Report how much of the snapshot has been received."""
+        if self._accepts_writes_of(message.epoch):
+            self._report_progress(message.epoch, message.probe_id)
 
-    def on_state_part(self, message: SnapshotChunk) -> None:
-        """Take a part of a whole state; behind the last one it takes the place of the own state. Raises OSError."""
-        if not self._follows(message.epoch) or self._transfer.installing:
+    def on_snapshot_chunk(self, message: SnapshotChunk) -> None:
+        """Receive a chunk of a snapshot; behind the last one the snapshot replaces the own state. Raises OSError."""
+        if not self._accepts_writes_of(message.epoch) or self._transfer.installing:
             return
         if not message.after_key:
-            self._transfer = Transfer(message.position)
+            self._transfer = SnapshotTransfer(message.position)
         transfer = self._transfer
         if transfer.position != message.position or transfer.upto != message.after_key:
             return
         transfer.table.apply(message.puts)
         transfer.upto = message.last_key
-        self._tell_progress(message.epoch, 0)
+        self._report_progress(message.epoch, 0)
         if message.final:
             self._install(message.epoch)
 
     def on_digest_request(self, message: DigestRequest) -> None:
-        """Tell the checksum that the state had at the position asked for, where that is known."""
+        """Reply with the checksum that the state had at a position, where that is known."""
         checksum = self._store.checksum_at(message.position)
-        if self._follows(message.epoch) and self._store.intact and checksum is not None:
+        if self._accepts_writes_of(message.epoch) and self._store.intact and checksum is not None:
             self._send(DigestReply(message.epoch, self._member, message.position, checksum))
 
-    def abandon_transfer(self) -> None:
-        """What has come of a whole state cannot be made durable: it has to come again."""
-        self._transfer = Transfer()
+    def discard_transfer(self) -> None:
+        """The received snapshot cannot be made durable: it has to be sent again."""
+        self._transfer = SnapshotTransfer()
 
     def _install(self, epoch: int) -> None:
         transfer = self._transfer
         transfer.installing = True
 
-        def installed() -> None:
-            self._transfer = Transfer()
-            self._tell_position(epoch)
+        def on_installed() -> None:
+            self._transfer = SnapshotTransfer()
+            self._acknowledge(epoch)
 
-        self._store.install(transfer.position, transfer.table, installed)
+        self._store.install(transfer.position, transfer.table, on_installed)
 
-    def _tell_position(self, epoch: int) -> None:
+    def _acknowledge(self, epoch: int) -> None:
         self._send(ReplicateAck(epoch, self._member, self._store.durable_position))
 
-    def _tell_progress(self, epoch: int, probe: int) -> None:
+    def _report_progress(self, epoch: int, probe: int) -> None:
         transfer = self._transfer
         progress = SnapshotProgress(epoch, self._member, probe, transfer.position, transfer.upto, transfer.installing)
         self._send(progress)
--- a/lynxscale/coordination/joining.py
+++ b/lynxscale/coordination/joining.py
@@ -4,13 +4,10 @@
 
 from collections.abc import Callable, Iterable
 
-from lynxscale.coordination.acceptor import Acceptor
-from lynxscale.coordination.graceful_leave import GracefulLeave
 from lynxscale.coordination.lease import NEVER
-from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.member_context import MemberContext
+from lynxscale.coordination.member_role import MemberRole, RoleChange
 from lynxscale.coordination.messages import Join, LeaveApproved, Redirect, address_of
-from lynxscale.coordination.ports import Clock, Network
-from lynxscale.coordination.primary_tracker import PrimaryTracker
 
 JOIN_INTERVAL_S = 0.25
 LEAVE_INTERVAL_S = 0.1  # for a member that waits for its leave to be approved
@@ -19,24 +16,13 @@
 class JoinProtocol:
     """``contacts()``: internal addresses of members that may be asked, beside those of the record."""
 
-    def __init__(
-        self,
-        acceptor: Acceptor,
-        node: str,
-        clock: Clock,
-        network: Network,
-        role: RoleState,
-        tracker: PrimaryTracker,
-        graceful_leave: GracefulLeave,
-        contacts: Callable[[], Iterable[str]],
-    ) -> None:
-        self._acceptor = acceptor
-        self._node = node
-        self._clock = clock
-        self._network = network
-        self._role = role
-        self._tracker = tracker
-        self._graceful_leave = graceful_leave
+    def __init__(self, context: MemberContext, contacts: Callable[[], Iterable[str]]) -> None:
+        self._context = context
+        self._acceptor = context.acceptor
+        self._role = context.role
+        self._tracker = context.tracker
+        self._network = context.network
+        self._graceful_leave = context.graceful_leave
         self._contacts = contacts
         self._announced_at = NEVER
 
@@ -49,15 +35,15 @@
         follows = self._role.is_any_of(MemberRole.BACKUP, MemberRole.CANDIDATE)
         unheard = self._role.current is MemberRole.JOINING or (follows and self._tracker.silent)
         interval_s = LEAVE_INTERVAL_S if pending else JOIN_INTERVAL_S
-        if (unheard or pending) and self._clock.now() - self._announced_at >= interval_s:
+        if (unheard or pending) and self._context.clock.now() - self._announced_at >= interval_s:
             self.announce()
 
     def announce(self) -> None:
         """Announce this member to the primary; to everyone known where there is none, or where it is to stop."""
-        self._announced_at = self._clock.now()
+        self._announced_at = self._context.clock.now()
         primary = self._tracker.address()
         if primary and not self._graceful_leave.pending:
-            self._network.send(primary, Join(self._acceptor.member, self._node, False))
+            self._network.send(primary, Join(self._acceptor.member, self._context.node, False))
             return
         record = self._acceptor.record
         known = [address_of(member) for member in (record.primary, *record.voters) if member]
@@ -84,4 +70,4 @@
             self._graceful_leave.approve()
 
     def _join(self) -> Join:
-        return Join(self._acceptor.member, self._node, self._graceful_leave.requested)
+        return Join(self._acceptor.member, self._context.node, self._graceful_leave.requested)
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -17,6 +17,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
+from typing import Any
 
 from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.acceptor_state import AcceptorStateFile
@@ -28,6 +29,7 @@
 from lynxscale.coordination.joining import JoinProtocol
 from lynxscale.coordination.leadership import TICK_S, Leadership
 from lynxscale.coordination.lease import LEASE_S, NEVER
+from lynxscale.coordination.member_context import MemberContext
 from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
 from lynxscale.coordination.membership_plan import voters_wanted
 from lynxscale.coordination.messages import (
@@ -70,7 +72,7 @@
 
 WATERMARK_INTERVAL_S = 1.0  # between two records of the position apart from the versions
 
-MessageHandler = Callable[[Message], None]
+MessageHandler = Callable[[Any], None]  # takes messages of the class that it is registered for
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,45 +120,20 @@
         self._disk = DiskFailureHandler(clock, self._stand_aside)
         role = MemberRole.BACKUP if self.member_id in self.record.voters else MemberRole.JOINING
         self._role = RoleState(role, self._epoch, self._on_role_change)
-        self._tracker = PrimaryTracker(self.acceptor, self._role, clock, self.leads)
-        self._proposer = Proposer(
-            self.acceptor, clock, network, self._replica_position, self._choose_record, self._on_epoch_decided
+        tracker = PrimaryTracker(self.acceptor, self._role, clock, self.leads)
+        self._tracker = tracker
+        context = MemberContext(
+            settings.node, self.acceptor, self.store, clock, network, self._role, tracker, self._graceful_leave
         )
-        self._follower = Follower(self.member_id, self.store, network, self._accepts_writes_of, self._recorded_primary)
+        position = self._replica_position
+        self._proposer = Proposer(self.acceptor, clock, network, position, self._choose_record, self._on_epoch_decided)
         self._campaign = ElectionCampaign(
-            self.acceptor, clock, network, random, self._replica_position, self._eligible, self._on_pre_vote_won
-        )
-        self._candidacy = Candidacy(
-            self.acceptor,
-            self.store,
-            network,
-            self._role,
-            self._tracker,
-            self._campaign,
-            self._proposer,
-            self._disk,
-            settings.tolerated,
-        )
-        self._voter = Voter(
-            self.acceptor,
-            settings.node,
-            network,
-            self._role,
-            self._tracker,
-            self._campaign,
-            self._graceful_leave,
-            self._replica_position,
-        )
-        self._joining = JoinProtocol(
-            self.acceptor,
-            settings.node,
-            clock,
-            network,
-            self._role,
-            self._tracker,
-            self._graceful_leave,
-            lambda: self.contacts,
+            self.acceptor, clock, network, random, position, self._eligible, self._on_pre_vote_won
         )
+        self._candidacy = Candidacy(context, self._campaign, self._proposer, self._disk, settings.tolerated)
+        self._voter = Voter(context, self._campaign)
+        self._joining = JoinProtocol(context, lambda: self.contacts)
+        self._follower = Follower(self.member_id, self.store, network, self._accepts_writes_of, self._recorded_primary)
         self._handlers = self._message_handlers()
         self._watermark_at = NEVER
         self._start()
@@ -196,15 +173,17 @@
 
     def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
         """Change the state as primary; ``on_outcome(outcome)`` once it is known what became of the change."""
-        if self.leads():
-            self.leadership.replicator.submit(puts, on_outcome)
+        leadership = self.leadership
+        if leadership is not None and leadership.established:
+            leadership.replicator.submit(puts, on_outcome)
         else:
             on_outcome(CommitOutcome.NOT_LEADER)
 
     def barrier(self, on_outcome: CommitCallback) -> None:
         """``COMMITTED`` once everything submitted before is committed and the lease is still valid."""
-        if self.leads():
-            self.leadership.replicator.barrier(
+        leadership = self.leadership
+        if leadership is not None and leadership.established:
+            leadership.replicator.barrier(
                 lambda outcome: on_outcome(outcome if self.leads() else CommitOutcome.UNKNOWN)
             )
         else:
@@ -245,8 +224,8 @@
             LeaveApproved: self._joining.on_leave_approved,
             Redirect: self._joining.on_redirect,
             Replicate: self._follower.on_replicate,
-            SnapshotChunk: self._follower.on_state_part,
-            SnapshotProbe: self._follower.on_transfer_ask,
+            SnapshotChunk: self._follower.on_snapshot_chunk,
+            SnapshotProbe: self._follower.on_snapshot_probe,
             DigestRequest: self._follower.on_digest_request,
             LeaseGrant: self._forward_to_leadership,
             SnapshotProgress: self._forward_to_leadership,
@@ -377,7 +356,7 @@
         try:
             step()
         except OSError as error:
-            self._follower.abandon_transfer()
+            self._follower.discard_transfer()
             self._disk.on_failure(error)
 
     def _stand_aside(self) -> None:
--- /dev/null
+++ b/lynxscale/coordination/member_context.py
@@ -0,0 +1,31 @@
+"""What the parts of one control member share."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from lynxscale.coordination.acceptor import Acceptor
+from lynxscale.coordination.graceful_leave import GracefulLeave
+from lynxscale.coordination.member_role import RoleState
+from lynxscale.coordination.ports import Clock, Network
+from lynxscale.coordination.primary_tracker import PrimaryTracker
+from lynxscale.coordination.store import Store
+
+
+@dataclass(frozen=True, slots=True)
+class MemberContext:
+    """One member's ports, state and role. ``node``: its machine's name."""
+
+    node: str
+    acceptor: Acceptor
+    store: Store
+    clock: Clock
+    network: Network
+    role: RoleState
+    tracker: PrimaryTracker
+    graceful_leave: GracefulLeave
+
+    @property
+    def member_id(self) -> str:
+        """The id of this member."""
+        return self.acceptor.member
--- a/lynxscale/coordination/proposal.py
+++ b/lynxscale/coordination/proposal.py
@@ -9,24 +9,31 @@
 class Proposal:
     """One round of a proposer, from its prepare to a majority's accepts.
 
-    ``base``: the latest record among the promises; ``record``: the one proposed, None before it is chosen;
+    ``record``: the one proposed, None before it is chosen;
     ``promised``: how far the replica of each voter that promised reaches.
     """
 
     def __init__(self, epoch: int, candidate: str, voters: tuple[str, ...]) -> None:
         self.epoch = epoch
         self.candidate = candidate
-        self.base: EpochRecord | None = None
+        self._base: EpochRecord | None = None
         self.record: EpochRecord | None = None
         self.promised: dict[str, Position] = {}
         self.accepted: set[str] = set()
         self._voters = voters
 
+    @property
+    def base(self) -> EpochRecord:
+        """The latest record among the promises. Raises LookupError before the first promise."""
+        if self._base is None:
+            raise LookupError("no promise has been counted yet")
+        return self._base
+
     @property
     def voters(self) -> tuple[str, ...]:
         """Members to ask: the voters known at the start, those of the base, those of the proposed record."""
         known = dict.fromkeys(self._voters)
-        for record in (self.base, self.record):
+        for record in (self._base, self.record):
             known.update(dict.fromkeys(record.voters if record else ()))
         return tuple(known)
 
@@ -35,13 +42,13 @@
         if answer.epoch != self.epoch or self.record is not None:
             return False
         self.promised[answer.voter] = answer.position
-        if self.base is None or answer.accepted.epoch > self.base.epoch:
-            self.base = answer.accepted
+        if self._base is None or answer.accepted.epoch > self._base.epoch:
+            self._base = answer.accepted
         return is_majority(self.base.voters, set(self.promised))
 
     def accept(self, answer: Accepted) -> bool:
         """Count an accept; True once the record is decided."""
-        if answer.epoch != self.epoch or self.record is None or self.base is None:
+        if answer.epoch != self.epoch or self.record is None or self._base is None:
             return False
         self.accepted.add(answer.voter)
         old, new = self.base.voters, self.record.voters
--- a/lynxscale/coordination/proposer.py
+++ b/lynxscale/coordination/proposer.py
@@ -126,17 +126,20 @@
     def on_accepted(self, message: Accepted) -> None:
         """A voter has stored the record; with a majority it is decided."""
         proposal = self._proposal
-        if proposal is not None and proposal.accept(message):
-            self._proposal = None
-            self._acceptor.learn(proposal.record)
-            self._on_decided(proposal.record)
+        if proposal is None or proposal.record is None or not proposal.accept(message):
+            return
+        self._proposal = None
+        self._acceptor.learn(proposal.record)
+        self._on_decided(proposal.record)
 
     def _ask_new_voters(self, proposal: Proposal) -> None:
         """The record that was found may name voters that were not asked yet."""
-        base = proposal.base
-        if base is None or proposal.record is not None or set(base.voters) <= set(self._acceptor.record.voters):
+        if not proposal.promised or proposal.record is not None:
+            return
+        voters = proposal.base.voters
+        if set(voters) <= set(self._acceptor.record.voters):
             return
-        missing = tuple(voter for voter in base.voters if voter not in proposal.promised)
+        missing = tuple(voter for voter in voters if voter not in proposal.promised)
         self._send_all(missing, Prepare(proposal.epoch, proposal.candidate))
 
     def _send_all(self, members: tuple[str, ...], message: Message) -> None:
--- a/lynxscale/coordination/voter.py
+++ b/lynxscale/coordination/voter.py
@@ -2,56 +2,38 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
-from lynxscale.coordination.acceptor import Acceptor
 from lynxscale.coordination.election import ElectionCampaign
-from lynxscale.coordination.graceful_leave import GracefulLeave
-from lynxscale.coordination.member_role import MemberRole, RoleChange, RoleState
+from lynxscale.coordination.member_context import MemberContext
+from lynxscale.coordination.member_role import MemberRole, RoleChange
 from lynxscale.coordination.messages import (
     Accept,
     LeaseGrant,
     LeaseRelease,
     LeaseRequest,
-    Position,
     Prepare,
     Promise,
     Redirect,
     address_of,
 )
-from lynxscale.coordination.ports import Network
-from lynxscale.coordination.primary_tracker import PrimaryTracker
 
 
 class Voter:
-    """Answers by the acceptor's durable state, in each role; ``replica_position()``: how far the own replica reaches.
+    """Answers by the acceptor's durable state, in each role.
 
     Handlers raise OSError where the acceptor's state cannot be stored.
     """
 
-    def __init__(
-        self,
-        acceptor: Acceptor,
-        node: str,
-        network: Network,
-        role: RoleState,
-        tracker: PrimaryTracker,
-        campaign: ElectionCampaign,
-        graceful_leave: GracefulLeave,
-        replica_position: Callable[[], Position],
-    ) -> None:
-        self._acceptor = acceptor
-        self._node = node
-        self._network = network
-        self._role = role
-        self._tracker = tracker
+    def __init__(self, context: MemberContext, campaign: ElectionCampaign) -> None:
+        self._context = context
+        self._acceptor = context.acceptor
+        self._role = context.role
+        self._tracker = context.tracker
+        self._network = context.network
         self._campaign = campaign
-        self._graceful_leave = graceful_leave
-        self._replica_position = replica_position
 
     def on_prepare(self, message: Prepare) -> None:
         """A candidate asks for a promise. A primary that gives it to another stops leading."""
-        answer = self._acceptor.prepare(message, self._replica_position())
+        answer = self._acceptor.prepare(message, self._context.store.durable_position)
         if isinstance(answer, Promise):
             self._campaign.defer_to(message.candidate)
             if message.candidate != self._acceptor.member and self._role.current is MemberRole.PRIMARY:
@@ -86,11 +68,11 @@
             message.record.epoch,
             message.round,
             self._acceptor.member,
-            self._node,
+            self._context.node,
             granted,
             self._acceptor.state.promised,
-            self._replica_position(),
-            self._graceful_leave.requested,
+            self._context.store.durable_position,
+            self._context.graceful_leave.requested,
         )
 
     def on_lease_release(self, message: LeaseRelease) -> None:
