--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -49,7 +49,7 @@
 
 
 class TreeState(Enum):
-    """Whom a relay asks for topics."""
+    """Which node a relay requests topics from."""
 
     SEEKING = "seeking"
     UNDER_PRIMARY = "under_primary"
--- a/lynxscale/coordination/key_value_table.py
+++ b/lynxscale/coordination/key_value_table.py
@@ -18,7 +18,7 @@
 class KeyValueTable:
     """Values by key. Tables with equal entries have the same ``checksum``, whatever the order of the changes.
 
-    The checksum is the exclusive or of the checksums of all entries. ``entries`` may be read by anybody and must be
+    The checksum is the exclusive or of the checksums of all entries. ``entries`` may be read anywhere and must be
     changed by ``apply`` alone.
     """
 
--- a/lynxscale/coordination/messages/distribution.py
+++ b/lynxscale/coordination/messages/distribution.py
@@ -51,7 +51,7 @@
 
 
 class Heartbeat(Message, frozen=True, tag="heartbeat"):
-    """A relay tells a monitor on the ring that it is running."""
+    """A relay reports to a monitor on the ring that it is running."""
 
     sender: str
 
--- a/lynxscale/coordination/recovery.py
+++ b/lynxscale/coordination/recovery.py
@@ -54,6 +54,7 @@
         self._orphans: list[str] = []  # batches whose predecessor is not there
 
     def run(self, watermark: Position | None) -> RecoveredState:
+        """Load the snapshot, replay the batches behind it, and look for damage."""
         self._load_snapshot()
         for names in self._batch_names_by_index():
             self._replay(names)
--- a/lynxscale/coordination/replica_progress.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -16,8 +16,8 @@
     PROBE           REPLICATE       the batches in memory lead on from the position that it reports
                     SNAPSHOT_PROBE  they do not
     REPLICATE       SNAPSHOT_PROBE  they do so no longer, or its state differs (``repair``)
-    SNAPSHOT_PROBE  SNAPSHOT        it tells what it has of a snapshot
-                    INSTALLING      it tells that it has all of it
+    SNAPSHOT_PROBE  SNAPSHOT        it reports what it has of a snapshot
+                    INSTALLING      it reports that it has all of it
     SNAPSHOT        INSTALLING      it acknowledges the final chunk
     INSTALLING      REPLICATE       it reports the snapshot's position
     any snapshot    SNAPSHOT_PROBE  no progress for too long, another epoch, or its state differs
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """Puts that wait for their batch, the puts that undo them, and whom to notify of the outcome."""
+    """Puts that wait for their batch, the puts that undo them, and the callback for the outcome."""
 
     puts: tuple[Put, ...]
     undo: tuple[Put, ...]
--- a/lynxscale/coordination/snapshot_writer.py
+++ b/lynxscale/coordination/snapshot_writer.py
@@ -1,6 +1,6 @@
 """Writing a snapshot, the complete state at one position, in steps so that nothing else waits for long.
 
-A snapshot file is a row of netstrings of JSON, first the position, then arrays of puts, with their CRC-32 behind.
+A snapshot file is a sequence of netstrings of JSON, first the position, then arrays of puts, with their CRC-32 behind.
 """
 
 from __future__ import annotations
