--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from http import HTTPStatus
 from pathlib import Path
 from typing import Annotated
 
@@ -129,7 +130,7 @@
 
 def _checked(address: str, response: Response) -> Response:
     """Return the response where its status is 200. Raises cappa.Exit."""
-    if response.status != 200:
+    if response.status != HTTPStatus.OK:
         raise fail(f"{address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
     return response
 
--- a/lynxscale/controlplane/configuration.py
+++ b/lynxscale/controlplane/configuration.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import NotRequired, TypedDict
+from typing import Any, NotRequired, TypedDict
 
 from attrs import frozen
 
@@ -43,8 +43,8 @@
 
     generation: int
     routes: list[Route]
-    services: list[dict]
-    limits: NotRequired[dict]
+    services: list[dict[str, Any]]
+    limits: NotRequired[dict[str, Any]]
 
 
 @frozen
--- a/lynxscale/controlplane/configuration_endpoint.py
+++ b/lynxscale/controlplane/configuration_endpoint.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -68,7 +69,7 @@
         base = request.head.text(BASE_HEADER, "0").strip()
         key = idempotency_key(kind, base, request.body)
         if self._records.contains(key):
-            self._responses.send_after_barrier(responder, json_response(200, {"state": "taken before"}))
+            self._responses.send_after_barrier(responder, json_response(HTTPStatus.OK, {"state": "taken before"}))
             return
         if kind is ChangeKind.REPLACE:
             self._replace(base, key, request.body, responder)
@@ -97,7 +98,7 @@
         current = self.current()
         if not outcome.committed or current is None:
             return undecided("no configuration yet")
-        return Response(200, Head(JSON_CONTENT), bytes(current.body))
+        return Response(HTTPStatus.OK, Head(JSON_CONTENT), bytes(current.body))
 
     def _rejects_version(self, base: str, generation: int, responder: Responder) -> bool:
         """Reject a change that builds on another version than that in force, or that makes no later one."""
@@ -112,7 +113,7 @@
         if base != str(in_force) and self._records.may_be_evicted(base):
             return undecided("orders on so old a version are remembered no longer")
         if base != str(in_force):
-            return json_response(412, {"error": f"version {in_force} is current"})
+            return json_response(HTTPStatus.PRECONDITION_FAILED, {"error": f"version {in_force} is current"})
         if generation <= in_force:
             return invalid_request((Finding("generation", f"want a version above {in_force}"),))
         return None
@@ -135,5 +136,5 @@
     def _commit(self, generation: int, body: bytes, key: str, responder: Responder) -> None:
         value = CurrentConfiguration(generation, msgspec.Raw(body))
         puts = (put_value(CURRENT_KEY, value), *self._records.add(key, generation))
-        response = json_response(200, {"generation": generation})
+        response = json_response(HTTPStatus.OK, {"generation": generation})
         self._responses.send_after_commit(responder, puts, response, self._on_commit)
--- a/lynxscale/controlplane/configuration_update.py
+++ b/lynxscale/controlplane/configuration_update.py
@@ -53,7 +53,7 @@
 
 def named_entries(configuration: Configuration, name: str) -> list[Entry]:
     """Return the entries of one of the ``NAMED_LISTS``."""
-    return cast(Entry, configuration)[name]
+    return cast(dict[str, list[Entry]], configuration)[name]
 
 
 def _updated_list(entries: list[Entry], upserted: list[Entry], removed: list[str]) -> list[Entry]:
--- a/lynxscale/controlplane/exceptions.py
+++ b/lynxscale/controlplane/exceptions.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from lynxscale.exceptions import LynxscaleError
 
 
@@ -12,13 +14,13 @@
 class AdmissionError(ControlPlaneError):
     """A turn that may not run. ``status`` is the HTTP status that the relay answers its client with."""
 
-    status: int
+    status: HTTPStatus
 
 
 class TurnNotFoundError(AdmissionError):
     """The turn to continue from is not retained: it never completed, or its retention is over."""
 
-    status = 404
+    status = HTTPStatus.NOT_FOUND
 
     def __init__(self, turn: str) -> None:
         super().__init__(f"no retained turn {turn!r}")
@@ -28,7 +30,7 @@
 class BudgetExceededError(AdmissionError):
     """The budget does not cover the largest number of tokens that the turn may use."""
 
-    status = 402
+    status = HTTPStatus.PAYMENT_REQUIRED
 
     def __init__(self, program: str, requested: int, available: int) -> None:
         super().__init__(f"program {program!r} requests {requested} tokens, {available} are available")
--- a/lynxscale/controlplane/http_responses.py
+++ b/lynxscale/controlplane/http_responses.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 import msgspec
 
@@ -15,7 +16,7 @@
 
 JSON_CONTENT = ((b"content-type", b"application/json"),)
 RETRY_AFTER = ((b"retry-after", b"0.2"),)  # seconds
-NOT_COMMITTED = "not decided"
+NOT_COMMITTED = "not decided"  # also where it is unknown whether the change was committed
 
 
 def json_response(status: int, value: object) -> Response:
@@ -25,19 +26,20 @@
 
 def no_such_call() -> Response:
     """Return the response to a request for a path or method that the API does not have."""
-    return json_response(404, {"error": "no such call"})
+    return json_response(HTTPStatus.NOT_FOUND, {"error": "no such call"})
 
 
 def invalid_request(findings: tuple[Finding, ...]) -> Response:
     """Return the response to a request that can never be accepted as it is: everything that is wrong with it."""
     listed = [{"place": finding.path, "error": finding.message} for finding in findings]
-    return json_response(400, {"findings": listed})
+    return json_response(HTTPStatus.BAD_REQUEST, {"findings": listed})
 
 
 def undecided(text: str) -> Response:
     """Return the response without a definite answer: the caller is to retry."""
-    response = json_response(503, {"error": text})
-    return Response(response.status, Head((*response.head.fields, *RETRY_AFTER)), response.body)
+    return Response(
+        HTTPStatus.SERVICE_UNAVAILABLE, Head((*JSON_CONTENT, *RETRY_AFTER)), msgspec.json.encode({"error": text})
+    )
 
 
 class CommittedResponses:
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -12,6 +12,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from lynxscale.controlplane.configuration_endpoint import ConfigurationEndpoint
 from lynxscale.controlplane.http_responses import CommittedResponses, no_such_call, undecided
@@ -56,7 +57,7 @@
             responder.respond(undecided("there is no primary"))
             return
         location = f"http://{primary.rpartition(':')[0]}:{self._control_port}{request.target}"
-        responder.respond(Response(307, Head(((b"location", location.encode()),))))
+        responder.respond(Response(HTTPStatus.TEMPORARY_REDIRECT, Head(((b"location", location.encode()),))))
 
     def _handle_retirement(self, request: Request, responder: Responder) -> None:
         node, _, rest = request.path.removeprefix(RETIREMENT_PATH_PREFIX).partition("/")
--- a/lynxscale/controlplane/retirement_endpoint.py
+++ b/lynxscale/controlplane/retirement_endpoint.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 
 from lynxscale.controlplane.http_responses import CommittedResponses, json_response, undecided
 from lynxscale.coordination.leadership import Leadership
@@ -31,7 +32,7 @@
 
     def start(self, node: str, responder: Responder) -> None:
         """Retire a machine where enough live ones remain; reject only for what is certain."""
-        running = json_response(200, {"state": "running"})
+        running = json_response(HTTPStatus.OK, {"state": "running"})
         if self._is_retiring(node):
             self._responses.send_after_barrier(responder, running)
         elif self._enough_remain_live(node) and self._is_known(node):
@@ -65,15 +66,15 @@
         if possible is None:
             return undecided("not every machine was heard of yet")
         if node not in possible:
-            return json_response(404, {"error": f"no machine is called {node!r}"})
+            return json_response(HTTPStatus.NOT_FOUND, {"error": f"no machine is called {node!r}"})
         if len(possible - {node}) < self._member.min_members:
-            return json_response(409, {"error": "too few machines would remain"})
+            return json_response(HTTPStatus.CONFLICT, {"error": "too few machines would remain"})
         return undecided("some machines are silent just now")
 
     def _progress(self, node: str, outcome: CommitOutcome) -> Response:
         if not outcome.committed or not self._member.leads():
             return undecided("not decided")
         if not self._is_retiring(node):
-            return json_response(404, {"error": f"{node!r} is not to be emptied"})
+            return json_response(HTTPStatus.NOT_FOUND, {"error": f"{node!r} is not to be emptied"})
         state = "done" if self._leadership.is_vacated(node) else "running"
-        return json_response(200, {"state": state})
+        return json_response(HTTPStatus.OK, {"state": state})
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -8,6 +8,7 @@
 
 import logging
 from collections.abc import Callable
+from http import HTTPStatus
 from random import Random
 
 from lynxscale.controlplane.http_responses import json_response
@@ -60,7 +61,7 @@
     def handle_request(self, request: Request, responder: Responder) -> None:
         """Answer an operator's HTTP request."""
         if (request.method, request.path) == ("GET", STATUS_PATH):
-            responder.respond(json_response(200, self.status()))
+            responder.respond(json_response(HTTPStatus.OK, self.status()))
         else:
             self.operator_api.handle(request, responder)
 
--- a/lynxscale/discovery/endpoint_poller.py
+++ b/lynxscale/discovery/endpoint_poller.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from urllib.parse import quote
 
 import msgspec
@@ -78,7 +79,7 @@
     def _on_response(self, run: int, status: int, body: bytes) -> None:
         if run != self._run:
             return
-        page = decode_page(body) if status == 200 else None
+        page = decode_page(body) if status == HTTPStatus.OK else None
         if page is None:
             self._fetch_list_later(run, RETRY_DELAY_S)
             return
