--- a/lynxscale/relay/conf/platform.py
+++ b/lynxscale/relay/conf/platform.py
@@ -13,8 +13,9 @@
 
 import orjson
 
+from lynxscale.scheduling.exceptions import SettingsError
 from lynxscale.scheduling.settings import Settings
-from lynxscale.scheduling.settings_reader import SettingsError, settings_from
+from lynxscale.scheduling.settings_reader import settings_from
 
 SOCKETS, DISK_MB, MEMORY_MB = 1024, 3.0, 64.0
 LEAST_SOCKETS = 64
--- a/lynxscale/relay/conf/product_settings.py
+++ b/lynxscale/relay/conf/product_settings.py
@@ -13,7 +13,8 @@
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.relay.conf.platform import Config, PlatformError, address, seed
 from lynxscale.relay.conf.table import Conf
-from lynxscale.scheduling.settings_reader import SettingsError, settings_from
+from lynxscale.scheduling.exceptions import SettingsError
+from lynxscale.scheduling.settings_reader import settings_from
 
 
 def nested(conf: Conf) -> dict[str, Any]:
--- a/lynxscale/scheduling/settings_reader.py
+++ b/lynxscale/scheduling/settings_reader.py
@@ -1,9 +1,10 @@
-"""Reads the users' settings, a nested object, into ``Settings``; messages name the setting at fault."""
+"""Reads the operators' settings, a nested object, into ``Settings``; errors name the setting at fault."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, TypeVar
 
+from lynxscale.scheduling.exceptions import SettingsError
 from lynxscale.scheduling.settings import Effect, MessageClass, Settings, Tenant
 
 EFFECTS = {
@@ -12,40 +13,49 @@
     "at_most_once": Effect.UNSAFE,
 }
 
+COUNT_MAX = 1_000_000  # of slots, pending messages, nodes: message numbers have 20 bits for their slot
+INF = float("inf")
+T = TypeVar("T")
 
-COUNT_MOST = 1_000_000  # of slots, messages held, senders: numbers of messages have 20 bits for their place
 
-
-class SettingsError(ValueError):
-    """A setting is missing or not of use."""
+def _required(value: T | None, setting: str) -> T:
+    if value is None:
+        raise SettingsError(f"setting {setting} is missing")
+    return value
 
 
-def _number(
-    table: dict, path: str, name: str, needed: bool = False, least: float = 0.0, most: float = float("inf")
-) -> float | None:
+def _number(table: dict, path: str, name: str, least: float = 0.0, most: float = INF) -> float | None:
+    """A number from ``least`` to ``most``, ``None`` if it is absent."""
     value = table.get(name)
     if value is None:
-        if needed:
-            raise SettingsError(f"setting {path}{name} is missing")
         return None
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < float("inf"):
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < INF:
         raise SettingsError(f"setting {path}{name} is not a number of use: {value!r}")
     if not least <= value <= most:
-        raise SettingsError(f"setting {path}{name} is not a number of use: {value!r}, want {_span(least, most)}")
+        raise SettingsError(f"setting {path}{name} is not a number of use: {value!r}, want {_range(least, most)}")
     return float(value)
 
 
-def _span(least: float, most: float) -> str:
-    return f"{least:g} at least" if most == float("inf") else f"{least:g} to {most:g}"
+def _range(least: float, most: float) -> str:
+    return f"{least:g} at least" if most == INF else f"{least:g} to {most:g}"
+
+
+def _required_number(table: dict, path: str, name: str, least: float = 0.0) -> float:
+    return _required(_number(table, path, name, least), f"{path}{name}")
 
 
-def _count(table: dict, path: str, name: str, needed: bool = False) -> int | None:
+def _count(table: dict, path: str, name: str) -> int | None:
     """A number of things, of which there has to be one."""
-    value = _number(table, path, name, needed, 1, COUNT_MOST)
+    value = _number(table, path, name, 1, COUNT_MAX)
     return None if value is None else int(value)
 
 
-def _part(table: dict, name: str, kind: type) -> Any:
+def _required_count(table: dict, path: str, name: str) -> int:
+    return _required(_count(table, path, name), f"{path}{name}")
+
+
+def _section(table: dict, name: str, kind: type) -> Any:
+    """The object or list of that name, an empty one if it is absent."""
     value = table.get(name)
     if value is None:
         return kind()
@@ -54,84 +64,96 @@
     return value
 
 
-def _message_class(row: Any, place: int) -> MessageClass:
-    path = f"grades[{place}]."
+def _memory_span(row: dict, path: str, keyed: bool) -> float | None:
+    if keyed:
+        return _required_number(row, path, "memory_span_ms", least=1)
+    return _number(row, path, "memory_span_ms")
+
+
+def _message_class(row: Any, index: int) -> MessageClass:
+    path = f"grades[{index}]."
     if not isinstance(row, dict):
-        raise SettingsError(f"setting grades[{place}] has the wrong form")
+        raise SettingsError(f"setting grades[{index}] has the wrong form")
     effect = row.get("effect")
     if effect not in EFFECTS:
         raise SettingsError(f"setting {path}effect is missing or unknown: {effect!r}")
     keyed = EFFECTS[effect] == Effect.KEYED
     return MessageClass(
-        name=str(row.get("name", place)),
-        aim_ms=_number(row, path, "goal_time_ms", needed=True),
-        deadline_ms=_number(row, path, "deadline_ms", needed=True, least=1),
-        worth=_number(row, path, "value", needed=True),
+        name=str(row.get("name", index)),
+        aim_ms=_required_number(row, path, "goal_time_ms"),
+        deadline_ms=_required_number(row, path, "deadline_ms", least=1),
+        worth=_required_number(row, path, "value"),
         late_worth=_number(row, path, "late_worth") or 0.0,
         effect=EFFECTS[effect],
         group=str(row.get("group", "all")),
-        memory_span_ms=_number(row, path, "memory_span_ms", needed=keyed, least=1 if keyed else 0),
+        memory_span_ms=_memory_span(row, path, keyed),
         ordered=bool(row.get("serial_by_key", False)),
         aim_stretch=_number(row, path, "aim_stretch"),
     )
 
 
-def _tenant(row: Any, place: int) -> Tenant:
-    path = f"orgs[{place}]."
+def _tenant(row: Any, index: int) -> Tenant:
+    path = f"orgs[{index}]."
     if not isinstance(row, dict):
-        raise SettingsError(f"setting orgs[{place}] has the wrong form")
+        raise SettingsError(f"setting orgs[{index}] has the wrong form")
     return Tenant(
-        name=str(row.get("name", place)),
+        name=str(row.get("name", index)),
         quota_per_s=_number(row, path, "quota_per_s"),
         share=_number(row, path, "share"),
     )
 
 
 def _numbers(table: dict, name: str) -> list:
-    values = _part(table, name, list)
+    values = _section(table, name, list)
     if not all(isinstance(v, (int, float)) for v in values):
         raise SettingsError(f"setting family_info.{name} has the wrong form")
     return values
 
 
-def _once(rows: list, setting: str) -> list:
-    """What clients name must be told apart by its name."""
+def _unique(rows: list, setting: str) -> list:
+    """Clients refer to these by name, so each name must be unique."""
     names = [row.name for row in rows]
-    for place, name in enumerate(names):
-        if name in names[:place]:
-            raise SettingsError(f"setting {setting}[{place}].name is there twice: {name!r}")
+    for index, name in enumerate(names):
+        if name in names[:index]:
+            raise SettingsError(f"setting {setting}[{index}].name is there twice: {name!r}")
     return rows
 
 
 def _names(table: dict, name: str) -> list[str]:
-    values = _part(table, name, list)
+    values = _section(table, name, list)
     if not all(isinstance(v, str) for v in values):
         raise SettingsError(f"setting {name} has the wrong form")
     return values
 
 
 def settings_from(conf: Any) -> Settings:
-    """The settings of one instance, from the users' nested object."""
+    """The settings of one instance, from the operators' nested object.
+
+    Raises
+    ------
+    SettingsError
+        A setting is missing or unusable.
+    """
     if not isinstance(conf, dict):
         raise SettingsError("the settings are not a JSON object")
-    allowed, rules = _part(conf, "allowed", dict), _part(conf, "obligations", dict)
-    info, prices = _part(conf, "family_info", dict), _part(conf, "prices", dict)
-    columns = _part(_part(conf, "load_info", dict), "columns", list)
-    grades = _part(conf, "grades", list)
+    allowed, rules = _section(conf, "allowed", dict), _section(conf, "obligations", dict)
+    info, prices = _section(conf, "family_info", dict), _section(conf, "prices", dict)
+    columns = _section(_section(conf, "load_info", dict), "columns", list)
+    grades = _section(conf, "grades", list)
     if not grades:
         raise SettingsError("setting grades is missing")
-    cap = _number(allowed, "allowed.", "attempts_cap")  # 0 for none
+    attempts_cap = _number(allowed, "allowed.", "attempts_cap")  # 0 for none
     per_call = [int(v) for v in _numbers(info, "per_call")]
-    if any(not 1 <= v <= COUNT_MOST for v in per_call):
+    if any(not 1 <= v <= COUNT_MAX for v in per_call):
         raise SettingsError(f"setting family_info.per_call is not of use: {per_call}, want 1 at least of each kind")
     return Settings(
-        slots=_count(info, "family_info.", "max_calls", needed=True),
-        senders=_count(conf, "", "balancers", needed=True),
+        slots=_required_count(info, "family_info.", "max_calls"),
+        senders=_required_count(conf, "", "balancers"),
         me=int(_number(conf, "", "me") or 0),
-        classes=_once([_message_class(row, place) for place, row in enumerate(grades)], "grades"),
-        tenants=_once([_tenant(row, place) for place, row in enumerate(_part(conf, "orgs", list))], "orgs"),
+        classes=_unique([_message_class(row, index) for index, row in enumerate(grades)], "grades"),
+        tenants=_unique([_tenant(row, index) for index, row in enumerate(_section(conf, "orgs", list))], "orgs"),
         most_held=_count(allowed, "allowed.", "most_held"),
-        attempts_cap=None if cap is None else int(cap),
+        attempts_cap=None if attempts_cap is None else int(attempts_cap),
         may_cancel=bool(allowed.get("cancel", False)),
         idle_close_ms=_number(allowed, "allowed.", "idle_close_ms"),
         max_retry_after_ms=_number(allowed, "allowed.", "max_retry_after_ms"),
@@ -139,10 +161,10 @@
         may_probe=bool(allowed.get("probes", False)),
         second_copies=bool(allowed.get("second_copies", False)),
         connect_timeout_ms=_number(allowed, "allowed.", "dial_timeout_ms"),
-        marks_again=bool(_part(conf, "clients", dict).get("marks_retry", False)),
+        marks_again=bool(_section(conf, "clients", dict).get("marks_retry", False)),
         kinds=_names(conf, "kinds"),
         zones=_names(conf, "zones"),
-        report_columns=_names(_part(conf, "load_info", dict), "columns"),
+        report_columns=_names(_section(conf, "load_info", dict), "columns"),
         asks_for_members=conf.get("membership_mode") == "ask",
         ask_within_ms=_number(rules, "obligations.", "ask_within_ms"),
         per_call=per_call,
--- a/lynxscale/scheduling/simulator_adapter.py
+++ b/lynxscale/scheduling/simulator_adapter.py
@@ -1,4 +1,8 @@
-"""The users' bench wire on standard input and output: framing and translation, no decisions."""
+"""The simulator's wire format on standard input and output: framing and translation, no decisions.
+
+A request is one batch of fixed-size event records for any number of instances, with a tail for variable data; the
+reply is one batch of action records. Records are little-endian; offsets point into the tail.
+"""
 
 from __future__ import annotations
 
@@ -6,10 +10,10 @@
 import struct
 import sys
 from collections.abc import Callable
-from typing import Any, BinaryIO
+from typing import Any, BinaryIO, NamedTuple
 
-from lynxscale.scheduling import settings_reader as reader
 from lynxscale.scheduling.actions import (
+    Action,
     Attempt,
     Cancel,
     CloseIdle,
@@ -23,6 +27,7 @@
     Subscribe,
 )
 from lynxscale.scheduling.events import (
+    Event,
     HealthChecked,
     Lifecycle,
     Member,
@@ -36,41 +41,39 @@
     TimerDue,
     Withdrawn,
 )
+from lynxscale.scheduling.exceptions import SettingsError, WireError
 from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings import Settings
+from lynxscale.scheduling.settings_reader import settings_from as settings_from_object
 
-BATCH_HEAD = struct.Struct("<IId")
-REPLY_HEAD = struct.Struct("<II")
-EVENT_SIZE = 48
+BATCH_HEAD = struct.Struct("<IId")  # bytes of the frame, records, time in ms
+REPLY_HEAD = struct.Struct("<II")  # records, bytes of the frame
+EVENT_SIZE = 48  # bytes of a record, padded
 ACTION_SIZE = 24
-LINE = struct.Struct("<BIBdHfB")
-CODE_NODE = struct.Struct("<HH")
-REPORT = struct.Struct("<B4f")
-
-HELLO = struct.Struct("<QII")
-CENSUS = struct.Struct("<II")
-REGISTRY = struct.Struct("<HBI")
-CALL = struct.Struct("<IIHdQBfd")
-VERDICT = struct.Struct("<IBIHdBI")
-HEADERS = struct.Struct("<IBId")
-PROBED = struct.Struct("<dIH")
-PEER = struct.Struct("<HII")
+MEMBER = struct.Struct("<BIBdHfB")
+RECORD_HEAD = struct.Struct("<HH")
+LOAD_REPORT = struct.Struct("<B4f")
+
+START = struct.Struct("<QII")
+MEMBER_TABLE = struct.Struct("<II")
+MEMBERSHIP = struct.Struct("<HBI")
+MESSAGE = struct.Struct("<IIHdQBfd")
+OUTCOME = struct.Struct("<IBIHdBI")
+RESPONSE_STARTED = struct.Struct("<IBId")
+HEALTH_CHECK = struct.Struct("<dIH")
+PEER_MESSAGE = struct.Struct("<HII")
 U32 = struct.Struct("<I")
 
-HINT, AGAIN, WRITE, INHERITED = 1, 2, 4, 16
-EVERY_PEER = 0xFFFFFFFF
-MAX_TABLE = 15
-
-
-class WireError(Exception):
-    """The other side sent something that is not on the wire's terms."""
+FLAG_WORK_HINT, FLAG_MARKED_RETRY, FLAG_WRITE, FLAG_INHERITED = 1, 2, 4, 16
+ALL_PEERS = 0xFFFFFFFF
+TABLE_MAX = 15
 
 
 def settings_from(text: bytes) -> Settings:
-    """The settings of one instance, from the wire's JSON."""
+    """The settings of one instance, from their JSON text. Raises WireError."""
     try:
-        return reader.settings_from(json.loads(text))
-    except reader.SettingsError as error:
+        return settings_from_object(json.loads(text))
+    except SettingsError as error:
         raise WireError(str(error)) from error
     except ValueError as error:
         raise WireError("the settings are not JSON") from error
@@ -85,8 +88,8 @@
     return frame[start + offset : start + offset + size]
 
 
-def _report(frame: bytes, at: int) -> tuple[float, ...]:
-    count, *values = REPORT.unpack_from(frame, at)
+def _load_report(frame: bytes, at: int) -> tuple[float, ...]:
+    count, *values = LOAD_REPORT.unpack_from(frame, at)
     if count > len(values):
         raise WireError("a load report has more than four values")
     return tuple(values[:count])
@@ -99,113 +102,177 @@
         raise WireError(f"unknown {what} {value}") from None
 
 
-def _lines(frame: bytes, at: int, tail: int) -> list[Member]:
-    offset, count = CENSUS.unpack_from(frame, at + 4)
-    raw = _tail(frame, tail, offset, count * LINE.size)
+def _members(frame: bytes, at: int, tail: int) -> list[Member]:
+    offset, count = MEMBER_TABLE.unpack_from(frame, at + 4)
+    raw = _tail(frame, tail, offset, count * MEMBER.size)
     return [
-        Member(endpoint, _enum(Lifecycle, life, "lifecycle"), dest, zone, kind, share)
-        for life, endpoint, zone, _since, dest, share, kind in LINE.iter_unpack(raw)
+        Member(endpoint, _enum(Lifecycle, lifecycle, "lifecycle"), destination, zone, kind, weight)
+        for lifecycle, endpoint, zone, _since, destination, weight, kind in MEMBER.iter_unpack(raw)
     ]
 
 
-def _message(frame: bytes, at: int, _tail_at: int) -> Message:
-    txn, billing, band, expires, key, attrs, dest, hint = CALL.unpack_from(frame, at + 4)
+def _message(frame: bytes, at: int, _tail_start: int) -> Message:
+    message_id, tenant, cls, expires, key, flags, destination, work_hint = MESSAGE.unpack_from(frame, at + 4)
     return Message(
-        id=txn,
-        destination=int(dest),
-        cls=band,
-        tenant=billing,
+        id=message_id,
+        destination=int(destination),
+        cls=cls,
+        tenant=tenant,
         expires=expires,
         key=key,
-        marked_retry=bool(attrs & AGAIN),
-        write=bool(attrs & WRITE),
-        inherited=bool(attrs & INHERITED),
-        work_hint=hint if attrs & HINT else None,
+        marked_retry=bool(flags & FLAG_MARKED_RETRY),
+        write=bool(flags & FLAG_WRITE),
+        inherited=bool(flags & FLAG_INHERITED),
+        work_hint=work_hint if flags & FLAG_WORK_HINT else None,
     )
 
 
-def _outcome(frame: bytes, at: int, _tail_at: int) -> Outcome:
-    txn, leg, endpoint, code, spent, finished, wait = VERDICT.unpack_from(frame, at + 4)
+def _outcome(frame: bytes, at: int, _tail_start: int) -> Outcome:
+    message_id, attempt, endpoint, code, spent, finished, wait = OUTCOME.unpack_from(frame, at + 4)
     result = _enum(Result, code, "outcome")
-    return Outcome(txn, leg, endpoint, result, spent, bool(finished), wait, _report(frame, at + 28))
+    return Outcome(message_id, attempt, endpoint, result, spent, bool(finished), wait, _load_report(frame, at + 28))
 
 
-def _withdrawn(frame: bytes, at: int, _tail_at: int) -> Withdrawn:
+def _withdrawn(frame: bytes, at: int, _tail_start: int) -> Withdrawn:
     return Withdrawn(U32.unpack_from(frame, at + 4)[0])
 
 
-def _due(frame: bytes, at: int, _tail_at: int) -> TimerDue:
+def _timer_due(frame: bytes, at: int, _tail_start: int) -> TimerDue:
     return TimerDue(U32.unpack_from(frame, at + 4)[0])
 
 
-def _begun(frame: bytes, at: int, _tail_at: int) -> ResponseStarted:
-    return ResponseStarted(*HEADERS.unpack_from(frame, at + 4))
+def _response_started(frame: bytes, at: int, _tail_start: int) -> ResponseStarted:
+    return ResponseStarted(*RESPONSE_STARTED.unpack_from(frame, at + 4))
 
 
-def _probed(frame: bytes, at: int, _tail_at: int) -> HealthChecked:
-    spent, endpoint, outcome = PROBED.unpack_from(frame, at + 4)
-    return HealthChecked(endpoint, outcome, spent, _report(frame, at + 18))
+def _health_checked(frame: bytes, at: int, _tail_start: int) -> HealthChecked:
+    spent, endpoint, outcome = HEALTH_CHECK.unpack_from(frame, at + 4)
+    return HealthChecked(endpoint, outcome, spent, _load_report(frame, at + 18))
 
 
-def _peer(frame: bytes, at: int, tail: int) -> PeerMessage:
-    author, offset, size = PEER.unpack_from(frame, at + 4)
+def _peer_message(frame: bytes, at: int, tail: int) -> PeerMessage:
+    author, offset, size = PEER_MESSAGE.unpack_from(frame, at + 4)
     return PeerMessage(author, _tail(frame, tail, offset, size))
 
 
-E_GONE, E_PROBED, E_HELLO, E_HEADERS, E_CENSUS, E_PEER = 256, 257, 258, 259, 260, 261
-E_DUE, E_REGISTRY, E_CALL, E_KILLED, E_VERDICT = 262, 263, 264, 265, 266
-READERS: dict[int, Callable[[bytes, int, int], Any]] = {
-    E_GONE: _withdrawn,
-    E_PROBED: _probed,
-    E_HEADERS: _begun,
-    E_PEER: _peer,
-    E_DUE: _due,
-    E_CALL: _message,
-    E_VERDICT: _outcome,
+EVENT_WITHDRAWN = 256
+EVENT_HEALTH_CHECK = 257
+EVENT_START = 258
+EVENT_RESPONSE_STARTED = 259
+EVENT_MEMBER_TABLE = 260
+EVENT_PEER_MESSAGE = 261
+EVENT_TIMER_DUE = 262
+EVENT_MEMBERSHIP = 263
+EVENT_MESSAGE = 264
+EVENT_KILLED = 265
+EVENT_OUTCOME = 266
+READERS: dict[int, Callable[[bytes, int, int], Event]] = {
+    EVENT_WITHDRAWN: _withdrawn,
+    EVENT_HEALTH_CHECK: _health_checked,
+    EVENT_RESPONSE_STARTED: _response_started,
+    EVENT_PEER_MESSAGE: _peer_message,
+    EVENT_TIMER_DUE: _timer_due,
+    EVENT_MESSAGE: _message,
+    EVENT_OUTCOME: _outcome,
 }
 
 
 # Actions -----------------------------------------------------------------------------------
 
 
-def encode(node: int, action: Any, tail_at: int) -> tuple[bytes, bytes]:
-    """One action as its record (unpadded) and what it adds to the tail."""
-    kind = type(action)
-    if kind is Attempt:
-        return struct.pack("<HHIId", 257, node, action.id, action.endpoint, action.timeout), b""
-    if kind is SetTimer:
-        return struct.pack("<HHId", 262, node, action.timer_id, action.at), b""
-    if kind is Refuse:
-        return struct.pack("<HHId", 256, node, action.id, action.retry_after), b""
-    if kind is Fail:
-        return struct.pack("<HHI", 258, node, action.id), b""
-    if kind is Cancel:
-        return struct.pack("<HHIB", 267, node, action.id, action.attempt), b""
-    if kind is Note:
-        text = action.text.encode()
-        return struct.pack("<HHII", 261, node, tail_at, len(text)), text
-    if kind is Subscribe:
-        return struct.pack("<HHB", 266, node, action.active), b""
-    if kind is FetchList:
-        return struct.pack("<HH", 265, node), b""
-    if kind is CloseIdle:
-        return struct.pack("<HHI", 264, node, action.endpoint), b""
-    if kind is Probe:
-        return struct.pack("<HHI", 260, node, action.endpoint), b""
-    if kind is SendToPeer:
-        peer = EVERY_PEER if action.peer is None else action.peer
-        return struct.pack("<HHIII", 263, node, peer, tail_at, len(action.payload)), action.payload
-    raise TypeError(f"no such action: {action!r}")
-
-
-def encode_broken(node: int, reason: str, tail_at: int) -> tuple[bytes, bytes]:
+class Record(NamedTuple):
+    """One action on the wire: its record, not padded yet, and what it adds to the tail."""
+
+    head: bytes
+    tail: bytes = b""
+
+
+def _attempt(node: int, action: Attempt, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHIId", 257, node, action.id, action.endpoint, action.timeout))
+
+
+def _set_timer(node: int, action: SetTimer, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHId", 262, node, action.timer_id, action.at))
+
+
+def _refuse(node: int, action: Refuse, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHId", 256, node, action.id, action.retry_after))
+
+
+def _fail(node: int, action: Fail, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHI", 258, node, action.id))
+
+
+def _cancel(node: int, action: Cancel, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHIB", 267, node, action.id, action.attempt))
+
+
+def _note(node: int, action: Note, tail_size: int) -> Record:
+    text = action.text.encode()
+    return Record(struct.pack("<HHII", 261, node, tail_size, len(text)), text)
+
+
+def _subscribe(node: int, action: Subscribe, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHB", 266, node, action.active))
+
+
+def _fetch_list(node: int, _action: FetchList, _tail_size: int) -> Record:
+    return Record(struct.pack("<HH", 265, node))
+
+
+def _close_idle(node: int, action: CloseIdle, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHI", 264, node, action.endpoint))
+
+
+def _probe(node: int, action: Probe, _tail_size: int) -> Record:
+    return Record(struct.pack("<HHI", 260, node, action.endpoint))
+
+
+def _send_to_peer(node: int, action: SendToPeer, tail_size: int) -> Record:
+    peer = ALL_PEERS if action.peer is None else action.peer
+    head = struct.pack("<HHIII", 263, node, peer, tail_size, len(action.payload))
+    return Record(head, action.payload)
+
+
+ENCODERS: dict[type, Callable[[int, Any, int], Record]] = {
+    Attempt: _attempt,
+    SetTimer: _set_timer,
+    Refuse: _refuse,
+    Fail: _fail,
+    Cancel: _cancel,
+    Note: _note,
+    Subscribe: _subscribe,
+    FetchList: _fetch_list,
+    CloseIdle: _close_idle,
+    Probe: _probe,
+    SendToPeer: _send_to_peer,
+}
+
+
+def encode(node: int, action: Action, tail_size: int) -> Record:
+    """One action as a record; ``tail_size``: bytes in the tail so far.
+
+    Raises
+    ------
+    TypeError
+        It is no action.
+    """
+    encoder = ENCODERS.get(type(action))
+    if encoder is None:
+        raise TypeError(f"no such action: {action!r}")
+    return encoder(node, action, tail_size)
+
+
+def encode_broken(node: int, reason: str, tail_size: int) -> Record:
+    """The record that says that an instance has failed."""
     text = reason.encode()
-    return struct.pack("<HHII", 259, node, tail_at, len(text)), text
+    return Record(struct.pack("<HHII", 259, node, tail_size, len(text)), text)
 
 
-def frame_reply(records: list[tuple[bytes, bytes]]) -> bytes:
-    body = b"".join(head.ljust(ACTION_SIZE, b"\0") for head, _ in records)
-    tail = b"".join(extra for _, extra in records)
+def frame_reply(records: list[Record]) -> bytes:
+    """The reply to a batch."""
+    body = b"".join(record.head.ljust(ACTION_SIZE, b"\0") for record in records)
+    tail = b"".join(record.tail for record in records)
     return REPLY_HEAD.pack(len(records), REPLY_HEAD.size + len(body) + len(tail)) + body + tail
 
 
@@ -217,76 +284,82 @@
 
     def __init__(self) -> None:
         self.schedulers: dict[int, Scheduler] = {}
-        self.tables: dict[int, list[Member]] = {}
+        self.tables: dict[int, list[Member]] = {}  # memberships that instances share
 
     def reply(self, frame: bytes) -> bytes:
-        """The reply to one whole batch."""
+        """The reply to one complete batch. Raises WireError."""
         _size, count, now = BATCH_HEAD.unpack_from(frame)
         tail = BATCH_HEAD.size + count * EVENT_SIZE
         if tail > len(frame):
             raise WireError("the frame is too short for its records")
-        pending: dict[int, list] = {}
+        events_by_node: dict[int, list[Event]] = {}
         broken: dict[int, str] = {}
         for at in range(BATCH_HEAD.size, tail, EVENT_SIZE):
-            self._read(frame, at, tail, pending, broken)
-        records: list[tuple[bytes, bytes]] = []
-        used = 0
-        for node, events in pending.items():
-            for record in self._act(node, now, events, used, broken):
+            self._read_record(frame, at, tail, events_by_node, broken)
+        records: list[Record] = []
+        tail_size = 0
+        for node, events in events_by_node.items():
+            for record in self._step(node, now, events, tail_size, broken):
                 records.append(record)
-                used += len(record[1])
+                tail_size += len(record.tail)
         return frame_reply(records)
 
-    def _read(self, frame: bytes, at: int, tail: int, pending: dict, broken: dict) -> None:
-        code, node = CODE_NODE.unpack_from(frame, at)
-        if code == E_CENSUS:
-            if node > MAX_TABLE:
+    def _read_record(
+        self, frame: bytes, at: int, tail: int, events_by_node: dict[int, list[Event]], broken: dict[int, str]
+    ) -> None:
+        code, node = RECORD_HEAD.unpack_from(frame, at)
+        if code == EVENT_MEMBER_TABLE:
+            if node > TABLE_MAX:
                 raise WireError(f"list number {node} is out of range")
-            self.tables[node] = _lines(frame, at, tail)
+            self.tables[node] = _members(frame, at, tail)
             return
-        if code == E_HELLO:
-            seed, offset, size = HELLO.unpack_from(frame, at + 4)
-            settings = settings_from(_tail(frame, tail, offset, size))
-            pending[node] = []
-            try:
-                self.schedulers[node] = Scheduler(settings, seed)
-            except Exception as error:
-                broken[node] = f"{type(error).__name__}: {error}"
+        if code == EVENT_START:
+            events_by_node[node] = []
+            self._start(node, frame, at, tail, broken)
             return
-        if code not in READERS and code not in (E_REGISTRY, E_KILLED):
+        if code not in READERS and code not in (EVENT_MEMBERSHIP, EVENT_KILLED):
             raise WireError(f"unknown record code {code}")
         if node not in self.schedulers:
             if node in broken:
                 return
             raise WireError(f"event {code} for instance {node}, which was never started")
-        if code == E_KILLED:
+        if code == EVENT_KILLED:
             del self.schedulers[node]
-            pending.pop(node, None)
-        elif code == E_REGISTRY:
-            pending.setdefault(node, []).append(self._membership(frame, at))
+            events_by_node.pop(node, None)
+        elif code == EVENT_MEMBERSHIP:
+            events_by_node.setdefault(node, []).append(self._membership(frame, at))
         else:
-            pending.setdefault(node, []).append(READERS[code](frame, at, tail))
+            events_by_node.setdefault(node, []).append(READERS[code](frame, at, tail))
+
+    def _start(self, node: int, frame: bytes, at: int, tail: int, broken: dict[int, str]) -> None:
+        seed, offset, size = START.unpack_from(frame, at + 4)
+        settings = settings_from(_tail(frame, tail, offset, size))
+        try:
+            self.schedulers[node] = Scheduler(settings, seed)
+        except Exception as error:  # a fault of one instance must not end the others
+            broken[node] = f"{type(error).__name__}: {error}"
 
     def _membership(self, frame: bytes, at: int) -> MembershipUpdate:
-        table, how, version = REGISTRY.unpack_from(frame, at + 4)
-        kind = _enum(MembershipKind, how, "kind of list")
+        table, kind_code, version = MEMBERSHIP.unpack_from(frame, at + 4)
+        kind = _enum(MembershipKind, kind_code, "kind of list")
         if kind is MembershipKind.FAILED:
             return MembershipUpdate(kind, version, [])
         if table not in self.tables:
             raise WireError(f"list number {table} was never sent")
         return MembershipUpdate(kind, version, self.tables[table])
 
-    def _act(self, node: int, now: float, events: list, used: int, broken: dict) -> list:
+    def _step(self, node: int, now: float, events: list[Event], tail_size: int, broken: dict[int, str]) -> list[Record]:
         if node not in broken:
+            records: list[Record] = []
             try:
-                records = []
                 for action in self.schedulers[node].step(now, events):
-                    records.append(encode(node, action, used))
-                    used += len(records[-1][1])
+                    record = encode(node, action, tail_size)
+                    records.append(record)
+                    tail_size += len(record.tail)
                 return records
-            except Exception as error:
+            except Exception as error:  # as above
                 broken[node] = f"{type(error).__name__}: {error}"
-        return [encode_broken(node, broken[node], used)]
+        return [encode_broken(node, broken[node], tail_size)]
 
 
 def _read_exactly(source: BinaryIO, size: int) -> bytes:
@@ -297,7 +370,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Answer batches until the input ends. Raises WireError and struct.error."""
     host = Host()
     while True:
         head = source.read(BATCH_HEAD.size)
@@ -313,6 +386,7 @@
 
 
 def main() -> int:
+    """Serve the simulator on standard input and output; 2 for a wrong wire, 1 where the output is closed."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (WireError, struct.error) as error:
--- a/tests/scheduling/test_class_ejection.py
+++ b/tests/scheduling/test_class_ejection.py
@@ -3,7 +3,7 @@
 from lynxscale.scheduling.events import Result
 from tests.scheduling.driver import KEYED, SAFE, UNSAFE, Driver, member
 
-FULL, RESET, ERROR = Result.FULL, Result.RESET, Result.ERROR
+ERROR = Result.ERROR
 
 
 def test_endpoint_that_fails_a_class_is_ejected_for_it():
--- a/tests/scheduling/test_connection_reuse.py
+++ b/tests/scheduling/test_connection_reuse.py
@@ -6,7 +6,7 @@
 )
 from tests.scheduling.driver import SAFE, UNSAFE, Driver, member
 
-FULL, RESET, ERROR = Result.FULL, Result.RESET, Result.ERROR
+RESET = Result.RESET
 
 
 def closes(d: Driver) -> list[float]:
--- a/tests/scheduling/test_decision_modules.py
+++ b/tests/scheduling/test_decision_modules.py
@@ -9,6 +9,7 @@
 NOT_DECISIONS = {
     "__init__.py",  # lazy import of the scheduler
     "actions.py",  # plain classes: what the caller is asked to do
+    "exceptions.py",  # error classes; decisions raise none
     "events.py",  # plain classes: what the scheduler learns
     "settings.py",  # plain classes
     "settings_reader.py",  # reads the operators' object into those
--- a/tests/scheduling/test_rejection_backoff.py
+++ b/tests/scheduling/test_rejection_backoff.py
@@ -6,7 +6,7 @@
 )
 from tests.scheduling.driver import KEYED, SAFE, UNSAFE, Driver, member
 
-FULL, RESET, ERROR = Result.FULL, Result.RESET, Result.ERROR
+FULL = Result.FULL
 REPORTS = dict(senders=40, slots=6, report_left=0, report_limit=1, weights="nominal")
 
 
--- a/tests/scheduling/test_settings_reader.py
+++ b/tests/scheduling/test_settings_reader.py
@@ -5,7 +5,8 @@
 import pytest
 
 from lab.standins import settings as settings_table
-from lynxscale.scheduling.settings_reader import SettingsError, settings_from
+from lynxscale.scheduling.exceptions import SettingsError
+from lynxscale.scheduling.settings_reader import settings_from
 
 
 @pytest.mark.parametrize(
