--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -1,7 +1,7 @@
-"""Drawn histories of whole tiers with faults, and a check of the rules over each: ``python -m lab.tier.histories``.
+"""Random histories of simulated tiers with faults, and a check of each: ``python -m lab.tier.histories FIRST LAST``.
 
-A history is drawn from its seed alone. The checker judges by what clients, operator and endpoints saw, and by the
-members' own state at the end; each broken rule is told by its name and the seed.
+A history follows from its seed alone. The checker judges by what clients, operator and endpoints observed, and by the
+members' own state at the end; each broken rule is reported by its name and the seed.
 """
 
 from __future__ import annotations
@@ -14,39 +14,35 @@
 import msgspec
 
 from lab.tier.fakes import ClientResponse, send_request
+from lab.tier.fault_injection import FaultInjector
 from lab.tier.history_checker import MAX_TOKENS, Observations, ObservedChange, ObservedTurn, check_history
-from lab.tier.simulated_tier import CONTROL_PORT, INTERNAL_PORT, SimulatedTier, default_configuration
+from lab.tier.simulated_tier import CONTROL_PORT, SimulatedTier, default_configuration
 from lab.tier.world import World
+from lynxscale.dataplane.service import RelayService
 from lynxscale.runtime.http_types import Head, Request
 
 STEPS = 40
+ACTION_WEIGHTS = (6, 4, 2, 2)  # of a turn, a call, a configuration order and a fault
+PAUSE_S = (0.02, 0.5)
+LOSS = 0.01
+PROGRAMS = 4
 BUDGETS = (80, 200, 1000)
+RETRY_PROBABILITY = 0.4
+"""With which an operator sends an earlier order again."""
 QUIET_S = 6.0
-SIZES = ((3, 1), (3, 1), (4, 1), (5, 2), (3, 1), (6, 2), (7, 2), (9, 2))  # control members, and losses to be borne
-CONTROL_FAULTS = (
-    "control",
-    "wipe",
-    "freeze",
-    "cut",
-    "link",
-    "all",
-    "full",
-    "damage",
-    "leave",
-    "halves",
-    "dark",
-    "clock",
-)
-LEAVE_WITHIN_S = 4.0
+"""Without faults at the end, before the state is checked."""
+WATCH_INTERVAL_S = 0.02
 DRAIN_S = 3.0
+"""After which a draining endpoint must receive no request."""
+SIZES = ((3, 1), (3, 1), (4, 1), (5, 2), (3, 1), (6, 2), (7, 2), (9, 2))  # control members, tolerated losses
 
 
 class History:
-    """One history: clients, an operator and faults by turns."""
+    """One history: clients, an operator and faults, interleaved at random."""
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.world = World(seed, loss=0.01)
+        self.world = World(seed, loss=LOSS)
         self.random = self.world.random
         size, tolerated = SIZES[seed % len(SIZES)]
         self.tier = SimulatedTier(self.world, controls=size, tolerated=tolerated).start_serving()
@@ -54,39 +50,42 @@
         self.calls: list[tuple[str, ClientResponse]] = []
         self.orders: list[ObservedChange] = [ObservedChange(0, default_configuration())]
         self.broken: Counter[str] = Counter()
-        self.draining: dict[str, float] = {}
-        self._seen_versions: dict[object, int] = {}
-        self._ran_at: list[tuple[float, str]] = []
+        self._faults = FaultInjector(self.tier)
+        self._generations: dict[RelayService, int] = {}  # of the configuration, as seen last
+        self._executed: dict[str, int] = {}  # by draining endpoint, as seen last
         self._number = 0
         self._watch()
 
     def play(self) -> Counter[str]:
-        """Play it to its end; the rules that were broken, by name."""
+        """Run to the end; the rules that were broken, by name."""
         for _ in range(STEPS):
-            action = self.random.choices((self._turn, self._call, self._order, self._fault), (6, 4, 2, 2))[0]
+            action = self.random.choices((self._turn, self._call, self._order, self._faults.inject), ACTION_WEIGHTS)[0]
             action()
-            self.world.run(self.world.time + self.random.uniform(0.02, 0.5))
-        self._recover()
+            self.world.run(self.world.time + self.random.uniform(*PAUSE_S))
+        self._faults.repair()
+        self.world.loss = 0.0
+        self.world.run(self.world.time + QUIET_S)
         self.broken += check_history(self.tier, Observations(self.turns, self.calls, self.orders))
         return self.broken
 
     def _watch(self) -> None:
+        """Check, while the history runs, what does not show at its end."""
         leaders = sum(one.member.leads() for one in self.tier.controls.values())
         if leaders > 1:
             self.broken["two_primaries"] += 1
         for relay in self.tier.relays.values():
-            version = relay.route_table.generation if relay.route_table else 0
-            if version < self._seen_versions.get(relay, 0):
+            generation = relay.route_table.generation if relay.route_table else 0
+            if generation < self._generations.get(relay, 0):
                 self.broken["version_went_back"] += 1
-            self._seen_versions[relay] = version
-        for name, since in self.draining.items():
-            ran = len(self.tier.endpoints[name].executed)
-            if self.world.time - since > DRAIN_S and ran > self._seen_versions.get(name, ran):
+            self._generations[relay] = generation
+        for name, since in self._faults.draining.items():
+            executed = len(self.tier.endpoints[name].executed)
+            if self.world.time - since > DRAIN_S and executed > self._executed.get(name, executed):
                 self.broken["drain"] += 1
-            self._seen_versions[name] = ran
-        self.world.call_at(self.world.time + 0.02, self._watch)
+            self._executed[name] = executed
+        self.world.call_at(self.world.time + WATCH_INTERVAL_S, self._watch)
 
-    # What happens ------------------------------------------------------------------------------------
+    # Clients and operator ----------------------------------------------------------------------------
 
     def _name(self, kind: str) -> str:
         self._number += 1
@@ -96,10 +95,10 @@
         return self.random.choice(self.tier.relay_hosts)
 
     def _turn(self) -> None:
-        program = f"p{self.random.randrange(4)}"
-        budget = BUDGETS[int(program[1:]) % len(BUDGETS)]
-        whole = [seen for seen in self.turns if seen.program == program and seen.answer.complete]
-        previous = self.random.choice([seen for seen in whole if seen.answer.status == 200] or [None])
+        number = self.random.randrange(PROGRAMS)
+        program, budget = f"p{number}", BUDGETS[number % len(BUDGETS)]
+        complete = [seen for seen in self.turns if seen.program == program and seen.answer.complete]
+        previous = self.random.choice([seen for seen in complete if seen.answer.status == 200] or [None])
         name, text = self._name("t"), f"say{self._number} ".encode()
         fields = {"program": program, "budget": str(budget), "lynxscale_token_count": f"10,{MAX_TOKENS}"}
         if previous is not None:
@@ -115,8 +114,7 @@
         self.calls.append((f"{path} {name}", answer))
 
     def _order(self) -> None:
-        repeat = self.random.random() < 0.4
-        if repeat:
+        if self.random.random() < RETRY_PROBABILITY:
             order = self.random.choice(self.orders)
         else:
             order = self._new_order()
@@ -129,7 +127,7 @@
         order.answers.append(answer)
 
     def _new_order(self) -> ObservedChange:
-        """One on the newest acknowledged version: a replacement, or an update where that version is one order's."""
+        """An order on the newest acknowledged version: a replacement, or an update where one order made that."""
         base = max(order.table["generation"] for order in self.orders if order.acknowledged or order.base == 0)
         order = ObservedChange(base, default_configuration(base + self.random.randint(1, 3)))
         route = order.table["routes"][0]
@@ -140,124 +138,9 @@
             order.update = {"generation": order.table["generation"], "upsert": {"routes": [route]}}
         return order
 
-    def _fault(self) -> None:
-        """One fault of those that are to be borne; the one before is over."""
-        self._mend()
-        self.world.run(self.world.time + self.random.choice((0.0, 0.3, 2.0)))
-        outside = ("relay", "answer", "drain")
-        all_settled = all(self._settled(one) for one in self.tier.control_hosts)
-        # A member counts as lost until it has caught up: no other may be lost meanwhile.
-        kind = self.random.choice((*outside, *CONTROL_FAULTS) if all_settled else outside)
-        host = self.random.choice(self.tier.control_hosts)
-        address = f"{host}:{INTERNAL_PORT}"
-        if kind == "control":
-            self.tier.kill_control(host, power=self.random.random() < 0.5)
-        elif kind == "wipe":
-            self.tier.kill_control(host, power=True, wipe=True)
-        elif kind == "relay":
-            self.tier.kill_relay(self._relay())
-        elif kind == "freeze":
-            self.world.machine(address).freeze(self.random.uniform(0.2, 2.5))
-        elif kind == "cut":
-            for other in self.tier.control_hosts:
-                if other != host:
-                    self.world.partition(address, f"{other}:{INTERNAL_PORT}", self.random.random() < 0.6)
-        elif kind == "link":
-            other = self.random.choice([one for one in self.tier.control_hosts if one != host])
-            self.world.partition(address, f"{other}:{INTERNAL_PORT}", self.random.random() < 0.6)
-        elif kind == "answer":
-            self.random.choice(list(self.tier.endpoints.values())).fails = True
-        elif kind == "drain" and not self.draining:
-            self._drain()
-        elif kind == "all":
-            for one in self.tier.control_hosts:
-                self.tier.kill_control(one, power=True)
-        elif kind == "full":
-            self.world.machine(address).files.full = True
-        elif kind == "damage":
-            self._damage(host)
-        elif kind == "leave":
-            self._leave(host)
-        elif kind == "halves":
-            self._halve()
-        elif kind == "dark":
-            self._lose_disks_in_the_dark()
-        elif kind == "clock":
-            self.world.machine(address).clock_step_s = self.random.choice((-3600.0, -2.0, 2.0, 3600.0))
-
-    def _damage(self, host: str) -> None:
-        """A file of a stopped member reads back damaged or is gone; it starts again, and the primary loses power."""
-        primary = self.tier.primary()
-        self.tier.kill_control(host)
-        files = self.world.machine(f"{host}:{INTERNAL_PORT}").files
-        versions = [name for name in files.names() if name.startswith("batch-")]
-        if versions:
-            files.corrupt(self.random.choice(versions), self.random)
-        self.tier.start_control(host)
-        lead = next((one for one, service in self.tier.controls.items() if service is primary), None)
-        if lead is not None and self.random.random() < 0.5:
-            self.tier.kill_control(lead, power=True)
-
-    def _leave(self, host: str) -> None:
-        """A member is asked to stop; once it has, it starts again. Another may be lost meanwhile."""
-        service = self.tier.controls[host]
-
-        def end() -> None:
-            if self.tier.controls.get(host) is service:
-                self.tier.kill_control(host)
-                self.tier.start_control(host)
-
-        service.leave(end)
-        self.world.call_at(self.world.time + LEAVE_WITHIN_S, end)
-
-    def _halve(self) -> None:
-        """Half of the members are cut off from the other half."""
-        hosts = self.random.sample(self.tier.control_hosts, len(self.tier.control_hosts))
-        half = len(hosts) // 2
-        for one in hosts[:half]:
-            for other in hosts[half:]:
-                self.world.partition(f"{one}:{INTERNAL_PORT}", f"{other}:{INTERNAL_PORT}")
-
-    def _lose_disks_in_the_dark(self) -> None:
-        """As many disks as may be are lost while all other machines lose power, relays too."""
-        lost = self.random.sample(self.tier.control_hosts, self.tier.tolerated)
-        for host in self.tier.control_hosts:
-            self.tier.kill_control(host, power=True, wipe=host in lost)
-        for host in self.tier.relay_hosts:
-            self.tier.kill_relay(host)
-
-    def _settled(self, host: str) -> bool:
-        """Does the member hold a copy that counts?"""
-        primary = self.tier.primary()
-        service = self.tier.controls.get(host)
-        return primary is not None and service is not None and service.member.member_id in primary.member.record.in_sync
-
-    def _drain(self) -> None:
-        listed = self.tier.platform.listed
-        place = self.random.randrange(2, 4)
-        listed[place] = msgspec.structs.replace(listed[place], state="draining")
-        self.draining[listed[place].id] = self.world.time
-
-    def _mend(self) -> None:
-        self.world.heal()
-        for endpoint in self.tier.endpoints.values():
-            endpoint.fails = False
-        for host in self.tier.control_hosts:
-            self.world.machine(f"{host}:{INTERNAL_PORT}").files.full = False
-            if host not in self.tier.controls:
-                self.tier.start_control(host)
-        for host in self.tier.relay_hosts:
-            if host not in self.tier.relays:
-                self.tier.start_relay(host)
-
-    def _recover(self) -> None:
-        self._mend()
-        self.world.loss = 0.0
-        self.world.run(self.world.time + QUIET_S)
-
 
 def main() -> int:
-    """Exit code 1 where a rule was broken; the seeds are printed."""
+    """Run the histories of a range of seeds. Exit code 1 where a rule was broken; its seeds are printed."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int)
@@ -273,7 +156,9 @@
         total += broken
         turns += len(history.turns)
         served += sum(seen.answer.complete and seen.answer.status == 200 for seen in history.turns)
-    print(f"seeds {options.first} to {options.last}: {served} of {turns} turns whole, {sum(total.values())} breaches")
+    print(
+        f"seeds {options.first} to {options.last}: {served} of {turns} turns complete, {sum(total.values())} breaches"
+    )
     return int(bool(total))
 
 
--- a/lab/tier/history_checker.py
+++ b/lab/tier/history_checker.py
@@ -1,4 +1,4 @@
-"""The rules that a history is judged by, from what clients, operator and endpoints saw, and by the members' state."""
+"""Checks a history: what clients, operator and endpoints observed, and the members' state at its end."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class ObservedTurn:
-    """One try for a turn, as its client saw it."""
+    """One attempt at a turn, as its client observed it."""
 
     request_id: str
     program: str
@@ -31,7 +31,7 @@
 
 @dataclass
 class ObservedChange:
-    """One configuration, as the operator saw its answers. ``update``: what was sent instead of the whole."""
+    """One configuration order, as its operator observed it. ``update``: sent instead of the complete table."""
 
     base: int
     table: dict
@@ -40,13 +40,13 @@
 
     @property
     def acknowledged(self) -> bool:
-        """Did any of its sends get 200?"""
+        """Whether any of its requests was answered 200."""
         return any(answer.status == 200 for answer in self.answers)
 
 
 @dataclass(frozen=True)
 class Observations:
-    """All that was seen from outside: turns, calls by path and id, and orders."""
+    """All that was observed from outside: turns, calls by path and id, and configuration orders."""
 
     turns: list[ObservedTurn]
     calls: list[tuple[str, ClientResponse]]
@@ -54,14 +54,14 @@
 
 
 def check_history(tier: SimulatedTier, seen: Observations) -> Counter[str]:
-    """The rules that were broken, by name, once everybody is back and at rest."""
+    """The rules that were broken, by name, once all processes are back and no request is in flight."""
     checker = HistoryChecker(tier, seen)
     checker.check()
     return checker.broken
 
 
 class HistoryChecker:
-    """Judges one history."""
+    """Checks one history; ``broken`` counts violations by the rule's name."""
 
     def __init__(self, tier: SimulatedTier, seen: Observations) -> None:
         self.tier = tier
@@ -69,38 +69,38 @@
         self.broken: Counter[str] = Counter()
 
     def check(self) -> None:
-        """Count every breach."""
+        """Count every violation."""
         if self.tier.primary() is None:
             self.broken["no_primary_in_the_end"] += 1
             return
         if self.tier.primary().operator_api.configuration.current() is None:
             self.broken["configuration_lost"] += 1
             return
-        ran = self._runs()
-        self._check_calls(ran)
-        self._check_turns(ran)
+        executed = self._executed()
+        self._check_calls(executed)
+        self._check_turns(executed)
         self._check_budgets()
         self._check_orders()
-        counted = self.tier.primary().member.record.in_sync
-        copies = [one.member for one in self.tier.controls.values() if one.member.member_id in counted]
-        sums = {member.store.checksum() for member in copies}
-        # Everybody is back for seconds: as many copies count as there are to be voters, so nobody was left behind.
-        if len(copies) < voters_wanted(self.tier.tolerated):
+        in_sync = self.tier.primary().member.record.in_sync
+        replicas = [one.member for one in self.tier.controls.values() if one.member.member_id in in_sync]
+        sums = {member.store.checksum() for member in replicas}
+        # All members are back for seconds: as many replicas are in sync as there are to be voters.
+        if len(replicas) < voters_wanted(self.tier.tolerated):
             self.broken["member_left_behind"] += 1
         if len(sums) > 1:
             self.broken["copies_differ"] += 1
 
-    def _runs(self) -> dict[str, list[Request]]:
+    def _executed(self) -> dict[str, list[Request]]:
         runs: dict[str, list[Request]] = {}
         for endpoint in self.tier.endpoints.values():
             for request in endpoint.executed:
                 runs.setdefault(request.head.text(b"lynxscale-request-id"), []).append(request)
         return runs
 
-    def _check_calls(self, ran: dict[str, list[Request]]) -> None:
+    def _check_calls(self, executed: dict[str, list[Request]]) -> None:
         for what, answer in self.seen.calls:
             path, name = what.split()
-            count = len(ran.get(name, ()))
+            count = len(executed.get(name, ()))
             if path == "/book/1" and count > 1:
                 self.broken["twice"] += 1
             if path == "/book/1" and answer.status in (429, 503) and count:
@@ -112,38 +112,38 @@
             if answer.status == 404:
                 self.broken["denied"] += 1
 
-    def _check_turns(self, ran: dict[str, list[Request]]) -> None:
-        whole = {
+    def _check_turns(self, executed: dict[str, list[Request]]) -> None:
+        complete = {
             seen.request_id: seen for seen in self.seen.turns if seen.answer.complete and seen.answer.status == 200
         }
         for seen in self.seen.turns:
-            runs = ran.get(seen.request_id, [])
+            runs = executed.get(seen.request_id, [])
             if len(runs) > 1:
                 self.broken["twice"] += 1
             if runs and seen.answer.status in (402, 404, 429, 503):
                 self.broken["refused"] += 1
             if seen.answer.status == 404:
                 self.broken["turn_lost"] += 1
-            if seen.request_id in whole and seen.answer.body != WHOLE:
+            if seen.request_id in complete and seen.answer.body != WHOLE:
                 self.broken["order"] += 1
-            if any(request.body != self._expected(seen, whole) for request in runs):
+            if any(request.body != self._expected(seen, complete) for request in runs):
                 self.broken["unasked"] += 1
 
-    def _expected(self, seen: ObservedTurn, whole: dict[str, ObservedTurn]) -> bytes:
+    def _expected(self, seen: ObservedTurn, complete: dict[str, ObservedTurn]) -> bytes:
         body = seen.text
         previous = seen.previous
         while previous:
-            earlier = whole[previous]
+            earlier = complete[previous]
             body = earlier.text + OUTPUT + body
             previous = earlier.previous
         return body
 
     def _check_budgets(self) -> None:
-        handed: Counter[str] = Counter()
+        delivered: Counter[str] = Counter()
         for seen in self.seen.turns:
-            handed[seen.program] += seen.answer.body.count(b"data:") * STRIDE
+            delivered[seen.program] += seen.answer.body.count(b"data:") * STRIDE
         for seen in self.seen.turns:
-            if handed[seen.program] > seen.budget + MAX_TOKENS:
+            if delivered[seen.program] > seen.budget + MAX_TOKENS:
                 self.broken["budget"] += 1
                 return
 
--- a/lab/tier/second_failure.py
+++ b/lab/tier/second_failure.py
@@ -1,10 +1,10 @@
-"""A further loss in every instant of a repair, a replacement, a retirement, an addition or a rolling restart.
+"""A second failure at every step of a repair, a replacement, a retirement, an addition or a rolling restart.
 
-Each change of the group is played once without a further loss, to count its instants: every message handled and every
-sync done. Then it is played again for each instant and each member, which loses its power or its disk right there.
-Judged: nothing acknowledged is lost, and the group has a primary that commits as soon as the tolerance allows it.
+Each change of the group is run once without a failure, to count its steps: every message handled and every sync done.
+Then it is run again for each step and each member, which loses its power or its disk at that step. Checked: nothing
+acknowledged is lost, and the group has a primary that commits as soon as the tolerance allows it.
 
-``python -m lab.tier.second_failure [EVERY]``: every instant, or each EVERYth.
+``python -m lab.tier.second_failure [EVERY]``: every step, or each EVERYth.
 """
 
 from __future__ import annotations
@@ -34,36 +34,36 @@
 
     @property
     def replaceable(self) -> bool:
-        """May one go for good, and enough for the tolerance remain?"""
+        """Whether enough members for the tolerance remain once one has left for good."""
         return self.founders + self.spares > 2 * self.tolerated + 1
 
 
 @dataclass(frozen=True)
 class Change:
-    """What the operators do to a group. ``lost``: machines that are gone by it, and count until they are replaced."""
+    """What the operators do to a group. ``lost``: machines lost by it, which count until they are replaced."""
 
     name: str
     begin: Callable[[ControlGroup], None]
     lost: int = 0
-    takes_one: bool = False  # for good, without a machine that comes for it
+    removes_one: bool = False  # for good, without a machine in its place
 
     def lost_in(self, size: Size) -> int:
-        """Machines that are gone by it in a group of that size: one that leaves counts where nobody takes its place."""
-        return self.lost + (self.takes_one and not size.replaceable)
+        """Machines lost by it in a group of that size: one that leaves counts where none can replace it."""
+        return self.lost + (self.removes_one and not size.replaceable)
 
 
 @dataclass(frozen=True)
-class Loss:
-    """Which member is lost, counted from the primary of the start, with its disk or not, and in which instant."""
+class SecondFailure:
+    """At which step a member fails, by its index from the initial primary, with its disk or not."""
 
     step: int
-    place: int
+    index: int
     wipe: bool
 
 
 @dataclass
-class Played:
-    """One play. ``problem`` is empty where all held."""
+class Result:
+    """Of one run. ``problem`` is empty where every check passed."""
 
     steps: int
     problem: str
@@ -72,20 +72,20 @@
 SIZES = (Size(3, 0, 1), Size(3, 1, 1), Size(4, 1, 1), Size(5, 0, 2), Size(5, 2, 2))
 
 
-def leave(place: int) -> Callable[[ControlGroup], None]:
-    """The member at a place, 0 for the primary, is asked to stop and does not come back."""
+def leave(index: int) -> Callable[[ControlGroup], None]:
+    """The member of that index, 0 for the primary, is asked to stop and does not come back."""
 
     def begin(group: ControlGroup) -> None:
-        group.leave(members_by_place(group)[place])
+        group.leave(members_by_rank(group)[index])
 
     return begin
 
 
-def restart(place: int) -> Callable[[ControlGroup], None]:
-    """The member at a place is asked to stop, and starts again."""
+def restart(index: int) -> Callable[[ControlGroup], None]:
+    """The member of that index is asked to stop, and starts again."""
 
     def begin(group: ControlGroup) -> None:
-        address = members_by_place(group)[place]
+        address = members_by_rank(group)[index]
         group.leave(
             address, then=lambda: group.world.call_at(group.world.time + RESTART_S, lambda: group.start(address))
         )
@@ -93,11 +93,11 @@
     return begin
 
 
-def replace(place: int) -> Callable[[ControlGroup], None]:
-    """The member at a place is gone with its disk; an empty one comes at another address."""
+def replace(index: int) -> Callable[[ControlGroup], None]:
+    """The member of that index is gone with its disk; an empty one comes at another address."""
 
     def begin(group: ControlGroup) -> None:
-        group.kill(members_by_place(group)[place], power=True, wipe=True)
+        group.kill(members_by_rank(group)[index], power=True, wipe=True)
         group.world.call_at(group.world.time + 0.3, lambda: group.start(NEWCOMER))
 
     return begin
@@ -105,16 +105,16 @@
 
 def replace_as_planned(group: ControlGroup) -> None:
     """An empty member comes, then a backup is asked to stop for good."""
-    backup = members_by_place(group)[1]
+    backup = members_by_rank(group)[1]
     group.start(NEWCOMER)
     group.world.call_at(group.world.time + 0.3, lambda: group.leave(backup) if backup in group.members else None)
 
 
-def wipe(place: int) -> Callable[[ControlGroup], None]:
-    """The member at a place comes back without its disk."""
+def wipe(index: int) -> Callable[[ControlGroup], None]:
+    """The member of that index comes back without its disk."""
 
     def begin(group: ControlGroup) -> None:
-        address = members_by_place(group)[place]
+        address = members_by_rank(group)[index]
         group.kill(address, power=True, wipe=True)
         group.world.call_at(group.world.time + 0.3, lambda: group.start(address))
 
@@ -123,7 +123,7 @@
 
 def retire(group: ControlGroup) -> None:
     """A backup's machine is to be emptied."""
-    node = f"node-{members_by_place(group)[1]}"
+    node = f"node-{members_by_rank(group)[1]}"
     for member in group.members.values():
         member.retiring = frozenset({node})
     group.retiring = frozenset({node})
@@ -135,8 +135,8 @@
 
 
 CHANGES = (
-    Change("primary leaves", leave(0), takes_one=True),
-    Change("backup leaves", leave(1), takes_one=True),
+    Change("primary leaves", leave(0), removes_one=True),
+    Change("backup leaves", leave(1), removes_one=True),
     Change("primary restarts", restart(0), lost=1),
     Change("backup restarts", restart(1), lost=1),
     Change("primary is replaced", replace(0), lost=1),
@@ -149,7 +149,7 @@
 )
 
 
-def members_by_place(group: ControlGroup) -> list[str]:
+def members_by_rank(group: ControlGroup) -> list[str]:
     """Addresses of the present voters, the primary first."""
     leader = group.wait_for_leader()
     voters = [address_of(one) for one in leader.record.voters]
@@ -157,35 +157,35 @@
     return [own, *(one for one in voters if one != own and one in group.members)]
 
 
-class Play:
-    """One group through one change, with one further loss or none."""
+class Run:
+    """One group through one change, with a second failure or none."""
 
-    def __init__(self, size: Size, change: Change, loss: Loss | None, seed: int) -> None:
+    def __init__(self, size: Size, change: Change, failure: SecondFailure | None, seed: int) -> None:
         self.group = ControlGroup(World(seed), size.founders, size.tolerated)
         self.world = self.group.world
         self.change = change
         self.size = size
-        self.loss = loss
+        self.failure = failure
         self.acknowledged: dict[str, int] = {}
         self._victim = ""
         self._number = 0
 
-    def run(self) -> Played:
-        """Play it."""
+    def run(self) -> Result:
+        """Run it to its end."""
         self._prepare()
-        places = members_by_place(self.group)
+        ranked = members_by_rank(self.group)
         first = self.world.steps
-        if self.loss is not None:
-            self._victim = places[self.loss.place]
-            self.world.call_at_step(first + self.loss.step, self._lose)
+        if self.failure is not None:
+            self._victim = ranked[self.failure.index]
+            self.world.call_at_step(first + self.failure.step, self._lose)
         for number in range(WRITES):
             self.world.call_at(self.world.time + number * CHANGE_S / WRITES, self._write)
         self.change.begin(self.group)
         self.world.run(self.world.time + CHANGE_S)
         steps = self.world.steps - first
-        if self.loss is not None and self.loss.step > steps:
-            return Played(steps, "")
-        return Played(steps, self._problem())
+        if self.failure is not None and self.failure.step > steps:
+            return Result(steps, "")
+        return Result(steps, self._problem())
 
     def _prepare(self) -> None:
         self.group.start_all()
@@ -206,7 +206,7 @@
             self.acknowledged[key] = max(value, self.acknowledged.get(key, 0))
 
     def _lose(self) -> None:
-        self.group.kill(self._victim, power=True, wipe=self.loss.wipe)
+        self.group.kill(self._victim, power=True, wipe=self.failure.wipe)
 
     def _problem(self) -> str:
         if not self._recovers():
@@ -218,16 +218,16 @@
         return ""
 
     def _recovers(self) -> bool:
-        """Alone while that is within the tolerance; else once the further loss is back with its disk."""
-        within = self.loss is None or self.change.lost_in(self.size) + 1 <= self.size.tolerated
-        if not within and not self.loss.wipe and self._victim not in self.group.members:
+        """Unaided while within the tolerance; else once the second failed member is back with its disk."""
+        within = self.failure is None or self.change.lost_in(self.size) + 1 <= self.size.tolerated
+        if not within and not self.failure.wipe and self._victim not in self.group.members:
             self.group.start(self._victim)
-        if not within and self.loss.wipe:
-            return self._writes_or_rests()
+        if not within and self.failure.wipe:
+            return self._commits_or_stops()
         return self._commits()
 
-    def _writes_or_rests(self) -> bool:
-        """Two disks are gone where one is tolerated: it may rest for good, but must not show an older state."""
+    def _commits_or_stops(self) -> bool:
+        """Two disks are lost where one is tolerated: it may stop for good, but must not show an older state."""
         if not self._commits():
             self.acknowledged.clear()
         return True
@@ -239,25 +239,25 @@
             return False
 
 
-def losses(size: Size, change: Change, steps: int, every: int) -> Iterator[Loss]:
-    """All further losses to be played."""
+def second_failures(size: Size, change: Change, steps: int, every: int) -> Iterator[SecondFailure]:
+    """All second failures to be run."""
     for step in range(1, steps + 1, every):
-        for place in range(min(3, size.founders)):
+        for index in range(min(3, size.founders)):
             for wiped in (False, True):
                 beyond = change.lost_in(size) + 1 > size.tolerated
                 if not (wiped and beyond):
-                    yield Loss(step, place, wiped)
+                    yield SecondFailure(step, index, wiped)
 
 
 def problems(size: Size, change: Change, every: int = 1, seed: int = 1) -> Iterator[str]:
-    """Every play of a change that breaks what must hold; the last line counts the plays."""
-    quiet = Play(size, change, None, seed).run()
-    if quiet.problem:
-        yield f"{size} {change.name}, no further loss: {quiet.problem}"
-    for loss in losses(size, change, quiet.steps, every):
-        played = Play(size, change, loss, seed).run()
-        if played.problem:
-            yield f"{size} {change.name}, {loss}: {played.problem}"
+    """A line for every run of a change that fails a check."""
+    undisturbed = Run(size, change, None, seed).run()
+    if undisturbed.problem:
+        yield f"{size} {change.name}, no second failure: {undisturbed.problem}"
+    for failure in second_failures(size, change, undisturbed.steps, every):
+        result = Run(size, change, failure, seed).run()
+        if result.problem:
+            yield f"{size} {change.name}, {failure}: {result.problem}"
 
 
 def main() -> int:
--- a/lab/tier/upgrade_rules.py
+++ b/lab/tier/upgrade_rules.py
@@ -31,17 +31,17 @@
 
     def check(self) -> None:
         """Count every breach, while nothing is under way."""
-        ran = self._runs()
-        self._check_calls(ran)
-        self._check_turns(ran)
+        executed = self._executed()
+        self._check_calls(executed)
+        self._check_turns(executed)
         self._check_budgets()
-        self._check_acknowledged(ran)
+        self._check_acknowledged(executed)
         self._check_streams()
 
-    def _check_acknowledged(self, ran: dict) -> None:
+    def _check_acknowledged(self, executed: dict) -> None:
         turns = [seen.request_id for seen in self.load.turns if seen.answer.status == 200]
         calls = [what.split()[1] for what, answer in self.load.calls if answer.status == 200]
-        self.broken["answered_but_not_run"] += sum(name not in ran for name in turns + calls)
+        self.broken["answered_but_not_run"] += sum(name not in executed for name in turns + calls)
 
     def _check_streams(self) -> None:
         answers = [answer for _, answer in self.load.streams if answer.status == 200]
--- a/tests/test_tier_control_safety.py
+++ b/tests/test_tier_control_safety.py
@@ -34,7 +34,7 @@
         group.start(NEWCOMER)
         assert group.put("a", seed)
         group.world.run(group.world.time + 1.5)
-        places = second_failure.members_by_place(group)
+        places = second_failure.members_by_rank(group)
         group.leave(places[leaves])
         group.world.run(group.world.time + gap)
         group.kill(places[lost], power=True, wipe=True)
@@ -47,7 +47,7 @@
         for place in (0, 1):
             group = start_group(seed)
             group.world.run(group.world.time + 2)
-            address = second_failure.members_by_place(group)[place]
+            address = second_failure.members_by_rank(group)[place]
             begun = group.world.time
             group.leave(address)
             assert group.world.run_until(lambda g=group, a=address: a not in g.members, 1.3), (seed, place)
