--- a/lab/tier/mutations/replication.py
+++ b/lab/tier/mutations/replication.py
@@ -112,7 +112,7 @@
             self._transfer = type(self._transfer)(message.position)
         transfer = self._transfer
         transfer.table.apply(message.puts)
-        transfer.position, transfer.upto = message.position, message.last_key
+        transfer.position, transfer.last_key = message.position, message.last_key
         self._report_progress(message.epoch, 0)
         if message.final:
             self._install(message.epoch)
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -24,13 +24,13 @@
 
 @dataclass
 class SnapshotTransfer:
-    """A snapshot that is being received: all keys up to ``upto`` as they are at ``position``.
+    """A snapshot that is being received: all keys up to ``last_key`` as they are at ``position``.
 
     ``installing``: the snapshot is complete and is being made durable.
     """
 
     position: Position = NO_POSITION
-    upto: str = ""
+    last_key: str = ""
     installing: bool = False
     table: KeyValueTable = field(default_factory=KeyValueTable)
 
@@ -87,10 +87,10 @@
         if not message.after_key:
             self._transfer = SnapshotTransfer(message.position)
         transfer = self._transfer
-        if transfer.position != message.position or transfer.upto != message.after_key:
+        if transfer.position != message.position or transfer.last_key != message.after_key:
             return
         transfer.table.apply(message.puts)
-        transfer.upto = message.last_key
+        transfer.last_key = message.last_key
         self._report_progress(message.epoch, 0)
         if message.final:
             self._install(message.epoch)
@@ -118,9 +118,11 @@
     def _acknowledge(self, epoch: int) -> None:
         self._send(ReplicateAck(epoch, self._member, self._store.durable_position))
 
-    def _report_progress(self, epoch: int, probe: int) -> None:
+    def _report_progress(self, epoch: int, probe_id: int) -> None:
         transfer = self._transfer
-        progress = SnapshotProgress(epoch, self._member, probe, transfer.position, transfer.upto, transfer.installing)
+        progress = SnapshotProgress(
+            epoch, self._member, probe_id, transfer.position, transfer.last_key, transfer.installing
+        )
         self._send(progress)
 
     def _send(self, message: Message) -> None:
