--- a/lab/cluster/check.py
+++ b/lab/cluster/check.py
@@ -22,38 +22,50 @@
 
 from lab.cluster.mistakes import Spoilt, spoil
 from lab.model_checker import InvariantViolation, search
-from lynxscale.relay.cluster.membership_table import Identity, Sight
+from lynxscale.relay.cluster.instructions import PersistState, SendViewMessage, ViewInstruction
+from lynxscale.relay.cluster.membership_table import Identity, MembershipTable
 from lynxscale.relay.cluster.messages import (
     Accept,
     Accepted,
     Decided,
-    Kept,
-    LeaseAsk,
+    DurableState,
     LeaseGrant,
+    LeaseRequest,
+    MembershipChange,
     Prepare,
     Promise,
-    Refuse,
-    Step,
+    Reject,
     View,
 )
-from lynxscale.relay.cluster.view_change import Order, Persist, Say, Terms, Views
+from lynxscale.relay.cluster.timing import ViewTiming
+from lynxscale.relay.cluster.view_change import ViewAgreement
 
 # What of a Views counts in what it does by the events used here; the rest are times of looks and of rests.
 COUNTS = (
     "me",
-    "kept",
-    "marks",
-    "checked",
-    "_quiet_until",
-    "_granted",
-    "_withheld",
-    "_asked",
-    "_grants",
+    "durable",
+    "write_counts",
+    "exchanged_with",
+    "_no_removal_until",
+    "_granted_until",
+    "_denied_until",
+    "_request_times",
+    "_grant_times",
     "_token",
-    "_round",
-    "split",
+    "_highest_round",
+    "conflict",
+)
+PROPOSAL = (
+    "number",
+    "ballot",
+    "change",
+    "previously_accepted",
+    "promises",
+    "ready_at",
+    "accepted_by",
+    "rejected_by",
+    "preparing",
 )
-PROPOSAL = ("number", "ballot", "step", "bound", "promises", "ready", "accepts", "refused", "asking")
 UNIT, BEGIN = 1_000_000, 100  # µs; a search begins after so many of them, long after the nodes' start
 
 WITH_DISK, OLDER_DISK, NO_DISK = "with its disk", "with an older disk", "without a disk"
@@ -70,7 +82,7 @@
 
     name: str
     nodes: int
-    steps: Mapping[tuple[str, int], Step]
+    steps: Mapping[tuple[str, int], MembershipChange]
     proposals: Mapping[str, int]
     crash_of: str = ""
     crashes: int = 0
@@ -83,7 +95,7 @@
     hears: Mapping[str, tuple[type, ...]] = field(default_factory=dict)
 
     @property
-    def marks(self) -> bool:
+    def write_counts(self) -> bool:
         """Do memories go back, so that it counts what others remember?"""
         return self.starts != (WITH_DISK,)
 
@@ -91,10 +103,23 @@
 class Local:
     """One node. ``views`` is a snapshot that is never changed; ``mark`` is of what is on disk."""
 
-    __slots__ = ("views", "life", "disk", "mark", "writes", "number", "digest", "me", "votes", "member")
-
-    def __init__(self, views: Views, life: int, disk: Kept | None, mark: int, writes: tuple[Persist, ...]) -> None:
-        self.views, self.life, self.disk, self.mark, self.writes = views, life, disk, mark, writes
+    __slots__ = (
+        "agreement",
+        "generation",
+        "disk",
+        "write_count",
+        "writes",
+        "number",
+        "digest",
+        "me",
+        "votes",
+        "member",
+    )
+
+    def __init__(
+        self, views: ViewAgreement, life: int, disk: DurableState | None, mark: int, writes: tuple[PersistState, ...]
+    ) -> None:
+        self.agreement, self.generation, self.disk, self.write_count, self.writes = views, life, disk, mark, writes
         view = views.view
         self.number, self.me = views.number, views.me
         self.digest = view.digest if view is not None else None
@@ -103,11 +128,11 @@
 
     def key(self) -> tuple:
         """Equal where all that it will do is equal."""
-        views, proposal = self.views, self.views._proposal
+        views, proposal = self.agreement, self.agreement._proposal
         return (
-            self.life,
+            self.generation,
             self.disk,
-            self.mark,
+            self.write_count,
             self.writes,
             *(_plain(getattr(views, name)) for name in COUNTS),
             proposal and tuple(_plain(getattr(proposal, name)) for name in PROPOSAL),
@@ -124,16 +149,16 @@
 class Said:
     """A word on its way, with what its frame's head tells."""
 
-    frm: str
-    who: Identity
+    sender: str
+    identity: Identity
     to: str
-    word: object  # None: a frame about something else, whose head counts
+    message: object  # None: a frame about something else, whose head counts
     number: int
-    mark: int
+    write_count: int
     kind: type  # words of two kinds may be equal, as tuples are
 
 
-def snapshot(views: Views) -> Views:
+def snapshot(views: ViewAgreement) -> ViewAgreement:
     """One that goes on by itself."""
     other = copy.copy(views)
     for name, value in vars(views).items():
@@ -144,9 +169,9 @@
         other._proposal = replace(
             proposal,
             promises=proposal.promises.copy(),
-            ready=proposal.ready.copy(),
-            accepts=proposal.accepts.copy(),
-            refused=proposal.refused.copy(),
+            ready_at=proposal.ready_at.copy(),
+            accepted_by=proposal.accepted_by.copy(),
+            rejected_by=proposal.rejected_by.copy(),
         )
     return other
 
@@ -157,9 +182,9 @@
     def __init__(self, scenario: Scenario, mistake: type[Spoilt] | None = None, most: int = 2_000_000) -> None:
         self.scenario, self.mistake, self.most = scenario, mistake, most
         self.names = [f"r{place + 1}" for place in range(scenario.nodes)]
-        self.terms = Terms(lease=scenario.lease * UNIT)
+        self.terms = ViewTiming(lease=scenario.lease * UNIT)
         self.states = 0
-        self.views: dict[int, View] = {}
+        self.agreement: dict[int, View] = {}
         self._locals: list[Local] = []
         self._ids: dict[tuple, int] = {}
         self._said: list[Said] = []
@@ -190,58 +215,62 @@
             found = self._ids[key] = len(self._locals)
             self._locals.append(local)
             if local.digest is not None:
-                self.views.setdefault(local.digest, local.views.view)
+                self.agreement.setdefault(local.digest, local.agreement.view)
         return found
 
     def _say(self, said: Said) -> int:
         """Its bit."""
-        if isinstance(said.word, Refuse):
+        if isinstance(said.message, Reject):
             return 0
         found = self._said_ids.get(said)
         if found is None:
             found = self._said_ids[said] = len(self._said)
             self._said.append(said)
             only = self.scenario.hears.get(said.to)
-            if only is None or said.word is None or isinstance(said.word, only):
+            if only is None or said.message is None or isinstance(said.message, only):
                 self._to[said.to] |= 1 << found
         return 1 << found
 
-    def _start(self, name: str, life: int, disk: Kept | None, now: int) -> Local:
-        views = Views(Identity(name, life, life), self.names, "check", now, disk, Sight(self.names), {}, self.terms)
+    def _start(self, name: str, life: int, disk: DurableState | None, now: int) -> Local:
+        views = ViewAgreement(
+            Identity(name, life, life), self.names, "check", now, disk, MembershipTable(self.names), {}, self.terms
+        )
         if self.mistake is not None:
             spoil(self.mistake, views, now)
-        return Local(views, life, disk, views.kept.mark, ())
+        return Local(views, life, disk, views.durable.write_count, ())
 
-    def _carry(self, name: str, before: Local, views: Views, orders: list[Order], now: int) -> tuple[int, int]:
+    def _carry(
+        self, name: str, before: Local, views: ViewAgreement, orders: list[ViewInstruction], now: int
+    ) -> tuple[int, int]:
         """What a node is after it has done that, and what it has said."""
-        queue, said, writes, disk, mark = list(orders), 0, list(before.writes), before.disk, before.mark
+        queue, said, writes, disk, mark = list(orders), 0, list(before.writes), before.disk, before.write_count
         while queue:
             order = queue.pop(0)
-            if isinstance(order, Persist):
+            if isinstance(order, PersistState):
                 if name == self.scenario.crash_of:
                     writes.append(order)
                 else:
-                    disk, mark = order.kept, max(mark, order.kept.mark)
+                    disk, mark = order.durable, max(mark, order.durable.write_count)
                     queue += order.then
-            elif isinstance(order, Say) and order.to == name:
-                queue += views.heard(now, name, views.me, order.word)
-            elif isinstance(order, Say):
+            elif isinstance(order, SendViewMessage) and order.to == name:
+                queue += views.heard(now, name, views.me, order.message)
+            elif isinstance(order, SendViewMessage):
                 said |= self._say(
                     Said(
                         name,
                         views.me,
                         order.to,
-                        order.word,
+                        order.message,
                         views.number,
-                        mark if self.scenario.marks else 0,
-                        type(order.word),
+                        mark if self.scenario.write_counts else 0,
+                        type(order.message),
                     )
                 )
-        if self.scenario.marks and name == self.scenario.crash_of:
+        if self.scenario.write_counts and name == self.scenario.crash_of:
             for other in self.names:  # any frame's head tells how much it remembers
                 if other != name:
                     said |= self._say(Said(name, views.me, other, None, views.number, mark, type(None)))
-        return self._intern(Local(views, before.life, disk, mark, tuple(writes))), said
+        return self._intern(Local(views, before.generation, disk, mark, tuple(writes))), said
 
     def _take(self, name: str, id_: int, now: int, what: str, with_: object = None) -> tuple[int, int]:
         """One thing happens to one node."""
@@ -253,27 +282,29 @@
 
     def _happens(self, name: str, local: Local, now: int, what: str, with_: object) -> tuple[int, int]:
         if what == "starts":
-            disk = {WITH_DISK: local.disk, OLDER_DISK: Kept(self._one), NO_DISK: None}[with_]
-            return self._intern(self._start(name, local.life + 1, disk, now)), 0
-        views = snapshot(local.views)
+            disk = {WITH_DISK: local.disk, OLDER_DISK: DurableState(self._one), NO_DISK: None}[with_]
+            return self._intern(self._start(name, local.generation + 1, disk, now)), 0
+        views = snapshot(local.agreement)
         if what == "hears":
             said = self._said[with_]
-            orders = views.behind(now, said.frm, said.number, said.mark)
-            if said.word is not None:
-                orders += views.heard(now, said.frm, said.who, said.word)
+            orders = views.peer_view_seen(now, said.sender, said.number, said.write_count)
+            if said.message is not None:
+                orders += views.heard(now, said.sender, said.identity, said.message)
         elif what == "writes":
             kept, then = local.writes[0]
-            local = Local(local.views, local.life, kept, max(local.mark, kept.mark), local.writes[1:])
+            local = Local(
+                local.agreement, local.generation, kept, max(local.write_count, kept.write_count), local.writes[1:]
+            )
             orders = list(then)
         elif what == "proposes":
             orders = views.propose(now, with_)
         elif what == "goes on":
-            orders = views.press(now)
+            orders = views.retry_proposal(now)
         elif what == "asks":
-            orders = views.ask(now)
+            orders = views.request_leases(now)
         else:
             frm, view, marks = with_
-            orders = views.exchanged(now, frm, view, dict(marks))
+            orders = views.receive_exchange(now, frm, view, dict(marks))
         return self._carry(name, local, views, orders, now)
 
     # All of them ---------------------------------------------------------------------------------
@@ -282,7 +313,7 @@
         """All are members of view 1, long after their start."""
         scenario = self.scenario
         self._one = View(1, 7, tuple(Identity(name, 1, 1) for name in self.names))
-        ids = tuple(self._intern(self._start(name, 1, Kept(self._one), 0)) for name in self.names)
+        ids = tuple(self._intern(self._start(name, 1, DurableState(self._one), 0)) for name in self.names)
         left = (
             tuple(scenario.proposals.get(name, 0) for name in self.names),
             tuple(scenario.asks.get(name, 0) for name in self.names),
@@ -318,16 +349,16 @@
             yield "hears", low.bit_length() - 1, left
         if crashes and name == self.scenario.crash_of:
             for how in self.scenario.starts:
-                if how != OLDER_DISK or self._known(ids, name, local.mark):
+                if how != OLDER_DISK or self._known(ids, name, local.write_count):
                     yield "starts", how, (proposals, asks, crashes - 1, presses)
         if local.writes:
             yield "writes", None, left
             return
         if proposals[place] and local.votes:
-            step = local.views.kept.accepted or self.scenario.steps.get((name, local.number))
+            step = local.agreement.durable.accepted or self.scenario.steps.get((name, local.number))
             if step is not None:
                 yield "proposes", step, (_less(proposals, place), asks, crashes, presses)
-        if presses and local.views.proposing:
+        if presses and local.agreement.proposing:
             yield "goes on", None, (proposals, asks, crashes, presses - 1)
         if asks[place] and local.member:
             yield "asks", None, (proposals, _less(asks, place), crashes, presses)
@@ -336,16 +367,23 @@
             if (
                 far.me.name != name
                 and name not in self.scenario.hears
-                and (far.number > local.number or (local.life > 1 and far.me.name not in local.views.checked))
+                and (
+                    far.number > local.number
+                    or (local.generation > 1 and far.me.name not in local.agreement.exchanged_with)
+                )
             ):
-                known = far.views.marks | {far.me.name: far.mark} if self.scenario.marks else {}
-                yield "exchanges", (far.me.name, far.views.view, tuple(sorted(known.items()))), left
+                known = (
+                    far.agreement.write_counts | {far.me.name: far.write_count} if self.scenario.write_counts else {}
+                )
+                yield "exchanges", (far.me.name, far.agreement.view, tuple(sorted(known.items()))), left
 
     def _known(self, ids: tuple[int, ...], name: str, mark: int) -> bool:
         """Have all others heard what this node has said? An older disk that nobody could know to be so is no fault that
         is claimed to be found (the note's honest limits)."""
         return all(
-            self._locals[id_].views.marks.get(name, 0) >= mark for id_ in ids if self._locals[id_].me.name != name
+            self._locals[id_].agreement.write_counts.get(name, 0) >= mark
+            for id_ in ids
+            if self._locals[id_].me.name != name
         )
 
     def _judge(self, state: State) -> State:
@@ -353,18 +391,20 @@
         ids, said, time, left, past = state
         locals_ = [self._locals[id_] for id_ in ids]
         for local in locals_:
-            if local.views.split:
-                raise InvariantViolation(local.views.split)
+            if local.agreement.conflict:
+                raise InvariantViolation(local.agreement.conflict)
             if local.digest is not None and local.digest not in past:
                 for other in past:
-                    if self.views[other].number == local.number:
-                        raise InvariantViolation(f"view {local.number} is {self.views[other]} and {local.views.view}")
+                    if self.agreement[other].number == local.number:
+                        raise InvariantViolation(
+                            f"view {local.number} is {self.agreement[other]} and {local.agreement.view}"
+                        )
                 past |= {local.digest}
         if self.terms.lease:
             acting = [local for id_, local in zip(ids, locals_, strict=True) if self._may_act(id_, local, time)]
             for one in acting:
                 for other in acting:
-                    if other.number > one.number and one.me not in other.views.view.members:
+                    if other.number > one.number and one.me not in other.agreement.view.members:
                         raise InvariantViolation(
                             f"{one.me} acts in view {one.number} while {other.me} acts in {other.number}"
                         )
@@ -373,13 +413,13 @@
     def _may_act(self, id_: int, local: Local, time: int) -> bool:
         found = self._acts.get((id_, time))
         if found is None:
-            found = self._acts[id_, time] = local.views.may_act(self._at(time))
+            found = self._acts[id_, time] = local.agreement.may_act(self._at(time))
         return found
 
     def _told(self, events: list[tuple]) -> str:
         return "; ".join(
             f"{name} {what} "
-            + (f"{self._said[with_].frm}'s {self._said[with_].word}" if what == "hears" else str(with_ or ""))
+            + (f"{self._said[with_].sender}'s {self._said[with_].message}" if what == "hears" else str(with_ or ""))
             for what, name, with_ in events
         )
 
@@ -388,8 +428,8 @@
     return (*counts[:place], counts[place] - 1, *counts[place + 1 :])
 
 
-def without(name: str) -> Step:
-    return Step((name,), ())
+def without(name: str) -> MembershipChange:
+    return MembershipChange((name,), ())
 
 
 # r1 and r2 each want the other out, and r3's vote decides which.
@@ -455,8 +495,8 @@
         hears={
             "r3": (LeaseGrant,),
             "r4": (Prepare, Accept),
-            "r1": (Promise, Accepted, LeaseAsk, LeaseGrant),
-            "r2": (Prepare, Accept, Decided, LeaseAsk),
+            "r1": (Promise, Accepted, LeaseRequest, LeaseGrant),
+            "r2": (Prepare, Accept, Decided, LeaseRequest),
         },
     ),
 )
@@ -478,7 +518,7 @@
             print(f"breach: {breach}")
             sys.exit(1)
         print(
-            f"{scenario.name}, {scenario.nodes} nodes: {check.states} states, {len(check.views)} views, no breach, "
+            f"{scenario.name}, {scenario.nodes} nodes: {check.states} states, {len(check.agreement)} views, no breach, "
             f"{time.monotonic() - begun:.0f} s",
             flush=True,
         )
--- a/lab/cluster/explore.py
+++ b/lab/cluster/explore.py
@@ -16,11 +16,16 @@
 from dataclasses import dataclass, field
 
 from lab.model_checker import InvariantViolation
-from lynxscale.relay.cluster.membership_table import Identity, Rumour, Sight, State
-from lynxscale.relay.cluster.messages import Kept, Step, View
-from lynxscale.relay.cluster.view_change import Persist, Say, Terms, Views
-
-LEASES, VOTES = Terms(), Terms(lease=1)  # half of the walks leave leases aside, so that votes come thick and fast
+from lynxscale.relay.cluster.instructions import PersistState, SendViewMessage
+from lynxscale.relay.cluster.membership_table import Identity, MembershipTable, MemberUpdate, State
+from lynxscale.relay.cluster.messages import DurableState, MembershipChange, View
+from lynxscale.relay.cluster.timing import ViewTiming
+from lynxscale.relay.cluster.view_change import ViewAgreement
+
+LEASES, VOTES = (
+    ViewTiming(),
+    ViewTiming(lease=1),
+)  # half of the walks leave leases aside, so that votes come thick and fast
 JUMP = LEASES.lease // 3
 
 
@@ -29,19 +34,19 @@
     """A node: what its disk has, the process that runs, and writes that are not done."""
 
     name: str
-    life: int = 0
-    disk: Kept | None = None
-    older: list[Kept] = field(default_factory=list)
-    views: Views | None = None
-    sight: Sight | None = None
-    mark: int = 0  # of what is on disk, as it tells in its frames
-    writes: list[Persist] = field(default_factory=list)
+    generation: int = 0
+    disk: DurableState | None = None
+    older: list[DurableState] = field(default_factory=list)
+    agreement: ViewAgreement | None = None
+    membership: MembershipTable | None = None
+    write_count: int = 0  # of what is on disk, as it tells in its frames
+    writes: list[PersistState] = field(default_factory=list)
 
 
 class Walk:
     """``mistake`` may change each Views that is made."""
 
-    def __init__(self, nodes: int, seed: int, mistake: Callable[[Views], None] | None = None) -> None:
+    def __init__(self, nodes: int, seed: int, mistake: Callable[[ViewAgreement], None] | None = None) -> None:
         self.chance, self.mistake = random.Random(f"{seed} walk"), mistake
         self.terms = LEASES if seed % 2 else VOTES
         self.names = [f"r{k + 1}" for k in range(nodes)]
@@ -77,30 +82,37 @@
         first = View(1, 7, tuple(Identity(name, 1, k + 1) for k, name in enumerate(members)))
         self._boot = nodes
         for number, place in enumerate(self.places.values()):
-            place.disk = Kept(first, votes=number < len(members))
+            place.disk = DurableState(first, votes=number < len(members))
             self._start(place, Identity(place.name, 1, number + 1))
 
     def _start(self, place: Place, me: Identity) -> None:
-        place.life = me.life
-        place.sight = Sight(self.names)
-        place.views = Views(me, self.names, "walk", self.now, place.disk, place.sight, {}, self.terms)
-        place.mark = place.views.kept.mark
+        place.generation = me.generation
+        place.membership = MembershipTable(self.names)
+        place.agreement = ViewAgreement(me, self.names, "walk", self.now, place.disk, place.membership, {}, self.terms)
+        place.write_count = place.agreement.durable.write_count
         place.writes = []
         if self.mistake is not None:
-            self.mistake(place.views)
+            self.mistake(place.agreement)
 
     def _carry(self, place: Place, orders: list) -> None:
         queue = list(orders)
         while queue:
             order = queue.pop(0)
-            if isinstance(order, Say):
+            if isinstance(order, SendViewMessage):
                 if order.to == place.name:
-                    queue += place.views.heard(self.now, place.name, place.views.me, order.word)
+                    queue += place.agreement.heard(self.now, place.name, place.agreement.me, order.message)
                 else:
                     self.flying.append(
-                        (place.name, place.views.me, order.to, order.word, place.views.number, place.mark)
+                        (
+                            place.name,
+                            place.agreement.me,
+                            order.to,
+                            order.message,
+                            place.agreement.number,
+                            place.write_count,
+                        )
                     )
-            elif isinstance(order, Persist):
+            elif isinstance(order, PersistState):
                 place.writes.append(order)
         self._judge(place)
 
@@ -115,79 +127,83 @@
         if not self.flying:
             return
         number = self.chance.randrange(len(self.flying)) if self.chance.random() < 0.5 else 0
-        frm, who, to, word, view, mark = self.flying[number]
+        sender, identity, to, word, view, mark = self.flying[number]
         if self.chance.random() < 0.85:
             self.flying.pop(number)  # else it comes once more
         place = self.places[to]
-        if self._apart in (frm, to):
+        if self._apart in (sender, to):
             return
-        if place.views is None or self.chance.random() < 0.1:
+        if place.agreement is None or self.chance.random() < 0.1:
             return
-        self.trail.append(f"{frm}>{to} {word}")
-        self._carry(place, place.views.behind(self.now, frm, view, mark))
-        self._carry(place, place.views.heard(self.now, frm, who, word))
+        self.trail.append(f"{sender}>{to} {word}")
+        self._carry(place, place.agreement.peer_view_seen(self.now, sender, view, mark))
+        self._carry(place, place.agreement.heard(self.now, sender, identity, word))
 
     def _write(self, place: Place) -> None:
-        if place.views is None or not place.writes:
+        if place.agreement is None or not place.writes:
             return
         order = place.writes.pop(0)
         if place.disk is not None:
             place.older.append(place.disk)
-        place.disk, place.mark = order.kept, max(place.mark, order.kept.mark)
+        place.disk, place.write_count = order.durable, max(place.write_count, order.durable.write_count)
         self.trail.append(f"{place.name} writes")
         self._carry(place, list(order.then))
 
     def _propose(self, place: Place) -> None:
-        views = place.views
-        if views is None or views.view is None or not views.votes(self.now):
+        agreement = place.agreement
+        if agreement is None or agreement.view is None or not agreement.votes(self.now):
             return
-        if views.proposing and self.chance.random() < 0.8:
+        if agreement.proposing and self.chance.random() < 0.8:
             return
-        view = views.view
-        gone = [one.name for one in view.members if one.name != place.name]
-        if self._apart in gone and self.chance.random() < 0.7:
-            gone = [self._apart]
-        come = [
-            other.views.me
+        view = agreement.view
+        removed = [one.name for one in view.members if one.name != place.name]
+        if self._apart in removed and self.chance.random() < 0.7:
+            removed = [self._apart]
+        added = [
+            other.agreement.me
             for other in self.places.values()
-            if other.views is not None and view.life_of(other.name) != other.views.me
+            if other.agreement is not None and view.identity_of(other.name) != other.agreement.me
         ]
-        self.chance.shuffle(gone)
-        step = Step(
-            tuple(sorted(gone[: self.chance.randint(0, (len(view.members) - 1) // 2)])),
-            tuple(one for one in come if self.chance.random() < 0.7),
+        self.chance.shuffle(removed)
+        change = MembershipChange(
+            tuple(sorted(removed[: self.chance.randint(0, (len(view.members) - 1) // 2)])),
+            tuple(one for one in added if self.chance.random() < 0.7),
+        )
+        change = MembershipChange(
+            tuple(name for name in change.removed if name not in {one.name for one in change.added}), change.added
         )
-        step = Step(tuple(name for name in step.gone if name not in {one.name for one in step.come}), step.come)
-        if step.gone or step.come or views.kept.accepted:
-            self.trail.append(f"{place.name} proposes {step}")
-            self._carry(place, views.propose(self.now, views.kept.accepted or step))
+        if change.removed or change.added or agreement.durable.accepted:
+            self.trail.append(f"{place.name} proposes {change}")
+            self._carry(place, agreement.propose(self.now, agreement.durable.accepted or change))
 
     def _ask(self, place: Place) -> None:
-        if place.views is not None:
-            self._carry(place, place.views.ask(self.now))
+        if place.agreement is not None:
+            self._carry(place, place.agreement.request_leases(self.now))
 
     def _wait(self, _place: Place) -> None:
         self.now += JUMP
         self.trail.append("time goes on")
         for place in self.places.values():
-            if place.views is not None and self.chance.random() < 0.5:
-                self._carry(place, place.views.tick(self.now))
+            if place.agreement is not None and self.chance.random() < 0.5:
+                self._carry(place, place.agreement.tick(self.now))
 
     def _crash(self, place: Place) -> None:
-        if place.views is not None:
+        if place.agreement is not None:
             self.trail.append(f"{place.name} ends")
-            place.views, place.writes = None, []
+            place.agreement, place.writes = None, []
 
     def _back(self, place: Place) -> None:
-        if place.views is not None:
+        if place.agreement is not None:
             return
         self._boot += 1
         self.trail.append(f"{place.name} starts")
-        self._start(place, Identity(place.name, place.life + 1, self._boot))
+        self._start(place, Identity(place.name, place.generation + 1, self._boot))
 
     def _cut(self, place: Place) -> None:
         """One is cut off from now on, of those that may act if there are any; or nobody is any more."""
-        acting = [one.name for one in self.places.values() if one.views is not None and one.views.may_act(self.now)]
+        acting = [
+            one.name for one in self.places.values() if one.agreement is not None and one.agreement.may_act(self.now)
+        ]
         self._apart = "" if self._apart else self.chance.choice(acting or [place.name])
         self.trail.append(f"{self._apart or 'nobody'} is cut off")
 
@@ -204,20 +220,20 @@
         other = with_ or self.places[self.chance.choice(self.names)]
         if self._apart in (place.name, other.name):
             return
-        if other is place or place.views is None or other.views is None:
+        if other is place or place.agreement is None or other.agreement is None:
             return
         self.trail.append(f"{place.name} and {other.name} exchange")
         for one, far in ((place, other), (other, place)):
-            marks = far.views.marks | {far.name: far.mark}
-            self._carry(one, one.views.behind(self.now, far.name, far.views.number, far.mark))
-            self._carry(one, one.views.exchanged(self.now, far.name, far.views.view, marks))
-            if far.views is not None and one.sight is not None:
-                one.sight.merge(Rumour(*far.views.me, 0, State.ALIVE), self.now)
+            marks = far.agreement.write_counts | {far.name: far.write_count}
+            self._carry(one, one.agreement.peer_view_seen(self.now, far.name, far.agreement.number, far.write_count))
+            self._carry(one, one.agreement.receive_exchange(self.now, far.name, far.agreement.view, marks))
+            if far.agreement is not None and one.membership is not None:
+                one.membership.merge(MemberUpdate(*far.agreement.me, 0, State.ALIVE), self.now)
 
     def _forget(self, place: Place) -> None:
         """Its memory is lost, or an older one comes back: of the older ones, one whose last votes the others know."""
         known = all(
-            place.mark <= dict(other.disk.heard).get(place.name, 0)
+            place.write_count <= dict(other.disk.heard).get(place.name, 0)
             for other in self.places.values()
             if other is not place and other.disk is not None
         )
@@ -231,20 +247,20 @@
             return
         self._forgotten += 1
         self.trail.append(f"{place.name} forgets")
-        place.views, place.writes, place.older = None, [], []
+        place.agreement, place.writes, place.older = None, [], []
 
     # Judging -------------------------------------------------------------------------------------
 
     def _judge(self, place: Place) -> None:
-        view = place.views.view
+        view = place.agreement.view
         if view is not None:
             known = self.decided.setdefault(view.number, view)
             if known != view:
                 raise InvariantViolation(f"view {view.number} is {known} and {view}")
         acting = [
-            (other.views.view, other.views.me)
+            (other.agreement.view, other.agreement.me)
             for other in self.places.values()
-            if other.views is not None and other.views.may_act(self.now)
+            if other.agreement is not None and other.agreement.may_act(self.now)
         ]
         for one, me in acting:
             for later, other in acting:
@@ -254,7 +270,7 @@
                     )
 
 
-def walk(nodes: int, seed: int, steps: int = 1200, mistake: Callable[[Views], None] | None = None) -> Walk:
+def walk(nodes: int, seed: int, steps: int = 1200, mistake: Callable[[ViewAgreement], None] | None = None) -> Walk:
     """One seeded walk. Raises InvariantViolation, with the seed and the last steps."""
     one = Walk(nodes, seed, mistake)
     try:
--- a/lab/cluster/mistakes.py
+++ b/lab/cluster/mistakes.py
@@ -8,11 +8,12 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-from lynxscale.relay.cluster.messages import NONE, Kept, LeaseAsk, Promise, Word
-from lynxscale.relay.cluster.view_change import Order, Persist, Say, Views
+from lynxscale.relay.cluster.instructions import PersistState, SendViewMessage, ViewInstruction
+from lynxscale.relay.cluster.messages import NO_BALLOT, DurableState, LeaseRequest, Promise, ViewMessage
+from lynxscale.relay.cluster.view_change import ViewAgreement
 
 
-class Spoilt(Views):
+class Spoilt(ViewAgreement):
     """``begin`` is called where a process starts."""
 
     def begin(self, now: int) -> None:
@@ -21,70 +22,70 @@
     @contextmanager
     def _unaware(self, **fields: object) -> Iterator[None]:
         """As if its memory had these fields instead, until the end of the block; what is kept in it is not."""
-        kept = self.kept
-        self.kept = kept._replace(**fields)
+        kept = self.durable
+        self.durable = kept._replace(**fields)
         try:
             yield
         finally:
-            self.kept = kept
+            self.durable = kept
 
 
 class VoteForgotten(Spoilt):
     """A vote does not outlive a restart."""
 
     def begin(self, now: int) -> None:
-        self.kept = self.kept._replace(promised=NONE, ballot=NONE, accepted=None)
+        self.durable = self.durable._replace(promised=NO_BALLOT, ballot=NO_BALLOT, accepted=None)
 
 
 class SaidBeforeWritten(Spoilt):
     """A vote is said before it is on disk."""
 
-    def _keep(self, kept: Kept, *then: Say) -> None:
-        super()._keep(kept, *then)
-        self._out[-1:] = [*then, Persist(self.kept, ())]
+    def _persist(self, durable: DurableState, *then: SendViewMessage) -> None:
+        super()._persist(durable, *then)
+        self._instructions[-1:] = [*then, PersistState(self.durable, ())]
 
 
 class FenceNotLookedAt(Spoilt):
     """What was granted does not hold up a removal."""
 
-    def _done(self, now: int) -> list[Order]:
-        self._granted.clear()
-        return super()._done(now)
+    def _take_instructions(self, now: int) -> list[ViewInstruction]:
+        self._granted_until.clear()
+        return super()._take_instructions(now)
 
 
 class HalfIsEnough(Spoilt):
-    def _decides(self, names) -> bool:
+    def _is_quorum(self, names) -> bool:
         return 2 * len(set(names) & set(self._acceptors())) >= len(self._acceptors())
 
 
 class OlderPromiseBroken(Spoilt):
     """A lower ballot is voted for after a higher one was promised."""
 
-    def _fit(self, now, frm, ballot, word) -> bool:
-        with self._unaware(promised=NONE):
-            return super()._fit(now, frm, ballot, word)
+    def _check_ballot(self, now, sender, ballot, message) -> bool:
+        with self._unaware(promised=NO_BALLOT):
+            return super()._check_ballot(now, sender, ballot, message)
 
 
 class AcceptedIgnored(Spoilt):
     """What others have accepted before does not bind a proposer."""
 
-    def heard(self, now, frm, who, word: Word) -> list[Order]:
-        if isinstance(word, Promise):
-            word = word._replace(ballot=NONE, step=None)
-        return super().heard(now, frm, who, word)
+    def heard(self, now, sender, identity, message: ViewMessage) -> list[ViewInstruction]:
+        if isinstance(message, Promise):
+            message = message._replace(ballot=NO_BALLOT, change=None)
+        return super().heard(now, sender, identity, message)
 
 
 class LeaseTooLong(Spoilt):
     def lease_until(self, now: int) -> int:
         until = super().lease_until(now)
-        return until and until + 3 * self.terms.lease
+        return until and until + 3 * self.timing.lease
 
 
 class NoWaitAfterAStart(Spoilt):
     """A process that starts has forgotten what it granted, and does not wait until that has run out."""
 
     def begin(self, now: int) -> None:
-        self._quiet_until = now
+        self._no_removal_until = now
 
 
 class NoWaitAfterAView(Spoilt):
@@ -92,31 +93,31 @@
 
     def _install(self, now, view) -> None:
         super()._install(now, view)
-        self._quiet_until = now
+        self._no_removal_until = now
 
 
 class GrantsAfterAccepting(Spoilt):
     """Leases are granted by one who has accepted the next view."""
 
-    def heard(self, now, frm, who, word: Word) -> list[Order]:
-        if not isinstance(word, LeaseAsk):
-            return super().heard(now, frm, who, word)
+    def heard(self, now, sender, identity, message: ViewMessage) -> list[ViewInstruction]:
+        if not isinstance(message, LeaseRequest):
+            return super().heard(now, sender, identity, message)
         with self._unaware(accepted=None):
-            return super().heard(now, frm, who, word)
+            return super().heard(now, sender, identity, message)
 
 
 class VotesWithoutAsking(Spoilt):
     """Who has started does not ask the others what they remember of it."""
 
     def votes(self, now: int) -> bool:
-        return super().votes(now) or (self.kept.votes and self.view is not None and self.me.name in self.view.names)
+        return super().votes(now) or (self.durable.votes and self.view is not None and self.me.name in self.view.names)
 
 
 class LossNotMinded(Spoilt):
     """Others remember more of this node than it does, and it votes all the same."""
 
-    def _went_back(self, mark: int) -> None:
-        self.kept = self.kept._replace(mark=mark)
+    def _state_rolled_back(self, write_count: int) -> None:
+        self.durable = self.durable._replace(write_count=write_count)
 
 
 class LostMemoryVotes(Spoilt):
@@ -124,8 +125,8 @@
 
     def _install(self, now, view) -> None:
         super()._install(now, view)
-        self.kept = self.kept._replace(votes=True)
-        self.checked = set(view.names)
+        self.durable = self.durable._replace(votes=True)
+        self.exchanged_with = set(view.names)
 
 
 class LeaseKeptByAcceptor(Spoilt):
@@ -154,7 +155,7 @@
 )
 
 
-def spoil(kind: type[Spoilt], views: Views, now: int) -> None:
+def spoil(kind: type[Spoilt], views: ViewAgreement, now: int) -> None:
     """From now on these views make that mistake."""
     views.__class__ = kind
     views.begin(now)
--- a/lab/cluster/simulate.py
+++ b/lab/cluster/simulate.py
@@ -16,12 +16,20 @@
 from lab.model_checker import InvariantViolation
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster.core import Core
-from lynxscale.relay.cluster.durable_state import Pending
-from lynxscale.relay.cluster.failure_detector import Renew, Send, Swap, Timing
-from lynxscale.relay.cluster.frame import Message, views_of
+from lynxscale.relay.cluster.durable_state import WriteQueue
+from lynxscale.relay.cluster.frame import Message, view_body
+from lynxscale.relay.cluster.instructions import (
+    FetchView,
+    PersistState,
+    RemovedFromView,
+    SendDatagram,
+    SendViewMessage,
+    StartExchange,
+    StartGeneration,
+)
 from lynxscale.relay.cluster.membership_table import Identity, State
-from lynxscale.relay.cluster.messages import Kept, View
-from lynxscale.relay.cluster.view_change import Fetch, Outvoted, Persist, Say, Terms
+from lynxscale.relay.cluster.messages import DurableState, View
+from lynxscale.relay.cluster.timing import DetectorTiming, ViewTiming
 
 SECOND = 1_000_000
 FORM, CALM = 20, 25  # seconds until the first view; after the last fault, for all to be one view again
@@ -46,7 +54,7 @@
     began: int
     paused: bool = False
     waiting: list = field(default_factory=list)  # what came while it was stopped
-    pending: Pending = field(default_factory=Pending)
+    pending: WriteQueue = field(default_factory=WriteQueue)
     renewing: bool = False
     tick_at: int = -1  # when it is looked at next; -1: not planned
 
@@ -58,7 +66,7 @@
     name: str
     rate: float
     offset: int
-    disk: tuple[int, Kept | None] | None = None  # life and memory
+    disk: tuple[int, DurableState | None] | None = None  # life and memory
     process: Process | None = None
 
     def local(self, at: int) -> int:
@@ -69,7 +77,16 @@
 
 
 DISK_US = 200, 8000  # of one write
-STEPS = ("due", "tick", "heard", "own", "message", "whole", "swapped", "on_disk")  # of a core
+STEPS = (
+    "due",
+    "tick",
+    "heard",
+    "receive_own",
+    "message",
+    "full_state",
+    "exchange_finished",
+    "state_persisted",
+)  # of a core
 
 
 def _over_the_wire(message: Message) -> bytes:
@@ -86,8 +103,8 @@
         self,
         nodes: int,
         seed: int,
-        timing: Timing | None = None,
-        terms: Terms | None = None,
+        timing: DetectorTiming | None = None,
+        terms: ViewTiming | None = None,
         mistake: Callable[[Core], None] | None = None,
         measure: bool = False,
     ) -> None:
@@ -212,20 +229,20 @@
         queue = list(orders)
         while queue:
             order = queue.pop(0)
-            if isinstance(order, Send):
-                self._send(machine, order.to, process.core.message(order.body, order.news))
-            elif isinstance(order, Say):
+            if isinstance(order, SendDatagram):
+                self._send(machine, order.to, process.core.message(order.body, order.updates))
+            elif isinstance(order, SendViewMessage):
                 if order.to == machine.name:
-                    queue += process.core.own(machine.local(self.now), order.word)
+                    queue += process.core.receive_own(machine.local(self.now), order.message)
                 else:
-                    self._send(machine, order.to, process.core.message(views_of(order.word)))
-            elif isinstance(order, Persist):
-                self._write(machine, process, order.kept, lambda order=order: self._kept(machine, process, order))
-            elif isinstance(order, (Swap, Fetch)):
-                to = order.to if isinstance(order, Swap) else order.frm
+                    self._send(machine, order.to, process.core.message(view_body(order.message)))
+            elif isinstance(order, PersistState):
+                self._write(machine, process, order.durable, lambda order=order: self._kept(machine, process, order))
+            elif isinstance(order, (StartExchange, FetchView)):
+                to = order.to if isinstance(order, StartExchange) else order.peer
                 self._swap(machine, process, to)
-            elif isinstance(order, (Renew, Outvoted)):
-                above = order.life if isinstance(order, Renew) else process.core.me.life
+            elif isinstance(order, (StartGeneration, RemovedFromView)):
+                above = order.generation if isinstance(order, StartGeneration) else process.core.me.generation
                 self._renew(machine, process, above)
             else:
                 self.log.append((self.now, machine.name, order.event, order.fields))
@@ -260,10 +277,10 @@
         if there.cut or back.cut or far is None or far.paused:
             self.at(self.now + SECOND, self._swapped, machine, process, None)
             return
-        asked = process.core.whole(answer=False)
+        asked = process.core.full_state(answer=False)
         if self.measure:
             self.bytes += 2 * len(self._clock(_over_the_wire)(asked))
-        answer = far.core.whole(answer=True)
+        answer = far.core.full_state(answer=True)
         late = self.chance.randrange(300, 9000)
         self.at(self.now + late, self._deliver, to, asked, True)
         self.at(self.now + 2 * late, self._swapped, machine, process, answer)
@@ -274,31 +291,31 @@
         now = machine.local(self.now)
         if answer is not None:
             self._go(machine, process, process.core.heard(now, answer, False))
-        self._go(machine, process, process.core.swapped(now, answer is None))
+        self._go(machine, process, process.core.exchange_finished(now, answer is None))
 
-    def _write(self, machine: Machine, process: Process, kept: Kept, then: Callable[[], None]) -> None:
+    def _write(self, machine: Machine, process: Process, kept: DurableState, then: Callable[[], None]) -> None:
         self._begin(machine, process, process.pending.put(kept, then))
 
-    def _begin(self, machine: Machine, process: Process, kept: Kept | None) -> None:
+    def _begin(self, machine: Machine, process: Process, kept: DurableState | None) -> None:
         if kept is not None:
             self.at(self.now + self.chance.randrange(*self.disk_us), self._written, machine, process, kept)
 
-    def _written(self, machine: Machine, process: Process, kept: Kept) -> None:
+    def _written(self, machine: Machine, process: Process, kept: DurableState) -> None:
         if machine.process is not process:
             return  # it died before: nothing of this is on disk
-        machine.disk = max(machine.disk[0], process.core.me.life), kept
+        machine.disk = max(machine.disk[0], process.core.me.generation), kept
         after = process.pending.done(True)
         self._begin(machine, process, process.pending.begin())
         for then in after:
             then()
 
-    def _kept(self, machine: Machine, process: Process, order: Persist) -> None:
+    def _kept(self, machine: Machine, process: Process, order: PersistState) -> None:
         if self._alive(machine, process, self._kept, machine, process, order):
-            process.core.on_disk(order.kept)
+            process.core.state_persisted(order.durable)
             self._go(machine, process, list(order.then))
 
     def _renew(self, machine: Machine, process: Process, above: int) -> None:
-        if process.renewing or above < process.core.me.life:
+        if process.renewing or above < process.core.me.generation:
             return
         process.renewing = True
 
@@ -314,10 +331,10 @@
 
     def _judge(self, machine: Machine, process: Process) -> None:
         """Hold what this node has now against all others, at this moment."""
-        views = process.core.views
+        views = process.core.agreement
         view = views.view
-        if views.split:
-            raise InvariantViolation(f"{machine.name}: {views.split}")
+        if views.conflict:
+            raise InvariantViolation(f"{machine.name}: {views.conflict}")
         if view is None:
             return
         known = self.digests.setdefault(view.number, view)
@@ -343,7 +360,7 @@
             process = other.process
             if process is None:
                 continue
-            theirs = process.core.views
+            theirs = process.core.agreement
             if (
                 theirs.number < view.number
                 and process.core.me not in view.members
@@ -361,10 +378,10 @@
             process = machine.process
             if process is None or process.paused:
                 return False
-            views = process.core.views
+            views = process.core.agreement
             if (
                 views.view is None
-                or views.view.life_of(name) != process.core.me
+                or views.view.identity_of(name) != process.core.me
                 or not views.may_act(machine.local(self.now))
                 or sorted(views.view.names) != sorted(names)
             ):
@@ -383,7 +400,7 @@
 
     def believes(self, who: str, of: str) -> State | None:
         process = self.machines[who].process
-        return process.core.detector.sight.state(of) if process is not None else None
+        return process.core.detector.membership.state(of) if process is not None else None
 
 
 def trouble(world: World, seconds: int) -> None:
@@ -528,14 +545,14 @@
         if process is None:
             rows.append(f"{name} is down")
             continue
-        views = process.core.views
+        views = process.core.agreement
         if views.number == newest and views.may_act(machine.local(world.now)):
             continue
         rows.append(
-            f"{name}/{process.core.me.life} {views.standing.value} in view {views.number} "
-            f"of {' '.join(f'{one.name}/{one.life}' for one in views.view.members) if views.view else '-'} "
-            f"votes {views.kept.votes} checked {sorted(views.checked)} "
-            f"sees {' '.join(process.core.detector.living())}"
+            f"{name}/{process.core.me.generation} {views.status.value} in view {views.number} "
+            f"of {' '.join(f'{one.name}/{one.generation}' for one in views.view.members) if views.view else '-'} "
+            f"votes {views.durable.votes} checked {sorted(views.exchanged_with)} "
+            f"sees {' '.join(process.core.detector.reachable())}"
         )
     rows[SHOWN:] = [f"and {len(rows) - SHOWN} more"] if len(rows) > SHOWN else []
     head = f"view {newest} has {len(world.digests[newest].members)} members" if newest else "no view"
--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -202,8 +202,8 @@
     for path, conf in files[1:]:
         differ(path, "name", conf.cluster.name, one.cluster.name)
         differ(path, "probe", conf.cluster.probe, one.cluster.probe)
-        mine = {setting.word: setting for setting in settings.of(conf)}
-        theirs = {setting.word: setting for setting in settings.of(one)}
+        mine = {setting.directive: setting for setting in settings.of(conf)}
+        theirs = {setting.directive: setting for setting in settings.of(one)}
         for word in theirs | mine:
             none = f"no {word}"
             differ(
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -15,11 +15,13 @@
 from lynxscale.relay.cluster import settings
 from lynxscale.relay.cluster.core import Core
 from lynxscale.relay.cluster.driver import INBOUND_MOST, OUTBOUND_MOST, Clock, Driver
-from lynxscale.relay.cluster.durable_state import FOLDER, Foreign, Pending, Store
-from lynxscale.relay.cluster.failure_detector import LIVING, SLOW_DISK, Renew, Timing, Told, slow_words
+from lynxscale.relay.cluster.durable_state import FOLDER, ForeignStateError, StateStore, WriteQueue
+from lynxscale.relay.cluster.failure_detector import REACHABLE_STATES, SLOW_DISK, slow_reasons
+from lynxscale.relay.cluster.instructions import LogEvent, RemovedFromView, StartGeneration
 from lynxscale.relay.cluster.membership_table import Identity
-from lynxscale.relay.cluster.messages import Kept, committee_of
-from lynxscale.relay.cluster.view_change import Note, Outvoted, Standing, Terms
+from lynxscale.relay.cluster.messages import DurableState, committee_of
+from lynxscale.relay.cluster.timing import detector_timing, view_timing
+from lynxscale.relay.cluster.view_change import ViewStatus
 from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf import platform
 from lynxscale.relay.conf.platform import Address, Config
@@ -40,44 +42,19 @@
     return {row["name"]: platform.address(row["at"], "member") for row in conf.member}
 
 
-def timing_of(probe: int) -> Timing:
-    """The detector's times, all in step with its period."""
-    usual = Timing()
-    scale = probe / usual.period
-    return Timing(
-        probe,
-        **{
-            name: max(1, int(getattr(usual, name) * scale))
-            for name in ("direct", "again", "least", "most", "pause", "far_every", "first_swap", "hurry")
-        },
-    )
-
-
-def terms_of(probe: int) -> Terms:
-    """The views' times, in step with the detector's period."""
-    usual = Terms()
-    scale = probe / Timing().period
-    return Terms(
-        **{
-            name: max(1, int(getattr(usual, name) * scale))
-            for name in ("lease", "settle", "turn", "resend", "give_up", "rest", "fresh", "hold_off")
-        }
-    )
-
-
-class Keeper:
+class StateWriter:
     """Puts what must not be forgotten on disk, in a thread, one write after the other, as ``Pending`` has them."""
 
-    def __init__(self, store: Store, failed: Callable[[str], None], slow: Callable[[], None]) -> None:
+    def __init__(self, store: StateStore, failed: Callable[[str], None], slow: Callable[[], None]) -> None:
         self._store, self._failed, self._slow = store, failed, slow
-        self._pending = Pending()
+        self._queue = WriteQueue()
         self.since = 0.0  # when the write under way began, by time.monotonic; 0: none is
 
-    def put(self, life: int, kept: Kept, then: Callable[[], None]) -> None:
+    def put(self, generation: int, durable: DurableState, then: Callable[[], None]) -> None:
         """``then`` is called in the loop once it is on disk, never where it could not be written."""
-        self._write(self._pending.put((life, kept), then))
+        self._write(self._queue.put((generation, durable), then))
 
-    def _write(self, what: tuple[int, Kept] | None) -> None:
+    def _write(self, what: tuple[int, DurableState] | None) -> None:
         if what is None:
             return
         self.since = time.monotonic()
@@ -88,8 +65,8 @@
             self.since = 0.0
             if isinstance(result, Failure):
                 self._failed(str(result.value))
-            after = self._pending.done(not isinstance(result, Failure))
-            self._write(self._pending.begin())
+            after = self._queue.done(not isinstance(result, Failure))
+            self._write(self._queue.begin())
             for then in after:
                 then()
 
@@ -105,18 +82,18 @@
         conf = self._conf = context.product.cluster
         self._reactor, self._deadlines, self._state = context.reactor, context.deadlines, Path(context.conf.state)
         name = context.conf.name
-        self._store = Store(self._state, conf.name, name)
+        self._store = StateStore(self._state, conf.name, name)
         try:
             found = self._store.load()
-        except Foreign as error:
+        except ForeignStateError as error:
             raise platform.PlatformError(f"state: {error}") from error
         if found.reason:
             log.error("cluster_forgot", reason=found.reason)
         stored = found.stored
-        self._life = 1 + (stored.life if stored is not None else 0)
-        kept = stored.kept if stored is not None else None
-        self._store.save(self._life, kept)
-        me = Identity(name, self._life, int.from_bytes(os.urandom(8)) >> 1)
+        self._generation = 1 + (stored.generation if stored is not None else 0)
+        durable = stored.durable if stored is not None else None
+        self._store.save(self._generation, durable)
+        me = Identity(name, self._generation, int.from_bytes(os.urandom(8)) >> 1)
         addresses, seed = addresses_of(conf), str(context.conf.seed)
         self._clock = Clock(context.deadlines)
         now = self._clock.turn()
@@ -125,13 +102,13 @@
             addresses,
             seed,
             now,
-            kept,
-            timing_of(conf.probe),
-            terms_of(conf.probe),
+            durable,
+            detector_timing(conf.probe),
+            view_timing(conf.probe),
             settings.digests(context.product),
         )
-        self._detector, self._views = self._core.detector, self._core.views
-        self._keeper = Keeper(self._store, self._not_saved, lambda: self._driver.slow(SLOW_DISK))
+        self._detector, self._agreement = self._core.detector, self._core.agreement
+        self._writer = StateWriter(self._store, self._not_saved, lambda: self._driver.slow(SLOW_DISK))
         self._driver = Driver(
             context.reactor,
             context.deadlines,
@@ -142,8 +119,8 @@
             addresses,
             self._core,
             conf.probe,
-            self._told,
-            lambda kept, then: self._keeper.put(self._life, kept, then),
+            self._on_event,
+            lambda durable, then: self._writer.put(self._generation, durable, then),
         )
         self._renewing = self._stopped = self._writing = False
         self._begun = now
@@ -159,10 +136,10 @@
             "cluster_begun",
             cluster=self._conf.name,
             node=me.name,
-            life=me.life,
+            life=me.generation,
             boot=f"{me.boot:x}",
-            nodes=len(self._detector.sight.names),
-            can_lose=(len(self._detector.sight.names) - 1) // 2,
+            nodes=len(self._detector.membership.names),
+            can_lose=(len(self._detector.membership.names) - 1) // 2,
         )
         self._write_status()
 
@@ -192,84 +169,84 @@
         self._save_status()
 
     def counters(self) -> dict[str, dict[str, int]]:
-        states = [known.rumour.state.name.lower() for known in self._detector.sight]
+        states = [record.update.state.name.lower() for record in self._detector.membership]
         return {
             "cluster": {
-                "life": self._detector.me.life,
-                "view": self._views.number,
-                "doubt": self._detector.doubt,
-                **{f"dropped_{reason}": number for reason, number in self._core.dropped.items()},
+                "life": self._detector.me.generation,
+                "view": self._agreement.number,
+                "doubt": self._detector.health_score,
+                **{f"dropped_{reason}": number for reason, number in self._core.dropped_frames.items()},
                 **{f"nodes_{state}": states.count(state) for state in sorted(set(states))},
             }
         }
 
     def may_act(self) -> bool:
         """Is this node in the view by a lease of a majority, at this very moment? To be asked right before an act."""
-        return self._views.may_act(self._clock.fresh())
+        return self._agreement.may_act(self._clock.fresh())
 
     # What detector and views tell ----------------------------------------------------------------
 
-    def _told(self, told: Told | Renew | Note | Outvoted) -> None:
-        if isinstance(told, Renew):
-            self._renew(told.life, "others knew a later life")
-        elif isinstance(told, Outvoted):
-            self._renew(self._life, f"view {told.view} is without this life")
+    def _on_event(self, event: LogEvent | StartGeneration | RemovedFromView) -> None:
+        if isinstance(event, StartGeneration):
+            self._renew(event.generation, "others knew a later life")
+        elif isinstance(event, RemovedFromView):
+            self._renew(self._generation, f"view {event.view} is without this life")
         else:
-            level = "error" if told.event in ERRORS else "warning" if told.event in WARNINGS else "info"
-            getattr(log, level)(f"cluster_{told.event}", **told.fields)
+            level = "error" if event.event in ERRORS else "warning" if event.event in WARNINGS else "info"
+            getattr(log, level)(f"cluster_{event.event}", **event.fields)
 
-    def _renew(self, above: int, why: str) -> None:
+    def _renew(self, above: int, reason: str) -> None:
         """Begin a later life than any that is known."""
-        before = self._detector.me.life
+        before = self._detector.me.generation
         if self._renewing or self._stopped or above < before:
             return
         self._renewing = True
-        self._life = max(self._life, above + 1)
+        self._generation = max(self._generation, above + 1)
 
         def saved() -> None:
             self._renewing = False
-            log.warning("cluster_new_life", life=self._life, before=before, why=why)
-            self._driver.renew(self._life)
+            log.warning("cluster_new_life", life=self._generation, before=before, why=reason)
+            self._driver.renew(self._generation)
 
-        self._keeper.put(self._life, self._views.kept, saved)
+        self._writer.put(self._generation, self._agreement.durable, saved)
 
     def _not_saved(self, error: str) -> None:
         self._driver.slow(SLOW_DISK)
         log.error("cluster_not_saved", error=error)
         if self._renewing:  # votes are asked for again by whoever proposes; this is ours to do
             self._renewing = False
-            self._deadlines.after(STATUS_EVERY, self._renew, self._detector.me.life, "a write that failed")
+            self._deadlines.after(STATUS_EVERY, self._renew, self._detector.me.generation, "a write that failed")
 
     # For operators -------------------------------------------------------------------------------
 
     def status(self) -> dict:
         """What this node knows; ages in ms."""
-        detector, views, now = self._detector, self._views, self._clock.fresh()
-        view = views.view
+        detector, agreement, now = self._detector, self._agreement, self._clock.fresh()
+        view = agreement.view
         zones = {row["name"]: row.get("zone") for row in self._conf.member}
         nodes = []
         for row in self._conf.member:
             name = row["name"]
-            known, answered = detector.sight.get(name), detector.answered.get(name)
-            rumour = known.rumour if known is not None else None
+            record, answered = detector.membership.get(name), detector.last_answered.get(name)
+            update = record.update if record is not None else None
             nodes.append(
                 {
                     "name": name,
                     "at": row["at"],
                     "zone": zones[name],
-                    "state": rumour.state.name.lower() if rumour else "unheard",
-                    "since_ms": (now - known.since) // 1000 if known else None,
-                    "life": rumour.life if rumour else None,
-                    "boot": f"{rumour.boot:x}" if rumour else None,
-                    "word": rumour.word if rumour else None,
+                    "state": update.state.name.lower() if update else "unheard",
+                    "since_ms": (now - record.since) // 1000 if record else None,
+                    "life": update.generation if update else None,
+                    "boot": f"{update.boot:x}" if update else None,
+                    "word": update.incarnation if update else None,
                     "answered_ms": (now - answered) // 1000 if answered is not None else None,
                     "in_view": name in view.names if view is not None else False,
-                    "doubted_by": sorted(known.doubters) if known else [],
-                    "slow": slow_words(self._slow_of(name)),
-                    "differs": self._core.differing.get(name, ()),
+                    "doubted_by": sorted(record.suspected_by) if record else [],
+                    "slow": slow_reasons(self._slow_of(name)),
+                    "differs": self._core.differing_settings.get(name, ()),
                     "seen_as": {
                         far: {"state": states[name], "ms": (now - at) // 1000}
-                        for far, (at, states) in self._core.as_others_see.items()
+                        for far, (at, states) in self._core.states_seen_by.items()
                         if name in states
                     },
                 }
@@ -277,29 +254,32 @@
         return {
             "cluster": self._conf.name,
             "node": detector.me.name,
-            "life": detector.me.life,
+            "life": detector.me.generation,
             "boot": f"{detector.me.boot:x}",
             "pid": os.getpid(),
             "ts": round(time.time(), 3),
             "up_ms": (now - self._begun) // 1000,
-            "settled": detector.settled,
-            "doubt": detector.doubt,
-            "living": sum(known.rumour.state in LIVING for known in detector.sight),
-            "standing": views.standing.value
-            if views.may_act(now) or views.standing is not Standing.MEMBER
-            else Standing.CUT_OFF.value,
-            "lease_ms": max(0, views.lease_until(now) - now) // 1000,
-            "votes": views.kept.votes,
-            "grants": views.reach(now),
-            "split": views.split,
+            "settled": detector.contacted,
+            "doubt": detector.health_score,
+            "living": sum(record.update.state in REACHABLE_STATES for record in detector.membership),
+            "standing": agreement.status.value
+            if agreement.may_act(now) or agreement.status is not ViewStatus.MEMBER
+            else ViewStatus.CUT_OFF.value,
+            "lease_ms": max(0, agreement.lease_until(now) - now) // 1000,
+            "votes": agreement.durable.votes,
+            "grants": agreement.lease_grantors(now),
+            "split": agreement.conflict,
             "view": None
             if view is None
             else {
                 "number": view.number,
                 "lineage": f"{view.lineage:x}",
                 "digest": f"{view.digest:x}",
-                "members": [one._asdict() | {"boot": f"{one.boot:x}"} for one in view.members],
-                "asked_for_leases": sorted(committee_of(view, views.terms.committee)),
+                "members": [
+                    {"name": member.name, "life": member.generation, "boot": f"{member.boot:x}"}
+                    for member in view.members
+                ],
+                "asked_for_leases": sorted(committee_of(view, agreement.timing.committee_size)),
                 "can_lose": (len(view.members) - 1) // 2,
             },
             "nodes": nodes,
@@ -307,21 +287,21 @@
 
     def _forget(self, query: str) -> tuple[int, dict]:
         name = query.removeprefix("name=")
-        why = self._views.forget(self._clock.turn(), name)
-        if why:
-            return 409, {"said": why}
+        reason = self._agreement.forget(self._clock.turn(), name)
+        if reason:
+            return 409, {"said": reason}
         log.warning("cluster_forget", node=name)
         return 200, {"said": f"{name} goes with the next view, if a majority agrees"}
 
     def _slow_of(self, name: str) -> int:
         detector = self._detector
-        return detector.slow if name == detector.me.name else detector.slowness.get(name, 0)
+        return detector.slow if name == detector.me.name else detector.peer_slowness.get(name, 0)
 
     def _write_status(self) -> None:
         if self._stopped:
             return
         self._deadlines.after(STATUS_EVERY, self._write_status)
-        if self._keeper.since and time.monotonic() - self._keeper.since > DISK_SLOW_S:
+        if self._writer.since and time.monotonic() - self._writer.since > DISK_SLOW_S:
             self._driver.slow(SLOW_DISK)
         if self._writing:  # guards against a stalled disk: one write waits there, no more
             self._driver.slow(SLOW_DISK)
--- a/lynxscale/relay/cluster/core.py
+++ b/lynxscale/relay/cluster/core.py
@@ -12,11 +12,13 @@
 from collections.abc import Iterable, Mapping
 
 from lynxscale.relay.cluster import frame
-from lynxscale.relay.cluster.failure_detector import Action, Detector, Timing, Told
-from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, Window
-from lynxscale.relay.cluster.membership_table import Identity, Rumour
-from lynxscale.relay.cluster.messages import Kept, View, Word
-from lynxscale.relay.cluster.view_change import Note, Order, Terms, Views
+from lynxscale.relay.cluster.failure_detector import FailureDetector
+from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, ReplayWindow
+from lynxscale.relay.cluster.instructions import DetectorInstruction, LogEvent, ViewInstruction
+from lynxscale.relay.cluster.membership_table import Identity, MemberUpdate
+from lynxscale.relay.cluster.messages import DurableState, View, ViewMessage
+from lynxscale.relay.cluster.timing import DetectorTiming, ViewTiming
+from lynxscale.relay.cluster.view_change import ViewAgreement
 
 BOOTS_KEPT = 4  # processes of one node whose frames are told from one another: those of its last lives, or of twins
 
@@ -30,21 +32,23 @@
         names: Iterable[str],
         seed: str,
         now: int,
-        kept: Kept | None,
-        timing: Timing | None = None,
-        terms: Terms | None = None,
+        durable: DurableState | None,
+        timing: DetectorTiming | None = None,
+        view_timing: ViewTiming | None = None,
         settings: Mapping[str, int] | None = None,
     ) -> None:
-        self.detector = Detector(me, names, seed, now, timing)
-        self.views = Views(me, names, seed, now, kept, self.detector.sight, self.detector.answered, terms)
-        self.dropped: Counter[str] = Counter()
+        self.detector = FailureDetector(me, names, seed, now, timing)
+        self.agreement = ViewAgreement(
+            me, names, seed, now, durable, self.detector.membership, self.detector.last_answered, view_timing
+        )
+        self.dropped_frames: Counter[str] = Counter()
         self.settings = dict(settings or {})  # digests of what all have to agree on
-        self.differing: dict[str, tuple[str, ...]] = {}  # by node, the groups of settings that are others there
-        self.as_others_see: dict[str, tuple[int, dict[str, str]]] = {}  # by node, when it told, and the states
-        self._mark = self.views.kept.mark  # of what is on disk
-        self._listed: View | None = None  # the view whose members the detector has been told
+        self.differing_settings: dict[str, tuple[str, ...]] = {}  # by node: groups that differ from ours
+        self.states_seen_by: dict[str, tuple[int, dict[str, str]]] = {}  # by node, when it told, and the states
+        self._write_count = self.agreement.durable.write_count  # of what is on disk
+        self._installed_view: View | None = None  # the view whose members the detector has been told
         self._number = 0
-        self._windows: dict[str, dict[int, Window]] = {}
+        self._replay_windows: dict[str, dict[int, ReplayWindow]] = {}
 
     @property
     def me(self) -> Identity:
@@ -52,114 +56,125 @@
 
     def due(self) -> int:
         """When ``tick`` is wanted next, at the latest."""
-        return min(self.detector.due(), self.views.due())
+        return min(self.detector.due(), self.agreement.due())
 
-    def tick(self, now: int) -> list[Action | Order]:
+    def tick(self, now: int) -> list[DetectorInstruction | ViewInstruction]:
         """The time has come to look."""
-        orders: list[Action | Order] = []
+        instructions: list[DetectorInstruction | ViewInstruction] = []
         if now >= self.detector.due():
-            orders += self._seen(now, self.detector.tick(now))
-        if now >= self.views.due():
-            orders += self.views.tick(now)
-        return orders + self._list(now)
+            instructions += self._forward_changes(now, self.detector.tick(now))
+        if now >= self.agreement.due():
+            instructions += self.agreement.tick(now)
+        return instructions + self._install_view(now)
 
-    def _list(self, now: int) -> list[Action | Order]:
+    def _install_view(self, now: int) -> list[DetectorInstruction | ViewInstruction]:
         """Guards against a process with a lower life than one that the view has: all who knew may have started anew."""
-        view = self.views.view
-        if view is None or view is self._listed:
+        view = self.agreement.view
+        if view is None or view is self._installed_view:
             return []
-        self._listed = view
-        return [*self.detector.listed(now, view.members)]
+        self._installed_view = view
+        return [*self.detector.view_installed(now, view.members)]
 
-    def heard(self, now: int, message: Message, reached: bool) -> list[Action | Order]:
+    def heard(self, now: int, message: Message, reached: bool) -> list[DetectorInstruction | ViewInstruction]:
         """A frame that is whole. ``reached``: it came to this node's address, not as an answer on our connection."""
-        name, detector, views = message.frm, self.detector, self.views
-        if name not in detector.sight.names or name == self.me.name:
-            self.dropped["own_name" if name == self.me.name else "unknown"] += 1
+        name, detector, agreement = message.sender, self.detector, self.agreement
+        if name not in detector.membership.names or name == self.me.name:
+            self.dropped_frames["own_name" if name == self.me.name else "unknown"] += 1
             return []
-        if not self._fresh(name, message.boot, message.number):
-            self.dropped["replayed"] += 1
+        if not self._is_new_frame(name, message.boot, message.number):
+            self.dropped_frames["replayed"] += 1
             return []
-        orders = self._seen(now, detector.heard(now, message, reached))
-        known, who = detector.sight.get(name), Identity(name, message.life, message.boot)
-        if known is None or known.rumour.who != who:
+        instructions = self._forward_changes(now, detector.heard(now, message, reached))
+        record, identity = detector.membership.get(name), Identity(name, message.generation, message.boot)
+        if record is None or record.update.identity != identity:
             # Guards against a process that speaks in a node's name and does not answer at its address.
-            self.dropped["unreached"] += 1
-            return orders
-        orders += views.behind(now, name, message.view, message.mark)
+            self.dropped_frames["unreached"] += 1
+            return instructions
+        instructions += agreement.peer_view_seen(now, name, message.view, message.write_count)
         body = message.body
         if isinstance(body, Exchange):
-            orders += views.exchanged(now, name, body.view, body.marks)
-            self.as_others_see[name] = now, {news.name: news.state.name.lower() for news in message.news}
-            orders += self._differ(name, body.settings)
-        elif isinstance(body, frame.Views):
+            instructions += agreement.receive_exchange(now, name, body.view, body.write_counts)
+            self.states_seen_by[name] = now, {update.name: update.state.name.lower() for update in message.updates}
+            instructions += self._compare_settings(name, body.settings)
+        elif isinstance(body, frame.ViewBody):
             try:
-                orders += views.heard(now, name, who, body.read())
+                instructions += agreement.heard(now, name, identity, body.read())
             except BadFrame as error:
-                self.dropped[error.reason] += 1
-        return orders + self._list(now)
+                self.dropped_frames[error.reason] += 1
+        return instructions + self._install_view(now)
 
-    def _differ(self, name: str, theirs: Mapping[str, int]) -> list[Action | Order]:
+    def _compare_settings(self, name: str, theirs: Mapping[str, int]) -> list[DetectorInstruction | ViewInstruction]:
         """Told once a change: who is known by its settings is not refused, as files change one after the other."""
         groups = tuple(
             sorted(group for group in set(theirs) | set(self.settings) if theirs.get(group) != self.settings.get(group))
         )
-        if groups == self.differing.get(name, ()):
+        if groups == self.differing_settings.get(name, ()):
             return []
-        self.differing[name] = groups
-        return [Note("differs", {"node": name, "settings": " ".join(groups) or "none"})]
+        self.differing_settings[name] = groups
+        return [LogEvent("differs", {"node": name, "settings": " ".join(groups) or "none"})]
 
-    def _seen(self, now: int, actions: list[Action]) -> list[Action | Order]:
+    def _forward_changes(
+        self, now: int, actions: list[DetectorInstruction]
+    ) -> list[DetectorInstruction | ViewInstruction]:
         """What the detector asks for; what it has come to believe concerns the views."""
-        if any(isinstance(action, Told) and action.event == "node" for action in actions):
-            self.views.changed(now)
+        if any(isinstance(action, LogEvent) and action.event == "node" for action in actions):
+            self.agreement.membership_changed(now)
         return [*actions]
 
-    def _fresh(self, name: str, boot: int, number: int) -> bool:
-        windows = self._windows.setdefault(name, {})
+    def _is_new_frame(self, name: str, boot: int, number: int) -> bool:
+        windows = self._replay_windows.setdefault(name, {})
         if boot not in windows:
             if len(windows) >= BOOTS_KEPT:
                 del windows[next(iter(windows))]
-            windows[boot] = Window()
+            windows[boot] = ReplayWindow()
         return windows[boot].fresh(number)
 
-    def own(self, now: int, word: Word) -> list[Order]:
+    def receive_own(self, now: int, message: ViewMessage) -> list[ViewInstruction]:
         """A word of this node to itself."""
-        return self.views.heard(now, self.me.name, self.me, word)
+        return self.agreement.heard(now, self.me.name, self.me, message)
 
-    def on_disk(self, kept: Kept) -> None:
+    def state_persisted(self, durable: DurableState) -> None:
         """That much would outlast the process."""
-        self._mark = max(self._mark, kept.mark)
+        self._write_count = max(self._write_count, durable.write_count)
 
-    def message(self, body: frame.Body, news: Iterable[Rumour] = ()) -> Message:
+    def message(self, body: frame.Body, updates: Iterable[MemberUpdate] = ()) -> Message:
         """What is sent, each time under a number of its own."""
         detector = self.detector
         self._number += 1
         return Message(
-            *detector.me, detector.word, self._number, detector.slow, self.views.number, self._mark, body, list(news)
+            *detector.me,
+            detector.incarnation,
+            self._number,
+            detector.slow,
+            self.agreement.number,
+            self._write_count,
+            body,
+            list(updates),
         )
 
-    def whole(self, answer: bool) -> Message:
+    def full_state(self, answer: bool) -> Message:
         """All that this node believes and knows."""
-        marks = self.views.marks | {self.me.name: self._mark}
-        return self.message(Exchange(answer, self.views.view, marks, self.settings), self.detector.whole())
+        write_counts = self.agreement.write_counts | {self.me.name: self._write_count}
+        return self.message(
+            Exchange(answer, self.agreement.view, write_counts, self.settings), self.detector.full_state()
+        )
 
-    def swapped(self, now: int, failed: bool) -> list[Action | Order]:
+    def exchange_finished(self, now: int, failed: bool) -> list[DetectorInstruction | ViewInstruction]:
         """An exchange that was asked for is over."""
-        return [*self.detector.swapped(now, failed)]
+        return [*self.detector.exchange_finished(now, failed)]
 
-    def renew(self, now: int, life: int) -> list[Action | Order]:
+    def renew(self, now: int, generation: int) -> list[DetectorInstruction | ViewInstruction]:
         """A later life of this process has begun, on disk."""
-        return [*self.detector.renew(now, life), *self.views.renew(now, self.detector.me)]
+        return [*self.detector.renew(now, generation), *self.agreement.renew(now, self.detector.me)]
 
-    def rename(self, now: int, names: Iterable[str]) -> list[Action | Order]:
+    def rename(self, now: int, names: Iterable[str]) -> list[DetectorInstruction | ViewInstruction]:
         """Another configuration names these nodes."""
         names = set(names)
-        for table in (self._windows, self.differing, self.as_others_see):
+        for table in (self._replay_windows, self.differing_settings, self.states_seen_by):
             for name in set(table) - names:
                 del table[name]
-        return [*self.detector.rename(now, names), *self.views.rename(now, names)]
+        return [*self.detector.rename(now, names), *self.agreement.rename(now, names)]
 
-    def leave(self, now: int) -> list[Action | Order]:
+    def leave(self, now: int) -> list[DetectorInstruction | ViewInstruction]:
         """This process ends, and acts no more."""
-        return [*self.views.leave(now), *self.detector.leave(now)]
+        return [*self.agreement.leave(now), *self.detector.leave(now)]
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -13,10 +13,21 @@
 
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster.core import Core
-from lynxscale.relay.cluster.failure_detector import SLOW_TURN, Action, Renew, Send, Swap, Told
-from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, views_of
-from lynxscale.relay.cluster.messages import Kept
-from lynxscale.relay.cluster.view_change import Fetch, Note, Order, Outvoted, Persist, Say
+from lynxscale.relay.cluster.failure_detector import SLOW_TURN
+from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, view_body
+from lynxscale.relay.cluster.instructions import (
+    DetectorInstruction,
+    FetchView,
+    LogEvent,
+    PersistState,
+    RemovedFromView,
+    SendDatagram,
+    SendViewMessage,
+    StartExchange,
+    StartGeneration,
+    ViewInstruction,
+)
+from lynxscale.relay.cluster.messages import DurableState
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines
 from lynxscale.relay.net.close_reason import CloseReason
@@ -34,7 +45,7 @@
 ANSWERED, ASKED, LATE, BAD, CROWDED = "answered", "asked", "late", "bad_frame", "crowded"
 
 
-class Bucket:
+class TokenBucket:
     """So many a second, and so many at once."""
 
     def __init__(self, rate: int, burst: int) -> None:
@@ -71,10 +82,10 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self._deadline = self._driver.deadlines.after(EXCHANGE_MS * 1000, self._drop, LATE)
-        if not self._driver.joined(self):
+        if not self._driver.stream_opened(self):
             self._drop(CROWDED)
         elif self._to:
-            self.transport.write(self._driver.whole(answer=False))
+            self.transport.write(self._driver.full_state(answer=False))
 
     def dataReceived(self, data: bytes) -> None:
         if self._reason is not None:
@@ -98,7 +109,7 @@
             self.transport.loseConnection()
         else:
             self._reason = ASKED
-            self.transport.write(self._driver.whole(answer=True))
+            self.transport.write(self._driver.full_state(answer=True))
             self.transport.loseConnection()
         self._driver.heard(message, reached=not self._to)
 
@@ -108,13 +119,13 @@
 
     def connectionLost(self, reason: Failure) -> None:
         self._driver.deadlines.cancel(self._deadline)
-        self._driver.left(self)
+        self._driver.stream_closed(self)
         log.info("connection", kind="cluster", node=self._to or None, reason=self._reason or CloseReason.REMOTE_CLOSED)
         if self._to:
-            self._driver.swapped(self._to, failed=self._reason != ANSWERED)
+            self._driver.exchange_finished(self._to, failed=self._reason != ANSWERED)
 
 
-class Asked(Factory):
+class InboundFactory(Factory):
     noisy = False
 
     def __init__(self, driver: Driver) -> None:
@@ -124,7 +135,7 @@
         return Stream(self._driver)
 
 
-class Asking(ClientFactory):
+class OutboundFactory(ClientFactory):
     noisy = False
 
     def __init__(self, driver: Driver, to: str) -> None:
@@ -134,7 +145,7 @@
         return Stream(self._driver, self._to)
 
     def clientConnectionFailed(self, _connector, _reason: Failure) -> None:
-        self._driver.swapped(self._to, failed=True)
+        self._driver.exchange_finished(self._to, failed=True)
 
 
 class Clock:
@@ -172,27 +183,27 @@
         addresses: Mapping[str, Address],
         core: Core,
         probe: int,
-        told: Callable[[Told | Renew | Note | Outvoted], None],
-        keep: Callable[[Kept, Callable[[], None]], None],
+        on_event: Callable[[LogEvent | StartGeneration | RemovedFromView], None],
+        keep: Callable[[DurableState, Callable[[], None]], None],
     ) -> None:
         self._reactor, self.deadlines, self._clock, self._counters = reactor, deadlines, clock, counters
-        self.key, self._listen, self._told, self._keep = frame.key_of(cluster, probe), listen, told, keep
+        self.key, self._listen, self._on_event, self._keep = frame.cluster_key(cluster, probe), listen, on_event, keep
         self.core = core
         self._addresses = dict(addresses)
         self._timer: Deadline | None = None
         self._udp = self._tcp = None
         self._streams: set[Stream] = set()
-        self._asking: set[str] = set()
-        self._orders: deque[Action | Order] = deque()
-        self._going = False
-        self._refused: set[tuple[str, str]] = set()  # whose frames were refused and why, as told
+        self._outbound_peers: set[str] = set()
+        self._queue: deque[DetectorInstruction | ViewInstruction] = deque()
+        self._carrying_out = False
+        self._reported: set[tuple[str, str]] = set()  # whose frames were refused and why, as told
         self._slow: dict[int, int] = {}  # why, and until when
-        self._out, self._in = Bucket(BYTES_PER_S, BYTES_BURST), Bucket(READ_PER_S, READ_BURST)
+        self._send_limit, self._read_limit = TokenBucket(BYTES_PER_S, BYTES_BURST), TokenBucket(READ_PER_S, READ_BURST)
 
     def start(self) -> None:
         """Raises CannotListenError where the address cannot be had."""
         host, port = self._listen
-        self._tcp = self._reactor.listenTCP(port, Asked(self), interface=host)
+        self._tcp = self._reactor.listenTCP(port, InboundFactory(self), interface=host)
         self._udp = self._reactor.listenUDP(port, Datagrams(self), interface=host)
         self.go(self.core.tick(self._clock.turn()))
 
@@ -213,9 +224,9 @@
         self._addresses = dict(addresses)
         self.go(self.core.rename(self._clock.turn(), addresses))
 
-    def renew(self, life: int) -> None:
+    def renew(self, generation: int) -> None:
         """A later life of this process has begun, on disk."""
-        self.go(self.core.renew(self._clock.turn(), life))
+        self.go(self.core.renew(self._clock.turn(), generation))
 
     def slow(self, bit: int) -> None:
         """This node has a reason to call itself slow, for some time."""
@@ -224,39 +235,39 @@
 
     # Orders --------------------------------------------------------------------------------------
 
-    def go(self, orders: Iterable[Action | Order]) -> None:
+    def go(self, instructions: Iterable[DetectorInstruction | ViewInstruction]) -> None:
         """Carry out what is asked for, one after the other, and look again when that is wanted."""
-        self._orders.extend(orders)
-        if self._going:
+        self._queue.extend(instructions)
+        if self._carrying_out:
             return
-        self._going = True
+        self._carrying_out = True
         try:
-            while self._orders:
-                self._order(self._orders.popleft())
+            while self._queue:
+                self._carry_out(self._queue.popleft())
         finally:
-            self._going = False
+            self._carrying_out = False
         self._arm()
 
-    def _order(self, order: Action | Order) -> None:
-        if isinstance(order, Send):
-            self._send(order.to, self.core.message(order.body, order.news))
-        elif isinstance(order, Say):
-            if order.to == self.core.me.name:
-                self.go(self.core.own(self._clock.turn(), order.word))
+    def _carry_out(self, instruction: DetectorInstruction | ViewInstruction) -> None:
+        if isinstance(instruction, SendDatagram):
+            self._send(instruction.to, self.core.message(instruction.body, instruction.updates))
+        elif isinstance(instruction, SendViewMessage):
+            if instruction.to == self.core.me.name:
+                self.go(self.core.receive_own(self._clock.turn(), instruction.message))
             else:
-                self._send(order.to, self.core.message(views_of(order.word)))
-        elif isinstance(order, Persist):
-            self._keep(order.kept, lambda: self._kept(order))
-        elif isinstance(order, Swap):
-            self._swap(order.to)
-        elif isinstance(order, Fetch):
-            self._swap(order.frm)
+                self._send(instruction.to, self.core.message(view_body(instruction.message)))
+        elif isinstance(instruction, PersistState):
+            self._keep(instruction.durable, lambda: self._persisted(instruction))
+        elif isinstance(instruction, StartExchange):
+            self._start_exchange(instruction.to)
+        elif isinstance(instruction, FetchView):
+            self._start_exchange(instruction.peer)
         else:
-            self._told(order)
+            self._on_event(instruction)
 
-    def _kept(self, order: Persist) -> None:
-        self.core.on_disk(order.kept)
-        self.go(order.then)
+    def _persisted(self, instruction: PersistState) -> None:
+        self.core.state_persisted(instruction.durable)
+        self.go(instruction.then)
 
     def _arm(self) -> None:
         if self._udp is None:
@@ -281,16 +292,16 @@
 
     # Out -----------------------------------------------------------------------------------------
 
-    def whole(self, answer: bool) -> bytes:
+    def full_state(self, answer: bool) -> bytes:
         """A frame with all that this node believes and knows."""
-        return frame.encode(self.key, self.core.whole(answer))
+        return frame.encode(self.key, self.core.full_state(answer))
 
     def _send(self, to: str, message: Message) -> None:
         address = self._addresses.get(to)
         if address is None or self._udp is None:
             return
         data = frame.encode(self.key, message)
-        if not self._out.take(self.deadlines.now(), len(data)):
+        if not self._send_limit.take(self.deadlines.now(), len(data)):
             self._counters.add(GROUP, "over_budget")
             return
         try:
@@ -301,19 +312,24 @@
         self._counters.add(GROUP, "datagrams_out")
         self._counters.add(GROUP, "bytes_out", len(data))
 
-    def _swap(self, to: str) -> None:
+    def _start_exchange(self, to: str) -> None:
         address = self._addresses.get(to)
-        if address is None or self._udp is None or to in self._asking or len(self._asking) >= OUTBOUND_MOST:
+        if (
+            address is None
+            or self._udp is None
+            or to in self._outbound_peers
+            or len(self._outbound_peers) >= OUTBOUND_MOST
+        ):
             return
-        self._asking.add(to)
+        self._outbound_peers.add(to)
         self._counters.add(GROUP, "exchanges")
-        self._reactor.connectTCP(*address, Asking(self, to), timeout=CONNECT_S)
+        self._reactor.connectTCP(*address, OutboundFactory(self, to), timeout=CONNECT_S)
 
     # In ------------------------------------------------------------------------------------------
 
     def datagram(self, data: bytes) -> None:
         """One that has come; what is wrong with it is counted."""
-        if not self._in.take(self.deadlines.now(), 1):
+        if not self._read_limit.take(self.deadlines.now(), 1):
             self._counters.add(GROUP, "dropped_flood")
             return
         self._counters.add(GROUP, "datagrams_in")
@@ -329,13 +345,13 @@
 
     def bad(self, error: BadFrame, data: bytes) -> None:
         """Count it; a node that this one cannot speak with is told of, once."""
-        self.core.dropped[error.reason] += 1
+        self.core.dropped_frames[error.reason] += 1
         if error.reason not in ("foreign", "version"):
             return
-        why, node = frame.stranger(self.key, data)
-        if why and (node, why) not in self._refused and (not node or node in self._addresses):
-            self._refused.add((node, why))
-            self._told(Note("not_understood", {"node": node or "unknown", "why": why}))
+        reason, node = frame.describe_mismatch(self.key, data)
+        if reason and (node, reason) not in self._reported and (not node or node in self._addresses):
+            self._reported.add((node, reason))
+            self._on_event(LogEvent("not_understood", {"node": node or "unknown", "why": reason}))
 
     def heard(self, message: Message, reached: bool) -> None:
         """A frame that is whole. ``reached``: it came to this node's address."""
@@ -343,17 +359,17 @@
 
     # Exchanges -----------------------------------------------------------------------------------
 
-    def joined(self, stream: Stream) -> bool:
+    def stream_opened(self, stream: Stream) -> bool:
         """Is there room for it?"""
         self._streams.add(stream)
         return len(self._streams) <= INBOUND_MOST + OUTBOUND_MOST
 
-    def left(self, stream: Stream) -> None:
+    def stream_closed(self, stream: Stream) -> None:
         self._streams.discard(stream)
 
-    def swapped(self, to: str, failed: bool) -> None:
-        self._asking.discard(to)
+    def exchange_finished(self, to: str, failed: bool) -> None:
+        self._outbound_peers.discard(to)
         if failed:
             self._counters.add(GROUP, "exchanges_failed")
         if self._udp is not None:
-            self.go(self.core.swapped(self._clock.turn(), failed))
+            self.go(self.core.exchange_finished(self._clock.turn(), failed))
--- a/lynxscale/relay/cluster/durable_state.py
+++ b/lynxscale/relay/cluster/durable_state.py
@@ -20,82 +20,83 @@
 import msgspec
 from crc32c import crc32c
 
-from lynxscale.relay.cluster.messages import Kept
+from lynxscale.relay.cluster.messages import DurableState
 
 MAGIC, MAGIC_1 = b"LXNODE\x02", b"LXNODE\x01"
-CHECK, HEAD = struct.Struct(">I"), struct.Struct(">QI")
+CHECKSUM, HEADER = struct.Struct(">I"), struct.Struct(">QI")
 FILE_1, FILES, FOLDER = "node", ("node.0", "node.1"), "cluster"
-DAMAGED, UNSURE = ".damaged", ".unsure"  # what is set aside: it cannot be read, or may be the older of two
-FILE_MOST, BLOCK = 1 << 20, 4096
+DAMAGED_SUFFIX = ".damaged"  # of a file that cannot be read
+UNCERTAIN_SUFFIX = ".unsure"  # of a file that may be the older of two
+MAX_FILE_SIZE, BLOCK_SIZE = 1 << 20, 4096
 
 
-class Stored(msgspec.Struct, array_like=True, frozen=True):
+class StoredNode(msgspec.Struct, array_like=True, frozen=True):
     """``life``: of the process that wrote it; the next one's is higher."""
 
     cluster: str
     node: str
-    life: Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
-    kept: Kept | None = None  # of views and votes
+    generation: Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
+    durable: DurableState | None = None  # of views and votes
 
 
-class Foreign(Exception):
+class ForeignStateError(Exception):
     """The folder belongs to another node; the text names both."""
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class LoadResult:
     """What a start finds. ``reason``: why nothing could be read where a file is there."""
 
-    stored: Stored | None
+    stored: StoredNode | None
     reason: str = ""
     serial: int = 0
 
 
 _encode = msgspec.msgpack.Encoder().encode
-_decode = msgspec.msgpack.Decoder(Stored).decode
+_decode = msgspec.msgpack.Decoder(StoredNode).decode
 
 
-def encode(stored: Stored, serial: int) -> bytes:
+def encode(stored: StoredNode, serial: int) -> bytes:
     """A file's bytes, whole blocks of them."""
     data = _encode(stored)
-    data = HEAD.pack(serial, len(data)) + data
-    data = MAGIC + CHECK.pack(crc32c(data)) + data
-    return data + bytes(-len(data) % BLOCK)
+    data = HEADER.pack(serial, len(data)) + data
+    data = MAGIC + CHECKSUM.pack(crc32c(data)) + data
+    return data + bytes(-len(data) % BLOCK_SIZE)
 
 
-def decode(data: bytes) -> Found:
+def decode(data: bytes) -> LoadResult:
     """What stands in a file's bytes; a reason where they are not of use."""
-    magic, rest = data[: len(MAGIC)], data[len(MAGIC) + CHECK.size :]
-    if len(data) < len(MAGIC) + CHECK.size or magic[:-1] != MAGIC[:-1]:
-        return Found(None, "no such file's bytes")
+    magic, rest = data[: len(MAGIC)], data[len(MAGIC) + CHECKSUM.size :]
+    if len(data) < len(MAGIC) + CHECKSUM.size or magic[:-1] != MAGIC[:-1]:
+        return LoadResult(None, "no such file's bytes")
     if magic not in (MAGIC, MAGIC_1):
-        return Found(None, f"version {magic[-1]}, which this program does not know")
+        return LoadResult(None, f"version {magic[-1]}, which this program does not know")
     serial = 0
     if magic == MAGIC:
-        if len(data) % BLOCK:
-            return Found(None, "cut short")
-        serial, length = HEAD.unpack_from(rest)
-        if any(rest[HEAD.size + length :]):
-            return Found(None, "more than one file's bytes")
-        rest = rest[: HEAD.size + length]
-    if CHECK.unpack_from(data, len(MAGIC))[0] != crc32c(rest):
-        return Found(None, "checksum")
+        if len(data) % BLOCK_SIZE:
+            return LoadResult(None, "cut short")
+        serial, length = HEADER.unpack_from(rest)
+        if any(rest[HEADER.size + length :]):
+            return LoadResult(None, "more than one file's bytes")
+        rest = rest[: HEADER.size + length]
+    if CHECKSUM.unpack_from(data, len(MAGIC))[0] != crc32c(rest):
+        return LoadResult(None, "checksum")
     try:
-        return Found(_decode(rest[HEAD.size :] if magic == MAGIC else rest), serial=serial)
+        return LoadResult(_decode(rest[HEADER.size :] if magic == MAGIC else rest), serial=serial)
     except msgspec.MsgspecError as error:
-        return Found(None, str(error))
+        return LoadResult(None, str(error))
 
 
-class Store:
+class StateStore:
     """The files of one node. ``load`` and ``save`` block and raise OSError."""
 
     def __init__(self, state: Path, cluster: str, node: str) -> None:
-        self._folder, self._whose = state / FOLDER, (cluster, node)
+        self._folder, self._owner = state / FOLDER, (cluster, node)
         self._serial = 0  # of the last that is whole
         # Guards against a sync that failed and left pages that only look written: that file is made anew.
         self._failed = False
 
-    def load(self) -> Found:
+    def load(self) -> LoadResult:
         """What the last process left.
 
         A file that cannot be read is set aside, as ``node.N.damaged``, and the other one with it, as ``node.N.unsure``:
@@ -107,7 +108,7 @@
         found = {name: one for name in FILES if (one := self._read(name)) is not None}
         if not found and (one := self._read(FILE_1)) is not None:
             found[FILE_1] = one
-        newest = max(found.values(), key=lambda one: one.serial, default=Found(None))
+        newest = max(found.values(), key=lambda one: one.serial, default=LoadResult(None))
         reasons = [f"{name}: {one.reason}" for name, one in found.items() if one.stored is None]
         if not reasons and newest.serial > 1 and len(found) < len(FILES):
             reasons = ["one of two files is missing"]
@@ -117,27 +118,27 @@
         # Those that could be read go first: a start that is cut short here finds the damage again.
         for name in sorted(found, key=lambda name: found[name].stored is None):
             path = self._folder / name
-            path.rename(path.with_name(name + (DAMAGED if found[name].stored is None else UNSURE)))
-        return Found(None, "; ".join(reasons))
+            path.rename(path.with_name(name + (DAMAGED_SUFFIX if found[name].stored is None else UNCERTAIN_SUFFIX)))
+        return LoadResult(None, "; ".join(reasons))
 
-    def _read(self, name: str) -> Found | None:
+    def _read(self, name: str) -> LoadResult | None:
         path = self._folder / name
         try:
             with open(path, "rb") as file:
-                found = decode(file.read(FILE_MOST))
+                found = decode(file.read(MAX_FILE_SIZE))
         except FileNotFoundError:
             return None
-        if found.stored is not None and (found.stored.cluster, found.stored.node) != self._whose:
-            raise Foreign(
+        if found.stored is not None and (found.stored.cluster, found.stored.node) != self._owner:
+            raise ForeignStateError(
                 f"{path} is of node {found.stored.node} in cluster {found.stored.cluster}; this relay is "
-                f"{self._whose[1]} in {self._whose[0]}: want the folder that belongs to it, or an empty one"
+                f"{self._owner[1]} in {self._owner[0]}: want the folder that belongs to it, or an empty one"
             )
         return found
 
-    def save(self, life: int, kept: Kept | None) -> None:
+    def save(self, generation: int, durable: DurableState | None) -> None:
         """On disk once this returns; after an error the other file has what was there."""
         serial = self._serial + 1
-        data, path = encode(Stored(*self._whose, life, kept), serial), self._folder / FILES[serial % 2]
+        data, path = encode(StoredNode(*self._owner, generation, durable), serial), self._folder / FILES[serial % 2]
         fits = not self._failed and path.exists() and path.stat().st_size == len(data)
         new = path if fits else path.with_name(path.name + ".new")
         self._failed = True
@@ -159,37 +160,37 @@
         self._serial, self._failed = serial, False
 
 
-class Pending:
+class WriteQueue:
     """Which write goes next: one is under way at a time, and what comes meanwhile goes with the one behind it, whole.
     What is under way, or there already, is not written again: so a slow disk holds no queue. No I/O."""
 
     def __init__(self) -> None:
-        self._there: Any = None
-        self._now: Any = None
-        self._next: Any = None
-        self._with: list[Callable[[], None]] = []
-        self._waiting: list[Callable[[], None]] = []
+        self._written: Any = None
+        self._writing: Any = None
+        self._queued: Any = None
+        self._after_writing: list[Callable[[], None]] = []
+        self._after_queued: list[Callable[[], None]] = []
 
-    def put(self, what: Any, then: Callable[[], None]) -> Any:
+    def put(self, state: Any, callback: Callable[[], None]) -> Any:
         """What is to be written at once, or None. ``then`` is handed out once that is there."""
-        if self._next is None and what == self._now:
-            self._with.append(then)
-        elif self._next is None and self._now is None and what == self._there:
-            then()
+        if self._queued is None and state == self._writing:
+            self._after_writing.append(callback)
+        elif self._queued is None and self._writing is None and state == self._written:
+            callback()
         else:
-            self._next = what
-            self._waiting.append(then)
-            return self.begin() if self._now is None else None
+            self._queued = state
+            self._after_queued.append(callback)
+            return self.begin() if self._writing is None else None
         return None
 
     def begin(self) -> Any:
         """What is to be written now that nothing is under way; None where nothing waits."""
-        self._now, self._next = self._next, None
-        self._with, self._waiting = self._waiting, []
-        return self._now
+        self._writing, self._queued = self._queued, None
+        self._after_writing, self._after_queued = self._after_queued, []
+        return self._writing
 
     def done(self, written: bool) -> list[Callable[[], None]]:
         """The write under way has ended: what was to follow it, nothing where it failed."""
-        self._there, self._now = self._now if written else None, None
-        then, self._with = self._with, []
-        return then if written else []
+        self._written, self._writing = self._writing if written else None, None
+        callback, self._after_writing = self._after_writing, []
+        return callback if written else []
--- a/lynxscale/relay/cluster/frame.py
+++ b/lynxscale/relay/cluster/frame.py
@@ -22,19 +22,19 @@
 import msgspec
 from crc32c import crc32c
 
-from lynxscale.relay.cluster.membership_table import Name, NoName, Number, Rumour
+from lynxscale.relay.cluster.membership_table import MemberUpdate, Name, NoName, Number
 from lynxscale.relay.cluster.messages import (
     Accept,
     Accepted,
     Decided,
-    LeaseAsk,
-    LeaseBack,
     LeaseGrant,
+    LeaseRelease,
+    LeaseRequest,
     Prepare,
     Promise,
-    Refuse,
+    Reject,
     View,
-    Word,
+    ViewMessage,
 )
 
 MAGIC, VERSION = b"LXC", 2
@@ -58,11 +58,11 @@
 
     probe: U32
     node: Name
-    life: Number
+    generation: Number
     boot: Number
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=3, gc=False):
+class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag=3, gc=False):
     """Probe that node for me."""
 
     probe: U32
@@ -75,7 +75,7 @@
     probe: U32
 
 
-class Tell(msgspec.Struct, array_like=True, frozen=True, tag=5, gc=False):
+class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=5, gc=False):
     """News alone."""
 
 
@@ -85,33 +85,43 @@
 
     answer: bool
     view: View | None = None
-    marks: dict[Name, Number] = {}
+    write_counts: dict[Name, Number] = {}
     settings: dict[Name, U32] = {}
 
 
 # A word about views, by its place here.
-WORDS: tuple[type, ...] = (Prepare, Promise, Accept, Accepted, Refuse, Decided, LeaseAsk, LeaseGrant, LeaseBack)
+VIEW_MESSAGE_TYPES: tuple[type, ...] = (
+    Prepare,
+    Promise,
+    Accept,
+    Accepted,
+    Reject,
+    Decided,
+    LeaseRequest,
+    LeaseGrant,
+    LeaseRelease,
+)
 
 
-class Views(msgspec.Struct, array_like=True, frozen=True, tag=7, gc=False):
+class ViewBody(msgspec.Struct, array_like=True, frozen=True, tag=7, gc=False):
     """A word about views: its place in ``WORDS``, and its fields."""
 
-    kind: Annotated[int, msgspec.Meta(ge=0, lt=len(WORDS))]
-    word: msgspec.Raw
+    kind: Annotated[int, msgspec.Meta(ge=0, lt=len(VIEW_MESSAGE_TYPES))]
+    payload: msgspec.Raw
 
-    def read(self) -> Word:
+    def read(self) -> ViewMessage:
         """Raises BadFrame where the fields are not that word's."""
         try:
-            return _words[self.kind].decode(self.word)
+            return _view_decoders[self.kind].decode(self.payload)
         except msgspec.MsgspecError as error:
             raise BadFrame("message") from error
 
 
-def views_of(word: Word) -> Views:
-    return Views(WORDS.index(type(word)), msgspec.Raw(_encode(word)))
+def view_body(message: ViewMessage) -> ViewBody:
+    return ViewBody(VIEW_MESSAGE_TYPES.index(type(message)), msgspec.Raw(_encode(message)))
 
 
-Body = Ping | Ack | Ask | Nack | Tell | Exchange | Views
+Body = Ping | Ack | PingRequest | Nack | Gossip | Exchange | ViewBody
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False):
@@ -119,16 +129,16 @@
     twice by a process; ``slow``: bits of why it doubts itself; ``view`` and ``mark``: of its view and its memory on
     disk."""
 
-    frm: Name
-    life: Number
+    sender: Name
+    generation: Number
     boot: Number
-    word: Number
+    incarnation: Number
     number: Number
     slow: U32
     view: Number
-    mark: Number
+    write_count: Number
     body: Body
-    news: list[Rumour]
+    updates: list[MemberUpdate]
 
 
 class BadFrame(ValueError):
@@ -141,11 +151,11 @@
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
-_words = [msgspec.msgpack.Decoder(kind) for kind in WORDS]
+_view_decoders = [msgspec.msgpack.Decoder(kind) for kind in VIEW_MESSAGE_TYPES]
 OVERHEAD = HEAD.size + TAIL.size
 
 
-def key_of(cluster: str, probe: int = 0) -> int:
+def cluster_key(cluster: str, probe: int = 0) -> int:
     """What stands for a cluster in a frame: its name, and the period (µs) on which all its times hang.
 
     Guards against a node with longer leases than those who grant them believe.
@@ -153,7 +163,7 @@
     return crc32c(f"{cluster} {probe}".encode())
 
 
-def stranger(key: int, frame: bytes) -> tuple[str, str]:
+def describe_mismatch(key: int, frame: bytes) -> tuple[str, str]:
     """The reason and the node's name in a frame that is whole and of another key, or of another version with no name;
     two empty texts where it is neither. For the log alone."""
     if len(frame) < OVERHEAD:
@@ -168,7 +178,7 @@
     if version != VERSION:
         return f"version {version}, ours is {VERSION}", ""
     try:
-        return ("", "") if theirs == key else ("another cluster's name or probe", decode(theirs, frame).frm)
+        return ("", "") if theirs == key else ("another cluster's name or probe", decode(theirs, frame).sender)
     except BadFrame:
         return "", ""
 
@@ -208,7 +218,7 @@
         raise BadFrame("message") from error
 
 
-class Window:
+class ReplayWindow:
     """Which of one sender's frames have come: guards against frames that are sent once more by whoever recorded them.
 
     A frame is new once, and only while it is at most ``SPAN`` behind the newest (as in RFC 4303, 3.4.3).
--- a/lynxscale/relay/cluster/membership_table.py
+++ b/lynxscale/relay/cluster/membership_table.py
@@ -36,109 +36,109 @@
     """One process: ``life`` is higher each time the node starts, ``boot`` drawn anew by each process."""
 
     name: Name
-    life: Number
+    generation: Number
     boot: Number
 
 
-class Rumour(NamedTuple):
+class MemberUpdate(NamedTuple):
     """A word about a node; ``by`` tells who suspects it, and is no part of the order."""
 
     name: Name
-    life: Number
+    generation: Number
     boot: Number
-    word: Number
+    incarnation: Number
     state: State
     by: NoName = ""
 
     @property
-    def key(self) -> tuple[int, int, int, int]:
-        return self.life, self.boot, self.word, self.state
+    def precedence(self) -> tuple[int, int, int, int]:
+        return self.generation, self.boot, self.incarnation, self.state
 
     @property
-    def who(self) -> Identity:
-        return Identity(self.name, self.life, self.boot)
+    def identity(self) -> Identity:
+        return Identity(self.name, self.generation, self.boot)
 
 
-def greater(one: Rumour | None, other: Rumour | None) -> Rumour | None:
+def newer_of(one: MemberUpdate | None, other: MemberUpdate | None) -> MemberUpdate | None:
     """The merge of two rumours of one node; None is a node that nobody has heard of."""
     if one is None or other is None:
         return one or other
-    return one if one.key >= other.key else other
+    return one if one.precedence >= other.precedence else other
 
 
-class Change(NamedTuple):
+class StateChange(NamedTuple):
     """A node is believed to be something else than before; ``before`` is None at its first rumour."""
 
-    now: Rumour
-    before: Rumour | None
+    now: MemberUpdate
+    before: MemberUpdate | None
 
     @property
-    def shown(self) -> bool:
+    def reportable(self) -> bool:
         """Would an operator want to know? A higher word alone changes nothing."""
         before = self.before
-        return before is None or (self.now.state, self.now.life, self.now.boot) != (
+        return before is None or (self.now.state, self.now.generation, self.now.boot) != (
             before.state,
-            before.life,
+            before.generation,
             before.boot,
         )
 
 
 @dataclass(slots=True)
-class Known:
+class MemberRecord:
     """``since``: µs, when this state began, for a suspicion with its word; ``doubters``: who suspects this word."""
 
-    rumour: Rumour
+    update: MemberUpdate
     since: int
-    doubters: set[str] = field(default_factory=set)
+    suspected_by: set[str] = field(default_factory=set)
 
 
-class Sight:
+class MembershipTable:
     """The nodes' rumours, as one node has them. ``names``: those of its configuration; others are not taken."""
 
     def __init__(self, names: Iterable[str]) -> None:
         self.names = frozenset(names)
-        self._known: dict[str, Known] = {}
+        self._records: dict[str, MemberRecord] = {}
 
-    def __iter__(self) -> Iterator[Known]:
-        return iter(self._known.values())
+    def __iter__(self) -> Iterator[MemberRecord]:
+        return iter(self._records.values())
 
-    def get(self, name: str) -> Known | None:
-        return self._known.get(name)
+    def get(self, name: str) -> MemberRecord | None:
+        return self._records.get(name)
 
     def state(self, name: str) -> State | None:
-        known = self._known.get(name)
-        return known.rumour.state if known is not None else None
+        record = self._records.get(name)
+        return record.update.state if record is not None else None
 
     def rename(self, names: Iterable[str]) -> list[str]:
         """Another configuration; the names that go."""
         self.names = frozenset(names)
-        gone = sorted(set(self._known) - self.names)
-        for name in gone:
-            del self._known[name]
-        return gone
+        removed = sorted(set(self._records) - self.names)
+        for name in removed:
+            del self._records[name]
+        return removed
 
-    def merge(self, rumour: Rumour, now: int) -> Change | None:
+    def merge(self, update: MemberUpdate, now: int) -> StateChange | None:
         """Take a rumour in; what it changed. One that adds a doubter alone changes nothing that is told."""
-        if rumour.name not in self.names:
+        if update.name not in self.names:
             return None
-        known = self._known.get(rumour.name)
-        if known is None:
-            self._known[rumour.name] = known = Known(rumour, now)
-            self._doubt(known, rumour)
-            return Change(rumour, None)
-        before = known.rumour
-        if rumour.key <= before.key:
-            if rumour.key == before.key:
-                self._doubt(known, rumour)
+        record = self._records.get(update.name)
+        if record is None:
+            self._records[update.name] = record = MemberRecord(update, now)
+            self._add_suspecter(record, update)
+            return StateChange(update, None)
+        before = record.update
+        if update.precedence <= before.precedence:
+            if update.precedence == before.precedence:
+                self._add_suspecter(record, update)
             return None
-        known.rumour = rumour
-        if rumour.state is State.SUSPECT or rumour.state != before.state or rumour.who != before.who:
-            known.since = now
-            known.doubters.clear()
-        self._doubt(known, rumour)
-        return Change(rumour, before)
+        record.update = update
+        if update.state is State.SUSPECT or update.state != before.state or update.identity != before.identity:
+            record.since = now
+            record.suspected_by.clear()
+        self._add_suspecter(record, update)
+        return StateChange(update, before)
 
     @staticmethod
-    def _doubt(known: Known, rumour: Rumour) -> None:
-        if rumour.state is State.SUSPECT and rumour.by:
-            known.doubters.add(rumour.by)
+    def _add_suspecter(record: MemberRecord, update: MemberUpdate) -> None:
+        if update.state is State.SUSPECT and update.by:
+            record.suspected_by.add(update.by)
--- a/lynxscale/relay/cluster/messages.py
+++ b/lynxscale/relay/cluster/messages.py
@@ -24,23 +24,25 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        return tuple(one.name for one in self.members)
+        return tuple(member.name for member in self.members)
 
-    def life_of(self, name: str) -> Identity | None:
-        return next((one for one in self.members if one.name == name), None)
+    def identity_of(self, name: str) -> Identity | None:
+        return next((member for member in self.members if member.name == name), None)
 
     @property
     def digest(self) -> int:
-        text = f"{self.number} {self.lineage} " + " ".join(f"{one.name}/{one.life}/{one.boot}" for one in self.members)
+        text = f"{self.number} {self.lineage} " + " ".join(
+            f"{member.name}/{member.generation}/{member.boot}" for member in self.members
+        )
         return int.from_bytes(blake2b(text.encode(), digest_size=8).digest()) >> 1
 
 
-class Step(NamedTuple):
+class MembershipChange(NamedTuple):
     """From one view to the next: ``gone`` by name, ``come`` new or in place of an earlier life. The first has no view
     before it and carries the ``lineage``."""
 
-    gone: Annotated[tuple[Name, ...], Meta(max_length=256)]
-    come: Annotated[tuple[Identity, ...], Meta(max_length=256)]
+    removed: Annotated[tuple[Name, ...], Meta(max_length=256)]
+    added: Annotated[tuple[Identity, ...], Meta(max_length=256)]
     lineage: Number = 0
 
 
@@ -52,18 +54,18 @@
     boot: Number
 
 
-NONE = Ballot(0, "", 0)
+NO_BALLOT = Ballot(0, "", 0)
 
 
-class Kept(NamedTuple):
+class DurableState(NamedTuple):
     """What must not be forgotten. ``mark`` counts what was kept and then said: others remember the highest that they
     have heard, as ``heard`` has it of them. ``votes``: this memory is whole."""
 
     view: View | None = None
-    promised: Ballot = NONE
-    ballot: Ballot = NONE  # of what was accepted
-    accepted: Step | None = None
-    mark: Number = 0
+    promised: Ballot = NO_BALLOT
+    ballot: Ballot = NO_BALLOT  # of what was accepted
+    accepted: MembershipChange | None = None
+    write_count: Number = 0
     votes: bool = True
     heard: Annotated[tuple[tuple[Name, Number], ...], Meta(max_length=256)] = ()
 
@@ -78,8 +80,8 @@
     number: Number  # of the view that is to be decided
     base: Number  # digest of the one before; 0 for the first
     round: Number
-    step: Step
-    bound: bool
+    change: MembershipChange
+    previously_accepted: bool
 
 
 class Promise(NamedTuple):
@@ -88,7 +90,7 @@
     number: Number
     to: Ballot
     ballot: Ballot  # of what has been accepted
-    step: Step | None
+    change: MembershipChange | None
     wait: Number
 
 
@@ -98,8 +100,8 @@
     number: Number
     base: Number
     round: Number
-    step: Step
-    bound: bool
+    change: MembershipChange
+    previously_accepted: bool
 
 
 class Accepted(NamedTuple):
@@ -107,22 +109,22 @@
     to: Ballot
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     """``why`` is ``lease`` where it may be asked once more; else not for this ballot."""
 
     number: Number
     to: Ballot
     promised: Number  # round
-    why: Annotated[str, Meta(max_length=20)]
+    reason: Annotated[str, Meta(max_length=20)]
 
 
 class Decided(NamedTuple):
     number: Number
     base: Number
-    step: Step
+    change: MembershipChange
 
 
-class LeaseAsk(NamedTuple):
+class LeaseRequest(NamedTuple):
     number: Number
     digest: Number
     token: Number
@@ -133,13 +135,13 @@
     token: Number
 
 
-class LeaseBack(NamedTuple):
+class LeaseRelease(NamedTuple):
     """Gives up what was granted: the sender acts no more in that life."""
 
     number: Number
 
 
-Word = Prepare | Promise | Accept | Accepted | Refuse | Decided | LeaseAsk | LeaseGrant | LeaseBack
+ViewMessage = Prepare | Promise | Accept | Accepted | Reject | Decided | LeaseRequest | LeaseGrant | LeaseRelease
 
 
 # What follows -----------------------------------------------------------------------------------------
@@ -164,19 +166,23 @@
     return frozenset(by_hash[:most])
 
 
-def after(view: View | None, step: Step) -> View:
+def after(view: View | None, change: MembershipChange) -> View:
     """The view that a step leads to."""
     if view is None:
-        return View(1, step.lineage, tuple(sorted(step.come)))
-    left = {one.name: one for one in view.members if one.name not in step.gone}
-    left |= {one.name: one for one in step.come}
+        return View(1, change.lineage, tuple(sorted(change.added)))
+    left = {member.name: member for member in view.members if member.name not in change.removed}
+    left |= {member.name: member for member in change.added}
     return View(view.number + 1, view.lineage, tuple(left[name] for name in sorted(left)))
 
 
-def removed(view: View | None, step: Step) -> list[Identity]:
+def removed(view: View | None, change: MembershipChange) -> list[Identity]:
     """The lives that are in the view and not in the one after."""
     if view is None:
         return []
-    coming = set(step.come)
-    replaced = {one.name for one in step.come}
-    return [one for one in view.members if one not in coming and (one.name in step.gone or one.name in replaced)]
+    coming = set(change.added)
+    replaced = {member.name for member in change.added}
+    return [
+        member
+        for member in view.members
+        if member not in coming and (member.name in change.removed or member.name in replaced)
+    ]
--- a/lynxscale/relay/cluster/settings.py
+++ b/lynxscale/relay/cluster/settings.py
@@ -20,33 +20,33 @@
     """``group`` is what is told of it between nodes, ``word`` its directive in the file."""
 
     group: str
-    word: str
+    directive: str
     value: Any
 
 
-def of(own: Conf) -> Iterator[Setting]:
+def of(product: Conf) -> Iterator[Setting]:
     """All that has to be the same in every file, in the order of the file's sections."""
-    yield Setting("relays", "relays", own.relay.relays)
-    for what, word, group in (
+    yield Setting("relays", "relays", product.relay.relays)
+    for what, directive, group in (
         ("cls", "class", "classes"),
         ("tenant", "tenant", "tenants"),
         ("kind", "kind", "kinds"),
         ("zone", "zone", "zones"),
     ):
-        for row in getattr(own.names, what):
-            yield Setting(group, f"{word} {row['name']}", row)
+        for row in getattr(product.names, what):
+            yield Setting(group, f"{directive} {row['name']}", row)
     for key in LIMITS:
-        yield Setting("limits", key.replace("_", "-"), getattr(own.limits, key))
-    for row in own.cluster.member:
+        yield Setting("limits", key.replace("_", "-"), getattr(product.limits, key))
+    for row in product.cluster.member:
         yield Setting("members", f"member {row['name']}", row.get("zone"))
 
 
-def digests(own: Conf) -> dict[str, int]:
+def digests(product: Conf) -> dict[str, int]:
     """One number a group; equal where the settings are."""
     texts: dict[str, list[str]] = {}
-    for setting in of(own):
+    for setting in of(product):
         value = sorted(setting.value.items()) if isinstance(setting.value, dict) else setting.value
-        texts.setdefault(setting.group, []).append(f"{setting.word} {value!r}")
+        texts.setdefault(setting.group, []).append(f"{setting.directive} {value!r}")
     # The order of names counts for the groups whose places stand for them; members stand by their names.
     return {
         group: int.from_bytes(
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -15,47 +15,48 @@
 from lynxscale.relay.cluster import messages as words
 from lynxscale.relay.cluster import view_change as views
 from lynxscale.relay.cluster.core import Core
-from lynxscale.relay.cluster.failure_detector import Detector, Renew, Send
-from lynxscale.relay.cluster.frame import BadFrame, Message, Window
-from lynxscale.relay.cluster.membership_table import Identity, Rumour, Sight, State, greater
-from lynxscale.relay.cluster.messages import Ballot, Kept, Step, View
+from lynxscale.relay.cluster.failure_detector import FailureDetector
+from lynxscale.relay.cluster.frame import BadFrame, Message, ReplayWindow
+from lynxscale.relay.cluster.instructions import SendDatagram, StartGeneration
+from lynxscale.relay.cluster.membership_table import Identity, MembershipTable, MemberUpdate, State, newer_of
+from lynxscale.relay.cluster.messages import Ballot, DurableState, MembershipChange, View
 
 NAMES = st.sampled_from(["r1", "r2", "r3", "nodo-ñ"])
 SMALL = st.integers(0, 3)
-RUMOURS = st.builds(Rumour, NAMES, SMALL, SMALL, SMALL, st.sampled_from(State), st.sampled_from(["", "r1"]))
-LIVES = st.builds(Identity, NAMES, SMALL, st.integers(0, (1 << 63) - 1))
-STEPS = st.builds(Step, st.tuples(NAMES), st.tuples(LIVES), SMALL)
+UPDATES = st.builds(MemberUpdate, NAMES, SMALL, SMALL, SMALL, st.sampled_from(State), st.sampled_from(["", "r1"]))
+IDENTITIES = st.builds(Identity, NAMES, SMALL, st.integers(0, (1 << 63) - 1))
+STEPS = st.builds(MembershipChange, st.tuples(NAMES), st.tuples(IDENTITIES), SMALL)
 BALLOTS = st.builds(Ballot, SMALL, NAMES, SMALL)
-WORDS = st.one_of(
+VIEW_MESSAGE_TYPES = st.one_of(
     st.builds(words.Prepare, SMALL, SMALL, SMALL, STEPS, st.booleans()),
     st.builds(words.Promise, SMALL, BALLOTS, BALLOTS, st.none() | STEPS, SMALL),
     st.builds(words.Accept, SMALL, SMALL, SMALL, STEPS, st.booleans()),
     st.builds(words.Accepted, SMALL, BALLOTS),
-    st.builds(words.Refuse, SMALL, BALLOTS, SMALL, st.just("lease")),
+    st.builds(words.Reject, SMALL, BALLOTS, SMALL, st.just("lease")),
     st.builds(words.Decided, SMALL, SMALL, STEPS),
-    st.builds(words.LeaseAsk, SMALL, SMALL, SMALL),
+    st.builds(words.LeaseRequest, SMALL, SMALL, SMALL),
     st.builds(words.LeaseGrant, SMALL, SMALL),
-    st.builds(words.LeaseBack, SMALL),
+    st.builds(words.LeaseRelease, SMALL),
 )
 BODIES = st.one_of(
     st.builds(frame.Ping, SMALL, NAMES),
     st.builds(frame.Ack, SMALL, NAMES, SMALL, SMALL),
-    st.builds(frame.Ask, SMALL, NAMES),
+    st.builds(frame.PingRequest, SMALL, NAMES),
     st.builds(frame.Nack, SMALL),
-    st.builds(frame.Tell),
+    st.builds(frame.Gossip),
     st.builds(
         frame.Exchange,
         st.booleans(),
-        st.none() | st.builds(View, SMALL, SMALL, st.tuples(LIVES)),
+        st.none() | st.builds(View, SMALL, SMALL, st.tuples(IDENTITIES)),
         st.dictionaries(NAMES, SMALL),
         st.dictionaries(NAMES, SMALL),
     ),
-    st.builds(frame.views_of, WORDS),
+    st.builds(frame.view_body, VIEW_MESSAGE_TYPES),
 )
 MESSAGES = st.builds(
-    Message, NAMES, SMALL, SMALL, SMALL, SMALL, SMALL, SMALL, SMALL, BODIES, st.lists(RUMOURS, max_size=4)
+    Message, NAMES, SMALL, SMALL, SMALL, SMALL, SMALL, SMALL, SMALL, BODIES, st.lists(UPDATES, max_size=4)
 )
-KEY = frame.key_of("norte")
+KEY = frame.cluster_key("norte")
 
 
 # Frames ---------------------------------------------------------------------------------------------
@@ -66,9 +67,9 @@
     assert frame.decode(KEY, frame.encode(KEY, message)) == message
 
 
-@given(WORDS)
+@given(VIEW_MESSAGE_TYPES)
 def test_a_word_about_views_is_read_as_it_was_written(word):
-    message = Message("r1", 1, 1, 0, 1, 0, 0, 0, frame.views_of(word), [])
+    message = Message("r1", 1, 1, 0, 1, 0, 0, 0, frame.view_body(word), [])
     assert frame.decode(KEY, frame.encode(KEY, message)).body.read() == word
 
 
@@ -99,9 +100,9 @@
 
 
 def test_another_cluster_and_another_version_are_told_apart_from_garbage():
-    whole = frame.encode(KEY, Message("r1", 1, 1, 0, 1, 0, 0, 0, frame.Tell(), []))
+    whole = frame.encode(KEY, Message("r1", 1, 1, 0, 1, 0, 0, 0, frame.Gossip(), []))
     for spoilt, reason in (
-        (frame.encode(frame.key_of("sur"), frame.decode(KEY, whole)), "foreign"),
+        (frame.encode(frame.cluster_key("sur"), frame.decode(KEY, whole)), "foreign"),
         (whole[:3] + b"\x01" + whole[4:], "version"),
         (b"GET / HTTP/1.1\r\n\r\n", "garbage"),
     ):
@@ -111,91 +112,91 @@
 
 @given(st.lists(st.integers(0, 400)))
 def test_a_frame_s_number_is_new_once(numbers):
-    window, seen = Window(), set()
+    window, seen = ReplayWindow(), set()
     for number in numbers:
         fresh = window.fresh(number)
         assert not (fresh and number in seen)
-        assert fresh or number in seen or number <= max(seen) - Window.SPAN
+        assert fresh or number in seen or number <= max(seen) - ReplayWindow.SPAN
         seen.add(number)
 
 
 # Sight ----------------------------------------------------------------------------------------------
 
 
-@given(st.lists(RUMOURS, max_size=8), st.randoms())
-def test_rumours_come_to_the_same_in_every_order_and_however_often(rumours, chance):
+@given(st.lists(UPDATES, max_size=8), st.randoms())
+def test_rumours_come_to_the_same_in_every_order_and_however_often(updates, chance):
     def merged(order):
-        sight = Sight(["r1", "r2", "r3", "nodo-ñ"])
-        for now, rumour in enumerate(order):
-            sight.merge(rumour, now)
-        return {known.rumour.name: known.rumour.key for known in sight}
+        membership = MembershipTable(["r1", "r2", "r3", "nodo-ñ"])
+        for now, update in enumerate(order):
+            membership.merge(update, now)
+        return {known.update.name: known.update.precedence for known in membership}
 
-    other = rumours + chance.sample(rumours, len(rumours) // 2)
+    other = updates + chance.sample(updates, len(updates) // 2)
     chance.shuffle(other)
-    assert merged(rumours) == merged(other)
-    half = len(rumours) // 2
+    assert merged(updates) == merged(other)
+    half = len(updates) // 2
     apart = {}
-    for name in {rumour.name for rumour in rumours}:  # two sights, merged with each other
-        apart[name] = greater(
+    for name in {update.name for update in updates}:  # two sights, merged with each other
+        apart[name] = newer_of(
             *(
-                max((one for one in part if one.name == name), key=lambda one: one.key, default=None)
-                for part in (rumours[:half], rumours[half:])
+                max((one for one in part if one.name == name), key=lambda one: one.precedence, default=None)
+                for part in (updates[:half], updates[half:])
             )
-        ).key
-    assert apart == merged(rumours)
+        ).precedence
+    assert apart == merged(updates)
 
 
 def test_a_name_that_the_file_does_not_have_is_not_taken():
-    sight = Sight(["r1"])
-    assert sight.merge(Rumour("r9", 1, 1, 0, State.ALIVE), 0) is None and sight.get("r9") is None
+    membership = MembershipTable(["r1"])
+    assert membership.merge(MemberUpdate("r9", 1, 1, 0, State.ALIVE), 0) is None and membership.get("r9") is None
 
 
 def test_a_suspicion_of_a_later_word_begins_anew():
     """Who has missed the refutation between two suspicions: neither the time nor the doubters of the first count."""
-    sight = Sight(["r1", "r2", "r3", "r4"])
+    membership = MembershipTable(["r1", "r2", "r3", "r4"])
     for now, (word, by) in enumerate([(0, "r1"), (0, "r2"), (1, "r4")]):
-        sight.merge(Rumour("r3", 1, 1, word, State.SUSPECT, by), now)
-    known = sight.get("r3")
-    assert (known.rumour.word, known.since, known.doubters) == (1, 2, {"r4"})
+        membership.merge(MemberUpdate("r3", 1, 1, word, State.SUSPECT, by), now)
+    known = membership.get("r3")
+    assert (known.update.incarnation, known.since, known.suspected_by) == (1, 2, {"r4"})
 
 
 # Detection, by hand ---------------------------------------------------------------------------------
 
 
-def message(frm: str, body, news=(), life=1, boot=5, word=0, number=[0]) -> Message:  # noqa: B006
+def message(frm: str, body, updates=(), generation=1, boot=5, incarnation=0, number=[0]) -> Message:  # noqa: B006
     number[0] += 1
-    return Message(frm, life, boot, word, number[0], 0, 0, 0, body, list(news))
+    return Message(frm, generation, boot, incarnation, number[0], 0, 0, 0, body, list(updates))
 
 
-def detector() -> Detector:
-    return Detector(Identity("r1", 3, 77), ["r1", "r2", "r3"], "seed", 0)
+def detector() -> FailureDetector:
+    return FailureDetector(Identity("r1", 3, 77), ["r1", "r2", "r3"], "seed", 0)
 
 
 def test_a_process_is_a_node_only_once_it_answers_at_the_address():
     one = detector()
-    out = one.heard(1000, message("r2", frame.Tell()))
-    assert one.sight.get("r2") is None
-    ping = next(order.body for order in out if isinstance(order, Send) and isinstance(order.body, frame.Ping))
+    out = one.heard(1000, message("r2", frame.Gossip()))
+    assert one.membership.get("r2") is None
+    ping = next(order.body for order in out if isinstance(order, SendDatagram) and isinstance(order.body, frame.Ping))
     one.heard(2000, message("r2", frame.Ack(ping.probe, "r2", 1, 5)))
-    assert one.sight.state("r2") is State.ALIVE
-    one.heard(3000, message("r2", frame.Ack(ping.probe, "r2", 9, 9), life=9, boot=9))  # an answer to nothing
-    assert one.sight.get("r2").rumour.life == 1
+    assert one.membership.state("r2") is State.ALIVE
+    one.heard(3000, message("r2", frame.Ack(ping.probe, "r2", 9, 9), generation=9, boot=9))  # an answer to nothing
+    assert one.membership.get("r2").update.generation == 1
 
 
 def test_who_hears_of_a_later_life_of_its_own_begins_one_unless_it_only_asked():
-    later = Rumour("r1", 8, 1, 0, State.FAILED)
-    assert Renew(8) in detector().heard(1000, message("r2", frame.Tell(), [later]))
+    later = MemberUpdate("r1", 8, 1, 0, State.FAILED)
+    assert StartGeneration(8) in detector().heard(1000, message("r2", frame.Gossip(), [later]))
     assert not [
         order
         for order in detector().heard(1000, message("r2", frame.Exchange(True), [later]), reached=False)
-        if isinstance(order, Renew)
+        if isinstance(order, StartGeneration)
     ]
 
 
 def test_a_suspicion_is_refuted_by_a_higher_word():
     one = detector()
-    one.heard(1000, message("r2", frame.Tell(), [Rumour(*one.me, 0, State.FAILED, "r3")]))
-    assert one.word == 1 and one.sight.get("r1").rumour == Rumour(*one.me, 1, State.ALIVE)
+    one.heard(1000, message("r2", frame.Gossip(), [MemberUpdate(*one.me, 0, State.FAILED, "r3")]))
+    assert one.incarnation == 1 and one.membership.get("r1").update == MemberUpdate(*one.me, 1, State.ALIVE)
 
 
 def test_a_process_that_stood_still_blames_nobody():
@@ -228,7 +229,7 @@
         world.run(world.now + SECOND // 20)
         for machine in world.machines.values():
             looks += 1
-            without += not machine.process.core.views.may_act(machine.local(world.now))
+            without += not machine.process.core.agreement.may_act(machine.local(world.now))
     assert without < 0.1 * looks
 
 
@@ -237,36 +238,39 @@
         Core(Identity(name, 1, 5), ["r1", "r2"], "seed", 0, None, settings=settings_)
         for name, settings_ in (("r1", {"limits": 1, "members": 2}), ("r2", {"limits": 3, "members": 2}))
     )
-    one.heard(1, two.message(frame.Tell()), True)
-    one.detector.listed(2, [two.me])
-    told = [order for order in one.heard(3, two.whole(True), False) if isinstance(order, views.Note)]
-    assert told == [views.Note("differs", {"node": "r2", "settings": "limits"})]
-    assert one.differing == {"r2": ("limits",)} and one.as_others_see["r2"][1]["r2"] == "alive"
-    assert not [order for order in one.heard(4, two.whole(True), False) if isinstance(order, views.Note)]
-    theirs = frame.encode(frame.key_of("norte", 1_000_000), two.message(frame.Tell()))
+    one.heard(1, two.message(frame.Gossip()), True)
+    one.detector.view_installed(2, [two.me])
+    told = [order for order in one.heard(3, two.full_state(True), False) if isinstance(order, views.LogEvent)]
+    assert told == [views.LogEvent("differs", {"node": "r2", "settings": "limits"})]
+    assert one.differing_settings == {"r2": ("limits",)} and one.states_seen_by["r2"][1]["r2"] == "alive"
+    assert not [order for order in one.heard(4, two.full_state(True), False) if isinstance(order, views.LogEvent)]
+    theirs = frame.encode(frame.cluster_key("norte", 1_000_000), two.message(frame.Gossip()))
     with pytest.raises(BadFrame, match="foreign"):  # its leases would be longer than others believe
-        frame.decode(frame.key_of("norte", 500_000), theirs)
-    assert frame.stranger(frame.key_of("norte", 500_000), theirs) == ("another cluster's name or probe", "r2")
-    assert frame.stranger(KEY, theirs[:-1]) == ("", "")
+        frame.decode(frame.cluster_key("norte", 500_000), theirs)
+    assert frame.describe_mismatch(frame.cluster_key("norte", 500_000), theirs) == (
+        "another cluster's name or probe",
+        "r2",
+    )
+    assert frame.describe_mismatch(KEY, theirs[:-1]) == ("", "")
 
 
 # Memory ---------------------------------------------------------------------------------------------
 
 
-KEPT = Kept(
+KEPT = DurableState(
     View(4, 9, (Identity("r1", 2, 8),)),
     Ballot(3, "r2", 1),
     Ballot(2, "r1", 8),
-    Step(("r3",), (Identity("r4", 1, 2),)),
+    MembershipChange(("r3",), (Identity("r4", 1, 2),)),
     17,
     True,
 )
 
 
-def saved(path, count: int) -> stable.Store:
+def saved(path, count: int) -> stable.StateStore:
     """Memory of as many lives, each written once."""
-    store = stable.Store(path, "norte", "r1")
-    assert store.load() == stable.Found(None)
+    store = stable.StateStore(path, "norte", "r1")
+    assert store.load() == stable.LoadResult(None)
     for life in range(1, count + 1):
         store.save(life, KEPT)
     return store
@@ -275,10 +279,10 @@
 @pytest.mark.parametrize("count", [1, 2, 3, 6])
 def test_memory_outlasts_the_process_and_a_spoilt_one_is_set_aside(tmp_path, count):
     saved(tmp_path, count)
-    store = stable.Store(tmp_path, "norte", "r1")
-    assert store.load() == stable.Found(stable.Stored("norte", "r1", count, KEPT), serial=count)
-    with pytest.raises(stable.Foreign, match="node r1 in cluster norte; this relay is r2"):
-        stable.Store(tmp_path, "norte", "r2").load()
+    store = stable.StateStore(tmp_path, "norte", "r1")
+    assert store.load() == stable.LoadResult(stable.StoredNode("norte", "r1", count, KEPT), serial=count)
+    with pytest.raises(stable.ForeignStateError, match="node r1 in cluster norte; this relay is r2"):
+        stable.StateStore(tmp_path, "norte", "r2").load()
     for name in stable.FILES[:count]:
         path = tmp_path / stable.FOLDER / (name if count > 1 else stable.FILES[1])
         whole = path.read_bytes()
@@ -287,20 +291,20 @@
             assert stable.decode(whole[:place] + bytes([whole[place] ^ 4]) + whole[place + 1 :]).stored is None
         assert stable.decode(whole[:12] + bytes([whole[12] ^ 4]) + whole[13:]).reason == "checksum"
         path.write_bytes(whole[:-1])
-        store = stable.Store(tmp_path, "norte", "r1")
-        assert store.load() == stable.Found(None, f"{path.name}: cut short")
+        store = stable.StateStore(tmp_path, "norte", "r1")
+        assert store.load() == stable.LoadResult(None, f"{path.name}: cut short")
         assert not path.exists() and path.with_name(path.name + ".damaged").read_bytes() == whole[:-1]
         # The other one may be the older of the two: it is not believed either, now or by a later start.
-        assert stable.Store(tmp_path, "norte", "r1").load() == stable.Found(None)
+        assert stable.StateStore(tmp_path, "norte", "r1").load() == stable.LoadResult(None)
         store.save(7, None)
         store.save(8, KEPT)
-        assert stable.Store(tmp_path, "norte", "r1").load().stored == stable.Stored("norte", "r1", 8, KEPT)
+        assert stable.StateStore(tmp_path, "norte", "r1").load().stored == stable.StoredNode("norte", "r1", 8, KEPT)
 
 
 def test_memory_of_which_one_file_is_missing_may_be_the_older(tmp_path):
     saved(tmp_path, 3)
     (tmp_path / stable.FOLDER / stable.FILES[1]).unlink()
-    assert stable.Store(tmp_path, "norte", "r1").load() == stable.Found(None, "one of two files is missing")
+    assert stable.StateStore(tmp_path, "norte", "r1").load() == stable.LoadResult(None, "one of two files is missing")
 
 
 def test_memory_of_the_first_form_is_read_until_there_is_a_newer_one(tmp_path):
@@ -308,12 +312,12 @@
     folder.mkdir()
     golden = (Path(__file__).parent / "data" / "cluster" / "node-v1").read_bytes()
     (folder / "node").write_bytes(golden)
-    store = stable.Store(tmp_path, "norte", "r1")
-    assert store.load().stored == stable.Stored("norte", "r1", 6, KEPT)
+    store = stable.StateStore(tmp_path, "norte", "r1")
+    assert store.load().stored == stable.StoredNode("norte", "r1", 6, KEPT)
     store.save(7, None)
     assert [path.name for path in folder.iterdir()] == ["node.1"]
     (folder / "node").write_bytes(golden)  # as a kill between the two would leave it
-    assert stable.Store(tmp_path, "norte", "r1").load().stored == stable.Stored("norte", "r1", 7, None)
+    assert stable.StateStore(tmp_path, "norte", "r1").load().stored == stable.StoredNode("norte", "r1", 7, None)
     for place in range(len(golden)):
         assert stable.decode(golden[:place]).stored is None
 
@@ -342,11 +346,11 @@
     store.save(6, KEPT)
     assert len(synced) == 2  # anew, where the failed one was
     assert (tmp_path / stable.FOLDER / stable.FILES[0]).read_bytes() == before
-    assert stable.Store(tmp_path, "norte", "r1").load().stored.life == 6
+    assert stable.StateStore(tmp_path, "norte", "r1").load().stored.generation == 6
 
 
 def test_what_is_under_way_or_there_is_not_written_again():
-    pending, done = stable.Pending(), []
+    pending, done = stable.WriteQueue(), []
     assert pending.put("a", lambda: done.append(1)) == "a"
     assert pending.put("a", lambda: done.append(2)) is None  # with the one under way
     assert pending.put("b", lambda: done.append(3)) is None
@@ -388,7 +392,7 @@
         assert world.until_agreed(["r1", "r2", "r4", "r5"], 8 * SECOND)
         world.start("r3")
         assert world.until_agreed(world.names, 8 * SECOND)
-        assert world.machines["r3"].process.core.me.life == 2
+        assert world.machines["r3"].process.core.me.generation == 2
 
 
 def test_who_votes_on_slow_disks_does_not_propose_meanwhile():
@@ -418,21 +422,21 @@
     for name in world.names:
         world.start(name)
     assert world.until_agreed(world.names, 20 * SECOND)
-    number = world.machines["r1"].process.core.views.number
+    number = world.machines["r1"].process.core.agreement.number
     for name in ("r3", "r4", "r5"):
         world.kill(name)
     world.run(world.now + 20 * SECOND)
     for name in ("r1", "r2"):
         core = world.machines[name].process.core
-        assert core.views.number == number and core.views.standing is views.Standing.CUT_OFF
+        assert core.agreement.number == number and core.agreement.status is views.ViewStatus.CUT_OFF
 
 
 # Mistakes, put in on purpose: each has to be found by the same judges that find nothing else.
 
 
 def _lease_by_the_last_look(core):
-    until = core.views.lease_until
-    core.views.lease_until = lambda now: until(now) and until(now) + 3_000_000
+    until = core.agreement.lease_until
+    core.agreement.lease_until = lambda now: until(now) and until(now) + 3_000_000
 
 
 # Which of the scenarios that are searched in whole shows a mistake.
@@ -464,7 +468,7 @@
 def test_no_order_of_what_may_happen_breaks_what_is_promised(scenario):
     searched = check.Check(scenario)
     print(searched.run(), "states")
-    assert len(searched.views) > 1  # else nothing was decided, and it proves nothing
+    assert len(searched.agreement) > 1  # else nothing was decided, and it proves nothing
 
 
 @pytest.mark.parametrize("mistake", [mistakes.HalfIsEnough, mistakes.LeaseTooLong, mistakes.NoWaitAfterAView])
--- a/tests/test_cluster_live.py
+++ b/tests/test_cluster_live.py
@@ -22,7 +22,7 @@
 from lab.demo import ROOT, entries_of
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster.frame import Message
-from lynxscale.relay.cluster.membership_table import Rumour, State
+from lynxscale.relay.cluster.membership_table import MemberUpdate, State
 
 OUT_WITHIN, BACK_WITHIN, FORM_WITHIN = 8.0, 15.0, 30.0
 
@@ -254,8 +254,8 @@
     async def scene(cluster):
         node, record = cluster.nodes["r1"], deque(maxlen=20)
         before = (await node.look()).status
-        key, other = (frame.key_of(name, 500_000) for name in (cluster.name, "another"))
-        tell = Message("r9", 1, 1, 0, 1, 0, 99, 0, frame.Tell(), [Rumour("r2", 9, 9, 9, State.FAILED, "r9")])
+        key, other = (frame.cluster_key(name, 500_000) for name in (cluster.name, "another"))
+        tell = Message("r9", 1, 1, 0, 1, 0, 99, 0, frame.Gossip(), [MemberUpdate("r2", 9, 9, 9, State.FAILED, "r9")])
         ours, foreign = frame.encode(key, tell), frame.encode(other, tell)
         whole = Message("r2", 9, 9, 0, 1, 0, 99, 0, frame.Exchange(True), [])
         spoilt = {  # by the reason under which it is counted
@@ -268,7 +268,7 @@
             "checksum": ours[:-1] + bytes([ours[-1] ^ 1]),
             "unasked": frame.encode(key, whole),
             "message": frame.encode(key, msgspec.structs.replace(tell, view=-1)),
-            "own_name": frame.encode(key, msgspec.structs.replace(tell, frm="r1")),
+            "own_name": frame.encode(key, msgspec.structs.replace(tell, sender="r1")),
         }
 
         async def dropped() -> Counter:
--- a/tests/test_cluster_machines.py
+++ b/tests/test_cluster_machines.py
@@ -6,16 +6,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lynxscale.relay.cluster import frame
-from lynxscale.relay.cluster.frame import BadFrame, Message, Window
-from lynxscale.relay.cluster.membership_table import Rumour, Sight, State
+from lynxscale.relay.cluster.frame import BadFrame, Message, ReplayWindow
+from lynxscale.relay.cluster.membership_table import MembershipTable, MemberUpdate, State
 
 NAMES = ("r1", "r2", "r3")
-KEY, FOREIGN = frame.key_of("norte", 500_000), frame.key_of("norte", 250_000)
+KEY, FOREIGN = frame.cluster_key("norte", 500_000), frame.cluster_key("norte", 250_000)
 
 
-def order(rumour: Rumour) -> tuple:
+def order(update: MemberUpdate) -> tuple:
     """Which of two rumours of one node goes before the other: the later process, its later word, the worse state."""
-    return rumour.life, rumour.boot, rumour.word, int(rumour.state)
+    return update.generation, update.boot, update.incarnation, int(update.state)
 
 
 class Gossip(RuleBasedStateMachine):
@@ -24,27 +24,29 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.sights = {name: Sight(NAMES) for name in NAMES}
+        self.sights = {name: MembershipTable(NAMES) for name in NAMES}
         self.told = {name: {} for name in NAMES}  # who: of whom: the rumours taken in
-        self.said: list[Rumour] = []
-        self.own = {name: Rumour(name, 1, 7, 0, State.ALIVE) for name in NAMES}
+        self.said: list[MemberUpdate] = []
+        self.own = {name: MemberUpdate(name, 1, 7, 0, State.ALIVE) for name in NAMES}
         self.now = 0
 
-    def merge(self, who: str, rumour: Rumour) -> None:
+    def merge(self, who: str, update: MemberUpdate) -> None:
         self.now += 1
-        sight, before = self.sights[who], self.best(who, rumour.name)
-        change = sight.merge(rumour, self.now)
-        if rumour.name not in sight.names:
+        membership, before = self.sights[who], self.best(who, update.name)
+        change = membership.merge(update, self.now)
+        if update.name not in membership.names:
             assert change is None
             return
-        self.told[who].setdefault(rumour.name, []).append(rumour)
-        if before is not None and order(rumour) <= order(before):
+        self.told[who].setdefault(update.name, []).append(update)
+        if before is not None and order(update) <= order(before):
             assert change is None
             return
-        assert change.now == rumour and (change.before and order(change.before)) == (before and order(before))
-        assert change.shown == (before is None or (before.state, before.who) != (rumour.state, rumour.who))
+        assert change.now == update and (change.before and order(change.before)) == (before and order(before))
+        assert change.reportable == (
+            before is None or (before.state, before.identity) != (update.state, update.identity)
+        )
 
-    def best(self, who: str, of: str) -> Rumour | None:
+    def best(self, who: str, of: str) -> MemberUpdate | None:
         return max(self.told[who].get(of, ()), key=order, default=None)
 
     @rule(who=st.sampled_from(NAMES), how=st.sampled_from(("word", "life", "boot")))
@@ -52,9 +54,9 @@
         """A higher word; a process started anew; one that has lost its memory, and with it how often it was started."""
         last = self.own[who]
         self.own[who] = {
-            "word": last._replace(word=last.word + 1),
-            "life": last._replace(life=last.life + 1, boot=last.boot ^ 5, word=0),
-            "boot": last._replace(boot=last.boot + 1, word=0),
+            "word": last._replace(incarnation=last.incarnation + 1),
+            "life": last._replace(generation=last.generation + 1, boot=last.boot ^ 5, incarnation=0),
+            "boot": last._replace(boot=last.boot + 1, incarnation=0),
         }[how]
         self.said.append(self.own[who])
         self.merge(who, self.own[who])
@@ -63,7 +65,7 @@
     def accuses(self, who, of, state):
         known = self.sights[who].get(of)
         if known is not None:
-            self.said.append(known.rumour._replace(state=state, by=who))
+            self.said.append(known.update._replace(state=state, by=who))
             self.merge(who, self.said[-1])
 
     @precondition(lambda self: self.said)
@@ -80,19 +82,21 @@
 
     @invariant()
     def each_holds_the_greatest_that_it_was_told(self):
-        for who, sight in self.sights.items():
-            assert {one.rumour.name: order(one.rumour) for one in sight} == {
+        for who, membership in self.sights.items():
+            assert {one.update.name: order(one.update) for one in membership} == {
                 of: order(self.best(who, of)) for of in self.told[who]
             }
-            assert all(sight.state(of) == (self.best(who, of).state if of in self.told[who] else None) for of in NAMES)
+            assert all(
+                membership.state(of) == (self.best(who, of).state if of in self.told[who] else None) for of in NAMES
+            )
 
     def teardown(self) -> None:
         """Once all has reached all, in whatever order, they are of one mind, and nothing old comes back."""
-        for place, sight in enumerate(self.sights.values()):
-            sight.rename(NAMES)
-            for rumour in self.said[:: 1 if place else -1] * 2:
-                sight.merge(rumour, self.now)
-        held = [{one.rumour.name: order(one.rumour) for one in sight} for sight in self.sights.values()]
+        for place, membership in enumerate(self.sights.values()):
+            membership.rename(NAMES)
+            for update in self.said[:: 1 if place else -1] * 2:
+                membership.merge(update, self.now)
+        held = [{one.update.name: order(one.update) for one in membership} for membership in self.sights.values()]
         assert (
             held[0]
             == held[1]
@@ -111,18 +115,18 @@
         super().__init__()
         self.numbers = {5: 0, 6: 0}  # by boot
         self.frames: list[tuple[Message, bytes]] = []
-        self.windows = {5: Window(), 6: Window()}
+        self.windows = {5: ReplayWindow(), 6: ReplayWindow()}
         self.taken: dict[int, set[int]] = {5: set(), 6: set()}
 
     @rule(boot=st.sampled_from((5, 6)), lost=st.integers(0, 150), size=st.integers(0, 3))
     def sends(self, boot, lost, size):
         """One frame, behind so many that nobody will ever see."""
         self.numbers[boot] += 1 + lost
-        news = [Rumour(f"r{place}", 1, 1, place, State.SUSPECT, "r1") for place in range(size)]
+        news = [MemberUpdate(f"r{place}", 1, 1, place, State.SUSPECT, "r1") for place in range(size)]
         message = Message("r1", 1, boot, 0, self.numbers[boot], 0, 3, 4, frame.Ping(size), news)
         self.frames.append((message, frame.encode(KEY, message)))
 
-    @rule(boot=st.sampled_from((5, 6)), apart=st.sampled_from((1, Window.SPAN - 1, Window.SPAN)))
+    @rule(boot=st.sampled_from((5, 6)), apart=st.sampled_from((1, ReplayWindow.SPAN - 1, ReplayWindow.SPAN)))
     def two_change_places(self, boot, apart):
         self.sends(boot, 0, 0)
         self.sends(boot, apart - 1, 0)
@@ -138,7 +142,7 @@
         message, data = self.one(place)
         assert frame.decode(KEY, data) == message
         taken = self.taken[message.boot]
-        fits = message.number not in taken and message.number > max(taken, default=-1) - Window.SPAN
+        fits = message.number not in taken and message.number > max(taken, default=-1) - ReplayWindow.SPAN
         assert self.windows[message.boot].fresh(message.number) is fits
         if fits:
             taken.add(message.number)
