--- a/lab/cluster/check.py
+++ b/lab/cluster/check.py
@@ -403,10 +403,10 @@
         if self.terms.lease:
             acting = [local for id_, local in zip(ids, locals_, strict=True) if self._may_act(id_, local, time)]
             for one in acting:
-                for other in acting:
-                    if other.number > one.number and one.me not in other.agreement.view.members:
+                for later in acting:
+                    if later.number > one.number and one.me not in later.agreement.view.members:
                         raise InvariantViolation(
-                            f"{one.me} acts in view {one.number} while {other.me} acts in {other.number}"
+                            f"{one.me} acts in view {one.number} while {later.me} acts in {later.number}"
                         )
         return ids, said, time, left, past
 
--- a/lab/cluster/mistakes.py
+++ b/lab/cluster/mistakes.py
@@ -7,6 +7,7 @@
 
 from collections.abc import Iterator
 from contextlib import contextmanager
+from typing import cast
 
 from lynxscale.relay.cluster.instructions import PersistState, SendViewMessage, ViewInstruction
 from lynxscale.relay.cluster.messages import NO_BALLOT, DurableState, LeaseRequest, Promise, ViewMessage
@@ -158,4 +159,4 @@
 def spoil(kind: type[Spoilt], views: ViewAgreement, now: int) -> None:
     """From now on these views make that mistake."""
     views.__class__ = kind
-    views.begin(now)
+    cast(Spoilt, views).begin(now)
--- a/lynxscale/relay/cluster/failure_detector.py
+++ b/lynxscale/relay/cluster/failure_detector.py
@@ -436,12 +436,10 @@
             self._merge(MemberUpdate(*identity, 0, State.ALIVE), now)
         if sender == ack.node:
             self.last_answered[ack.node] = now
-        describe_mismatch = self._unconfirmed.get(ack.node)
-        if describe_mismatch is not None and describe_mismatch[1:] > identity[1:]:
+        claimed = self._unconfirmed.get(ack.node)
+        if claimed is not None and claimed[1:] > identity[1:]:
             self._instructions.append(
-                LogEvent(
-                    "stranger", {"node": ack.node, "boot": f"{describe_mismatch.boot:x}", "answers": f"{ack.boot:x}"}
-                )
+                LogEvent("stranger", {"node": ack.node, "boot": f"{claimed.boot:x}", "answers": f"{ack.boot:x}"})
             )
             del self._unconfirmed[ack.node]
         if ours:
