--- a/lynxscale/scheduling/message_queue.py
+++ b/lynxscale/scheduling/message_queue.py
@@ -80,7 +80,7 @@
         while queue:
             entry = queue[0]
             message = entry.message
-            if entry.version != message.version:
+            if not entry.is_current():
                 heappop(queue)
             elif message.late or self._context.now < message.target_at:
                 return entry
@@ -90,4 +90,4 @@
 
     def entries(self, destination: Destination) -> list[QueueEntry]:
         """All current entries, first the one that goes next."""
-        return sorted(entry for entry in destination.queue if entry.version == entry.message.version)
+        return sorted(entry for entry in destination.queue if entry.is_current())
--- a/tests/scheduling/test_admission.py
+++ b/tests/scheduling/test_admission.py
@@ -44,7 +44,7 @@
     number = d.message(SAFE, left=1000.0)
     d.finish(number, FULL, wait=5000.0)
     assert [a.retry_after for a in d.finals[number]] == [0.0]
-    assert [t for t, a in d.log if isinstance(a, Refuse)] == [d.now]  # at once, with its whole time left
+    assert [t for t, a in d.log if isinstance(a, Refuse)] == [d.now]  # at once, with all of its time left
 
 
 def test_burst_above_the_limit_of_pending_messages_is_answered_in_full():
@@ -59,9 +59,9 @@
 
 
 def test_what_a_rate_limit_lets_through_too_late_is_shed_at_once_least_valuable_first():
-    grades = classes()
-    grades[UNSAFE].worth = 3.0
-    d = Driver([member(11, weight=40.0)], **REPORTS, classes=grades)
+    message_classes = classes()
+    message_classes[UNSAFE].worth = 3.0
+    d = Driver([member(11, weight=40.0)], **REPORTS, classes=message_classes)
     d.finish(d.message(SAFE), Result.FULL, report=(0.0, 40.0))
     low = [d.message(SAFE) for _ in range(12)]
     high = [d.message(UNSAFE) for _ in range(2)]
--- a/tests/scheduling/test_concurrency_window.py
+++ b/tests/scheduling/test_concurrency_window.py
@@ -17,7 +17,7 @@
     return lost
 
 
-def cut(d: Driver) -> list[int]:
+def cancelled_ids(d: Driver) -> list[int]:
     return [a.id for _, a in d.log if isinstance(a, Cancel)]
 
 
@@ -35,8 +35,8 @@
     stuck = [d.message(UNSAFE, dest) for dest in range(1, 5)]
     d.pass_time(4000)
     waiting = d.message(UNSAFE, 6)
-    cut = [a.id for _, a in d.log if isinstance(a, Cancel)]
-    assert cut == stuck[:3]
+    cancelled = [a.id for _, a in d.log if isinstance(a, Cancel)]
+    assert cancelled == stuck[:3]
     d.finish(stuck[0], Result.CANCELLED)
     assert isinstance(d.finals[stuck[0]][0], Fail) and d.is_out(waiting)
 
@@ -47,7 +47,7 @@
     d.warm_up(60)
     lost = lose(d, 2, UNSAFE)
     d.pass_time(2000)
-    assert not cut(d)
+    assert not cancelled_ids(d)
     for dest in (1, 1, 2, 2, 2, 2):
         d.message(SAFE, dest=dest)
-    assert sorted(cut(d)) == lost
+    assert sorted(cancelled_ids(d)) == lost
--- a/tests/scheduling/test_dispatcher.py
+++ b/tests/scheduling/test_dispatcher.py
@@ -14,7 +14,7 @@
 
 
 def test_destination_under_half_its_share_of_slots_goes_before_others_on_time():
-    """A quick one with messages past their aim must not wait for all those of a busy one that is slow."""
+    """A fast destination with late messages must not wait for all messages of a busy slow one."""
     d = Driver([member(10 + dest, dest=dest) for dest in (1, 2, 3)], slots=8)
     for dest in (1, 2, 3):
         d.warm_up(10, dest=dest)
@@ -22,7 +22,7 @@
     for _ in range(3):
         d.message(UNSAFE, dest=3)
     assert len(d.out) == 8
-    late = d.message(UNSAFE, dest=2, left=5000.0)  # past its aim
+    late = d.message(UNSAFE, dest=2, left=5000.0)  # past its latency target
     d.finish(busy[0])
     assert d.is_out(late)
 
@@ -35,6 +35,6 @@
     for dest in (2, 2, 3, 3):
         d.message(UNSAFE, dest=dest)
     assert len(d.out) == 12
-    late = d.message(UNSAFE, dest=2, left=5000.0)  # past its aim, with two calls out
+    late = d.message(UNSAFE, dest=2, left=5000.0)  # past its latency target, with two calls in flight
     d.finish(busy[0])
     assert not d.is_out(late) and len(d.out) == 12
--- a/tests/scheduling/test_endpoint_choice.py
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -8,7 +8,7 @@
 
 
 def test_a_call_stays_in_its_zone_where_crossing_costs():
-    """The other floor's endpoint stands first in the list, and is as good in all else."""
+    """The other zone's endpoint is first in the membership, and as good in everything else."""
     members = [member(11, zone=1), member(12, zone=0)]
     for price, used in ((0.03, {12}), (0.0, {11})):
         d = Driver(members=members, cross_price=price, zone=0)
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -14,7 +14,7 @@
 
 
 def rates_of_a_returning_fleet(senders: int, outage: float, ms: float) -> int:
-    """Calls that reach a destination in the first span after its return; each node holds a message or two."""
+    """Calls that reach a destination in the first span after its return; each node has a message or two pending."""
     calls = 0
     for seed in range(senders):
         d = Driver([member(11, weight=60.0)], seed, slots=3, senders=senders, weights="rough")
@@ -35,7 +35,7 @@
 
 
 def failing_outage(d: Driver, ms: float, cls: int = SAFE) -> None:
-    """Every try fails for so long, while messages come four times a second."""
+    """Every attempt fails for so long, while messages arrive four times a second."""
     end = d.now + ms
     while d.now < end:
         d.message(cls)
@@ -76,7 +76,7 @@
 )
 def test_returning_destination_is_loaded_by_slow_start(result, wait):
     d = Driver()
-    d.warm_up(150)  # ten a second, so that much is the least it can do when warm
+    d.warm_up(150)  # ten a second, so it can serve at least as much after slow start
     outage(d, result, wait)
     times = load_on_return(d, 6000)
     for start in range(0, 3001, 250):
@@ -127,7 +127,7 @@
 
 
 def test_trials_grow_sparser_with_the_age_of_an_outage():
-    """Hundreds of nodes may each hold one message: their tries add up at the destination."""
+    """Hundreds of nodes may each hold one message: their trials add up at the destination."""
     d = Driver(slots=3, senders=240, weights="rough", members=[member(11, weight=30.0)])
     d.message(SAFE, left=60000.0)
     end = d.now + 40000
@@ -159,7 +159,7 @@
 
 
 def test_destination_that_hung_has_a_slow_start():
-    """Nothing but silence and cut calls, which leave no failure to go by, then a quick answer."""
+    """Only timeouts and cancelled calls, which count as no failure, then a fast answer."""
     d = Driver()
     d.warm_up(60)
     for _ in range(9):
--- a/tests/scheduling/test_rate_limits.py
+++ b/tests/scheduling/test_rate_limits.py
@@ -48,7 +48,7 @@
 
 
 def test_plenty_of_allowance_is_used_slowly_as_all_nodes_see_it():
-    """All senders hear of the same allowance at once: what each adds of a sudden comes forty times."""
+    """All nodes see the same allowance at once: what each adds suddenly arrives forty times."""
     one = share()
     one.rejected(500.0, 490.0, 0.0)
     one.answered(3000.0, 2900.0, 1.0)
--- a/tests/scheduling/test_rejection_backoff.py
+++ b/tests/scheduling/test_rejection_backoff.py
@@ -20,7 +20,7 @@
         d.message(cls)
     d.pass_time(899)
     assert len(d.sent()) == before
-    d.pass_time(1000)  # spread a little, as others were told the same end
+    d.pass_time(1000)  # spread a little, as others know the same end
     assert len(d.sent()) > before
 
 
@@ -35,18 +35,18 @@
 
 
 def test_busy_node_backs_off_for_less_than_one_that_sends_rarely():
-    rests = {}
+    backoffs = {}
     for calls in (2, 200):
         d = Driver(seed=3)
         d.warm_up(calls)
-        d.scheduler.backoff.base_ms = 5000.0  # as learned from refusals elsewhere
+        d.scheduler.backoff.base_ms = 5000.0  # as learned from rejections elsewhere
         number = d.message(SAFE, left=60000.0)
         d.finish(number, Result.FULL, wait=100)
         start, count = d.now, len(d.sent())
         while len(d.sent()) == count and d.now < start + 20000:
             d.pass_time(10)
-        rests[calls] = d.now - start
-    assert rests[200] < 400 < 1000 < rests[2]
+        backoffs[calls] = d.now - start
+    assert backoffs[200] < 400 < 1000 < backoffs[2]
 
 
 def test_backoff_grows_with_rejections_in_a_row():
@@ -63,7 +63,7 @@
 
 
 def test_calls_after_the_announced_end_of_an_outage_are_spread_over_the_fleet():
-    """All are told the same opening of a shut destination: they must not all call as it opens."""
+    """All know when a closed destination opens: they must not all call at that moment."""
     times = []
     for seed in range(60):
         d = Driver([member(11, weight=12.0)], seed, slots=3, senders=60, weights="rough")
@@ -92,19 +92,19 @@
 
 def test_backoff_after_a_rejection_depends_on_the_reported_allowance():
     """Refused calls may use up the limit: 100 nodes at 5 calls a second are to call once in 20 s each."""
-    rests = []
+    backoffs = []
     for seed in range(20):
         d = Driver(seed=seed, senders=100, report_left=0, report_limit=1, slots=3)
         d.finish(d.message(UNSAFE, left=60000.0), FULL, report=(0.0, 5.0))
         start = d.now
         while len(d.sent()) < 2 and d.now < start + 50000:
             d.pass_time(50)
-        rests.append(d.now - start)
-    assert min(rests) > 4000 and sum(rests) / len(rests) > 10000
+        backoffs.append(d.now - start)
+    assert min(backoffs) > 4000 and sum(backoffs) / len(backoffs) > 10000
 
 
 def test_rejections_above_a_limit_are_no_outage():
-    """Where calls are seldom, seconds without a success are usual: no single tries, and no cold return after."""
+    """Where calls are rare, seconds without a success are usual: no trials, and no slow start afterwards."""
     d = Driver([member(11, weight=40.0)], **REPORTS)
     d.warm_up(10, latency=1500.0)
     for _ in range(6):
--- a/tests/scheduling/test_restart_budget.py
+++ b/tests/scheduling/test_restart_budget.py
@@ -1,19 +1,12 @@
 """Attempts that are cancelled and sent again."""
 
 from lynxscale.scheduling.actions import Cancel
-from lynxscale.scheduling.rate_limits import RateShare
 from lynxscale.scheduling.restart_budget import RESTARTS_MAX
 from tests.scheduling.driver import SAFE, UNSAFE, Driver, member
 
 REPORTS = dict(senders=40, slots=6, report_left=0, report_limit=1, weights="nominal")
 
 
-def share(senders: int = 40, limit: float = 40.0) -> RateShare:
-    found = RateShare(senders, 0.0)
-    found.set_limit(limit)
-    return found
-
-
 def lose(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
     """So many calls without an answer, each overtaken by one that is answered in the usual time."""
     lost = []
@@ -24,7 +17,7 @@
     return lost
 
 
-def cut(d: Driver) -> list[int]:
+def cancelled_ids(d: Driver) -> list[int]:
     return [a.id for _, a in d.log if isinstance(a, Cancel)]
 
 
@@ -62,7 +55,7 @@
     d.warm_up(60)
     lost = lose(d, 5)
     d.pass_time(500)
-    assert cut(d) == lost and len(lost) > RESTARTS_MAX
+    assert cancelled_ids(d) == lost and len(lost) > RESTARTS_MAX
 
 
 def test_slow_calls_are_not_taken_for_lost():
@@ -72,12 +65,12 @@
     for _ in range(12):
         d.message(SAFE)
     d.pass_time(900)
-    assert len(cut(d)) <= RESTARTS_MAX
+    assert len(cancelled_ids(d)) <= RESTARTS_MAX
 
 
 def test_no_call_is_restarted_while_a_rate_limit_is_felt():
-    """The repeat would take another sender's turn: the cut call has used its own."""
-    cut = []
+    """A restart would use another node's token: the cancelled call has used its own."""
+    cancelled = []
     for left in (0.9, 0.1):
         d = Driver([member(11, weight=400.0)], **REPORTS)
         for _ in range(40):
@@ -89,5 +82,5 @@
         assert share.is_tight == (left < 0.5)
         d.message(SAFE)
         d.pass_time(1500)
-        cut.append(any(isinstance(a, Cancel) for _, a in d.log))
-    assert cut == [True, False]
+        cancelled.append(any(isinstance(a, Cancel) for _, a in d.log))
+    assert cancelled == [True, False]
--- a/tests/scheduling/test_restart_timeout.py
+++ b/tests/scheduling/test_restart_timeout.py
@@ -2,13 +2,7 @@
 
 import math
 
-from lynxscale.scheduling.actions import Cancel
 from lynxscale.scheduling.restart_timeout import MIN_FINISHED, best_timeout
-from tests.scheduling.driver import Driver
-
-
-def cut(d: Driver) -> list[int]:
-    return [a.id for _, a in d.log if isinstance(a, Cancel)]
 
 
 def test_few_finished_attempts_give_no_timeout():
@@ -18,7 +12,7 @@
 
 def test_formula_restarts_before_a_far_straggler():
     # 19 calls of 100 and one of 2000. At 100: F = .95, M1 = 95, so 100 + .05/.95*100 = 105.3.
-    # At 2000: F = 1, mean 195. The cut wins.
+    # At 2000: F = 1, mean 195. The restart wins.
     assert best_timeout([100.0] * 19 + [2000.0], 0.0) == 100.0
 
 
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -154,14 +154,14 @@
 @pytest.mark.parametrize("cls", [SAFE, UNSAFE, KEYED, ORDERED])
 def test_outcome_after_the_answer_and_membership_that_drains_all(cls):
     d = Driver([member(11), member(12)])
-    out, held = d.message(cls, key=4), d.message(cls, key=4)
+    sent, pending = d.message(cls, key=4), d.message(cls, key=4)
     gone = [member(11, life=2), member(12, life=0)]
     d.give(MembershipUpdate(MembershipKind.DELTA, 2, gone))
     before = len(d.sent())
     for _ in range(2):
-        d.give(Outcome(out, 0, 11, Result.OK, 100.0, True))
+        d.give(Outcome(sent, 0, 11, Result.OK, 100.0, True))
     d.pass_time(30000)
-    assert len(d.sent()) == before and len(d.finals[held]) == 1
+    assert len(d.sent()) == before and len(d.finals[pending]) == 1
 
 
 def test_health_checks_of_unknown_and_gone_endpoints_are_ignored():
--- a/tests/scheduling/test_settings_reader.py
+++ b/tests/scheduling/test_settings_reader.py
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "told"),
+    ("path", "value", "setting"),
     [
         (("grades",), [], "grades is missing"),
         (("grades", 0, "effect"), "twice", "grades[0].effect is missing or unknown: 'twice'"),
@@ -28,20 +28,20 @@
         (("orgs",), [{"name": "acme"}, {"name": "acme"}], "orgs[1].name is there twice: 'acme'"),
     ],
 )
-def test_wrong_settings_are_rejected_with_their_key(path, value, told):
-    whole = settings_table()
-    table = whole
+def test_wrong_settings_are_rejected_with_their_key(path, value, setting):
+    settings = settings_table()
+    table = settings
     for key in path[:-1]:
         table = table[key]
     table[path[-1]] = value
-    with pytest.raises(SettingsError, match=re.escape(f"setting {told}")):
-        settings_from(whole)
+    with pytest.raises(SettingsError, match=re.escape(f"setting {setting}")):
+        settings_from(settings)
 
 
 def test_class_without_keys_needs_no_memory_span_and_a_cap_of_0_is_none():
-    whole = settings_table()
-    del whole["grades"][0]["memory_span_ms"]
-    whole["grades"][2]["memory_span_ms"] = 0
-    whole["allowed"]["attempts_cap"] = 0
-    read = settings_from(whole)
+    settings = settings_table()
+    del settings["grades"][0]["memory_span_ms"]
+    settings["grades"][2]["memory_span_ms"] = 0
+    settings["allowed"]["attempts_cap"] = 0
+    read = settings_from(settings)
     assert (read.classes[0].memory_span_ms, read.classes[2].memory_span_ms, read.attempts_cap) == (None, 0.0, 0)
