--- a/lynxscale/controlplane/__main__.py
+++ b/lynxscale/controlplane/__main__.py
@@ -31,7 +31,7 @@
 
 
 async def serve(settings: Settings) -> None:
-    """Run until SIGTERM."""
+    """Serve messages of other nodes and the operator's requests until SIGTERM, then leave the group."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
@@ -68,7 +68,7 @@
 
 
 def main() -> int:
-    """Exit code 2 where the settings are wrong."""
+    """Run a control process until SIGTERM and return its exit code: 2 where its settings are unusable."""
     return run(serve)
 
 
--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -16,14 +16,9 @@
 
 from lynxscale.controlplane.configuration import Configuration
 from lynxscale.controlplane.configuration_check import Findings, check_configuration
+from lynxscale.controlplane.configuration_diff import differences
 from lynxscale.controlplane.configuration_endpoint import BASE_HEADER
-from lynxscale.controlplane.configuration_update import (
-    NAMED_LISTS,
-    Entry,
-    apply_update,
-    check_update,
-    named_entries,
-)
+from lynxscale.controlplane.configuration_update import apply_update, check_update
 from lynxscale.controlplane.operator_api import READ_PATH, REPLACE_PATH, UPDATE_PATH
 from lynxscale.controlplane.status import ControlStatus, render
 from lynxscale.coordination.store import Store
@@ -118,11 +113,7 @@
         """Print one line for each difference; exit code 1 where there are any."""
         before = _load(self.before)
         after = _load_updated(before, self.after) if self.update else _load(self.after)
-        lines = [
-            line
-            for name in NAMED_LISTS
-            for line in differences(name, named_entries(before, name), named_entries(after, name))
-        ]
+        lines = differences(before, after)
         print("\n".join(lines) if lines else "no difference")
         if lines:
             raise cappa.Exit(code=ExitCode.FINDINGS)
@@ -154,22 +145,6 @@
     return "\n".join(f"{path}: {finding}" for finding in findings)
 
 
-def differences(name: str, before: list[Entry], after: list[Entry]) -> list[str]:
-    """Return the lines ``-``, ``+`` and ``~`` for the entries of a list that were removed, added and changed."""
-    old = {entry["name"]: entry for entry in before}
-    new = {entry["name"]: entry for entry in after}
-    lines = [f"- {name} {entry}" for entry in old if entry not in new]
-    lines += [f"+ {name} {entry}" for entry in new if entry not in old]
-    for entry in old:
-        if entry in new and old[entry] != new[entry]:
-            lines.append(f"~ {name} {entry}: {', '.join(_changed_fields(old[entry], new[entry]))}")
-    return lines
-
-
-def _changed_fields(before: Entry, after: Entry) -> list[str]:
-    return sorted(field for field in before | after if before.get(field) != after.get(field))
-
-
 @cappa.command(help="Check every file of a stopped member's data folder; nothing is changed.")
 @dataclass
 class Verify:
