--- a/lab/bench_trace.py
+++ b/lab/bench_trace.py
@@ -23,7 +23,7 @@
 from lab.clients import CLASSES, TENANTS
 from lab.traffic import Load, fresh_folder, one_run, settings, with_trace
 from lynxscale.relay.conf.directive import SIZES, amount
-from lynxscale.relay.conf.table import TraceConf
+from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.scheduling.settings_reader import settings_from
 from lynxscale.trace import records as r
 from lynxscale.trace import v2
--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -12,7 +12,7 @@
 from lynxscale.cli import FAILED, Failed, Misused, example
 from lynxscale.cli.common import write_json, write_table
 from lynxscale.relay.conf.lexer import Fault
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 
 ANSWER_WITHIN = 3.0
 COLUMNS = ("node", "at", "zone", "state", "for_s", "life", "in_view", "answered_ms", "others say", "slow", "differs")
@@ -58,11 +58,11 @@
 
 
 def _read(path: str) -> Conf:
-    from lynxscale.relay.conf.reader import ConfFaults, read
+    from lynxscale.relay.conf.reader import ConfigurationError, read
 
     try:
         return read(path)
-    except ConfFaults as error:
+    except ConfigurationError as error:
         raise Misused(str(error)) from error
 
 
--- a/lynxscale/cli/conf.py
+++ b/lynxscale/cli/conf.py
@@ -11,7 +11,8 @@
 from lynxscale.cli import USAGE, Misused, example
 from lynxscale.relay.conf import reader
 from lynxscale.relay.conf.directive import field_of
-from lynxscale.relay.conf.table import SECTIONS, Conf
+from lynxscale.relay.conf.settings import Conf
+from lynxscale.relay.conf.table import SECTIONS
 
 
 def _path(given: str | None) -> str | None:
@@ -21,7 +22,7 @@
 def _load(given: str | None) -> Conf:
     try:
         return reader.from_environment(path=given)
-    except reader.ConfFaults as error:
+    except reader.ConfigurationError as error:
         raise Misused("\n" + str(error)) from error
 
 
@@ -44,7 +45,7 @@
     faults = []
     try:
         reader.read(path)
-    except reader.ConfFaults as error:
+    except reader.ConfigurationError as error:
         faults = error.faults
     if as_json:
         click.echo(orjson.dumps([dataclasses.asdict(fault) for fault in faults]))
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -14,7 +14,7 @@
 from lynxscale.cli.common import write_json, write_table
 
 if TYPE_CHECKING:
-    from lynxscale.relay.conf.table import Conf
+    from lynxscale.relay.conf.settings import Conf
     from lynxscale.relay.upstream.files import Reading, Rules
     from lynxscale.relay.upstream.list_store import ListStore
     from lynxscale.relay.upstream.model import CandidateList, Endpoint
@@ -33,7 +33,7 @@
 
     try:
         return reader.from_environment(path=path)
-    except reader.ConfFaults as error:
+    except reader.ConfigurationError as error:
         raise Misused("\n" + str(error)) from error
 
 
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -25,7 +25,7 @@
 from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf import platform
 from lynxscale.relay.conf.platform import Address, Config
-from lynxscale.relay.conf.table import ClusterConf, Conf
+from lynxscale.relay.conf.settings import ClusterConf, Conf
 
 log = structlog.get_logger()
 
--- a/lynxscale/relay/cluster/settings.py
+++ b/lynxscale/relay/cluster/settings.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 
 LIMITS = ("tries", "cold_share", "warm_up", "tip_multiple", "tip_after", "late", "retry_after_most")
 
--- a/lynxscale/relay/components.py
+++ b/lynxscale/relay/components.py
@@ -14,7 +14,7 @@
 import structlog
 
 from lynxscale.relay.conf.platform import Config
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 
 if TYPE_CHECKING:
     from lynxscale.relay.core import Relay
--- a/lynxscale/relay/conf/directive.py
+++ b/lynxscale/relay/conf/directive.py
@@ -1,4 +1,4 @@
-"""One directive of the configuration: what may follow its word, how that is read, and how a value is written."""
+"""One directive of the configuration: what may follow its word, how that is parsed, and how a value is written."""
 
 from __future__ import annotations
 
@@ -27,6 +27,19 @@
     return f"{value // size}{unit}"
 
 
+def _text(text: str) -> str:
+    if not text or "\0" in text:
+        raise ValueError(text)
+    return text
+
+
+def _address(text: str) -> str:
+    host, colon, port = text.rpartition(":")
+    if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
+        raise ValueError(text)
+    return text
+
+
 @dataclass(frozen=True, slots=True)
 class Directive:
     """One word of the file and what may follow it.
@@ -57,7 +70,11 @@
             return "one or more names"
         if self.kind == "row":
             return " ".join(
-                ["NAME", *(one.place() for one in self.plain), *(f"[{one.name} {one.place()}]" for one in self.columns)]
+                [
+                    "NAME",
+                    *(one.placeholder() for one in self.plain),
+                    *(f"[{one.name} {one.placeholder()}]" for one in self.columns),
+                ]
             )
         if self.kind in ("path", "text"):
             return f"a {self.kind}"
@@ -71,7 +88,7 @@
         }[self.kind]
         return f"{what}, {self.shown(self.least)} to {self.shown(self.most)}"
 
-    def place(self) -> str:
+    def placeholder(self) -> str:
         """What stands for its value in a row's pattern."""
         return {
             "choice": ",".join(self.among),
@@ -112,20 +129,18 @@
             raise ValueError("want one word")
         text = words[0]
         if self.kind in ("path", "text"):
-            if not text or "\0" in text:
-                raise ValueError(text)
-            return text
+            return _text(text)
         if self.kind == "address":
-            host, colon, port = text.rpartition(":")
-            if not (colon and host and port.isascii() and port.isdigit() and 0 <= int(port) < 65536):
-                raise ValueError(text)
-            return text
+            return _address(text)
         if self.kind == "choice":
             if text not in self.among:
                 raise ValueError(text)
             return text
         if self.kind == "flag":
             return {"yes": True, "no": False}[text]
+        return self._number(text)
+
+    def _number(self, text: str) -> float:
         if self.kind == "share":
             value: float = float(text) if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,9})?", text) else -1.0
         else:
@@ -135,7 +150,7 @@
         return value
 
     def _row(self, words: tuple[str, ...]) -> dict[str, Any]:
-        """A name, the plain values, and its columns, those that are told."""
+        """A name, the plain values, and the columns that are given."""
         pairs = 1 + len(self.plain)
         if len(words) < pairs or (len(words) - pairs) % 2 or not words[0].isprintable():
             raise ValueError("want a name, plain values and pairs")
@@ -153,6 +168,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
+    """A section of the file; ``check`` returns directives that are wrong together, and what is wanted."""
+
     name: str
     type: type
     help: str
@@ -169,6 +186,7 @@
 
 
 def column(name: str, kind: str, **more: Any) -> Directive:
+    """A column of a row."""
     return Directive(name, kind, None, "", **more)
 
 
--- a/lynxscale/relay/conf/lexer.py
+++ b/lynxscale/relay/conf/lexer.py
@@ -1,6 +1,6 @@
-"""Words of a line-based configuration file: the bytes' side of the format, without any meaning.
+"""Words of a line-based configuration file: the syntax, without any meaning.
 
-A line is a directive and its words, parted by blanks. ``#`` begins a comment where a word could begin. Double
+A line is a directive and its words, separated by blanks. ``#`` begins a comment where a word could begin. Double
 quotes hold blanks, with ``\\"`` and ``\\\\`` inside; single quotes hold anything but themselves. Outside single
 quotes ``${NAME}`` is a variable of the environment. ``include PATH`` stands for the lines of another file;
 the path is taken from the folder of the file that names it, and may hold ``*``.
@@ -14,16 +14,18 @@
 from glob import glob
 from pathlib import Path
 
-FILE_MOST = 1 << 20  # bytes of one file: guards against a device or a log named by mistake
-DEEPEST = 8  # files within files
+from lynxscale.relay.exceptions import RelayError
+
+MAX_FILE_BYTES = 1 << 20  # of one file: guards against a device or a log named by mistake
+MAX_DEPTH = 8  # of files that include files
 VARIABLE = re.compile(r"\$\{([A-Za-z_][A-Za-z0-9_]*)\}")
 WORD = re.compile(r"""(?:"(?:[^"\\]|\\.)*"|'[^']*'|[^\s"'])+""")
-PIECE = re.compile(r""""((?:[^"\\]|\\.)*)"|'([^']*)'|([^"']+)""")
+PART = re.compile(r""""((?:[^"\\]|\\.)*)"|'([^']*)'|([^"']+)""")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing wrong, with its place; ``line`` is 0 where it is the whole file's."""
+    """Something wrong, with its place; ``line`` is 0 where it concerns the complete file."""
 
     file: str
     line: int
@@ -37,20 +39,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
+    """The words of one line, with its place."""
+
     file: str
     number: int
     words: tuple[str, ...]
 
     def fault(self, word: str, wanted: str) -> Fault:
+        """Something wrong with this line."""
         return Fault(self.file, self.number, word, wanted)
 
 
-class Unclosed(ValueError):
-    """A quote is not closed; the text is what is there."""
+class UnclosedQuoteError(RelayError, ValueError):
+    """A quote is not closed; the text is what follows it."""
 
 
 def split(raw: str, fill: Callable[[str], str] = str) -> list[str]:
-    """The words of a line; ``fill`` is given what stands outside single quotes. Raises Unclosed."""
+    """The words of a line; ``fill`` is given what stands outside single quotes. Raises UnclosedQuoteError."""
     words, at = [], 0
     while at < len(raw):
         if raw[at].isspace():
@@ -60,11 +65,11 @@
             break
         match = WORD.match(raw, at)
         if match is None or (match.end() < len(raw) and not raw[match.end()].isspace()):
-            raise Unclosed(raw[at : at + 20])
+            raise UnclosedQuoteError(raw[at : at + 20])
         words.append(
             "".join(
                 literal or fill(re.sub(r"\\(.)", r"\1", quoted) if quoted else plain)
-                for quoted, literal, plain in PIECE.findall(match.group())
+                for quoted, literal, plain in PART.findall(match.group())
             )
         )
         at = match.end()
@@ -72,18 +77,18 @@
 
 
 class Lexer:
-    """Lines of a file and of all that it includes; what is wrong is gathered in ``faults``."""
+    """Lines of a file and of all that it includes; what is wrong is collected in ``faults``."""
 
     def __init__(self, env: Mapping[str, str]) -> None:
         self._env = env
         self.faults: list[Fault] = []
 
-    def lines(self, path: str | Path, *, _above: tuple[Path, ...] = ()) -> Iterator[Line]:
+    def lines(self, path: str | Path, *, _includers: tuple[Path, ...] = ()) -> Iterator[Line]:
         """Every line with words in it, in order. A file that cannot be read is a fault, not an exception."""
         path = Path(path)
         try:
-            if path.stat().st_size > FILE_MOST:
-                raise ValueError(f"longer than {FILE_MOST} bytes")
+            if path.stat().st_size > MAX_FILE_BYTES:
+                raise ValueError(f"longer than {MAX_FILE_BYTES} bytes")
             text = path.read_text(encoding="utf-8")
         except (OSError, ValueError) as error:
             reason = getattr(error, "strerror", None) or str(error)
@@ -95,33 +100,33 @@
                 continue
             line = Line(str(path), number, words)
             if words[0] == "include":
-                yield from self._include(line, path, _above)
+                yield from self._include(line, path, _includers)
             else:
                 yield line
 
-    def _include(self, line: Line, path: Path, above: tuple[Path, ...]) -> Iterator[Line]:
+    def _include(self, line: Line, path: Path, includers: tuple[Path, ...]) -> Iterator[Line]:
         if len(line.words) != 2:
             self.faults.append(line.fault("include", "want one path"))
             return
-        here = (*above, path.resolve())
+        including = (*includers, path.resolve())
         pattern = path.parent / line.words[1]
         found = sorted(glob(str(pattern))) if "*" in line.words[1] else [str(pattern)]
         for name in found:
-            if Path(name).resolve() in here:
+            if Path(name).resolve() in including:
                 self.faults.append(line.fault(line.words[1], "want a file that does not include itself"))
-            elif len(here) >= DEEPEST:
-                self.faults.append(line.fault(line.words[1], f"want at most {DEEPEST} files within files"))
+            elif len(including) >= MAX_DEPTH:
+                self.faults.append(line.fault(line.words[1], f"want at most {MAX_DEPTH} files within files"))
             else:
-                yield from self.lines(name, _above=here)
+                yield from self.lines(name, _includers=including)
 
     def _words(self, file: str, number: int, raw: str) -> tuple[str, ...]:
         try:
-            return tuple(split(raw, lambda text: self._filled(file, number, text)))
-        except Unclosed as error:
+            return tuple(split(raw, lambda text: self._substitute(file, number, text)))
+        except UnclosedQuoteError as error:
             self.faults.append(Fault(file, number, str(error), "want a closing quote"))
             return ()
 
-    def _filled(self, file: str, number: int, text: str) -> str:
+    def _substitute(self, file: str, number: int, text: str) -> str:
         def value(match: re.Match) -> str:
             name = match.group(1)
             if name not in self._env:
--- a/lynxscale/relay/conf/networks.py
+++ b/lynxscale/relay/conf/networks.py
@@ -1,4 +1,4 @@
-"""Networks that a file names, as ranges of addresses that are cheap to look in."""
+"""Allowed networks, as ranges of addresses that are cheap to search."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Nets:
-    """Allowed addresses as ranges of whole numbers, both ends in them; by ``nets`` from networks."""
+    """Allowed addresses as ranges of integers, both ends inclusive; ``nets`` makes them from networks."""
 
     firsts: tuple[int, ...]
     lasts: tuple[int, ...]
 
     def __contains__(self, packed: int) -> bool:
-        place = bisect_right(self.firsts, packed) - 1
-        return place >= 0 and packed <= self.lasts[place]
+        index = bisect_right(self.firsts, packed) - 1
+        return index >= 0 and packed <= self.lasts[index]
 
 
 def nets(allow: Iterable[str], deny: Iterable[str]) -> Nets:
--- a/lynxscale/relay/conf/platform.py
+++ b/lynxscale/relay/conf/platform.py
@@ -13,16 +13,17 @@
 
 import orjson
 
+from lynxscale.relay.exceptions import RelayError
 from lynxscale.scheduling.exceptions import SettingsError
 from lynxscale.scheduling.settings import Settings
 from lynxscale.scheduling.settings_reader import settings_from
 
-SOCKETS, DISK_MB, MEMORY_MB = 1024, 3.0, 64.0
-LEAST_SOCKETS = 64
+DEFAULT_SOCKETS, DEFAULT_DISK_MB, DEFAULT_MEMORY_MB = 1024, 3.0, 64.0
+MIN_SOCKETS = 64
 
 
-class PlatformError(Exception):
-    """A key is missing or not of use; the text names it."""
+class PlatformError(RelayError):
+    """A key is missing or invalid; the text names it."""
 
 
 Address = tuple[str, int]
@@ -30,6 +31,11 @@
 
 @dataclass(slots=True)
 class Config:
+    """The configuration of a relay, whichever side it comes from.
+
+    ``known``: the endpoint list of the last run, as discovery gives it.
+    """
+
     name: str
     listen: Address
     discovery: Address | None
@@ -42,7 +48,7 @@
     by_platform: bool = True
     admin: Address | None = None  # for operators alone
     memory_bytes: int = 64_000_000
-    accept_fd: int | None = None  # the clients' listening socket, where the platform holds it
+    accept_fd: int | None = None  # the clients' listening socket, where the platform opens it
 
 
 def address(text: Any, key: str) -> Address:
@@ -80,15 +86,15 @@
 
 
 def _inherited(text: str, listen: Address) -> int:
-    """The descriptor of a listening TCP socket at the address that is told."""
+    """The descriptor of a listening TCP socket at that address."""
     key = "NODE_ACCEPT_FD"
     if not (text.isascii() and text.isdigit() and 2 < int(text) < 1 << 20):
         raise PlatformError(f"{key}: want the number of a descriptor, 3 or above, not {text!r}")
     handle = int(text)
     try:
-        with socket.socket(fileno=os.dup(handle)) as told:
-            listens = told.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-            form, at = (told.family, told.type & socket.SOCK_STREAM), told.getsockname()
+        with socket.socket(fileno=os.dup(handle)) as inherited:
+            listens = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
+            form, at = (inherited.family, inherited.type & socket.SOCK_STREAM), inherited.getsockname()
     except OSError as error:
         raise PlatformError(f"{key}: descriptor {handle} is no socket: {error.strerror}") from error
     if form != (socket.AF_INET, socket.SOCK_STREAM) or not listens:
@@ -101,10 +107,39 @@
 
 
 def load(env: Mapping[str, str] = os.environ, *, again: bool = False) -> Config:
-    """What this relay is told; a variable of its own goes before the same key in the file.
+    """The relay's configuration; a variable of its own takes precedence over the same key in the file.
 
-    Read ``again`` the file may name another discovery than at the start, and it is the newer word then.
+    Read ``again`` the file may name another discovery than at the start, and takes precedence then. Raises
+    PlatformError.
     """
+    table = _read_table(env)
+    limits = _object(table, "limits")
+    state = _state(env, table)
+    settings = _settings(table)
+    discovery = env.get("NODE_DISCOVERY")
+    if not discovery or (again and "discovery" in table):
+        discovery = table.get("discovery")
+    descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    sockets = int(_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS))
+    listen = address(env.get("NODE_LISTEN") or table.get("listen"), "NODE_LISTEN")
+    admin = _admin(env, table, listen)
+    return Config(
+        name=str(env.get("NODE_NAME") or table.get("name") or "relay"),
+        listen=listen,
+        discovery=address(discovery, "discovery" if again else "NODE_DISCOVERY"),
+        state=state,
+        seed=seed(table.get("seed", 0)),
+        sockets=sockets if descriptors == resource.RLIM_INFINITY else min(sockets, descriptors),
+        disk_bytes=int(_limit(limits, "disk_mb", DEFAULT_DISK_MB, 0.01) * 1_000_000),
+        known=_object(table, "known"),
+        settings=settings,
+        admin=admin,
+        memory_bytes=int(_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, 1) * 1_000_000),
+        accept_fd=_inherited(env["NODE_ACCEPT_FD"], listen) if env.get("NODE_ACCEPT_FD") else None,
+    )
+
+
+def _read_table(env: Mapping[str, str]) -> dict:
     path = env.get("NODE_CONFIG")
     if not path:
         raise PlatformError("NODE_CONFIG: not set")
@@ -116,40 +151,32 @@
         raise PlatformError(f"NODE_CONFIG: {path} is not JSON: {error}") from error
     if not isinstance(table, dict):
         raise PlatformError(f"NODE_CONFIG: {path} does not hold an object")
-    limits = _object(table, "limits")
+    return table
+
+
+def _state(env: Mapping[str, str], table: dict) -> Path:
     state = env.get("NODE_STATE") or table.get("state")
     if not isinstance(state, str) or not Path(state).is_dir():
         raise PlatformError(f"NODE_STATE: want a folder that is there, not {state!r}")
     if not os.access(state, os.W_OK | os.X_OK):
         raise PlatformError(f"NODE_STATE: {state} is not writable")
+    return Path(state)
+
+
+def _settings(table: dict) -> Settings:
     if "settings" not in table:
         raise PlatformError("settings: missing")
     try:
-        settings = settings_from(table["settings"])
+        return settings_from(table["settings"])
     except SettingsError as error:
         raise PlatformError(f"settings: {error}") from error
-    discovery = env.get("NODE_DISCOVERY")
-    if not discovery or (again and "discovery" in table):
-        discovery = table.get("discovery")
-    told = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    sockets = int(_limit(limits, "sockets", SOCKETS, LEAST_SOCKETS))
-    listen = address(env.get("NODE_LISTEN") or table.get("listen"), "NODE_LISTEN")
-    admin = env.get("NODE_ADMIN_ADDR") or table.get("admin_addr")
-    if admin is not None:
-        admin = address(admin, "admin_addr (NODE_ADMIN_ADDR)")
-        if admin == listen:
-            raise PlatformError(f"admin_addr (NODE_ADMIN_ADDR): {admin[0]}:{admin[1]} is the clients' address")
-    return Config(
-        name=str(env.get("NODE_NAME") or table.get("name") or "relay"),
-        listen=listen,
-        discovery=address(discovery, "discovery" if again else "NODE_DISCOVERY"),
-        state=Path(state),
-        seed=seed(table.get("seed", 0)),
-        sockets=sockets if told == resource.RLIM_INFINITY else min(sockets, told),
-        disk_bytes=int(_limit(limits, "disk_mb", DISK_MB, 0.01) * 1_000_000),
-        known=_object(table, "known"),
-        settings=settings,
-        admin=admin,
-        memory_bytes=int(_limit(limits, "memory_mb", MEMORY_MB, 1) * 1_000_000),
-        accept_fd=_inherited(env["NODE_ACCEPT_FD"], listen) if env.get("NODE_ACCEPT_FD") else None,
-    )
+
+
+def _admin(env: Mapping[str, str], table: dict, listen: Address) -> Address | None:
+    text = env.get("NODE_ADMIN_ADDR") or table.get("admin_addr")
+    if text is None:
+        return None
+    admin = address(text, "admin_addr (NODE_ADMIN_ADDR)")
+    if admin == listen:
+        raise PlatformError(f"admin_addr (NODE_ADMIN_ADDR): {admin[0]}:{admin[1]} is the clients' address")
+    return admin
--- a/lynxscale/relay/conf/product_settings.py
+++ b/lynxscale/relay/conf/product_settings.py
@@ -1,6 +1,6 @@
-"""The settings of a relay without the platform: directives filled into the same types as the platform's JSON.
+"""The configuration of a relay without the platform, from the settings of lynxscale itself.
 
-The directives become the nested object that the platform would give, so that one reader checks both.
+The directives become the object that the platform would give in JSON, so that one reader checks both.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.relay.conf.platform import Config, PlatformError, address, seed
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 from lynxscale.scheduling.exceptions import SettingsError
 from lynxscale.scheduling.settings_reader import settings_from
 
 
-def nested(conf: Conf) -> dict[str, Any]:
-    """The platform's object of settings, with what these directives say."""
+def platform_settings(conf: Conf) -> dict[str, Any]:
+    """The platform's object of settings, with the values of these directives."""
     limits, names, relay = conf.limits, conf.names, conf.relay
     return {
         "allowed": {
@@ -79,39 +79,41 @@
     )
 
 
-def faults(conf: Conf, place: Callable[[str, str], tuple[str, int]]) -> list[Fault]:
+def faults(conf: Conf, place_of: Callable[[str, str], tuple[str, int]]) -> list[Fault]:
     """What keeps a relay from running with these sections, beyond the faults of single directives.
 
-    ``place``: file and line of a section's directive, or of the section where it is not told; line 0 without either.
+    ``place_of``: file and line of a section's directive, or of the section where it is absent; line 0 without either.
     """
     if conf.relay.listen is None:
         return []
     found = []
-    for wanted, told in (
+    for wanted, given in (
         ("one class or more in names", conf.names.cls),
         ("files in members, or discovery in relay", conf.members.files or conf.relay.discovery),
         ("file or http in finals", conf.finals.file or conf.finals.http),
     ):
-        if not told:
-            found.append(Fault(*place("relay", ""), "relay", f"want {wanted}"))
+        if not given:
+            found.append(Fault(*place_of("relay", ""), "relay", f"want {wanted}"))
     if conf.relay.place >= conf.relay.relays:
-        found.append(Fault(*place("relay", "place"), "place", "want a number below relays"))
+        found.append(Fault(*place_of("relay", "place"), "place", "want a number below relays"))
     if conf.cluster.name is not None and conf.relay.name not in [row["name"] for row in conf.cluster.member]:
         found.append(
             Fault(
-                *place("cluster", "member"), "member", f"want a line for {conf.relay.name} too, this relay's own name"
+                *place_of("cluster", "member"),
+                "member",
+                f"want a line for {conf.relay.name} too, this relay's own name",
             )
         )
     if not found:
         try:
-            settings_from(nested(conf))
+            settings_from(platform_settings(conf))
         except SettingsError as error:
-            found.append(Fault(*place("", ""), "settings", str(error)))
+            found.append(Fault(*place_of("", ""), "settings", str(error)))
     return found
 
 
 def load(conf: Conf) -> Config:
-    """What this relay is told. Raises PlatformError where the machine is in the way."""
+    """The relay's configuration. Raises PlatformError where the state folder cannot be written."""
     relay = conf.relay
     state = Path(relay.state)
     try:
@@ -120,17 +122,17 @@
         (state / ".probe").unlink()
     except OSError as error:
         raise PlatformError(f"state: {state} is not writable: {error.strerror}") from error
-    told = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return Config(
         name=relay.name,
         listen=address(relay.listen, "listen"),
         discovery=address(relay.discovery, "discovery") if relay.discovery else None,
         state=state,
         seed=seed(relay.seed),
-        sockets=relay.sockets if told == resource.RLIM_INFINITY else min(relay.sockets, told),
+        sockets=relay.sockets if descriptors == resource.RLIM_INFINITY else min(relay.sockets, descriptors),
         disk_bytes=relay.disk,
         known={},
-        settings=settings_from(nested(conf)),
+        settings=settings_from(platform_settings(conf)),
         by_platform=False,
         admin=address(relay.admin_addr, "admin-addr") if relay.admin_addr else None,
     )
--- a/lynxscale/relay/conf/reader.py
+++ b/lynxscale/relay/conf/reader.py
@@ -1,4 +1,4 @@
-"""Lines of a configuration file into settings; all that is wrong is told at once."""
+"""Parses a configuration file into settings; all faults are reported at once."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 from difflib import get_close_matches
 from pathlib import Path
 
-from lynxscale.relay.conf import product_settings as own
+from lynxscale.relay.conf import product_settings
 from lynxscale.relay.conf.directive import Section, field_of
 from lynxscale.relay.conf.lexer import Fault, Lexer, Line
-from lynxscale.relay.conf.table import SECTIONS, Conf
+from lynxscale.relay.conf.settings import Conf
+from lynxscale.relay.conf.table import SECTIONS
+from lynxscale.relay.exceptions import RelayError
 
 VARIABLE = "LYNXSCALE_CONF"
 
 
-class ConfFaults(Exception):
-    """The file is not of use; ``faults`` has each reason with its place."""
+class ConfigurationError(RelayError):
+    """The file is invalid; ``faults`` has each reason with its place."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -29,19 +31,22 @@
     return f", perhaps {found[0]}" if found else ""
 
 
-class _Reading:
+class _Parser:
+    """Takes the lines of a file in order."""
+
     def __init__(self) -> None:
         self.faults: list[Fault] = []
         self.values: dict[str, dict] = {}
         self.seen: dict[tuple[str, str], Line] = {}
         self.sections: dict[str, Line] = {}
         self.section: Section | None = None
-        self.unknown: Line | None = None  # an unknown section: its lines are passed over
+        self.unknown: Line | None = None  # an unknown section, whose lines are skipped
 
-    def line(self, line: Line) -> None:
+    def take(self, line: Line) -> None:
+        """One line."""
         first = line.words[0]
         if first in ("begin", "end"):
-            self._turn(line)
+            self._begin_or_end(line)
         elif self.unknown is not None:
             return
         elif self.section is None:
@@ -49,7 +54,7 @@
         else:
             self._directive(line, self.section)
 
-    def _turn(self, line: Line) -> None:
+    def _begin_or_end(self, line: Line) -> None:
         first, *names = line.words
         if len(names) != 1:
             self.faults.append(line.fault(first, "want the name of one section"))
@@ -96,14 +101,15 @@
             self.faults.append(line.fault(name, f"want {directive.wanted()}, not {given}"))
 
     def place(self, section: str, name: str, file: str) -> tuple[str, int]:
-        """Where a directive stands, else its section; the whole file where neither does."""
+        """The place of a directive, else of its section, else the file."""
         line = self.seen.get((section, name)) or self.sections.get(section)
         return (line.file, line.number) if line is not None else (file, 0)
 
-    def end(self) -> Conf:
-        still = self.unknown or (self.section and self.sections[self.section.name])
-        if still:
-            self.faults.append(still.fault(still.words[1], f"want end {still.words[1]} before the file's end"))
+    def finish(self) -> Conf:
+        """The settings, after the last line."""
+        unclosed = self.unknown or (self.section and self.sections[self.section.name])
+        if unclosed:
+            self.faults.append(unclosed.fault(unclosed.words[1], f"want end {unclosed.words[1]} before the file's end"))
         conf = Conf()
         for section in SECTIONS:
             if section.name not in self.values:
@@ -123,17 +129,17 @@
 def read(path: str | Path, env: Mapping[str, str] = os.environ) -> Conf:
     """The settings in a file.
 
-    Raises ConfFaults with every fault that it has.
+    Raises ConfigurationError with every fault that it has.
     """
-    lexer, reading = Lexer(env), _Reading()
+    lexer, parser = Lexer(env), _Parser()
     for line in lexer.lines(path):
-        reading.line(line)
-    conf = reading.end()
-    if not (lexer.faults or reading.faults):
-        reading.faults += own.faults(conf, lambda section, name: reading.place(section, name, str(path)))
-    faults = sorted(lexer.faults + reading.faults, key=lambda fault: (fault.file, fault.line))
+        parser.take(line)
+    conf = parser.finish()
+    if not (lexer.faults or parser.faults):
+        parser.faults += product_settings.faults(conf, lambda section, name: parser.place(section, name, str(path)))
+    faults = sorted(lexer.faults + parser.faults, key=lambda fault: (fault.file, fault.line))
     if faults:
-        raise ConfFaults(faults)
+        raise ConfigurationError(faults)
     return conf
 
 
--- /dev/null
+++ b/lynxscale/relay/conf/settings.py
@@ -0,0 +1,133 @@
+"""The settings of lynxscale itself, one class for each section of the file; times are whole µs, sizes bytes.
+
+Field names are those of the directives that fill them, and defaults are those of the file.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class LogConf:
+    """How the daemon's log is written."""
+
+    format: str = "logfmt"
+    level: str = "info"
+    traffic: int = 5_000_000  # µs
+
+
+@dataclass(frozen=True, slots=True)
+class TraceConf:
+    """What the recorder keeps; without a folder nothing is recorded."""
+
+    folder: str | None = None
+    level: str = "tries"
+    block: int = 64 << 10  # bytes before compression
+    file_size: int = 16 << 20
+    file_age: int = 3_600_000_000  # µs
+    total: int = 256 << 20
+    memory: int = 1 << 20
+    flush: int = 50_000  # µs
+    classes: tuple[str, ...] = ()
+    sample: float = 1.0
+
+
+@dataclass(frozen=True, slots=True)
+class MembersConf:
+    """Watched files of endpoints; without ``files`` nothing is watched."""
+
+    files: tuple[str, ...] = ()
+    precedence: str = "files"
+    allow: tuple[str, ...] = ("127.0.0.0/8",)
+    deny: tuple[str, ...] = ()
+    checksum: bool = False
+    entries: int = 65_536
+    most_removed: float = 1.0
+    last_endpoint: str = "allow"
+    most_moved: float = 1.0
+    on_guard: str = "hold"
+    ramp: int = 0  # µs
+    poll: int = 500_000  # µs
+
+
+@dataclass(frozen=True, slots=True)
+class ClusterConf:
+    """Relays that know each other; without ``name`` there is no cluster. ``member``: name, at, zone."""
+
+    name: str | None = None
+    listen: str | None = None
+    member: tuple[dict, ...] = ()
+    probe: int = 500_000  # µs
+
+
+@dataclass(frozen=True, slots=True)
+class RelayConf:
+    """A relay without the platform; without ``listen`` the platform's variables tell all of this."""
+
+    listen: str | None = None
+    admin_addr: str | None = None
+    name: str = "relay"
+    state: str = "state"
+    seed: str = "0"
+    discovery: str | None = None
+    sockets: int = 1024
+    disk: int = 64 << 20
+    relays: int = 1
+    place: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class FinalsConf:
+    """Where the ends of messages go that were not delivered."""
+
+    file: str | None = None
+    size: int = 16 << 20
+    files: int = 4
+    http: str | None = None
+    path: str = "/v2/finals"
+
+
+@dataclass(frozen=True, slots=True)
+class LimitsConf:
+    """Bounds on what is held and under way, and what peers allow."""
+
+    slots: int = 64
+    held: int = 400
+    tries: int = 12
+    cancel: bool = True
+    probes: bool = False
+    idle_close: int = 15_000_000  # µs
+    dial: int = 1_500_000
+    retry_after_most: int = 3_000_000
+    drain_grace: int = 2_000_000
+    cold_share: float = 0.2
+    warm_up: int = 10_000_000
+    tip_multiple: float = 2.0
+    tip_after: int = 3_000_000
+    late: str = "lost"
+
+
+@dataclass(frozen=True, slots=True)
+class NamesConf:
+    """Classes, tenants, kinds and zones, in their order."""
+
+    cls: tuple[dict, ...] = ()
+    tenant: tuple[dict, ...] = ()
+    kind: tuple[dict, ...] = ()
+    zone: tuple[dict, ...] = ()
+    report: tuple[str, ...] = ()
+
+
+@dataclass(frozen=True, slots=True)
+class Conf:
+    """The whole of the product's own settings."""
+
+    log: LogConf = LogConf()
+    trace: TraceConf = TraceConf()
+    relay: RelayConf = RelayConf()
+    names: NamesConf = NamesConf()
+    limits: LimitsConf = LimitsConf()
+    finals: FinalsConf = FinalsConf()
+    members: MembersConf = MembersConf()
+    cluster: ClusterConf = ClusterConf()
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -18,7 +18,7 @@
 from lynxscale.relay import logs
 from lynxscale.relay.components import Component, ComponentContext, build_components
 from lynxscale.relay.conf import platform, product_settings, reader
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 from lynxscale.relay.core import Relay
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines, Loop
@@ -190,7 +190,7 @@
         """Read the settings anew. What may change without a restart does, at once; an invalid file changes nothing."""
         try:
             conf, product = self._reread()
-        except (platform.PlatformError, reader.ConfFaults) as error:
+        except (platform.PlatformError, reader.ConfigurationError) as error:
             log.error("not_reloaded", error=str(error))
             self._reload_components(self.conf, self.product)  # they still look at the files that they watch
             return
@@ -327,7 +327,7 @@
         conf, product = _read_settings(conf_path)
         logs.configure(product.log)
         daemon = Daemon(conf, product, lambda: _read_settings(conf_path, again=True))
-    except (platform.PlatformError, reader.ConfFaults) as error:
+    except (platform.PlatformError, reader.ConfigurationError) as error:
         return _startup_failed(error, 2)
     except OSError as error:
         return _startup_failed(f"cannot start: {error}", 1)
--- a/lynxscale/relay/logs.py
+++ b/lynxscale/relay/logs.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from lynxscale.relay.conf.table import LogConf
+from lynxscale.relay.conf.settings import LogConf
 
 FIRST_KEYS = ["ts", "level", "event"]
 
--- a/lynxscale/relay/net/components.py
+++ b/lynxscale/relay/net/components.py
@@ -12,7 +12,7 @@
 from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf import platform
 from lynxscale.relay.conf.platform import Config
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 from lynxscale.relay.upstream.group import DISCOVERY
 
 if TYPE_CHECKING:
--- a/lynxscale/relay/upstream/component.py
+++ b/lynxscale/relay/upstream/component.py
@@ -6,7 +6,7 @@
 
 from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf.platform import Config
-from lynxscale.relay.conf.table import Conf
+from lynxscale.relay.conf.settings import Conf
 from lynxscale.relay.upstream.file_watch import FileWatch
 from lynxscale.relay.upstream.group import FILES
 from lynxscale.relay.upstream.list_store import ListStore
--- a/lynxscale/relay/upstream/file_watch.py
+++ b/lynxscale/relay/upstream/file_watch.py
@@ -18,7 +18,7 @@
 from twisted.python.failure import Failure
 from twisted.python.filepath import FilePath
 
-from lynxscale.relay.conf.table import MembersConf
+from lynxscale.relay.conf.settings import MembersConf
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines
 from lynxscale.relay.exceptions import StoredListCorruptError
--- a/lynxscale/relay/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -16,7 +16,7 @@
 import orjson
 from crc32c import crc32c
 
-from lynxscale.relay.conf.lexer import Fault, Unclosed, split
+from lynxscale.relay.conf.lexer import Fault, UnclosedQuoteError, split
 from lynxscale.relay.conf.networks import Nets
 from lynxscale.relay.exceptions import InvalidListError
 from lynxscale.relay.upstream.model import (
@@ -260,7 +260,7 @@
         if '"' in raw or "'" in raw or "#" in raw or "\\" in raw:
             try:
                 words = split(raw)
-            except Unclosed as error:
+            except UnclosedQuoteError as error:
                 raise InvalidListError(str(error), "want a closing quote") from None
         else:
             words = raw.split()
--- a/lynxscale/relay/upstream/rules.py
+++ b/lynxscale/relay/upstream/rules.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from lynxscale.relay.conf.networks import nets
-from lynxscale.relay.conf.table import MembersConf
+from lynxscale.relay.conf.settings import MembersConf
 from lynxscale.relay.upstream import files
 from lynxscale.relay.upstream.validation import Guards
 
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -19,7 +19,7 @@
 from crc32c import crc32c
 
 from lynxscale import scheduling
-from lynxscale.relay.conf.table import TraceConf
+from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.scheduling.actions import Attempt, Cancel, CloseIdle, Fail, Note, Probe, Refuse, SetTimer, Subscribe
 from lynxscale.scheduling.events import HealthChecked, MembershipUpdate, Message, Outcome, Result, TimerDue, Withdrawn
 from lynxscale.scheduling.settings import Settings
--- a/lynxscale/trace/rotation.py
+++ b/lynxscale/trace/rotation.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from lynxscale.relay.conf.table import TraceConf
+from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.trace import head as h
 from lynxscale.trace import v2
 from lynxscale.trace.frames import Frame
--- a/tests/relay/test_close_reason.py
+++ b/tests/relay/test_close_reason.py
@@ -7,7 +7,7 @@
 import structlog
 
 from lynxscale.relay import logs
-from lynxscale.relay.conf.table import LogConf
+from lynxscale.relay.conf.settings import LogConf
 from lynxscale.relay.net.close_reason import CloseReason
 
 
--- a/tests/test_conf.py
+++ b/tests/relay/test_conf.py
@@ -8,9 +8,10 @@
 from lynxscale import cli
 from lynxscale.cli.conf import manual_page
 from lynxscale.relay.conf import reader
-from lynxscale.relay.conf.table import SECTIONS, Conf
+from lynxscale.relay.conf.settings import Conf
+from lynxscale.relay.conf.table import SECTIONS
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def read(tmp_path, text: str, **env: str) -> Conf:
@@ -20,7 +21,7 @@
 
 
 def faults(tmp_path, text: str, **env: str) -> list[str]:
-    with pytest.raises(reader.ConfFaults) as found:
+    with pytest.raises(reader.ConfigurationError) as found:
         read(tmp_path, text, **env)
     return [f"{fault.line}: {fault.word}: {fault.wanted}" for fault in found.value.faults]
 
--- a/tests/test_own.py
+++ b/tests/relay/test_standalone.py
@@ -15,8 +15,7 @@
 from lab.clients import Desk
 from lab.demo import CONF, ROOT, Own, entries_of, play
 from lab.partner import Mood, Partner
-from lynxscale.relay.conf import product_settings as own
-from lynxscale.relay.conf import reader
+from lynxscale.relay.conf import product_settings, reader
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
 from lynxscale.relay.outcome_log import OutcomeLog
@@ -28,14 +27,14 @@
 def faults(tmp_path, text: str) -> list[str]:
     path = tmp_path / "a.conf"
     path.write_text(text)
-    with pytest.raises(reader.ConfFaults) as caught:
+    with pytest.raises(reader.ConfigurationError) as caught:
         reader.read(path, {})
     return [str(fault).removeprefix(f"{path}").removeprefix(":") for fault in caught.value.faults]
 
 
 def test_directives_and_the_platform_s_json_fill_the_same_settings():
     """The deployed file says what the platform tells a relay of this deployment, but for what the file leaves out."""
-    ours = settings_from(own.nested(reader.read(CONF, {})))
+    ours = settings_from(product_settings.platform_settings(reader.read(CONF, {})))
     theirs = settings_from(traffic.settings())
     apart = {
         name: (mine, getattr(theirs, name))
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -17,7 +17,7 @@
 from lab.partner import Mood, Partner
 from lab.rules import judge
 from lab.standins import Discovery, row
-from lynxscale.relay.conf.table import MembersConf
+from lynxscale.relay.conf.settings import MembersConf
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
 from lynxscale.relay.upstream import file_watch, files
--- a/tests/test_cluster_conf.py
+++ b/tests/test_cluster_conf.py
@@ -60,7 +60,7 @@
     assert old in TEXT
     head, _, tail = TEXT.rpartition(old)
     text = head + new + tail
-    with pytest.raises(reader.ConfFaults) as caught:
+    with pytest.raises(reader.ConfigurationError) as caught:
         reader.read(written("a.conf", text), {})
     line = max(number for number, row in enumerate(text.split("\n"), 1) if row.strip().startswith(directive))
     found = [str(fault) for fault in caught.value.faults]
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lynxscale.relay.conf.table import TraceConf
+from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.trace import head as h
 from lynxscale.trace import records as r
 from lynxscale.trace import rotation, v2
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -11,7 +11,7 @@
 from unittest.mock import patch
 
 from lab.standins import PATIENCE, reply, row, settings, until
-from lynxscale.relay.conf.table import TraceConf
+from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings_reader import settings_from
 from lynxscale.trace import records as r
