--- a/lab/fake_disk.py
+++ b/lab/fake_disk.py
@@ -1,4 +1,4 @@
-"""A stand-in for a folder's files behind the journal's port: it counts operations and fails, tears or dies at any one.
+"""A fake of the journal's file port: counts operations, and fails, tears a write or kills the process at any one.
 
 What was written outlasts a killed process. ``ProcessKilled`` is raised at the operation in which the process dies, and
 at every later one.
@@ -9,15 +9,18 @@
 import errno
 from collections.abc import Callable
 
+BLOCK_BYTES = 4096
+
 
 class ProcessKilled(BaseException):
-    """The process is no more."""
+    """The process was killed; nothing of what it was doing goes on."""
 
 
 class FakeDisk:
-    """``most``: bytes that all files may hold, in blocks of 4 KiB. ``dies_at``: the operation in which the process
-    ends; ``torn``: how many bytes of that write are kept, and whether another operation is done at all. ``fails``:
-    called with an operation's name and number, it may raise OSError.
+    """Files in memory. ``most``: bytes that all files may hold, in blocks of 4 KiB.
+
+    ``dies_at``: the operation in which the process ends; ``torn``: how many bytes of that write are stored, or whether
+    another operation is done at all. ``fails(name, number)``: called with each operation, it may raise OSError.
     """
 
     def __init__(self, files: dict[str, bytes] | None = None, most: int | None = None) -> None:
@@ -25,7 +28,7 @@
         self.most, self.dies_at, self.torn = most, None, 0
         self.fails: Callable[[str, int], None] = lambda _what, _number: None
         self.operations: list[tuple[str, int]] = []  # what was done, and bytes of a write
-        self._handles: dict[int, str | None] = {}
+        self._handles: dict[int, str] = {}
         self._next = 3
         self.peak = 0
 
@@ -34,10 +37,11 @@
         return {name: bytes(data) for name, data in self.files.items()}
 
     def blocks(self, without: str = "") -> int:
-        return sum(-(-len(data) // 4096) * 4096 for name, data in self.files.items() if name != without)
+        """Bytes of all files but one, rounded up to blocks."""
+        return sum(-(-len(data) // BLOCK_BYTES) * BLOCK_BYTES for name, data in self.files.items() if name != without)
 
     def _operation(self, what: str, size: int = 0) -> bool:
-        """Is this the one it dies in?"""
+        """Count an operation; whether the process dies in it. Raises ProcessKilled after that one."""
         number = len(self.operations)
         if self.dies_at is not None and number > self.dies_at:
             raise ProcessKilled
@@ -55,18 +59,21 @@
     # The port ------------------------------------------------------------------------------------
 
     def lock(self) -> None:
-        pass
+        """Part of the port: there is no other process."""
 
     def unlock(self) -> None:
-        pass
+        """Part of the port."""
 
     def names(self) -> list[str]:
+        """Part of the port."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
+        """Part of the port."""
         return bytes(self.files[name])
 
     def create(self, name: str) -> int:
+        """Part of the port."""
         dies = self._operation("create")
         if dies and not self.torn:
             raise ProcessKilled
@@ -75,6 +82,7 @@
         return self._handle(name)
 
     def append_to(self, name: str, size: int) -> int:
+        """Part of the port."""
         dies = self._operation("append_to")
         if dies and not self.torn:
             raise ProcessKilled
@@ -88,20 +96,22 @@
         return self._next
 
     def write(self, handle: int, data: bytes) -> int:
+        """Part of the port. Raises OSError where the disk is full."""
         name = self._handles[handle]
         dies = self._operation("write", len(data))
         if dies:
             data = data[: self.torn]
         if self.most is not None:
-            room = self.most - self.blocks(name) - len(self.files[name])
-            if room <= 0 and data:
+            capacity = self.most - self.blocks(name) - len(self.files[name])
+            if capacity <= 0 and data:
                 raise OSError(errno.ENOSPC, "No space left on device")
-            data = data[:room]
+            data = data[:capacity]
         self.files[name] += data
         self._done(dies)
         return len(data)
 
     def overwrite(self, name: str, data: bytes) -> None:
+        """Part of the port."""
         dies = self._operation("overwrite", len(data))
         if dies:
             data = data[: self.torn]
@@ -110,6 +120,7 @@
         self._done(dies)
 
     def truncate(self, handle: int, size: int) -> None:
+        """Part of the port."""
         dies = self._operation("truncate")
         if dies and not self.torn:
             raise ProcessKilled
@@ -117,9 +128,11 @@
         self._done(dies)
 
     def close(self, handle: int) -> None:
+        """Part of the port."""
         self._handles.pop(handle)
 
     def rename(self, old: str, new: str) -> None:
+        """Part of the port."""
         dies = self._operation("rename")
         if dies and not self.torn:
             raise ProcessKilled
@@ -130,6 +143,7 @@
         self._done(dies)
 
     def unlink(self, name: str) -> None:
+        """Part of the port."""
         dies = self._operation("unlink")
         if dies and not self.torn:
             raise ProcessKilled
--- a/lab/tier/control_group.py
+++ b/lab/tier/control_group.py
@@ -1,4 +1,4 @@
-"""A group of control members on simulated machines, for tests and histories."""
+"""A group of control members on simulated machines, without relays or endpoints."""
 
 from __future__ import annotations
 
@@ -12,11 +12,12 @@
 from lynxscale.coordination.member import ControlMember, MemberSettings
 from lynxscale.coordination.messages import put_value
 
-FLUSH_S = 0.05  # between its release and a process's end
+FLUSH_S = 0.05
+"""Between the release of a member that leaves and the end of its process."""
 
 
 class ControlGroup:
-    """``size`` founders, and whoever is started later."""
+    """``size`` founders, and members started later. ``tolerated``: how many losses at once."""
 
     def __init__(self, world: World, size: int = 3, tolerated: int = 1) -> None:
         self.world = world
@@ -45,8 +46,8 @@
         self.members[address] = member
         return member
 
-    def leave(self, address: str, then: Callable[[], None] = lambda: None, within: float = 7.0) -> None:
-        """Ask a process to stop; it ends once it is released, or after ``within`` seconds."""
+    def leave(self, address: str, then: Callable[[], object] = lambda: None, within: float = 7.0) -> None:
+        """Ask a process to stop; it ends once it is released, or after ``within`` seconds, and ``then()`` is called."""
         member = self.members[address]
 
         def end() -> None:
@@ -63,7 +64,7 @@
         self.world.machine(address).kill(power, wipe)
 
     def leaders(self) -> list[ControlMember]:
-        """Those that act as primary now."""
+        """Members that act as primary now."""
         return [member for member in self.members.values() if member.leads()]
 
     def wait_for_leader(self, within: float = 5.0) -> ControlMember:
@@ -72,7 +73,7 @@
         return self.leaders()[0]
 
     def put(self, key: str, value: object, within: float = 5.0) -> bool:
-        """Write by the primary, again where nobody can tell what became of it; is it committed in time?"""
+        """Write by the primary, with retries while the outcome is unknown; whether it is committed in time."""
         end = self.world.time + within
         while self.world.time < end:
             outcome: list[bool] = []
@@ -88,6 +89,6 @@
         member.submit((put_value(key, value),), lambda outcome: done(outcome.committed))
 
     def value(self, key: str) -> object:
-        """What the primary holds under a key, None for nothing."""
+        """The primary's value of a key, None for none."""
         raw = self.wait_for_leader().store.values.get(key)
         return None if raw is None else msgspec.json.decode(raw)
--- a/lab/tier/fakes.py
+++ b/lab/tier/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins of what is outside the tier: endpoints, the platform's list, the operator and clients."""
+"""Fakes of what is outside the tier: endpoints, the platform's endpoint list, and clients."""
 
 from __future__ import annotations
 
@@ -23,7 +23,11 @@
 
 
 class FakeEndpoint:
-    """Answers with its stamp; streams events where the path says ``/stream``. It notes what it ran."""
+    """Responds with its signature, and streams events where the path says ``/stream``.
+
+    ``executed``: all requests it ran. Faults: ``rejects`` requests unexecuted, ``fails`` amid one, or
+    ``aborts_after`` so many events, once. ``service_time_s``: before a response begins.
+    """
 
     def __init__(self, endpoint: Endpoint, clock: Clock, listen: Listen, events: int = 4) -> None:
         self.endpoint = endpoint
@@ -59,7 +63,7 @@
 
 
 class EndpointRun:
-    """One request at work."""
+    """One request in execution."""
 
     def __init__(self, endpoint: FakeEndpoint, request: Request, responder: Responder) -> None:
         self._endpoint = endpoint
@@ -70,7 +74,7 @@
         endpoint._clock.call_later(endpoint.service_time_s, self._begin)
 
     def on_client_disconnected(self) -> None:
-        """The request is dropped."""
+        """Part of Exchange."""
         self._end()
 
     def _begin(self) -> None:
@@ -109,7 +113,7 @@
 
 
 class FakePlatform:
-    """The list of endpoints, one page."""
+    """Serves the endpoint list, as one page; ``rejects``: by 429."""
 
     def __init__(self, address: str, clock: Clock, listen: Listen) -> None:
         self.listed: list[Endpoint] = []
@@ -127,7 +131,7 @@
 
 
 class ClientResponse:
-    """What a client got. Implements ResponseReceiver."""
+    """A response as its client receives it. Implements ResponseReceiver; times are simulated seconds."""
 
     def __init__(self, world: World, on_end: Callable[[ClientResponse], None] | None = None) -> None:
         self.status = 0
@@ -174,7 +178,7 @@
     request: Request,
     on_end: Callable[[ClientResponse], Any] | None = None,
 ) -> tuple[ClientResponse, ClientConnection]:
-    """Send a request from outside on a connection of its own."""
+    """Send a request from a client outside the tier on a connection of its own."""
     answer = ClientResponse(world, on_end)
     connection = ClientConnection(address, world.machine(CLIENT).clock(), lambda connection: None)
     connection.send(request, answer)
--- a/lab/tier/machine.py
+++ b/lab/tier/machine.py
@@ -24,8 +24,8 @@
 
     __slots__ = ("call", "owner")
 
-    def __init__(self, call: Callable[[], None], owner: Machine | None) -> None:
-        self.call: Callable[[], None] | None = call
+    def __init__(self, call: Callable[[], object], owner: Machine | None) -> None:
+        self.call: Callable[[], object] | None = call
         self.owner = owner
 
     def cancel(self) -> None:
@@ -40,7 +40,7 @@
         self.world = world
         self.address = address
         self.files = SimulatedFiles(self)
-        self.receive: Callable[[Message], None] | None = None
+        self.receive: Callable[[Message], object] | None = None
         self.incarnation = 0  # of its process
         self.frozen_until = 0.0
         self.bytes_per_s = float("inf")  # of its links
@@ -58,8 +58,9 @@
 
     def on_arrival(self, incarnation: int, source: str, target: str, payload: bytes) -> None:
         """A message arrives, unless its receiver has ended or been partitioned from the sender meanwhile."""
-        present = incarnation == self.incarnation and self.receive is not None
-        if present and (source, target) not in self.world.partitions:
+        if incarnation != self.incarnation or (source, target) in self.world.partitions:
+            return
+        if self.receive is not None:
             self.receive(decode(payload))
             self.world.count_step(self)
 
--- a/lab/tier/mutations/detectors.py
+++ b/lab/tier/mutations/detectors.py
@@ -15,7 +15,7 @@
 MAX_STATES = 60_000
 MAX_REPORT_LENGTH = 160
 
-Patches = list[tuple[type, str, Callable]]
+Patches = list[tuple[object, str, object]]
 """Owner, attribute and what replaces it."""
 Detector = Callable[[int], str]
 """``detect(max_histories)``: what was found, empty for nothing."""
--- a/lab/tier/simulated_tcp.py
+++ b/lab/tier/simulated_tcp.py
@@ -7,11 +7,17 @@
 
 from lab.tier.world import World
 
-RESET_AFTER_S = 1.5  # a connection whose bytes cannot pass is reset
+RESET_AFTER_S = 1.5
+"""After which a connection is reset whose bytes cannot reach the other end."""
+PARTITIONED_CONNECT_TIMEOUT_S = 1.0
+"""After which an attempt to connect across a partition fails."""
 
 
 class SimulatedTransport:
-    """One end of a connection. Bytes arrive in order after the link's delay, or the connection breaks."""
+    """One end of a connection, as an asyncio.Transport. Bytes arrive in order after the link's delay, or it is reset.
+
+    ``own`` and ``other`` are the internal addresses of the machines at its ends.
+    """
 
     def __init__(self, world: World, own: str, other: str, protocol: Any) -> None:
         self.world = world
@@ -24,19 +30,19 @@
         self._arrival = 0.0
 
     def write(self, data: bytes) -> None:
-        """Send bytes."""
+        """Part of asyncio.Transport."""
         if not self._closing:
             self._carry(lambda peer: peer.protocol.data_received(data))
 
     def close(self) -> None:
-        """End the connection behind what was written."""
+        """Part of asyncio.Transport: ends the connection after all bytes written."""
         if not self._closing:
             self._closing = True
             self._carry(lambda peer: peer.lose(None))
             self.world.call_at(self.world.time, lambda: self._lost(None))
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Part of asyncio.Transport."""
         self.close()
 
     def is_closing(self) -> bool:
@@ -47,11 +53,11 @@
         """There is no socket."""
 
     def get_write_buffer_size(self) -> int:
-        """Nothing waits here."""
+        """Part of asyncio.Transport: nothing is buffered."""
         return 0
 
     def lose(self, error: Exception | None) -> None:
-        """The other end is gone."""
+        """The other end has closed, or the connection is reset."""
         if not self._closing:
             self._closing = True
             self.protocol.eof_received()
@@ -63,6 +69,7 @@
 
     def _carry(self, act: Callable[[SimulatedTransport], None]) -> None:
         peer = self.peer
+        assert peer is not None
         self._arrival = max(self._arrival, self.world.time + self.world.delay_s)
 
         def arrive() -> None:
@@ -83,7 +90,7 @@
         self._listeners: dict[str, tuple[str, int, Callable[[], Any]]] = {}
 
     def listen(self, machine: str, address: str, factory: Callable[[], Any]) -> None:
-        """Accept connections as long as the machine's present process lives."""
+        """Accept connections for as long as the machine's present process lives."""
         self._listeners[address] = (machine, self.world.machine(machine).incarnation, factory)
 
     def close(self, address: str) -> None:
@@ -102,7 +109,7 @@
                 return
             target, _, factory = entry
             if (source, target) in self.world.partitions or (target, source) in self.world.partitions:
-                self.world.call_at(self.world.time + 1.0, connection.on_connect_failed)
+                self.world.call_at(self.world.time + PARTITIONED_CONNECT_TIMEOUT_S, connection.on_connect_failed)
                 return
             server = factory()
             near = SimulatedTransport(self.world, source, target, connection)
--- a/lab/tier/world.py
+++ b/lab/tier/world.py
@@ -33,7 +33,7 @@
         self.machines: dict[str, Machine] = {}
         self.partitions: set[tuple[str, str]] = set()  # sender and receiver
         self.steps = 0  # messages handled and syncs done, of all machines
-        self._calls_at_step: dict[int, Callable[[], None]] = {}
+        self._calls_at_step: dict[int, Callable[[], object]] = {}
         self._events: list[tuple[float, int, Event]] = []
         self._order = count().__next__
         self._last_arrival: dict[tuple[str, str], float] = {}
@@ -41,7 +41,7 @@
 
     # Time --------------------------------------------------------------------------------------------
 
-    def call_at(self, time: float, call: Callable[[], None], owner: Machine | None = None) -> Event:
+    def call_at(self, time: float, call: Callable[[], object], owner: Machine | None = None) -> Event:
         """Schedule a call; while its owner is frozen it is put off."""
         event = Event(call, owner)
         heapq.heappush(self._events, (time, self._order(), event))
@@ -75,7 +75,7 @@
 
     # Steps -------------------------------------------------------------------------------------------
 
-    def call_at_step(self, number: int, call: Callable[[], None]) -> None:
+    def call_at_step(self, number: int, call: Callable[[], object]) -> None:
         """Make a call right after so many messages were handled and syncs done."""
         self._calls_at_step[number] = call
 
