--- a/lynxscale/cli/fleet.py
+++ b/lynxscale/cli/fleet.py
@@ -12,7 +12,7 @@
 from lynxscale.cli.common import write_json, write_table
 
 if TYPE_CHECKING:
-    from lynxscale.relay.fleet.lines import Line, Unread
+    from lynxscale.relay.fleet.lines import Line, UnreadableLines
 
 TRAFFIC = (
     "from_s",
@@ -56,12 +56,12 @@
     """Many relays together."""
 
 
-def _lines(names: tuple[str, ...], unread: Unread) -> Iterator[Line]:
+def _lines(names: tuple[str, ...], unread: UnreadableLines) -> Iterator[Line]:
     """All relays' lines in order of time; a relay's own clock may lag at its start, so each file is sorted first."""
-    from lynxscale.relay.fleet.lines import files, read
+    from lynxscale.relay.fleet.lines import log_files, read
 
     try:
-        paths = files(names)
+        paths = log_files(names)
     except FileNotFoundError as error:
         raise Failed(str(error)) from error
     return heapq.merge(
@@ -86,8 +86,8 @@
     """Add up the logs in PATHS, a file each relay or folders of *.log: calls by result against each limit, by span and
     destination; what relays hold; and how much later than the first each relay learned of something."""
     from lynxscale.relay.conf.directive import TIMES, amount
-    from lynxscale.relay.fleet.count import Count
-    from lynxscale.relay.fleet.lines import Unread
+    from lynxscale.relay.fleet.lines import UnreadableLines
+    from lynxscale.relay.fleet.report import FleetReport
 
     try:
         span = amount(every, TIMES) / 1e6
@@ -95,7 +95,7 @@
         span = 0.0
     if span < 0.1:
         raise Misused(f"--every: want a time of 100ms or more, such as 5s, not {every}")
-    unread, found = Unread(), Count(span)
+    unread, found = UnreadableLines(), FleetReport(span)
     found.take(_lines(paths, unread))
     for name in unread.named:
         click.echo(name, err=True)
--- a/lynxscale/relay/fleet/__init__.py
+++ b/lynxscale/relay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Many relays together: what each tells of its traffic in its log, and the counts over all of their logs."""
+"""Statistics of many relays: the traffic that each reports in its log, and sums over all of their logs."""
--- a/lynxscale/relay/fleet/lines.py
+++ b/lynxscale/relay/fleet/lines.py
@@ -1,7 +1,7 @@
 """Lines of relays' logs, as ``lynxscale.relay.logs`` writes them: logfmt or JSON, with or without a stamp in front.
 
-What cannot be read is counted and named with its place, never fatal: a log may end in the middle of a line, and a
-traceback or another program's line may stand between ours.
+What cannot be parsed is counted and named with its place, never fatal: a log may end in the middle of a line, and a
+traceback or another program's line may be in between.
 """
 
 from __future__ import annotations
@@ -16,13 +16,15 @@
 import orjson
 
 PAIR = re.compile(r'([^\s="]+)=("(?:[^"\\]|\\.)*"|[^\s"]*)(?:\s+|$)')
-STAMP = re.compile(r"\s*[0-9]+(?:\.[0-9]+)?\s+")  # who gathers logs may put a time in front
-NAMED_MOST = 20  # unreadable lines that are named; the others are counted
-LONGEST = 64 * 1024  # characters of a line
+STAMP = re.compile(r"\s*[0-9]+(?:\.[0-9]+)?\s+")  # a log collector may put a time in front
+MAX_NAMED = 20  # unreadable lines that are named; the others are counted
+MAX_LINE_CHARS = 64 * 1024
 
 
 @dataclass(slots=True)
 class Line:
+    """One event of a relay's log."""
+
     relay: str
     at: float  # Unix time in seconds, by the relay's clock
     event: str
@@ -30,16 +32,17 @@
 
 
 @dataclass(slots=True)
-class Unread:
-    """Lines that could not be read: how many, and the first of them by place and reason."""
+class UnreadableLines:
+    """Lines that could not be parsed: how many, and the first of them by place and reason."""
 
     count: int = 0
     named: list[str] = field(default_factory=list)
 
-    def add(self, place: str, why: str) -> None:
+    def add(self, place: str, reason: str) -> None:
+        """One more."""
         self.count += 1
-        if len(self.named) < NAMED_MOST:
-            self.named.append(f"{place}: {why}")
+        if len(self.named) < MAX_NAMED:
+            self.named.append(f"{place}: {reason}")
 
 
 def _fields(text: str) -> dict[str, Any]:
@@ -60,9 +63,9 @@
 
 
 def parse(text: str, relay: str) -> Line:
-    """One line. Raises ValueError that says what is wrong."""
-    if len(text) > LONGEST:
-        raise ValueError(f"longer than {LONGEST} characters")
+    """One line of a relay of that name. Raises ValueError that says what is wrong."""
+    if len(text) > MAX_LINE_CHARS:
+        raise ValueError(f"longer than {MAX_LINE_CHARS} characters")
     stamp = STAMP.match(text)
     found = _fields(text[stamp.end() :] if stamp else text)
     for key in ("ts", "event"):
@@ -71,20 +74,20 @@
     return Line(relay, datetime.fromisoformat(found.pop("ts")).timestamp(), found.pop("event"), found)
 
 
-def files(names: Iterable[str]) -> list[Path]:
+def log_files(names: Iterable[str]) -> list[Path]:
     """The files named, and of each folder its ``*.log`` files. Raises FileNotFoundError."""
     found: list[Path] = []
     for name in names:
         path = Path(name)
-        inside = sorted(path.glob("*.log")) if path.is_dir() else [path]
-        if not inside or not inside[0].exists():
+        found_here = sorted(path.glob("*.log")) if path.is_dir() else [path]
+        if not found_here or not found_here[0].exists():
             raise FileNotFoundError(f"{name}: no such file, or a folder without *.log")
-        found += inside
+        found += found_here
     return found
 
 
-def read(path: Path, unread: Unread) -> Iterator[Line]:
-    """The lines of one relay, which is called by its file's name."""
+def read(path: Path, unread: UnreadableLines) -> Iterator[Line]:
+    """The lines of one relay, which is named after its file."""
     with path.open(encoding="utf-8", errors="replace") as source:
         for number, raw in enumerate(source, 1):
             text = raw.strip()
--- a/lynxscale/relay/fleet/count.py
+++ b/lynxscale/relay/fleet/report.py
@@ -1,6 +1,7 @@
-"""Sums over the logs of many relays: by span of time and destination, and how late each relay learned. No I/O.
+"""Sums over the logs of many relays: by interval and destination, and how late each relay learned of events. No I/O.
 
-A relay's ``traffic`` line stands at the end of its span, which is put where its middle lies. Times are seconds.
+A relay's ``traffic`` line is written at the end of its interval, which counts where its middle lies. Times are seconds.
+Events and fields are read by their present names; of renamed events of older versions none is counted here.
 """
 
 from __future__ import annotations
@@ -16,29 +17,30 @@
 
 STATE = re.compile(r"dest (\d+) endpoint \d+ (\w+)")
 KNOWN = {"span_ms", "dest", "limit", "left", "level"}
-APART = 10.0  # first notes of one thing so far apart tell of two events
-LOAD_MOST = ("held", "out", "peers", "oldest_ms")  # gauges: the sum over relays and the most of one
+SEPARATE_EVENTS_S = 10.0  # first reports of one thing so far apart are of two events
+GAUGES = ("held", "out", "peers", "oldest_ms")  # the sum over relays, and the most of one
 RESULTS = ("ok", "full", "error", "timeout", "reset", "connect_failed", "cancelled", "moot")
 
 
 @dataclass(slots=True)
 class Cell:
-    """One destination in one span, over all relays."""
+    """One destination in one interval, over all relays."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    limits: list[float] = field(default_factory=list)  # as each relay was told it last
-    states: Counter[str] = field(default_factory=Counter)  # relays by state at the span's end, where not ok
+    limits: list[float] = field(default_factory=list)  # as each relay received it last
+    states: Counter[str] = field(default_factory=Counter)  # relays by state at the interval's end, where not ok
 
 
 @dataclass(slots=True)
-class Event:
-    """Something that relays learn one after the other."""
+class LearnedEvent:
+    """Something that relays learn of one after the other."""
 
     what: str
     first: float
     relays: dict[str, float] = field(default_factory=dict)  # how much later than the first
 
     def row(self, zero: float) -> dict[str, Any]:
+        """As the report shows it, with times from ``zero`` on."""
         lags = sorted(self.relays.values())
         return {
             "at_s": round(self.first - zero, 1),
@@ -49,34 +51,35 @@
         }
 
 
-class Count:
-    """Takes lines in order of time."""
+class FleetReport:
+    """Adds up lines in order of time; ``interval``: seconds of an interval."""
 
-    def __init__(self, every: float) -> None:
-        self.every = every
+    def __init__(self, interval: float) -> None:
+        self.interval = interval
         self.zero: float | None = None
         self.cells: dict[tuple[int, str], Cell] = {}
         self.loads: dict[int, Counter[str]] = {}
         self.reasons: Counter[str] = Counter()  # ended connections by kind and reason
-        self.events: list[Event] = []
+        self.events: list[LearnedEvent] = []
         self.relays: set[str] = set()
-        self._open: dict[str, Event] = {}
+        self._open: dict[str, LearnedEvent] = {}
         self._states: dict[tuple[str, str], str] = {}  # by relay and destination
         self._span = 0
 
     def take(self, lines: Iterable[Line]) -> None:
+        """Add lines."""
         for line in lines:
             if self.zero is None:
                 self.zero = line.at
-            self._pass(int((line.at - self.zero) // self.every))
+            self._advance(int((line.at - self.zero) // self.interval))
             self.relays.add(line.relay)
-            one = getattr(self, f"_on_{line.event}", None)
-            if one is not None:
-                one(line)
-        self._pass(self._span + 1)
+            handler = getattr(self, f"_on_{line.event}", None)
+            if handler is not None:
+                handler(line)
+        self._advance(self._span + 1)
 
-    def _pass(self, span: int) -> None:
-        """At the end of a span: who holds what for out or cold."""
+    def _advance(self, span: int) -> None:
+        """At the end of an interval: which relay considers which destination down or warming up."""
         if span <= self._span:
             return
         for (_relay, dest), state in self._states.items():
@@ -89,7 +92,7 @@
 
     def _middle(self, line: Line) -> int:
         at = line.at - _number(line, "span_ms") / 2000
-        return max(0, int((at - (self.zero or 0.0)) // self.every))
+        return max(0, int((at - (self.zero or 0.0)) // self.interval))
 
     def _on_traffic(self, line: Line) -> None:
         cell = self._cell(self._middle(line), str(line.fields.get("dest")))
@@ -103,7 +106,7 @@
         for name in line.fields.keys() - KNOWN:
             value = int(_number(line, name))
             load[name] += value
-            if name in LOAD_MOST:
+            if name in GAUGES:
                 load[f"most_{name}"] = max(load[f"most_{name}"], value)
 
     def _on_connection(self, line: Line) -> None:
@@ -127,38 +130,39 @@
 
     def _learned(self, what: str, line: Line) -> None:
         event = self._open.get(what)
-        if event is None or line.at - event.first - max(event.relays.values()) > APART:
-            event = self._open[what] = Event(what, line.at)
+        if event is None or line.at - event.first - max(event.relays.values()) > SEPARATE_EVENTS_S:
+            event = self._open[what] = LearnedEvent(what, line.at)
             self.events.append(event)
         event.relays.setdefault(line.relay, line.at - event.first)
 
-    # What was found ------------------------------------------------------------------------------
+    # Results ------------------------------------------------------------------------------
 
     def traffic(self) -> list[dict[str, Any]]:
-        """A row for each span and destination, in that order."""
+        """A row for each interval and destination, in that order."""
         rows = []
         for (span, dest), cell in sorted(self.cells.items(), key=lambda item: (item[0][0], _order(item[0][1]))):
             calls = sum(cell.counts[name] for name in RESULTS)
-            row = {"from_s": round(span * self.every, 1), "dest": dest, "calls": calls}
+            row = {"from_s": round(span * self.interval, 1), "dest": dest, "calls": calls}
             row |= dict(sorted(cell.counts.items()))
             if cell.limits:  # reports are noisy and old
                 limit = median(cell.limits)
                 row |= {
                     "limit": round(limit, 1),
-                    "takes": round(limit * self.every),
-                    "used": round(cell.counts["ok"] / (limit * self.every), 2),
+                    "takes": round(limit * self.interval),
+                    "used": round(cell.counts["ok"] / (limit * self.interval), 2),
                 }
             rows.append(row | dict(cell.states))
         return rows
 
     def load(self) -> list[dict[str, Any]]:
+        """A row for each interval."""
         return [
-            {"from_s": round(span * self.every, 1)} | dict(sorted(row.items()))
+            {"from_s": round(span * self.interval, 1)} | dict(sorted(row.items()))
             for span, row in sorted(self.loads.items())
         ]
 
     def learned(self) -> list[dict[str, Any]]:
-        """Events that more than one relay learned, in order of time."""
+        """Events that more than one relay learned of, in order of time."""
         zero = self.zero or 0.0
         return [
             event.row(zero) for event in sorted(self.events, key=lambda event: event.first) if len(event.relays) > 1
@@ -166,7 +170,7 @@
 
 
 def _number(line: Line, name: str) -> float:
-    """A field as a number; 0 where it is missing or none."""
+    """A field as a number; 0 where it is missing or no number."""
     try:
         return float(line.fields.get(name, 0.0))
     except (TypeError, ValueError):
--- a/tests/test_fleet_count.py
+++ b/tests/relay/test_fleet_report.py
@@ -103,11 +103,11 @@
 
 def test_a_relay_tells_of_its_busiest_destinations_and_of_all_others_together():
     one = tally.Tally(0)
-    for number in range(tally.MOST + 8):
+    for number in range(tally.MAX_DESTINATIONS + 8):
         for _ in range(2 if number >= 8 else 1):
             one.add(number, "ok")
     lines = one.lines(5_000_000, {"group": {"asked": 3}}, {"held": 2})
-    assert len(lines) == tally.MOST + 2 and {fields["span_ms"] for _, fields in lines} == {5000}
+    assert len(lines) == tally.MAX_DESTINATIONS + 2 and {fields["span_ms"] for _, fields in lines} == {5000}
     assert lines[-2][1] == {"dest": "others", "span_ms": 5000, "ok": 8}
     assert lines[-1] == ("load", {"span_ms": 5000, "held": 2, "lists_asked": 3})
     assert one.lines(6_000_000, {"group": {"asked": 3}}, {"held": 0}) == []
