--- a/lynxscale/dataplane/attempt.py
+++ b/lynxscale/dataplane/attempt.py
@@ -28,20 +28,20 @@
     """The request that an attempt belongs to."""
 
     def on_response_head(self, attempt: Attempt, status: int, head: Head) -> None:
-        """The endpoint's own response begins."""
+        """The endpoint's response begins."""
 
     def on_response_data(self, attempt: Attempt, data: bytes) -> None:
         """A chunk of its body."""
 
     def on_restart_timeout(self, attempt: Attempt) -> None:
-        """The restart time-out has passed and no response has begun; the attempt goes on unless it is cancelled."""
+        """The restart timeout has expired before a response began; the attempt continues unless it is cancelled."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
         """The attempt has ended."""
 
 
 class Attempt:
-    """Implements ResponseReceiver of one connection. After an outcome or ``cancel`` the listener hears no more."""
+    """Implements ResponseReceiver of one connection. The listener is not called after an outcome or ``cancel``."""
 
     def __init__(
         self, endpoint: EndpointState, request: Request, listener: AttemptListener, clock: Clock, max_tokens: int
@@ -64,7 +64,7 @@
 
     @property
     def elapsed_ms(self) -> float:
-        """Since the attempt was sent."""
+        """Milliseconds since the attempt was sent."""
         return (self._clock.now() - self._sent_at) * 1000.0
 
     def start_restart_timer(self, timeout_ms: float) -> None:
@@ -142,13 +142,13 @@
             self._restart_timer = None
 
     def _release(self) -> None:
-        """The attempt is over: the timer and the endpoint's slot go with it."""
+        """Cancel the timer, and release the endpoint's slot and KV-cache tokens."""
         self._stop_restart_timer()
         self.endpoint.in_flight -= 1
         self.endpoint.tokens_in_flight -= self._max_tokens
 
     def _reject_response(self) -> None:
-        """Another request's response, or one that nobody signed: the connection cannot be trusted any more."""
+        """Reject another request's response, or an unsigned one: the connection cannot be trusted any more."""
         self._connection.close()
         self.endpoint.on_failure()
         self._end(AttemptOutcome.MAY_HAVE_EXECUTED)
--- a/lynxscale/dataplane/connection_pool.py
+++ b/lynxscale/dataplane/connection_pool.py
@@ -1,11 +1,11 @@
-"""Idle connections to one endpoint, kept for the next attempt there."""
+"""A pool of idle connections to one endpoint, reused by later attempts there."""
 
 from __future__ import annotations
 
 from lynxscale.coordination.ports import Clock
 from lynxscale.runtime.http_client import ClientConnection, Dial
 
-MAX_IDLE = 24
+MAX_IDLE = 24  # connections to one endpoint
 
 
 class ConnectionPool:
--- a/lynxscale/dataplane/endpoint_state.py
+++ b/lynxscale/dataplane/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a relay knows of one endpoint from its own attempts: concurrency window, restart time-out, load and cooldown."""
+"""What a relay knows of one endpoint from its own attempts: concurrency window, restart timeout, load and cooldown."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 FAILURE_COOLDOWN_S, MAX_FAILURE_COOLDOWN_S = 0.2, 2.0
 MAX_COOLDOWN_DOUBLINGS = 4
 FAILING_STREAK = 2  # consecutive failures that make an endpoint failing: a lone error is chance
-SUCCESS, RESTART, FAILURE = 0.0, 0.5, 1.0  # severity of an attempt's end; a restart says less than a failure
+SUCCESS, RESTART, FAILURE = 0.0, 0.5, 1.0  # severity of an attempt's end; a restart is weaker evidence than a failure
 
 REPORTED_LOAD_LIFETIME_S = 1.0  # a reported load counts linearly less until it is so old
 
@@ -66,7 +66,7 @@
 
     @property
     def slow(self) -> bool:
-        """Does it take much longer than usual?"""
+        """Is the recent latency more than ``SLOW_MULTIPLE`` median latencies?"""
         return self.sample.median > 0 and self.recent_latency_ms > SLOW_MULTIPLE * self.sample.median
 
     @property
@@ -86,7 +86,7 @@
         return self.tokens_in_flight + max(0.0, self.load - self.in_flight) * typical_tokens
 
     def may_send(self, now: float) -> bool:
-        """Does the window let another request through?"""
+        """May another request be sent now? The endpoint is ready, not in cooldown, and its window has room."""
         return self.ready and now >= self.cooldown_until and self.in_flight < self.concurrency_limit
 
     # What attempts report ----------------------------------------------------------------------------
@@ -131,7 +131,7 @@
         self.on_failure()
 
     def on_restart(self) -> None:
-        """The relay abandoned the attempt at the restart time-out."""
+        """The relay abandoned the attempt at the restart timeout."""
         self.failure_rate.observe(RESTART)
         self.restart_tokens -= 1.0
         self._record_latency(INF)
--- a/lynxscale/dataplane/exceptions.py
+++ b/lynxscale/dataplane/exceptions.py
@@ -10,4 +10,4 @@
 
 
 class UnusableConfigurationError(DataPlaneError, ValueError):
-    """A published configuration has another form than this relay knows; the text names the field."""
+    """A published configuration cannot be decoded by this relay's version; the text names the field."""
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -247,7 +247,7 @@
     # The end of the request --------------------------------------------------------------------------
 
     def _give_up(self) -> None:
-        """Nothing is sent any more and no byte of a response has gone out: reject what was not executed, else fail."""
+        """Send nothing more, before any byte of a response: 503 where nothing was executed, else 502."""
         if self._executions:
             self._respond(relay_response(BAD_GATEWAY))
         else:
@@ -312,7 +312,7 @@
 
 
 def endpoint_demand(head: Head, route: Route, kv_cache_tokens: int) -> EndpointDemand:
-    """What a request asks of an endpoint."""
+    """What a request requires of an endpoint."""
     if not route.streaming:
         return EndpointDemand("", 0, 0)
     max_tokens = headers.prompt_tokens(head) + headers.max_output_tokens(head)
--- a/lynxscale/dataplane/headers.py
+++ b/lynxscale/dataplane/headers.py
@@ -1,7 +1,7 @@
 """Header fields between clients, relays and endpoints: their names, in lower case, and what is read from them.
 
 Source: the headers that the operators' pages define for the serving tier; ``docs/design/serving-tier.md`` and
-``docs/design/control-safety.md`` say which rule each serves. ``Last-Event-ID`` is from WHATWG HTML, section 9.2;
+``docs/design/control-safety.md`` give the rule that each serves. ``Last-Event-ID`` is from WHATWG HTML, section 9.2;
 ``Retry-After`` and ``Content-Length`` are from RFC 9110.
 """
 
@@ -55,13 +55,13 @@
 
 
 def prompt_tokens(head: Head) -> int:
-    """Tokens of the prompt, 0 where the request does not say."""
+    """Tokens of the prompt, 0 where the request does not state them."""
     prompt, _, _ = head.text(TOKEN_COUNT).partition(",")
     return int(prompt) if prompt.strip().isdigit() else 0
 
 
 def max_output_tokens(head: Head) -> int:
-    """The most tokens that the request may generate, 0 where it does not say."""
+    """The most tokens that the request may generate, 0 where it does not state them."""
     _, _, most = head.text(TOKEN_COUNT).partition(",")
     return int(most) if most.strip().isdigit() else 0
 
--- a/lynxscale/dataplane/load_balancer.py
+++ b/lynxscale/dataplane/load_balancer.py
@@ -30,7 +30,7 @@
 
 @frozen
 class EndpointDemand:
-    """What a request asks of an endpoint.
+    """What a request requires of an endpoint.
 
     ``affinity_key`` names what its prompt shares with others, empty for none; ``max_tokens``: the most that it may come
     to hold in the KV cache; ``kv_cache_tokens``: capacity of an endpoint's KV cache, 0 for no engine.
--- a/lynxscale/dataplane/pending_until_configured.py
+++ b/lynxscale/dataplane/pending_until_configured.py
@@ -1,4 +1,4 @@
-"""Requests that arrived before the relay had its configuration: they wait a little, as it is about to come."""
+"""Requests that arrive before the relay has its configuration and endpoint list: they wait for a bounded time."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PendingUntilConfigured:
-    """Keeps requests until ``serve_all``; each is rejected once it has waited for its share of the client's time."""
+    """Holds requests until ``serve_all``; each is rejected once it has waited for its share of the client's time."""
 
     def __init__(self, clock: Clock, serve: Callable[[Request, Responder], Exchange | None]) -> None:
         self._clock = clock
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -69,12 +69,12 @@
 
     @property
     def ready(self) -> bool:
-        """May clients be sent here?"""
+        """Does the health check succeed: is the relay configured, not stopping and not isolated?"""
         return self._configured and not self.stopping and not self.isolated
 
     @property
     def isolated(self) -> bool:
-        """Has no primary confirmed this relay's topics for long? Then other relays serve programs better."""
+        """Has no primary confirmed this relay's topics for ``ISOLATED_AFTER_INTERVALS``? It then reports not ready."""
         return self.tree.isolated
 
     @property
@@ -120,7 +120,7 @@
         return exchange
 
     def status(self) -> RelayStatus:
-        """What this relay knows."""
+        """The status report of this relay."""
         return RelayStatus(
             address=self.tree.address,
             ready=self.ready,
--- a/lynxscale/runtime/exit_codes.py
+++ b/lynxscale/runtime/exit_codes.py
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """What a program tells the shell or the process manager that started it."""
+    """The exit status of a program, as its shell or process manager reads it."""
 
     OK = 0
     FINDINGS = 1
--- a/lynxscale/runtime/http_client.py
+++ b/lynxscale/runtime/http_client.py
@@ -98,7 +98,7 @@
         self._set_state(ClientState.CLOSED)
 
     def on_connect_failed(self) -> None:
-        """The dialer gives up. The connection may have been established at that very moment, and carry a request."""
+        """The dialer has failed or timed out; the connection may just have been established, and carry a request."""
         self._fail(ResponseFailure.CLOSED if self._written else ResponseFailure.NOT_CONNECTED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
