--- a/lynxscale/controlplane/configuration_endpoint.py
+++ b/lynxscale/controlplane/configuration_endpoint.py
@@ -1,7 +1,7 @@
 """The configuration in force, and the operator's requests that read, replace or update it.
 
 A request names the version that it builds on, and makes a later one. A repeated request is acknowledged again, also by
-another primary and when later ones were committed since; ``lynxscale.controlplane.idempotency`` says how.
+another primary and when later ones were committed since; see ``lynxscale.controlplane.idempotency``.
 """
 
 from __future__ import annotations
--- a/lynxscale/controlplane/configuration_update.py
+++ b/lynxscale/controlplane/configuration_update.py
@@ -1,4 +1,4 @@
-"""Updates of the configuration: routes and services that are added, replaced or removed by name.
+"""Updates of the configuration: routes and services are added, replaced or removed by name.
 
 The result is a complete configuration, checked like one that was sent complete. All findings are collected, each with
 its path.
@@ -41,7 +41,7 @@
 
 
 def apply_update(current: Configuration, update: ConfigurationUpdate) -> Result[Configuration, Findings]:
-    """Return the complete configuration that the update makes of the current one, or all findings."""
+    """Return the complete configuration that results from the update, or all findings."""
     findings = tuple(_unknown_name_findings(current, update))
     if findings:
         return Failure(findings)
--- a/lynxscale/controlplane/http_responses.py
+++ b/lynxscale/controlplane/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses of the operator's API, and those that wait until what they rest on is committed."""
+"""HTTP responses of the operator's API, and those that are sent once the state that they depend on is committed."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class CommittedResponses:
-    """Sends responses once the state that they rest on is committed, and ``undecided`` where it may not be."""
+    """Sends responses once the state that they depend on is committed, and ``undecided`` where that is uncertain."""
 
     def __init__(self, member: ControlMember) -> None:
         self._member = member
--- a/lynxscale/controlplane/idempotency.py
+++ b/lynxscale/controlplane/idempotency.py
@@ -23,7 +23,7 @@
 
 
 class ChangeKind(Enum):
-    """How a request changes the configuration; the value keeps the digests of both kinds apart."""
+    """How a request changes the configuration; the value personalises the digest, so the keys of both kinds differ."""
 
     REPLACE = b""
     UPDATE = b"update"
--- a/lynxscale/controlplane/relay_requests.py
+++ b/lynxscale/controlplane/relay_requests.py
@@ -21,7 +21,7 @@
 from lynxscale.coordination.relay_roster import Roster
 from lynxscale.coordination.topic_publisher import Publisher
 
-MAX_PENDING_REDIRECTS = 10_000  # relays that sent requests while no primary was known
+MAX_PENDING_REDIRECTS = 10_000  # relays remembered while no primary is known; those beyond are not redirected
 
 
 class RelayRequestHandler:
@@ -39,12 +39,12 @@
         self._pending_redirects: set[str] = set()
 
     def start_serving(self, admission: TurnAdmission, roster: Roster) -> None:
-        """Answer requests from now on, by the state that this primary has begun with."""
+        """Answer requests from now on, with the admission state and roster of this lead."""
         self._admission = admission
         self._roster = roster
 
     def stop_serving(self) -> None:
-        """Redirect all requests from now on."""
+        """Redirect all relays to the primary from now on."""
         self._admission = self._roster = None
 
     def on_call(self, call: Call) -> None:
--- a/lynxscale/controlplane/retention.py
+++ b/lynxscale/controlplane/retention.py
@@ -1,6 +1,6 @@
 """Retention of stored records: durations that the primary counts on its monotonic clock, never wall-clock times.
 
-Each new primary restarts all durations, as nobody knows how much of them the primary before had counted. A turn is
+Each new primary restarts all durations, as elapsed time is not stored. A turn is
 retained for as long as any turn that continues from it.
 """
 
--- a/lynxscale/controlplane/retirement_endpoint.py
+++ b/lynxscale/controlplane/retirement_endpoint.py
@@ -31,7 +31,7 @@
         return frozenset(key[prefix:] for key in self._member.store.values if key.startswith(RETIREMENT_PREFIX))
 
     def start(self, node: str, responder: Responder) -> None:
-        """Retire a machine where enough live ones remain; reject only for what is certain."""
+        """Retire a machine where enough live ones remain; 404 or 409 only where that is certain, else 503."""
         running = json_response(HTTPStatus.OK, {"state": "running"})
         if self._is_retiring(node):
             self._responses.send_after_barrier(responder, running)
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -1,7 +1,7 @@
 """One process of the control plane: a member of the replicated group, and what it does as primary.
 
-Composes the parts and passes messages, requests and ticks on to them. A member becomes primary once it holds the lease
-and everything that earlier primaries committed is known to be; it stops being one as soon as it loses the lease.
+Composes the parts and dispatches messages, requests and ticks to them. A member serves as primary once it holds the
+lease and has established that everything earlier primaries committed is committed; it stops once it loses the lease.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 log = logging.getLogger(__name__)
 
 STATUS_PATH = "/status"
-TICK_S = 0.02
+TICK_S = 0.02  # between two checks whether to serve, publish or run periodic tasks
 EXPIRY_INTERVAL_S = 5.0  # between removals of records whose retention is over
 SCRUB_INTERVAL_S = 1.0  # between comparisons of the replicas' checksums
 
@@ -86,7 +86,7 @@
         self.member.leave(on_release)
 
     def status(self) -> ControlStatus:
-        """Return what this process knows of itself and, as primary, of the others."""
+        """Return the status of this process and, as primary, of the other members."""
         member = self.member
         leads = member.leads()
         current = self.operator_api.configuration.current()
--- a/lynxscale/controlplane/status.py
+++ b/lynxscale/controlplane/status.py
@@ -9,7 +9,7 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """One member of the group, as the primary knows it."""
+    """One member of the group, by the messages that the primary has received from it."""
 
     member: str
     node: str
