--- a/Makefile
+++ b/Makefile
@@ -48,8 +48,8 @@
 		$(PYTHON) -m pytest -q -p no:cacheprovider tests/relay/test_upgrade.py -k kill -s || exit 1; done
 
 soak-journal: build
-	JOURNAL_KILLS=1000 $(PYTHON) -m pytest -q -p no:cacheprovider tests/relay/test_journal_live.py -k kills -s
-	JOURNAL_SEEDS=6 $(PYTHON) -m pytest -q -p no:cacheprovider -n 4 tests/relay/test_journal.py
+	JOURNAL_KILLS=1000 $(PYTHON) -m pytest -q -p no:cacheprovider tests/relay/journal/test_journal_live.py -k kills -s
+	JOURNAL_SEEDS=6 $(PYTHON) -m pytest -q -p no:cacheprovider -n 4 tests/relay/journal/test_journal.py
 
 bench-cluster: build
 	$(PYTHON) -m lab.bench_cluster
--- a/lab/bench_journal.py
+++ b/lab/bench_journal.py
@@ -12,8 +12,8 @@
 from lab.traffic import fresh_folder
 from lynxscale.relay.exceptions import JournalFullError
 from lynxscale.relay.journal import Entry, Journal
-from lynxscale.relay.journal.plan import blocks
-from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.cleaning_plan import allocated_size
+from lynxscale.relay.journal.storage import FolderStorage
 
 BODY = bytes(200)
 
@@ -35,22 +35,22 @@
 
 
 def open_new(folder: Path, budget: int) -> Journal:
-    journal = Journal(Folder(folder), budget, lambda: time.time_ns() // 1000)
-    journal.number(dict(enumerate(journal.open())))
+    journal = Journal(FolderStorage(folder), budget, lambda: time.time_ns() // 1000)
+    journal.assign_numbers(dict(enumerate(journal.open())))
     return journal
 
 
-def messages(journal, kind, held: int, count: int, turn) -> tuple[float, float]:
+def messages(accept, record_attempt, complete, kind, held: int, count: int, turn) -> tuple[float, float]:
     """µs of a message (taken, tried, ended, with so many held besides), and the longest call or turn in ms."""
     for number in range(held):
-        journal.add_message(number, entry(kind, number))
+        accept(number, entry(kind, number))
         turn()
     longest, begun = 0, time.perf_counter_ns()
     last = begun
     for number in range(held, held + count):
-        journal.add_message(number, entry(kind, number))
-        journal.add_attempt(number, number)
-        journal.add_end(number - held)
+        accept(number, entry(kind, number))
+        record_attempt(number, number)
+        complete(number - held)
         turn()
         now = time.perf_counter_ns()
         longest, last = max(longest, now - last), now
@@ -62,7 +62,8 @@
     cells = []
     (folder / "new").mkdir()
     journal = open_new(folder / "new", budget)
-    spent, longest = messages(journal, Entry, held, count, journal.end_turn)
+    calls = (journal.accept, journal.record_attempt, journal.complete)
+    spent, longest = messages(*calls, Entry, held, count, journal.maintain)
     cells.append(f"{spent:.1f} us a message, longest turn {longest:.1f} ms")
     journal.close()
     begun = time.perf_counter()
@@ -74,7 +75,7 @@
         old = module.Journal(folder / "old", budget)
         old.open()
         old.begin({})
-        spent, longest = messages(old, module.Entry, held, count, lambda: None)
+        spent, longest = messages(old.take, old.tried, old.end, module.Entry, held, count, lambda: None)
         cells.append(f"the one before: {spent:.1f} us, longest {longest:.1f} ms")
         old.close()
     click.echo(f"{held} held: {'; '.join(cells)}")
@@ -83,10 +84,10 @@
 def reopened(folder: Path, budget: int) -> tuple[list[Entry], int]:
     """What a new process would find, and the bytes that it reads."""
     size = sum(path.stat().st_size for path in folder.iterdir())
-    return Journal(Folder(folder), budget, lambda: 1).open(), size
+    return Journal(FolderStorage(folder), budget, lambda: 1).open(), size
 
 
-class Counting(Folder):
+class Counting(FolderStorage):
     """Counts what is written."""
 
     written = 0
@@ -100,26 +101,26 @@
     """Bytes written for a byte of records, at a share of the live bytes that are allowed."""
     port = Counting(folder)
     journal = Journal(port, budget, lambda: 1)
-    journal.number(dict(enumerate(journal.open())))
+    journal.assign_numbers(dict(enumerate(journal.open())))
     number, first, own, most = 0, 0, 0, 0
     refused = 0
     while number < count:
         while journal.plan.live > share * journal.plan.max_live:
-            journal.add_end(first)
+            journal.complete(first)
             own += 29
             first += 1
         try:
             before_ = journal.plan.live
-            journal.add_message(number, entry(Entry, number))
+            journal.accept(number, entry(Entry, number))
             own += journal.plan.live - before_ if journal.plan.live > before_ else 330
             number += 1
         except JournalFullError:
             refused += 1
-            journal.add_end(first)
+            journal.complete(first)
             first += 1
-        journal.end_turn()
+        journal.maintain()
         if not number % 500:
-            most = max(most, sum(blocks(path.stat().st_size) for path in folder.iterdir()))
+            most = max(most, sum(allocated_size(path.stat().st_size) for path in folder.iterdir()))
     journal.close()
     click.echo(
         f"filled to {share:.0%} of what may be live: {port.written / own:.2f} bytes written a byte of records; "
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -21,8 +21,8 @@
 
 if TYPE_CHECKING:
     from lynxscale.relay.journal import Entry, Journal
-    from lynxscale.relay.journal.format import Manifest
-    from lynxscale.relay.journal.recover import Recovered
+    from lynxscale.relay.journal.layout import Manifest
+    from lynxscale.relay.journal.recovery import RecoveryResult
 
 json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
@@ -35,25 +35,25 @@
     return folder_of(Path(state), there[-1] if there else 0)
 
 
-def _recovered(state: str) -> tuple[Manifest, Recovered, dict[int, int]]:
+def _recovered(state: str) -> tuple[Manifest, RecoveryResult, dict[int, int]]:
     """The manifest, what a start would find, and the sizes of the segments."""
     from lynxscale.relay.exceptions import JournalFormatError
-    from lynxscale.relay.journal.format import Manifest
-    from lynxscale.relay.journal.log import manifest_of, segment_name
-    from lynxscale.relay.journal.port import Folder
-    from lynxscale.relay.journal.recover import Recovered, recover
+    from lynxscale.relay.journal.layout import Manifest, segment_name
+    from lynxscale.relay.journal.manifest_store import load_manifest
+    from lynxscale.relay.journal.recovery import RecoveryResult, recover
+    from lynxscale.relay.journal.storage import FolderStorage
 
     folder = _folder(state)
     if not folder.is_dir():
         raise Failed(f"{folder}: no such folder: want the state folder of a relay")
-    port = Folder(folder)
-    names = port.names()
+    storage = FolderStorage(folder)
+    names = storage.names()
     try:
-        manifest = manifest_of(port, names)
+        manifest = load_manifest(storage, names)
         if manifest is None:  # nothing was ever taken on
-            return Manifest(0, ()), Recovered(), {}
+            return Manifest(0, ()), RecoveryResult(), {}
         segments = {
-            row.number: port.read(segment_name(row.number))
+            row.number: storage.read(segment_name(row.number))
             for row in manifest.rows
             if segment_name(row.number) in names
         }
@@ -115,7 +115,7 @@
     rows: list[dict[str, Any]] = [
         {
             "id": one.id,
-            "class": one.cls,
+            "class": one.class_name,
             "tenant": one.tenant,
             "destination": one.dest,
             "taken": _when(one.accepted_at),
@@ -123,10 +123,10 @@
             "bytes": len(one.body),
             "tries": one.attempts,
             "may_have_run": len(one.may_have_run),
-            "end": one.final[0] if one.final else "-",
+            "end": one.outcome[0] if one.outcome else "-",
         }
         for one in found.entries.values()
-        if cls in (None, one.cls)
+        if cls in (None, one.class_name)
     ]
     if as_json:
         write_json(rows)
@@ -142,19 +142,20 @@
 @json_option
 def stats(state: str, as_json: bool) -> None:
     """Count what lies where: records by kind, live bytes, messages, for each segment."""
-    from lynxscale.relay.journal.format import END, FINAL, MESSAGE, NOT_RUN, TRIED
-    from lynxscale.relay.journal.plan import Plan
+    from lynxscale.relay.journal.cleaning_plan import CleaningPlan
+    from lynxscale.relay.journal.records import ATTEMPT, COMPLETED, MESSAGE, NOT_EXECUTED, OUTCOME
 
     manifest, found, sizes = _recovered(state)
-    plan, kinds = Plan(sum(sizes.values()) + (1 << 20)), {}
-    names = {MESSAGE: "messages", TRIED: "tries", NOT_RUN: "not_run", FINAL: "finals", END: "ends"}
-    for number, one in found.found:
+    plan = CleaningPlan(sum(sizes.values()) + (1 << 20))
+    kinds: dict[int, Counter[str]] = {}
+    names = {MESSAGE: "messages", ATTEMPT: "tries", NOT_EXECUTED: "not_run", OUTCOME: "finals", COMPLETED: "ends"}
+    for number, one in found.records:
         kinds.setdefault(number, Counter())[names[one.kind]] += 1
-    plan.restore(sorted(manifest.rows, key=lambda row: row.first), found.found, found.sizes)
+    plan.restore(sorted(manifest.rows, key=lambda row: row.first_seq), found.records, found.sizes)
     rows = [
         {
             "segment": number,
-            "first": one.first,
+            "first": one.first_seq,
             "bytes": sizes.get(number, 0),
             "live": one.live,
             "state": "sealed" if one.sealed else "active",
@@ -178,13 +179,13 @@
     from lynxscale.relay.conf.directive import SIZES, amount
     from lynxscale.relay.exceptions import JournalFormatError, JournalFullError
     from lynxscale.relay.journal import Journal
-    from lynxscale.relay.journal.port import Folder
+    from lynxscale.relay.journal.storage import FolderStorage
 
     try:
         budget = amount(disk, SIZES)
     except ValueError:
         raise Misused(f"--disk {disk}: want a size such as 3m") from None
-    journal = Journal(Folder(_folder(state)), budget, lambda: time.time_ns() // 1000)
+    journal = Journal(FolderStorage(_folder(state)), budget, lambda: time.time_ns() // 1000)
     try:
         journal.open(older)
     except BlockingIOError:
@@ -205,7 +206,7 @@
             orjson.dumps(
                 {
                     "id": one.id,
-                    "class": one.cls,
+                    "class": one.class_name,
                     "tenant": one.tenant,
                     "key": one.key,
                     "destination": one.dest,
@@ -213,7 +214,7 @@
                     "body": base64.b64encode(one.body).decode(),
                     "tries": one.attempts,
                     "maybe": one.may_have_run,
-                    "final": one.final,
+                    "final": one.outcome,
                     "taken": one.accepted_at,
                 }
             )
--- a/lynxscale/relay/core.py
+++ b/lynxscale/relay/core.py
@@ -199,13 +199,13 @@
             self._discard(message, "module")
             return Verdict.REJECTED, getattr(end, "retry_after", 0.0)
         try:
-            self.journal.add_message(message.number, message.entry)
+            self.journal.accept(message.number, message.entry)
         except JournalFullError as error:
             log.warning("message_rejected", id=message.entry.id, error=str(error))
             self._discard(message, "disk_full")
             self.put(Withdrawn(message.number))
             return Verdict.DISK_FULL, BUSY_RETRY_MS
-        self.counters.add("taken", message.entry.cls)
+        self.counters.add("taken", message.entry.class_name)
         self.arm_backstop(message)
         return Verdict.ACCEPTED, 0.0
 
@@ -229,7 +229,7 @@
             events, self._events = self._events, []
             submitted, self._submitted = self._submitted, []
             self._process(self.loop.now(), events, submitted)
-            self.journal.end_turn()
+            self.journal.maintain()
         if self.trace is not None:
             self.trace.turn_ended()
 
@@ -337,7 +337,7 @@
             self.counters.add("tries", "too_late_to_repeat")
             return False
         try:
-            self.journal.add_attempt(number, self.unix_now())
+            self.journal.record_attempt(number, self.unix_now())
         except JournalFullError as error:
             log.warning("attempt_not_sent", id=message.entry.id, error=str(error))
             self.counters.add("tries", "not_recorded")
@@ -386,7 +386,7 @@
             self._complete(message, "delivered" if result == Result.OK else "over")
             finished = True
         elif not finished and result in NEVER_RAN:
-            self.write_journal(self.journal.add_not_run, number, recorded)
+            self.write_journal(self.journal.record_not_executed, number, recorded)
         self.put(Outcome(number, index, endpoint, result, spent / 1000, finished, wait_ms, report))
 
     def _count_outcome(self, dest: int, result: Result, wait_ms: float, report: tuple[float, ...]) -> None:
@@ -424,7 +424,7 @@
         self.deadlines.cancel(message.backstop)
         self.counters.add("ends", status)
         self.tally.add(message.entry.dest, status)
-        self.write_journal(self.journal.add_final, number, status, again_ms)
+        self.write_journal(self.journal.record_outcome, number, status, again_ms)
         if self.trace is not None:
             now = self.loop.now()
             self.trace.ended(now, number, status, again_ms)
@@ -456,7 +456,7 @@
 
     def _forget(self, message: PendingMessage) -> None:
         self.deadlines.cancel(message.backstop)
-        self.write_journal(self.journal.add_end, message.number)
+        self.write_journal(self.journal.complete, message.number)
         if self.trace is not None:
             self.trace.forgotten(self.loop.now(), message.number)
         self._unregister(message)
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -23,8 +23,9 @@
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadline, Deadlines, Loop
 from lynxscale.relay.exceptions import JournalFormatError, JournalFullError
-from lynxscale.relay.journal import Entry, Journal, old
-from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal import Entry, Journal
+from lynxscale.relay.journal.legacy_format import FILE_NAME, read_legacy_journal
+from lynxscale.relay.journal.storage import FolderStorage
 from lynxscale.relay.lifecycle import CHECK_INTERVAL, Lifecycle, LifecycleAction
 from lynxscale.relay.net.clients import Clients
 from lynxscale.relay.net.close_reason import CloseReason
@@ -68,7 +69,7 @@
         self.claim = Claim(conf.state, None if conf.accept_fd is None else os.fstat(conf.accept_fd).st_ino)
         self.claim.wait(LOCK_TIMEOUT_S)
         unix = unix_clock(conf.state)
-        self.journal = Journal(Folder(self.claim.path), conf.disk_bytes, unix)
+        self.journal = Journal(FolderStorage(self.claim.path), conf.disk_bytes, unix)
         if conf.accept_fd is not None or self.claim.earlier:
             self.journal.plan.limit_to_share(SUCCESSOR_JOURNAL_SHARE)
         self.lifecycle = Lifecycle()
@@ -174,8 +175,8 @@
 
     def _open_journal(self) -> list[Entry]:
         """What earlier processes left open, also those that kept one file; it is removed once its messages are kept."""
-        file = self.conf.state / old.NAME
-        older = list(old.read(file.read_bytes())[0].values()) if file.is_file() else []
+        file = self.conf.state / FILE_NAME
+        older = list(read_legacy_journal(file.read_bytes())[0].values()) if file.is_file() else []
         remove_leftovers(self.conf.state)
         entries = self.journal.open(older)
         if file.is_file():
--- a/lynxscale/relay/exceptions.py
+++ b/lynxscale/relay/exceptions.py
@@ -54,12 +54,12 @@
 
 
 class JournalFullError(RelayError):
-    """The record could not be written; nothing of it is in the files."""
+    """The record could not be stored, and nothing of it is in the files; the text says why."""
 
 
 class JournalFormatError(RelayError):
-    """Bytes that are not of the journal's format; the text names the place."""
+    """Bytes that are not of the journal's format, or are damaged; the text names the file or segment."""
 
 
 class JournalVersionError(JournalFormatError):
-    """Files of the journal that a newer version wrote."""
+    """A newer version wrote the journal's files. They stay as they are, as nothing in them may be taken for damage."""
--- a/lynxscale/relay/journal/__init__.py
+++ b/lynxscale/relay/journal/__init__.py
@@ -1,11 +1,11 @@
-"""The journal: a write-ahead log of accepted messages, their attempts and their ends; docs/design/journal.md.
+"""The relay's write-ahead journal of open messages, attempts and outcomes; docs/design/journal.md.
 
-``format`` and ``old`` encode and decode bytes, ``recover`` and ``plan`` decide, none of them with I/O; ``port`` has the
-file operations and ``log`` the journal itself.
+``records`` and ``layout`` encode and decode bytes, ``legacy_format`` reads the single file of older relays;
+``recovery`` and ``cleaning_plan`` decide, without I/O. ``storage`` has the file operations, ``manifest_store`` the
+manifest's two files, and ``journal`` the journal itself.
 """
 
-from lynxscale.relay.exceptions import JournalFullError
-from lynxscale.relay.journal.format import Entry
-from lynxscale.relay.journal.log import Journal
+from lynxscale.relay.journal.journal import Journal
+from lynxscale.relay.journal.records import Entry
 
-__all__ = ["Entry", "Journal", "JournalFullError"]
+__all__ = ["Entry", "Journal"]
--- /dev/null
+++ b/lynxscale/relay/journal/layout.py
@@ -0,0 +1,90 @@
+"""The journal's folder: names and headers of segments, and the manifest; docs/design/journal.md, "The files"."""
+
+from __future__ import annotations
+
+import struct
+from typing import NamedTuple
+
+from crc32c import crc32c
+
+from lynxscale.relay.exceptions import JournalFormatError, JournalVersionError
+
+VERSION = 1
+SEGMENT_MAGIC, MANIFEST_MAGIC = b"LXS1", b"LXM1"
+SEGMENT_HEADER = struct.Struct("<4sHQQI")  # magic, version, number, first sequence number, salt; a checksum follows
+MANIFEST_HEADER = struct.Struct("<4sHQH")  # magic, version, generation, segments; rows and a checksum follow
+MANIFEST_ROW = struct.Struct("<QQI")  # number, first sequence number, sealed size (0: active)
+CHECKSUM = struct.Struct("<I")
+SEGMENT_HEADER_SIZE = SEGMENT_HEADER.size + CHECKSUM.size
+SEGMENT_SUFFIX = ".seg"
+
+
+class ManifestRow(NamedTuple):
+    """A segment in the manifest."""
+
+    number: int
+    first_seq: int  # the sequence number of its first record
+    sealed_size: int  # its size in bytes; 0 while it is active
+
+
+class Manifest(NamedTuple):
+    """Which segments make up the journal. Of two manifests the one with the higher generation is in force."""
+
+    generation: int
+    rows: tuple[ManifestRow, ...]
+
+
+def segment_name(number: int) -> str:
+    """The file name of a segment."""
+    return f"{number:012}{SEGMENT_SUFFIX}"
+
+
+def segment_number(name: str) -> int | None:
+    """The number in the file name of a segment; None for any other name."""
+    digits = name.removesuffix(SEGMENT_SUFFIX)
+    return int(digits) if digits != name and digits.isdigit() else None
+
+
+def encode_segment_header(number: int, first_seq: int, salt: int) -> bytes:
+    """The first bytes of a segment. ``salt``: a random number below 2**32."""
+    header = SEGMENT_HEADER.pack(SEGMENT_MAGIC, VERSION, number, first_seq, salt)
+    return header + CHECKSUM.pack(crc32c(header))
+
+
+def decode_segment_header(data: bytes) -> tuple[int, int, int]:
+    """Number, first sequence number and salt of a segment.
+
+    Raises JournalFormatError, or JournalVersionError for a newer version's.
+    """
+    if len(data) < SEGMENT_HEADER_SIZE or data[:4] != SEGMENT_MAGIC:
+        raise JournalFormatError("no segment of a journal")
+    _magic, version, number, first_seq, salt = SEGMENT_HEADER.unpack_from(data)
+    if version > VERSION:
+        raise JournalVersionError(f"version {version} of the segment, this one reads {VERSION}")
+    if CHECKSUM.unpack_from(data, SEGMENT_HEADER.size)[0] != crc32c(data[: SEGMENT_HEADER.size]):
+        raise JournalFormatError("the segment's head is damaged")
+    return number, first_seq, salt
+
+
+def encode_manifest(manifest: Manifest) -> bytes:
+    """The manifest's bytes."""
+    data = MANIFEST_HEADER.pack(MANIFEST_MAGIC, VERSION, manifest.generation, len(manifest.rows))
+    data += b"".join(MANIFEST_ROW.pack(*row) for row in manifest.rows)
+    return data + CHECKSUM.pack(crc32c(data))
+
+
+def decode_manifest(data: bytes) -> Manifest:
+    """The manifest that these bytes begin with; padding may follow.
+
+    Raises JournalFormatError, or JournalVersionError for a newer version's.
+    """
+    if len(data) < MANIFEST_HEADER.size + CHECKSUM.size or data[:4] != MANIFEST_MAGIC:
+        raise JournalFormatError("no manifest of a journal")
+    _magic, version, generation, count = MANIFEST_HEADER.unpack_from(data)
+    if version > VERSION:
+        raise JournalVersionError(f"version {version} of the manifest, this one reads {VERSION}")
+    size = MANIFEST_HEADER.size + count * MANIFEST_ROW.size
+    if len(data) < size + CHECKSUM.size or CHECKSUM.unpack_from(data, size)[0] != crc32c(data[:size]):
+        raise JournalFormatError("the manifest's checksum does not fit")
+    rows = tuple(ManifestRow(*row) for row in MANIFEST_ROW.iter_unpack(data[MANIFEST_HEADER.size : size]))
+    return Manifest(generation, rows)
--- a/lynxscale/relay/journal/port.py
+++ b/lynxscale/relay/journal/storage.py
@@ -1,4 +1,4 @@
-"""All file operations of the journal: ``lab/fake_disk.py`` stands in for them in tests.
+"""All file operations of the journal; ``lab/fake_disk.py`` replaces them in tests.
 
 Names are those of files in one folder. Errors are OSError.
 """
@@ -12,83 +12,84 @@
 from typing import Protocol
 
 
-class Port(Protocol):
-    """What the journal needs of a folder."""
+class Storage(Protocol):
+    """The file operations that the journal needs. A handle is one that ``create`` or ``append_to`` returned."""
 
     def lock(self) -> None:
-        """Keep every other process out. Raises BlockingIOError where one holds it."""
+        """Lock the folder; BlockingIOError where another process has locked it."""
 
     def unlock(self) -> None:
-        """Let others in."""
+        """Unlock the folder."""
 
     def names(self) -> list[str]:
         """The names of all files."""
 
     def read(self, name: str) -> bytes:
-        """All bytes of a file."""
+        """A file's bytes."""
+        ...
 
     def create(self, name: str) -> int:
-        """A new, empty file to append to; its handle."""
+        """Open a new, empty file, to be appended to; its handle."""
 
     def append_to(self, name: str, size: int) -> int:
-        """An existing file to append to, truncated to that size; its handle."""
+        """Open an existing file, truncated to ``size`` bytes, to be appended to; its handle."""
 
     def write(self, handle: int, data: bytes) -> int:
-        """Append; how many bytes were written."""
+        """Append; how many bytes were written, which may be fewer than there are."""
 
     def overwrite(self, name: str, data: bytes) -> None:
-        """Replace the first bytes of an existing file that is at least as long. A crash may leave a part of them."""
+        """Replace the first bytes of an existing file that is at least as long; a crash may leave a part of them."""
 
     def truncate(self, handle: int, size: int) -> None:
-        """Cut a file to that size."""
+        """Cut a file to ``size`` bytes."""
 
     def close(self, handle: int) -> None:
-        """Release a handle."""
+        """Close a handle."""
 
     def rename(self, old: str, new: str) -> None:
-        """Replace a file atomically."""
+        """Rename a file, atomically; one of the new name is replaced."""
 
     def unlink(self, name: str) -> None:
         """Remove a file."""
 
 
-class Folder:
-    """A folder of the file system, as Port has it."""
+class FolderStorage:
+    """A folder of the file system. ``lock``: the name of its lock file."""
 
     def __init__(self, path: Path, lock: str = "lock") -> None:
-        self._path, self._lock = path, lock
-        self._locked = -1
+        self._path, self._lock_name = path, lock
+        self._lock_handle = -1
 
     def lock(self) -> None:
-        """Part of Port."""
+        """Lock the folder, created where it is missing; BlockingIOError where another process has locked it."""
         self._path.mkdir(parents=True, exist_ok=True)
-        self._locked = os.open(self._path / self._lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self._lock_handle = os.open(self._path / self._lock_name, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self._locked, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError:
-            os.close(self._locked)
+            os.close(self._lock_handle)
             raise BlockingIOError(errno.EWOULDBLOCK, "another process has this journal", str(self._path)) from None
 
     def unlock(self) -> None:
-        """Let others in; the end of the process does so too."""
-        if self._locked >= 0:
-            os.close(self._locked)
-            self._locked = -1
+        """Unlock the folder; the end of the process does so too."""
+        if self._lock_handle >= 0:
+            os.close(self._lock_handle)
+            self._lock_handle = -1
 
     def names(self) -> list[str]:
-        """Part of Port."""
+        """The names of all files, sorted."""
         return sorted(os.listdir(self._path))
 
     def read(self, name: str) -> bytes:
-        """Part of Port."""
+        """A file's bytes."""
         return (self._path / name).read_bytes()
 
     def create(self, name: str) -> int:
-        """Part of Port."""
+        """Open a new, empty file, to be appended to; its handle."""
         return os.open(self._path / name, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_APPEND | os.O_CLOEXEC, 0o600)
 
     def append_to(self, name: str, size: int) -> int:
-        """Part of Port."""
+        """Open an existing file, truncated to ``size`` bytes, to be appended to; its handle."""
         handle = os.open(self._path / name, os.O_WRONLY | os.O_APPEND | os.O_CLOEXEC)
         try:
             if os.fstat(handle).st_size != size:
@@ -99,11 +100,11 @@
         return handle
 
     def write(self, handle: int, data: bytes) -> int:
-        """Part of Port."""
+        """Append; how many bytes were written."""
         return os.write(handle, data)
 
     def overwrite(self, name: str, data: bytes) -> None:
-        """Part of Port."""
+        """Replace the first bytes of an existing file."""
         handle = os.open(self._path / name, os.O_WRONLY | os.O_CLOEXEC)
         try:
             if os.pwrite(handle, data, 0) != len(data):
@@ -112,17 +113,17 @@
             os.close(handle)
 
     def truncate(self, handle: int, size: int) -> None:
-        """Part of Port."""
+        """Cut a file to ``size`` bytes."""
         os.ftruncate(handle, size)
 
     def close(self, handle: int) -> None:
-        """Part of Port."""
+        """Close a handle."""
         os.close(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Part of Port."""
+        """Rename a file, atomically."""
         os.replace(self._path / old, self._path / new)
 
     def unlink(self, name: str) -> None:
-        """Part of Port."""
+        """Remove a file."""
         os.unlink(self._path / name)
--- a/lynxscale/relay/recovery.py
+++ b/lynxscale/relay/recovery.py
@@ -27,7 +27,7 @@
     def replay(self, entries: Iterable[Entry]) -> None:
         """Take over what an earlier process left open in this journal: each is still owed its end."""
         messages = [self._restore(entry) for entry in entries]
-        self._relay.journal.number({message.number: message.entry for message in messages})
+        self._relay.journal.assign_numbers({message.number: message.entry for message in messages})
         self._resume(messages)
 
     def adopt(self, entries: Iterable[Entry], on_journaled: Callable[[], None]) -> int:
@@ -48,7 +48,7 @@
             on_journaled()
         except (JournalFullError, OSError):
             for message in messages:
-                relay.write_journal(relay.journal.undo_adopt, message.number)
+                relay.write_journal(relay.journal.discard_adopted, message.number)
                 relay.pending.remove(message.number)
                 del relay.by_id[message.entry.id]
             raise
@@ -73,9 +73,9 @@
 
     def _restore(self, entry: Entry) -> PendingMessage:
         relay = self._relay
-        cls, tenant = relay.class_number(entry.cls), relay.tenant_number(entry.tenant)
-        if cls is None and entry.final is None:
-            entry.final = ("undeliverable", 0)  # its class has left the settings: nobody can judge it
+        cls, tenant = relay.class_number(entry.class_name), relay.tenant_number(entry.tenant)
+        if cls is None and entry.outcome is None:
+            entry.outcome = ("undeliverable", 0)  # its class has left the settings: nobody can judge it
         now = relay.loop.now()
         message = PendingMessage(entry, cls=cls or 0, tenant=tenant or 0, attempts=entry.attempts, accepted_at=now)
         relay.register(message)
@@ -91,10 +91,10 @@
             if relay.trace is not None:
                 left = entry.expires - unix
                 relay.trace.message(now, message.number, entry, message.cls, message.tenant, left, entry.attempts)
-            if entry.final is not None:
+            if entry.outcome is not None:
                 message.ended = True
                 notices += 1
-                relay.notices.enqueue(message.number, entry.id, *entry.final)
+                relay.notices.enqueue(message.number, entry.id, *entry.outcome)
                 continue
             relay.arm_backstop(message)
             relay.put(self._message_event(message, now, unix))
--- a/lynxscale/relay/upgrade/journal_folders.py
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -9,10 +9,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lynxscale.relay.journal.format import UID, Entry
-from lynxscale.relay.journal.log import manifest_of, segment_name
-from lynxscale.relay.journal.port import Folder
-from lynxscale.relay.journal.recover import Gap, recover
+from lynxscale.relay.journal.layout import segment_name
+from lynxscale.relay.journal.manifest_store import load_manifest
+from lynxscale.relay.journal.records import UID, Entry
+from lynxscale.relay.journal.recovery import Gap, recover
+from lynxscale.relay.journal.storage import FolderStorage
 from lynxscale.relay.upgrade.board import Board, BoardHalf
 
 FIRST = "segments"
@@ -57,7 +58,7 @@
         self.predecessor = -1  # of a successor: the generation that serves; other earlier ones have ended
         self.half: BoardHalf | None = None
         self.other: BoardHalf | None = None
-        self._start_lock = Folder(state, START_LOCK)
+        self._start_lock = FolderStorage(state, START_LOCK)
 
     @property
     def path(self) -> Path:
@@ -113,12 +114,12 @@
 
 
 def _is_free(path: Path) -> bool:
-    port = Folder(path)
+    storage = FolderStorage(path)
     try:
-        port.lock()
+        storage.lock()
     except BlockingIOError:
         return False
-    port.unlock()
+    storage.unlock()
     return True
 
 
@@ -132,34 +133,34 @@
     """What an ended process left in its folder. Messages marked as taken there belong to another process for good."""
 
     def __init__(self, state: Path, generation: int) -> None:
-        self.path, self._port = folder_of(state, generation), Folder(folder_of(state, generation))
+        self.path, self._storage = folder_of(state, generation), FolderStorage(folder_of(state, generation))
         self.gaps: list[Gap] = []
         self._taken_handle = -1
 
     def lock(self) -> bool:
         """Keep others out; False while its process runs."""
         try:
-            self._port.lock()
+            self._storage.lock()
         except BlockingIOError:
             return False
         return True
 
     def read(self) -> dict[int, Entry]:
         """The open messages that are not taken, by their number there. Raises OSError or Refused."""
-        names = self._port.names()
-        manifest = manifest_of(self._port, names)
+        names = self._storage.names()
+        manifest = load_manifest(self._storage, names)
         if manifest is None:
             return {}
         found = recover(
             manifest,
             {
-                row.number: self._port.read(segment_name(row.number))
+                row.number: self._storage.read(segment_name(row.number))
                 for row in manifest.rows
                 if segment_name(row.number) in names
             },
         )
         self.gaps = found.gaps
-        data = self._port.read(TAKEN_FILE) if TAKEN_FILE in names else b""
+        data = self._storage.read(TAKEN_FILE) if TAKEN_FILE in names else b""
         # A truncated number is of a message that the successor has and never sent: it knows it by its id.
         taken = {number for (number,) in UID.iter_unpack(data[: len(data) // UID.size * UID.size])}
         return {uid: entry for uid, entry in found.entries.items() if uid not in taken}
@@ -187,7 +188,7 @@
     def abandon(self) -> None:
         """Leave it as it is, unlocked. Guards against a lock that looks like a running process."""
         self.close()
-        self._port.unlock()
+        self._storage.unlock()
 
     def remove(self) -> None:
         """All messages are taken: remove the folder, atomically."""
@@ -196,7 +197,7 @@
         with suppress(OSError):
             os.rename(self.path, gone)
             shutil.rmtree(gone, ignore_errors=True)
-        self._port.unlock()
+        self._storage.unlock()
 
 
 def release(path: Path, numbers: list[int]) -> None:
--- a/lynxscale/relay/upgrade/journal_follower.py
+++ b/lynxscale/relay/upgrade/journal_follower.py
@@ -8,18 +8,11 @@
 from pathlib import Path
 
 from lynxscale.relay.exceptions import JournalFormatError
-from lynxscale.relay.journal.format import (
-    END,
-    HEAD_SIZE,
-    MESSAGE,
-    Entry,
-    apply_record,
-    decode_segment_head,
-    read_records,
-)
-from lynxscale.relay.journal.log import SUFFIX, manifest_of, segment_name
-from lynxscale.relay.journal.port import Folder
-from lynxscale.relay.journal.recover import recover
+from lynxscale.relay.journal.layout import SEGMENT_HEADER_SIZE, SEGMENT_SUFFIX, decode_segment_header, segment_name
+from lynxscale.relay.journal.manifest_store import load_manifest
+from lynxscale.relay.journal.records import COMPLETED, MESSAGE, Entry, apply_record, read_records
+from lynxscale.relay.journal.recovery import recover
+from lynxscale.relay.journal.storage import FolderStorage
 
 MAX_READ_BYTES = 256 << 10  # in one poll, so that no turn takes long
 
@@ -63,12 +56,12 @@
 
     def _begin(self) -> None:
         """Everything so far. Raises OSError where a segment was removed meanwhile."""
-        port = Folder(self._path)
-        manifest = manifest_of(port, port.names())
+        storage = FolderStorage(self._path)
+        manifest = load_manifest(storage, storage.names())
         if manifest is None or not manifest.rows:
             return
-        rows = sorted(manifest.rows, key=lambda row: row.first)
-        found = recover(manifest, {row.number: port.read(segment_name(row.number)) for row in rows})
+        rows = sorted(manifest.rows, key=lambda row: row.first_seq)
+        found = recover(manifest, {row.number: storage.read(segment_name(row.number)) for row in rows})
         last = rows[-1].number
         if last not in found.salts:
             return  # its head is not written yet
@@ -88,7 +81,7 @@
             if one.seq <= self._last_seq:
                 continue
             self._last_seq = one.seq
-            ended = self.entries.get(one.uid) if one.kind == END else None
+            ended = self.entries.get(one.uid) if one.kind == COMPLETED else None
             apply_record(self.entries, one)
             if ended is not None:
                 self._ids.pop(ended.id, None)
@@ -103,13 +96,13 @@
         with suppress(FileNotFoundError):
             handle = os.open(self._path / segment_name(self._number + 1), os.O_RDONLY | os.O_CLOEXEC)
             try:
-                _number, _first, salt = decode_segment_head(os.pread(handle, HEAD_SIZE, 0))
+                _number, _first, salt = decode_segment_header(os.pread(handle, SEGMENT_HEADER_SIZE, 0))
             except JournalFormatError:
                 os.close(handle)
                 return False  # its head is not complete yet
             self.close()
-            self._handle, self._number, self._at, self._salt = handle, self._number + 1, HEAD_SIZE, salt
+            self._handle, self._number, self._at, self._salt = handle, self._number + 1, SEGMENT_HEADER_SIZE, salt
             return True
-        if any(name.endswith(SUFFIX) and name > segment_name(self._number) for name in os.listdir(self._path)):
+        if any(name.endswith(SEGMENT_SUFFIX) and name > segment_name(self._number) for name in os.listdir(self._path)):
             raise OSError(errno.ENOENT, "a segment was skipped")
         return False
--- a/tests/relay/test_journal.py
+++ b/tests/relay/journal/test_journal.py
@@ -14,12 +14,13 @@
 
 from lab.fake_disk import FakeDisk, ProcessKilled
 from lynxscale.relay.exceptions import JournalFormatError, JournalFullError
-from lynxscale.relay.journal import old
-from lynxscale.relay.journal.format import END, HEAD_SIZE, Entry, Manifest, decode_manifest, encode_end, encode_record
-from lynxscale.relay.journal.log import Journal, segment_name
-from lynxscale.relay.journal.plan import Plan, blocks
-from lynxscale.relay.journal.port import Folder
-from lynxscale.relay.journal.recover import recover
+from lynxscale.relay.journal import Journal
+from lynxscale.relay.journal.cleaning_plan import CleaningPlan, allocated_size
+from lynxscale.relay.journal.layout import SEGMENT_HEADER_SIZE, Manifest, decode_manifest, segment_name
+from lynxscale.relay.journal.legacy_format import read_legacy_journal
+from lynxscale.relay.journal.records import COMPLETED, Entry, encode_completed, encode_record
+from lynxscale.relay.journal.recovery import recover
+from lynxscale.relay.journal.storage import FolderStorage
 
 BUDGET = 13 * 4 * 4096  # ten segments of 16 KiB: a cleaning every few dozen messages
 
@@ -50,7 +51,7 @@
             self.next += 1
             self.numbers[self.next] = entry.id
             table[self.next] = entry
-        journal.number(table)
+        journal.assign_numbers(table)
         self.journal = journal
         self.check(entries)
 
@@ -62,13 +63,15 @@
             if id_ in self.asked and id_ not in found:
                 continue  # its end was being written
             entry = found[id_]
-            assert (entry.attempts, entry.may_have_run, entry.final) == (tries, maybe, final) or id_ in self.asked, id_
+            assert (entry.attempts, entry.may_have_run, entry.outcome) == (tries, maybe, final) or id_ in self.asked, (
+                id_
+            )
         for id_ in found:
             assert id_ not in self.ended, f"{id_} came back after its end"
             assert id_ in self.promised or id_ in self.asked or id_ in self.owed, f"{id_} was never taken"
         self.ended |= self.owed - set(found)
         self.owed.clear()
-        self.promised = {entry.id: (entry.attempts, list(entry.may_have_run), entry.final) for entry in entries}
+        self.promised = {entry.id: (entry.attempts, list(entry.may_have_run), entry.outcome) for entry in entries}
         self.asked.clear()
 
     def step(self) -> None:
@@ -80,7 +83,7 @@
             entry = Entry(id_, "pago-premio", "acme", "k", 1, 99, bytes(self.random.randrange(50, 900)))
             self.asked.add(id_)
             try:
-                journal.add_message(self.next, entry)
+                journal.accept(self.next, entry)
             except JournalFullError:
                 self.asked.discard(id_)
                 return
@@ -93,16 +96,16 @@
             self.asked.add(id_)
             try:
                 if draw < 0.6:
-                    journal.add_attempt(number, self.time)
+                    journal.record_attempt(number, self.time)
                     self.promised[id_] = (tries + 1, [*maybe, self.time], final)
                 elif draw < 0.7:
-                    journal.add_not_run(number, bool(maybe))
+                    journal.record_not_executed(number, bool(maybe))
                     self.promised[id_] = (tries if maybe else tries + 1, maybe[:-1], final)
                 elif draw < 0.75 and final is None:
-                    journal.add_final(number, "deferred", 700)
+                    journal.record_outcome(number, "deferred", 700)
                     self.promised[id_] = (tries, maybe, ("deferred", 700))
                 else:
-                    journal.add_end(number)
+                    journal.complete(number)
                     del self.promised[id_], self.numbers[number]
                     self.ended.add(id_)
             except JournalFullError:
@@ -114,7 +117,7 @@
     def run(self, steps: int) -> None:
         for _ in range(steps):
             self.step()
-            self.journal.end_turn()
+            self.journal.maintain()
 
 
 def test_a_history_of_a_thousand_operations_stays_within_its_budget_and_is_found_again():
@@ -197,29 +200,29 @@
     for _ in range(400):
         bench.next += 1
         try:
-            bench.journal.add_message(bench.next, Entry(f"x{bench.next}", "c", "t", "", 1, 9, bytes(800)))
+            bench.journal.accept(bench.next, Entry(f"x{bench.next}", "c", "t", "", 1, 9, bytes(800)))
         except JournalFullError:
             refused += 1
         else:
             bench.numbers[bench.next] = f"x{bench.next}"
             bench.promised[f"x{bench.next}"] = (0, [], None)
-        bench.journal.end_turn()
+        bench.journal.maintain()
     assert refused > 300
     bench.start()  # a start needs no room
     left = list(bench.numbers)
     for number in left[: len(left) * 3 // 4]:
         id_ = bench.numbers.pop(number)
         try:
-            bench.journal.add_end(number)
+            bench.journal.complete(number)
             bench.ended.add(id_)
         except JournalFullError:
             bench.owed.add(id_)
         del bench.promised[id_]
-        bench.journal.end_turn()
+        bench.journal.maintain()
     for _ in range(50):
-        bench.journal.end_turn()
+        bench.journal.maintain()
     bench.disk.most = None
-    bench.journal.end_turn()
+    bench.journal.maintain()
     bench.run(300)
     bench.start()
 
@@ -248,12 +251,12 @@
     journal = Journal(disk, BUDGET, lambda: 1, lambda: 1)
     journal.open()
     number = 1
-    journal.add_message(0, Entry("last", "c", "t", "", 1, 9, b""))
-    while not journal.plan.is_full_for(600):
-        journal.add_message(number, Entry(f"m{number}", "c", "t", "", 1, 9, bytes(300)))
+    journal.accept(0, Entry("last", "c", "t", "", 1, 9, b""))
+    while not journal.plan.needs_new_segment(600):
+        journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, bytes(300)))
         number += 1
     disk.files["manifest.0"] = disk.files.get("manifest.0", bytearray(4096))  # both are there from some time on
-    journal._manifests.add("manifest.0")
+    journal._manifest._slots.add("manifest.0")
     overwrite, said = disk.overwrite, []
 
     def failing(name, data):
@@ -263,11 +266,11 @@
 
     disk.overwrite = failing
     with pytest.raises(JournalFullError):  # another segment is needed: its manifest is said to have failed
-        journal.add_message(900, Entry("big", "c", "t", "", 1, 9, bytes(600)))
+        journal.accept(900, Entry("big", "c", "t", "", 1, 9, bytes(600)))
     with pytest.raises(JournalFullError):  # it may be there: nothing is promised behind what it closes
-        journal.add_attempt(0, 77)
+        journal.record_attempt(0, 77)
     disk.overwrite = overwrite
-    journal.add_attempt(0, 78)
+    journal.record_attempt(0, 78)
     found = Journal(FakeDisk(disk.image()), BUDGET, lambda: 1, lambda: 1).open()
     assert {entry.id: entry.may_have_run for entry in found}["last"] == [78] and len(said) == 2
     assert len(found) == number
@@ -297,7 +300,7 @@
                 told += 1
             for id_, (_tries, maybe, final) in bench.promised.items():
                 entry = open_.get(id_)
-                if entry is None or entry.final or final or (last and entry.may_have_run != maybe):
+                if entry is None or entry.outcome or final or (last and entry.may_have_run != maybe):
                     continue
                 # Every try that may have run is known, or the message counts as one that may have.
                 assert set(maybe) <= set(entry.may_have_run) or entry.accepted_at in entry.may_have_run, (
@@ -336,13 +339,13 @@
     """Its salt is unknown to who wrote the body."""
     bench = Bench(FakeDisk(), 8)
     bench.start()
-    forged = b"".join(encode_record(END, seq, encode_end(seq), 0) for seq in range(1, 40))
+    forged = b"".join(encode_record(COMPLETED, seq, encode_completed(seq), 0) for seq in range(1, 40))
     for number in range(3):
-        bench.journal.add_message(number, Entry(f"m{number}", "c", "t", "", 1, 9, forged))
+        bench.journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, forged))
     image = bench.disk.image()
     name = next(name for name in image if name.endswith(".seg"))
     data = bytearray(image[name])
-    data[HEAD_SIZE + 40] ^= 1  # the first message's head: a reader looks for the next record in its body
+    data[SEGMENT_HEADER_SIZE + 40] ^= 1  # the first message's head: a reader looks for the next record in its body
     manifest = newest(image)
     found = recover(manifest, {manifest.rows[0].number: bytes(data)})
     assert sorted(entry.id for entry in found.entries.values()) == ["m1", "m2"] and found.gaps
@@ -360,9 +363,9 @@
 
 @pytest.mark.parametrize("name", ["before.bin", "before-torn.bin"])
 def test_the_file_of_the_journal_before_is_read(name):
-    entries, whole = old.read((Path(__file__).parent.parent / "data" / "journal" / name).read_bytes())
+    entries, whole = read_legacy_journal((Path(__file__).parents[2] / "data" / "journal" / name).read_bytes())
     assert whole == 732 and sorted(entries) == [0, 1, 2, 3, 5]
-    assert [(one.id, one.cls, one.attempts, one.may_have_run, one.final) for one in entries.values()] == [
+    assert [(one.id, one.class_name, one.attempts, one.may_have_run, one.outcome) for one in entries.values()] == [
         ("m0", "aviso-ronda", 2, [11], None),
         ("m1", "inscripcion", 2, [13], None),
         ("m2", "pago-premio", 1, [14], ("undeliverable", 0)),
@@ -376,7 +379,7 @@
     bench = Bench(FakeDisk(), 11)
     bench.start()
     big = Entry("big", "c", "t", "", 1, 9, bytes(40_000))
-    bench.journal.add_message(900, big)
+    bench.journal.accept(900, big)
     bench.promised["big"] = (0, [], None)
     bench.run(600)
     assert bench.disk.peak <= BUDGET
@@ -385,25 +388,25 @@
 
 
 def test_a_second_process_is_kept_out(tmp_path):
-    one, two = Folder(tmp_path / "j"), Folder(tmp_path / "j")
+    one, two = FolderStorage(tmp_path / "j"), FolderStorage(tmp_path / "j")
     one.lock()
     with pytest.raises(BlockingIOError, match="another process"):
         two.lock()
 
 
 def test_the_same_on_a_real_folder(tmp_path):
-    journal = Journal(Folder(tmp_path / "j"), BUDGET, lambda: 5)
+    journal = Journal(FolderStorage(tmp_path / "j"), BUDGET, lambda: 5)
     journal.open()
     for number in range(500):
-        journal.add_message(number, Entry(f"m{number}", "c", "t", "", 1, 9, bytes(300)))
-        journal.add_attempt(number, number)
+        journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, bytes(300)))
+        journal.record_attempt(number, number)
         if number >= 20:
-            journal.add_end(number - 20)
-        journal.end_turn()
-    size = sum(blocks(path.stat().st_size) for path in (tmp_path / "j").iterdir())
+            journal.complete(number - 20)
+        journal.maintain()
+    size = sum(allocated_size(path.stat().st_size) for path in (tmp_path / "j").iterdir())
     assert size <= BUDGET
     journal.close()
-    found = Journal(Folder(tmp_path / "j"), BUDGET, lambda: 6).open()
+    found = Journal(FolderStorage(tmp_path / "j"), BUDGET, lambda: 6).open()
     assert sorted(entry.id for entry in found) == sorted(f"m{number}" for number in range(480, 500))
     assert all(len(entry.may_have_run) == 1 for entry in found)
 
@@ -456,19 +459,19 @@
 
 
 def test_the_emptiest_is_cleaned_and_of_two_alike_the_older():
-    plan = Plan(BUDGET)
+    plan = CleaningPlan(BUDGET)
     for number in range(1, plan.max_segments):
-        plan.opened(number, number * 100, HEAD_SIZE)
+        plan.segment_opened(number, number * 100, SEGMENT_HEADER_SIZE)
         for uid in range(number * 100, number * 100 + 10):
-            plan.wrote(uid, uid, 1000, complete=True)
+            plan.record_written(uid, uid, 1000, is_state=True)
     for number, gone in ((3, 8), (5, 8), (6, 9)):
         for uid in range(number * 100, number * 100 + gone):
-            plan.wrote(uid, 5000, 29, end=True)
-    assert plan.victim(5001) == 6
+            plan.record_written(uid, 5000, 29, is_completion=True)
+    assert plan.choose_victim(5001) == 6
     for uid in (600, 509):
         assert uid in plan.messages
     plan.segments[6].live = plan.segments[6].size
-    assert plan.victim(5001) == 3
+    assert plan.choose_victim(5001) == 3
 
 
 def command(*words: str) -> subprocess.CompletedProcess:
@@ -478,16 +481,16 @@
 
 
 def test_commands_tell_what_is_open_and_where_it_is_damaged(tmp_path):
-    journal = Journal(Folder(tmp_path / "segments"), BUDGET, lambda: 5_000_000)
+    journal = Journal(FolderStorage(tmp_path / "segments"), BUDGET, lambda: 5_000_000)
     journal.open()
     for number in range(100):
         cls = "pago-premio" if number % 2 else "aviso-ronda"
-        journal.add_message(number, Entry(f"m{number}", cls, "t", "secret", 3, 9, b"x"))
-        journal.add_attempt(number, 6)
-        journal.end_turn()
+        journal.accept(number, Entry(f"m{number}", cls, "t", "secret", 3, 9, b"x"))
+        journal.record_attempt(number, 6)
+        journal.maintain()
         if number > 9:
-            journal.add_end(number - 10)
-    journal.add_final(99, "deferred", 700)
+            journal.complete(number - 10)
+    journal.record_outcome(99, "deferred", 700)
     journal.close()
     assert "10 open messages, no gaps, none in doubt" in command("check", str(tmp_path)).stdout
     rows = json.loads(command("show", "--json", "--class", "pago-premio", str(tmp_path)).stdout)
@@ -509,13 +512,13 @@
     state, other, new = tmp_path / "state", tmp_path / "other", tmp_path / "new"
     for folder in (state, other):
         folder.mkdir()
-    journal = Journal(Folder(state / "segments"), 3_000_000, lambda: 5_000_000)
+    journal = Journal(FolderStorage(state / "segments"), 3_000_000, lambda: 5_000_000)
     journal.open()
     for number in range(3000):
-        journal.add_message(number, Entry(f"m{number}", "pago-premio", "t", f"k{number}", 3, 9, bytes([0, 10, 255])))
-        journal.add_attempt(number, 6)
+        journal.accept(number, Entry(f"m{number}", "pago-premio", "t", f"k{number}", 3, 9, bytes([0, 10, 255])))
+        journal.record_attempt(number, 6)
         if number > 9:
-            journal.add_end(number - 10)
+            journal.complete(number - 10)
     busy = command("compact", "--disk", "3m", str(state))
     assert busy.returncode == 1 and "a relay is running" in busy.stderr
     journal.close()
--- a/tests/relay/test_journal_live.py
+++ b/tests/relay/journal/test_journal_live.py
@@ -14,14 +14,14 @@
 from lab.partner import Mood, Partner
 from lab.rules import judge
 from lab.standins import reply, until
-from lynxscale.relay.journal import old
-from lynxscale.relay.journal.plan import blocks
+from lynxscale.relay.journal.cleaning_plan import allocated_size
+from lynxscale.relay.journal.legacy_format import FILE_NAME, read_legacy_journal
 from tests.relay.node import NodeCase
 
 KILLS = int(os.environ.get("JOURNAL_KILLS", "30"))
 SEED = int(os.environ.get("JOURNAL_SEED", "1"))
 BUDGET = 400_000  # so small that segments are cleaned every second or so
-BEFORE = Path(__file__).parent.parent / "data" / "journal" / "before.bin"
+BEFORE = Path(__file__).parents[2] / "data" / "journal" / "before.bin"
 
 
 def test_kills_under_load_while_segments_are_cleaned_lose_nothing_and_do_nothing_twice(tmp_path):
@@ -43,7 +43,9 @@
             load = asyncio.create_task(desk.run(range(number, number + 400), 350.0))
             await asyncio.sleep(chance.uniform(0.15, 0.6))
             names = [int(path.stem) for path in (tmp_path / "state" / "segments").glob("*.seg")]
-            most = max(most, sum(blocks(path.stat().st_size) for path in (tmp_path / "state" / "segments").iterdir()))
+            most = max(
+                most, sum(allocated_size(path.stat().st_size) for path in (tmp_path / "state" / "segments").iterdir())
+            )
             cleaned = max(cleaned, min(names))
             await relay.stop(signal.SIGKILL)
             load.cancel()
@@ -75,15 +77,15 @@
         """What may have run of a message that must not run twice ends; the others go."""
         self.act = lambda call: reply(200)
         data, now = BEFORE.read_bytes(), time.time_ns() // 1000
-        (self.state / old.NAME).write_bytes(data)
-        entries = old.read(data)[0]
+        (self.state / FILE_NAME).write_bytes(data)
+        entries = read_legacy_journal(data)[0]
         assert all(entry.expires > now for entry in entries.values())
         self.start()
         # Its classes are not of these settings: all end as undeliverable, but for what had an end already.
         self.assertEqual(self.notice("m3"), {"id": "m3", "status": "deferred", "again_ms": 700})
         for id in ("m0", "m1", "m2", "m5"):
             self.assertEqual(self.notice(id)["status"], "undeliverable")
-        self.assertFalse((self.state / old.NAME).exists())
+        self.assertFalse((self.state / FILE_NAME).exists())
         until(lambda: self.counters().get("notices", {}).get("delivered") == 5, "all ends")
         self.kill()
         self.start()
--- a/tests/relay/test_core.py
+++ b/tests/relay/test_core.py
@@ -11,7 +11,7 @@
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
 from lynxscale.relay.journal import Journal
-from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.storage import FolderStorage
 from lynxscale.relay.message import Envelope, Verdict
 from lynxscale.scheduling.events import Lifecycle, Member, MembershipKind, MembershipUpdate, Message, Result
 from lynxscale.scheduling.settings_reader import settings_from
@@ -24,7 +24,7 @@
         self.addCleanup(folder.cleanup)
         self.turns, self.ports, self.answers = ManualLoop(), FakePorts(), []
         loop = Loop(self.turns.call_later)
-        self.journal = Journal(Folder(Path(folder.name)), 1_000_000, lambda: 1)
+        self.journal = Journal(FolderStorage(Path(folder.name)), 1_000_000, lambda: 1)
         self.addCleanup(self.journal.close)
         self.relay = Relay(
             settings_from(settings()), 1, loop, Deadlines(loop, self.turns.call_later), self.journal, Counters()
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -15,7 +15,7 @@
 
 from lab.standins import PATIENCE, Client, reply, until
 from lynxscale.relay.journal import Entry, Journal
-from lynxscale.relay.journal.port import Folder
+from lynxscale.relay.journal.storage import FolderStorage
 from lynxscale.relay.upgrade import journal_folders, learned_file
 from lynxscale.relay.upgrade.board import MAX_WAITS, Board, Stage
 from lynxscale.relay.upgrade.journal_folders import Claim, InheritedJournal
@@ -84,10 +84,10 @@
 
 
 def filled(state: Path, generation: int, names: list[str]) -> None:
-    journal = Journal(Folder(journal_folders.folder_of(state, generation)), 1_000_000, lambda: 5_000_000)
+    journal = Journal(FolderStorage(journal_folders.folder_of(state, generation)), 1_000_000, lambda: 5_000_000)
     journal.open()
     for number, name in enumerate(names):
-        journal.add_message(number, entry(name))
+        journal.accept(number, entry(name))
     journal.close()
 
 
@@ -101,7 +101,7 @@
     with (inherited.path / "taken").open("ab") as file:
         file.write(b"\1\0\0")
     assert [one.id for one in inherited.read().values()] == ["b", "c"]
-    inherited._port.unlock()
+    inherited._storage.unlock()
     later = InheritedJournal(tmp_path, 0)
     later.lock()
     later.mark_taken([list(found)[2]])
@@ -114,7 +114,7 @@
     """One relay's second process, by its very socket; nobody else, and no third."""
     first = Claim(tmp_path, 41)
     first.wait(0)
-    serving = Folder(first.path)
+    serving = FolderStorage(first.path)
     serving.lock()
     first.release_start_lock()
     for stranger in (Claim(tmp_path, None), Claim(tmp_path, 42)):
@@ -125,7 +125,7 @@
     assert (heir.is_successor, heir.generation, heir.earlier, heir.path.name) == (True, 1, [0], "segments.1")
     with pytest.raises(BlockingIOError):
         Claim(tmp_path, 41).wait(0.05)
-    its = Folder(heir.path)
+    its = FolderStorage(heir.path)
     its.lock()
     its.unlock()  # it dies before its yes
     heir._start_lock.unlock()
@@ -137,7 +137,7 @@
 
 def test_a_journal_is_followed_while_it_is_written_and_cleaned(tmp_path):
     rng = random.Random(SEED)
-    journal = Journal(Folder(tmp_path / "segments"), 200_000, lambda: 5_000_000)
+    journal = Journal(FolderStorage(tmp_path / "segments"), 200_000, lambda: 5_000_000)
     journal.open()
     follower = JournalFollower(tmp_path / "segments")
     open_, number = {}, 0
@@ -145,18 +145,18 @@
         if rng.random() < 0.5 or not open_:
             number += 1
             open_[number] = f"m{number}"
-            journal.add_message(number, entry(open_[number]))
+            journal.accept(number, entry(open_[number]))
         elif rng.random() < 0.5:
-            journal.add_attempt(rng.choice(list(open_)), 7)
+            journal.record_attempt(rng.choice(list(open_)), 7)
         else:
             gone = rng.choice(list(open_))
-            journal.add_end(gone)
+            journal.complete(gone)
             assert not follower.contains(open_.pop(gone))
         if len(open_) > 60:
             for gone in list(open_)[:30]:
-                journal.add_end(gone)
+                journal.complete(gone)
                 del open_[gone]
-        journal.end_turn()
+        journal.maintain()
         if rng.random() < 0.1:
             assert follower.poll()
             found = {one.id: (one.attempts, one.may_have_run) for one in follower.entries.values()}
@@ -353,9 +353,11 @@
         """Three, of upgrades that were cut short one after the other: none is left for the start after this one."""
         ends = int((time.time() + 60) * 1e6)
         for generation in range(3):
-            journal = Journal(Folder(journal_folders.folder_of(self.state, generation)), 1_000_000, lambda: 5_000_000)
+            journal = Journal(
+                FolderStorage(journal_folders.folder_of(self.state, generation)), 1_000_000, lambda: 5_000_000
+            )
             journal.open()
-            journal.add_message(0, Entry(f"m{generation}", "once", "acme", "", 1, ends, b"body"))
+            journal.accept(0, Entry(f"m{generation}", "once", "acme", "", 1, ends, b"body"))
             journal.close()
         self.begin()
         until(lambda: len(self.calls()) == 3, "all are delivered")
