--- /dev/null
+++ b/lynxscale/relay/cluster/acceptor.py
@@ -0,0 +1,102 @@
+"""The acceptor of Paxos (Lamport 1998), which also honours the leases that it has granted. No I/O, no clock."""
+
+from __future__ import annotations
+
+from lynxscale.relay.cluster.instructions import (
+    PersistState,
+    SendViewMessage,
+)
+from lynxscale.relay.cluster.leases import LeaseManager
+from lynxscale.relay.cluster.membership_table import Identity
+from lynxscale.relay.cluster.messages import (
+    Accept,
+    Accepted,
+    Ballot,
+    Prepare,
+    Promise,
+    Reject,
+    removed,
+)
+
+
+class Acceptor(LeaseManager):
+    """Answers ``Prepare`` and ``Accept``; a promise or acceptance is on disk before it is sent."""
+
+    def _on_prepare(self, now: int, sender: str, identity: Identity, message: Prepare) -> None:
+        ballot, durable = Ballot(message.round, sender, identity.boot), self.durable
+        if not self._check_ballot(now, sender, ballot, message):
+            return
+        wait = self._lease_wait(now, message)
+        if wait is None:
+            self._reject(sender, message.number, ballot, "alive")
+            return
+        if sender != self.me.name:
+            # Guards a proposer that waits for leases to run out, or for the slower disks of others, against those whose
+            # turn would come meanwhile.
+            self._backoff_until = max(self._backoff_until, now + wait + self.timing.backoff)
+        promise = SendViewMessage(sender, Promise(message.number, ballot, durable.ballot, durable.accepted, wait))
+        if ballot == durable.promised:
+            self._instructions.append(
+                PersistState(durable, (promise,))
+            )  # said once more; behind what may still be on its way to disk
+        else:
+            self._persist(durable._replace(promised=ballot), promise)
+
+    def _on_accept(self, now: int, sender: str, identity: Identity, message: Accept) -> None:
+        ballot, durable = Ballot(message.round, sender, identity.boot), self.durable
+        if not self._check_ballot(now, sender, ballot, message):
+            return
+        if sender != self.me.name:
+            # Guards a proposer that waits for a slow disk, here or elsewhere: it asks again until it has its answer,
+            # and a proposal of ours meanwhile would have it begin anew.
+            self._backoff_until = max(self._backoff_until, now + self.timing.backoff)
+        accepted = SendViewMessage(sender, Accepted(message.number, ballot))
+        if ballot == durable.ballot:
+            self._instructions.append(PersistState(durable, (accepted,)))
+            return
+        wait = self._lease_wait(now, message)
+        if wait is None:
+            self._reject(sender, message.number, ballot, "alive")
+        elif wait:
+            self._reject(sender, message.number, ballot, "lease")
+        else:
+            self._persist(durable._replace(promised=ballot, ballot=ballot, accepted=message.change), accepted)
+
+    def _check_ballot(self, now: int, sender: str, ballot: Ballot, message: Prepare | Accept) -> bool:
+        """Can it be voted on here? If not, the proposer is sent the reason."""
+        view, reason = self.durable.view, ""
+        if message.number > self.number + 1:
+            self._fetch_view(now, sender)
+            return False
+        if message.number <= self.number:
+            reason = "behind"
+        elif message.base != (view.digest if view is not None else 0):
+            reason = "other_base"
+        elif not self.votes(now):
+            reason = "cannot_vote"
+        elif ballot < self.durable.promised:
+            reason = "promised"
+        if reason:
+            self._reject(sender, message.number, ballot, reason)
+        return not reason
+
+    def _lease_wait(self, now: int, message: Prepare | Accept) -> int | None:
+        """µs for which granted leases forbid accepting this; None: a process to be removed answers this node.
+
+        Processes to be removed get no more leases: else theirs would be renewed for ever.
+        """
+        wait = 0
+        for member in removed(self.durable.view, message.change):
+            if (
+                not message.previously_accepted
+                and member.name not in self.declared_gone
+                and self._is_reachable(member, now)
+            ):
+                return None
+            until = self.lease_until(now) if member == self.me else self._granted_until.get(member, 0)
+            wait = max(wait, until - now, self._no_removal_until - now)
+            self._denied_until[member] = now + 2 * self._grant_duration(self.timing.lease)
+        return wait
+
+    def _reject(self, sender: str, number: int, ballot: Ballot, reason: str) -> None:
+        self._send(sender, Reject(number, ballot, self.durable.promised.round, reason))
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -4,8 +4,9 @@
 
 import os
 import time
-from collections.abc import Callable, Collection
+from collections.abc import Callable, Collection, Mapping
 from pathlib import Path
+from typing import Any
 
 import orjson
 import structlog
@@ -13,15 +14,16 @@
 from twisted.python.failure import Failure
 
 from lynxscale.relay.cluster import settings
+from lynxscale.relay.cluster.agreement_state import ViewStatus
 from lynxscale.relay.cluster.core import Core
+from lynxscale.relay.cluster.detector_state import REACHABLE_STATES, SLOW_DISK, slow_reasons
 from lynxscale.relay.cluster.driver import INBOUND_MOST, OUTBOUND_MOST, Clock, Driver
-from lynxscale.relay.cluster.durable_state import FOLDER, ForeignStateError, StateStore, WriteQueue
-from lynxscale.relay.cluster.failure_detector import REACHABLE_STATES, SLOW_DISK, slow_reasons
+from lynxscale.relay.cluster.durable_state import FOLDER, StateStore, WriteQueue
+from lynxscale.relay.cluster.exceptions import ForeignStateError
 from lynxscale.relay.cluster.instructions import LogEvent, RemovedFromView, StartGeneration
 from lynxscale.relay.cluster.membership_table import Identity
-from lynxscale.relay.cluster.messages import DurableState, committee_of
+from lynxscale.relay.cluster.messages import DurableState, View, committee_of
 from lynxscale.relay.cluster.timing import detector_timing, view_timing
-from lynxscale.relay.cluster.view_change import ViewStatus
 from lynxscale.relay.components import Component, ComponentContext
 from lynxscale.relay.conf import platform
 from lynxscale.relay.conf.platform import Address, Config
@@ -43,12 +45,12 @@
 
 
 class StateWriter:
-    """Puts what must not be forgotten on disk, in a thread, one write after the other, as ``Pending`` has them."""
+    """Writes durable state to disk in a thread, one write at a time, as ``WriteQueue`` orders them."""
 
     def __init__(self, store: StateStore, failed: Callable[[str], None], slow: Callable[[], None]) -> None:
         self._store, self._failed, self._slow = store, failed, slow
         self._queue = WriteQueue()
-        self.since = 0.0  # when the write under way began, by time.monotonic; 0: none is
+        self.since = 0.0  # when the write in flight began, by time.monotonic; 0: there is none
 
     def put(self, generation: int, durable: DurableState, then: Callable[[], None]) -> None:
         """``then`` is called in the loop once it is on disk, never where it could not be written."""
@@ -74,7 +76,10 @@
 
 
 class ClusterComponent(Component):
-    """Raises PlatformError where the folder is another node's, OSError where it cannot be written."""
+    """Makes this relay a node of its cluster.
+
+    Raises PlatformError where the state folder is another node's, OSError where it cannot be written.
+    """
 
     sockets = INBOUND_MOST + OUTBOUND_MOST + 4
 
@@ -128,6 +133,7 @@
         context.calls[FORGET_PATH] = "POST", self._forget
 
     def start(self) -> None:
+        """Open the sockets and begin to probe."""
         self._driver.start()
         # Before the loop closes its sockets, which it does before any part is stopped.
         self._reactor.addSystemEventTrigger("before", "shutdown", self._leave)
@@ -166,9 +172,11 @@
         self._driver.stop()
 
     def stop(self) -> None:
+        """Write the status file a last time."""
         self._save_status()
 
     def counters(self) -> dict[str, dict[str, int]]:
+        """The group ``cluster`` of the relay's counters."""
         states = [record.update.state.name.lower() for record in self._detector.membership]
         return {
             "cluster": {
@@ -219,38 +227,10 @@
 
     # For operators -------------------------------------------------------------------------------
 
-    def status(self) -> dict:
+    def status(self) -> dict[str, Any]:
         """What this node knows; ages in ms."""
         detector, agreement, now = self._detector, self._agreement, self._clock.fresh()
         view = agreement.view
-        zones = {row["name"]: row.get("zone") for row in self._conf.member}
-        nodes = []
-        for row in self._conf.member:
-            name = row["name"]
-            record, answered = detector.membership.get(name), detector.last_answered.get(name)
-            update = record.update if record is not None else None
-            nodes.append(
-                {
-                    "name": name,
-                    "at": row["at"],
-                    "zone": zones[name],
-                    "state": update.state.name.lower() if update else "unheard",
-                    "since_ms": (now - record.since) // 1000 if record else None,
-                    "life": update.generation if update else None,
-                    "boot": f"{update.boot:x}" if update else None,
-                    "word": update.incarnation if update else None,
-                    "answered_ms": (now - answered) // 1000 if answered is not None else None,
-                    "in_view": name in view.names if view is not None else False,
-                    "doubted_by": sorted(record.suspected_by) if record else [],
-                    "slow": slow_reasons(self._slow_of(name)),
-                    "differs": self._core.differing_settings.get(name, ()),
-                    "seen_as": {
-                        far: {"state": states[name], "ms": (now - at) // 1000}
-                        for far, (at, states) in self._core.states_seen_by.items()
-                        if name in states
-                    },
-                }
-            )
         return {
             "cluster": self._conf.name,
             "node": detector.me.name,
@@ -269,23 +249,50 @@
             "votes": agreement.durable.votes,
             "grants": agreement.lease_grantors(now),
             "split": agreement.conflict,
-            "view": None
-            if view is None
-            else {
-                "number": view.number,
-                "lineage": f"{view.lineage:x}",
-                "digest": f"{view.digest:x}",
-                "members": [
-                    {"name": member.name, "life": member.generation, "boot": f"{member.boot:x}"}
-                    for member in view.members
-                ],
-                "asked_for_leases": sorted(committee_of(view, agreement.timing.committee_size)),
-                "can_lose": (len(view.members) - 1) // 2,
+            "view": self._view_status(view) if view is not None else None,
+            "nodes": [self._node_status(row, view, now) for row in self._conf.member],
+        }
+
+    def _node_status(self, row: Mapping[str, str], view: View | None, now: int) -> dict[str, Any]:
+        """One configured node; ``row``: its ``member`` line."""
+        detector, name = self._detector, row["name"]
+        record, answered = detector.membership.get(name), detector.last_answered.get(name)
+        update = record.update if record is not None else None
+        return {
+            "name": name,
+            "at": row["at"],
+            "zone": row.get("zone"),
+            "state": update.state.name.lower() if update else "unheard",
+            "since_ms": (now - record.since) // 1000 if record else None,
+            "life": update.generation if update else None,
+            "boot": f"{update.boot:x}" if update else None,
+            "word": update.incarnation if update else None,
+            "answered_ms": (now - answered) // 1000 if answered is not None else None,
+            "in_view": name in view.names if view is not None else False,
+            "doubted_by": sorted(record.suspected_by) if record else [],
+            "slow": slow_reasons(self._slow_of(name)),
+            "differs": self._core.differing_settings.get(name, ()),
+            "seen_as": {
+                far: {"state": states[name], "ms": (now - at) // 1000}
+                for far, (at, states) in self._core.states_seen_by.items()
+                if name in states
             },
-            "nodes": nodes,
         }
 
-    def _forget(self, query: str) -> tuple[int, dict]:
+    def _view_status(self, view: View) -> dict[str, Any]:
+        """The view that this node knows."""
+        return {
+            "number": view.number,
+            "lineage": f"{view.lineage:x}",
+            "digest": f"{view.digest:x}",
+            "members": [
+                {"name": member.name, "life": member.generation, "boot": f"{member.boot:x}"} for member in view.members
+            ],
+            "asked_for_leases": sorted(committee_of(view, self._agreement.timing.committee_size)),
+            "can_lose": (len(view.members) - 1) // 2,
+        }
+
+    def _forget(self, query: str) -> tuple[int, dict[str, str]]:
         name = query.removeprefix("name=")
         reason = self._agreement.forget(self._clock.turn(), name)
         if reason:
--- a/lynxscale/relay/cluster/core.py
+++ b/lynxscale/relay/cluster/core.py
@@ -11,8 +11,9 @@
 from collections.abc import Iterable, Mapping
 
 from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.exceptions import FrameError
 from lynxscale.relay.cluster.failure_detector import FailureDetector
-from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, ReplayWindow
+from lynxscale.relay.cluster.frame import Exchange, Message, ReplayWindow
 from lynxscale.relay.cluster.instructions import DetectorInstruction, LogEvent, ViewInstruction
 from lynxscale.relay.cluster.membership_table import Identity, MemberUpdate
 from lynxscale.relay.cluster.messages import DurableState, View, ViewMessage
@@ -53,6 +54,7 @@
 
     @property
     def me(self) -> Identity:
+        """This process."""
         return self.detector.me
 
     def next_deadline(self) -> int:
@@ -101,7 +103,7 @@
         elif isinstance(body, frame.ViewBody):
             try:
                 instructions += agreement.receive(now, name, identity, body.read())
-            except BadFrame as error:
+            except FrameError as error:
                 self.dropped_frames[error.reason] += 1
         return instructions + self._install_view(now)
 
--- /dev/null
+++ b/lynxscale/relay/cluster/detector_state.py
@@ -0,0 +1,218 @@
+"""What probing, suspicion and exchanges share: the membership table, updates to spread, the node's own health."""
+
+from __future__ import annotations
+
+import math
+import random
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from lynxscale.relay.cluster import frame
+from lynxscale.relay.cluster.dissemination import UpdateQueue
+from lynxscale.relay.cluster.frame import Ping
+from lynxscale.relay.cluster.instructions import (
+    DetectorInstruction,
+    LogEvent,
+    SendDatagram,
+    StartGeneration,
+)
+from lynxscale.relay.cluster.membership_table import (
+    Identity,
+    MembershipTable,
+    MemberUpdate,
+    State,
+    StateChange,
+)
+from lynxscale.relay.cluster.timing import DetectorTiming
+
+REACHABLE_STATES = (State.ALIVE, State.SUSPECT)
+MAX_HEADER_SIZE = 260  # bytes of a datagram without its updates, at most
+
+
+# Why a node says that it is slow, as bits of a frame's head.
+SLOW_TURN, SLOW_DISK = 1, 2
+SLOW_REASONS = {SLOW_TURN: "turns", SLOW_DISK: "disk"}
+
+
+def slow_reasons(bits: int) -> str:
+    """The reasons as text for logs and status."""
+    return " ".join(reason for bit, reason in SLOW_REASONS.items() if bits & bit)
+
+
+@dataclass(slots=True)
+class Probe:
+    """A probe of this node in flight. Times in µs."""
+
+    target: str
+    number: int
+    deadline: int
+    retry_at: int  # when it goes again
+    asked: set[str] = field(default_factory=set)
+    answered: set[str] = field(default_factory=set)  # helpers that have said anything
+
+
+@dataclass(slots=True)
+class RelayedProbe:
+    """An indirect probe on behalf of another node. Times in µs."""
+
+    origin: str
+    number: int  # the origin's
+    target: str
+    nack_at: int
+    deadline: int
+
+
+class DetectorState:
+    """State of one node's failure detector. ``contacted``: some node has answered it in this generation."""
+
+    def __init__(
+        self, me: Identity, names: Iterable[str], seed: str, now: int, timing: DetectorTiming | None = None
+    ) -> None:
+        self.me, self.incarnation, self.slow = me, 0, 0
+        self.membership = MembershipTable(set(names) | {me.name})
+        self.timing = timing or DetectorTiming()
+        self.health_score = 0  # of itself: 0 is healthy
+        self.contacted = self.leaving = False
+        self.last_answered: dict[str, int] = {}  # when each last answered a probe of ours, directly
+        self.peer_slowness: dict[str, int] = {}  # what others say of themselves, as bits of SLOW
+        self._random = random.Random(f"{seed} {me.name} cluster")
+        self._number = self._random.randrange(1 << 16)
+        self._probe_order: list[str] = []
+        self._probe: Probe | None = None
+        self._relayed_probes: dict[int, RelayedProbe] = {}
+        self._identity_pings: dict[int, tuple[str, int]] = {}  # pings that only ask who is there, until when
+        self._identity_ping_at: dict[str, int] = {}
+        self._updates = UpdateQueue(self.timing.retransmit_multiplier)
+        self._suspect_ping_at: dict[str, int] = {}  # suspects, and when each is pinged again
+        self._unconfirmed: dict[str, Identity] = {}  # whose frames come, but who does not answer at the address
+        self._last_gossip_at = now - self.timing.gossip_interval
+        self._next_probe_at = now + self._random.randrange(1, self.timing.probe_period)
+        self._next_unreachable_ping_at = now
+        self._next_exchange_at = now + self._random.randrange(1, self.timing.initial_exchange_interval)
+        self._next_unreachable_exchange_at = now + self.timing.unreachable_exchange_interval
+        self._started_at, self._next_tick_at, self._last_event_at = now, math.inf, now
+        self._instructions: list[DetectorInstruction] = []
+        self.membership.merge(self._own_update(), now)
+
+    def reachable(self) -> list[str]:
+        """Names of the other nodes that are alive or suspected, sorted."""
+        return sorted(
+            record.update.name
+            for record in self.membership
+            if record.update.state in REACHABLE_STATES and record.update.name != self.me.name
+        )
+
+    def _unreachable(self) -> list[str]:
+        return sorted(
+            name
+            for name in self.membership.names
+            if name != self.me.name and self.membership.state(name) not in REACHABLE_STATES
+        )
+
+    def _own_update(self) -> MemberUpdate:
+        return MemberUpdate(*self.me, self.incarnation, State.LEFT if self.leaving else State.ALIVE)
+
+    def _adjust_health_score(self, by: int) -> None:
+        before = self.health_score
+        self.health_score = max(0, min(self.timing.health_score_max, self.health_score + by))
+        if (self.health_score == self.timing.health_score_max) != (before == self.timing.health_score_max):
+            self._instructions.append(LogEvent("doubts_itself", {"doubt": self.health_score, "before": before}))
+
+    def _raise_incarnation(self, incarnation: int, now: int) -> None:
+        """Raise this node's incarnation and spread it."""
+        self.incarnation = incarnation
+        self._merge(self._own_update(), now)
+        self._updates.put(self._own_update())
+
+    def _receive_update(self, update: MemberUpdate, now: int, reached: bool) -> None:
+        if update.name != self.me.name:
+            self._merge(update, now)
+        elif update.identity == self.me:
+            if (
+                update.state in (State.SUSPECT, State.FAILED)
+                and update.incarnation >= self.incarnation
+                and not self.leaving
+            ):
+                self._adjust_health_score(1)
+                self._instructions.append(LogEvent("refuted", {"state": update.state.name.lower(), "by": update.by}))
+                self._raise_incarnation(update.incarnation + 1, now)
+        elif update.identity[1:] > self.me[1:] and reached:
+            # Only the process at our address is reached: another one under our name must not answer with a higher
+            # generation of its own, or the two would outbid each other for ever.
+            self._instructions.append(StartGeneration(update.generation))
+
+    def _merge(self, update: MemberUpdate, now: int) -> None:
+        record = self.membership.get(update.name)
+        suspected_by = len(record.suspected_by) if record is not None else 0
+        change = self.membership.merge(update, now)
+        if change is None:
+            if (
+                record is not None
+                and len(record.suspected_by) > suspected_by
+                and len(record.suspected_by) <= self.timing.suspicion_confirmations + 1
+            ):
+                self._updates.put(update)  # one more who suspects it, of its own accord
+            return
+        self._updates.put(update)
+        self._state_changed(change, now)
+
+    def _state_changed(self, change: StateChange, now: int) -> None:
+        name, state = change.now.name, change.now.state
+        if name == self.me.name:
+            return
+        if state is State.SUSPECT:
+            self._suspect_ping_at.setdefault(name, now)
+        else:
+            self._suspect_ping_at.pop(name, None)
+        if state is State.ALIVE:
+            self._unconfirmed.pop(name, None)
+        if change.before is None or change.now.identity != change.before.identity:
+            self.last_answered.pop(name, None)
+        if change.reportable:
+            before = change.before
+            self._instructions.append(
+                LogEvent(
+                    "node",
+                    {
+                        "node": name,
+                        "state": state.name.lower(),
+                        "before": before.state.name.lower() if before else "unheard",
+                        "life": change.now.generation,
+                        "word": change.now.incarnation,
+                        "by": change.now.by,
+                    },
+                )
+            )
+
+    def _observe_slowness(self, name: str, bits: int) -> None:
+        before = self.peer_slowness.get(name, 0)
+        if bits != before:
+            self.peer_slowness[name] = bits
+            self._instructions.append(
+                LogEvent(
+                    "slow",
+                    {"node": name, "by": slow_reasons(bits) or "nothing", "before": slow_reasons(before) or "nothing"},
+                )
+            )
+
+    def _send(self, to: str, body: frame.Body, first: Iterable[MemberUpdate] = ()) -> SendDatagram:
+        """A datagram; a target that is suspected, failed or superseded is sent that update with it."""
+        record = self.membership.get(to)
+        if record is not None and (record.update.state is not State.ALIVE or to in self._unconfirmed):
+            first = (*first, record.update)
+        return SendDatagram(
+            to, body, self._updates.take(first, frame.DATAGRAM_MOST - MAX_HEADER_SIZE, len(self.membership.names))
+        )
+
+    def _new_number(self) -> int:
+        self._number = (self._number + 1) & 0xFFFFFFFF
+        return self._number
+
+    def _scaled(self, micros: int) -> int:
+        return micros * (1 + self.health_score)
+
+    def _ping_once(self, name: str, now: int) -> None:
+        number = self._new_number()
+        self._identity_pings = {key: entry for key, entry in self._identity_pings.items() if entry[1] > now}
+        self._identity_pings[number] = (name, now + self.timing.probe_period * 4)
+        self._instructions.append(self._send(name, Ping(number)))
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -13,8 +13,9 @@
 
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster.core import Core
-from lynxscale.relay.cluster.failure_detector import SLOW_TURN
-from lynxscale.relay.cluster.frame import BadFrame, Exchange, Message, view_body
+from lynxscale.relay.cluster.detector_state import SLOW_TURN
+from lynxscale.relay.cluster.exceptions import FrameError
+from lynxscale.relay.cluster.frame import Exchange, Message, view_body
 from lynxscale.relay.cluster.instructions import (
     DetectorInstruction,
     FetchView,
@@ -52,6 +53,7 @@
         self._rate, self._burst, self._left, self._at = rate, burst, float(burst), 0
 
     def take(self, now: int, much: int) -> bool:
+        """Take ``much`` at the time ``now`` (µs); False where so much is not there."""
         self._left = min(self._burst, self._left + (now - self._at) * self._rate / 1e6)
         self._at = now
         if self._left < much:
@@ -69,6 +71,7 @@
         self._driver = driver
 
     def datagramReceived(self, data: bytes, _address: Address) -> None:
+        """One datagram."""
         self._driver.datagram(data)
 
 
@@ -82,6 +85,7 @@
         self._deadline: Deadline | None = None
 
     def connectionMade(self) -> None:
+        """Start the deadline; send the request where this node started the exchange."""
         self.transport.setTcpNoDelay(True)
         self._deadline = self._driver.deadlines.after(EXCHANGE_MS * 1000, self._drop, LATE)
         if not self._driver.stream_opened(self):
@@ -90,6 +94,7 @@
             self.transport.write(self._driver.full_state(answer=False))
 
     def dataReceived(self, data: bytes) -> None:
+        """Collect one frame, answer it or accept the answer, and close."""
         if self._reason is not None:
             return
         self._data += data
@@ -101,8 +106,8 @@
                 return
             message = frame.decode(self._driver.key, self._data)  # more than the frame is wrong too
             if not isinstance(message.body, Exchange) or message.body.answer != bool(self._to):
-                raise BadFrame("unasked")
-        except BadFrame as error:
+                raise FrameError("unasked")
+        except FrameError as error:
             self._driver.bad(error, self._data)
             self._drop(BAD)
             return
@@ -120,6 +125,7 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:
+        """Log the end and report it to the driver."""
         self._driver.deadlines.cancel(self._deadline)
         self._driver.stream_closed(self)
         log.info("connection", kind="cluster", node=self._to or None, reason=self._reason or CloseReason.REMOTE_CLOSED)
@@ -136,6 +142,7 @@
         self._driver = driver
 
     def buildProtocol(self, _address: Address) -> Stream:
+        """A connection's protocol."""
         return Stream(self._driver)
 
 
@@ -148,9 +155,11 @@
         self._driver, self._to = driver, to
 
     def buildProtocol(self, _address: Address) -> Stream:
+        """A connection's protocol."""
         return Stream(self._driver, self._to)
 
-    def clientConnectionFailed(self, _connector, _reason: Failure) -> None:
+    def clientConnectionFailed(self, _connector: object, _reason: Failure) -> None:
+        """The exchange has failed before it began."""
         self._driver.exchange_finished(self._to, failed=True)
 
 
@@ -343,13 +352,13 @@
         try:
             message = frame.decode(self.key, data)
             if isinstance(message.body, Exchange):
-                raise BadFrame("unasked")
-        except BadFrame as error:
+                raise FrameError("unasked")
+        except FrameError as error:
             self.bad(error, data)
             return
         self.receive(message, reached=True)
 
-    def bad(self, error: BadFrame, data: bytes) -> None:
+    def bad(self, error: FrameError, data: bytes) -> None:
         """Count a malformed frame; a node of another cluster key or version is logged once."""
         self.core.dropped_frames[error.reason] += 1
         if error.reason not in ("foreign", "version"):
--- a/lynxscale/relay/cluster/durable_state.py
+++ b/lynxscale/relay/cluster/durable_state.py
@@ -20,6 +20,7 @@
 import msgspec
 from crc32c import crc32c
 
+from lynxscale.relay.cluster.exceptions import ForeignStateError
 from lynxscale.relay.cluster.messages import DurableState
 
 MAGIC, MAGIC_1 = b"LXNODE\x02", b"LXNODE\x01"
@@ -39,10 +40,6 @@
     durable: DurableState | None = None  # of views and votes
 
 
-class ForeignStateError(Exception):
-    """The folder belongs to another node; the text names both."""
-
-
 @dataclass(frozen=True, slots=True)
 class LoadResult:
     """Result of loading. ``reason``: why nothing could be read although a file exists."""
--- a/lynxscale/relay/cluster/frame.py
+++ b/lynxscale/relay/cluster/frame.py
@@ -22,6 +22,7 @@
 import msgspec
 from crc32c import crc32c
 
+from lynxscale.relay.cluster.exceptions import FrameError
 from lynxscale.relay.cluster.membership_table import MemberUpdate, Name, NoName, Number
 from lynxscale.relay.cluster.messages import (
     Accept,
@@ -110,11 +111,11 @@
     payload: msgspec.Raw
 
     def read(self) -> ViewMessage:
-        """Decode the message. Raises BadFrame where the fields do not fit its type."""
+        """Decode the message. Raises FrameError where the fields do not fit its type."""
         try:
             return _view_decoders[self.kind].decode(self.payload)
         except msgspec.MsgspecError as error:
-            raise BadFrame("message") from error
+            raise FrameError("message") from error
 
 
 def view_body(message: ViewMessage) -> ViewBody:
@@ -142,14 +143,6 @@
     updates: list[MemberUpdate]
 
 
-class BadFrame(ValueError):
-    """``reason``: the counter's name."""
-
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
-
-
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
 _view_decoders = [msgspec.msgpack.Decoder(kind) for kind in VIEW_MESSAGE_TYPES]
@@ -180,7 +173,7 @@
         return f"version {version}, ours is {VERSION}", ""
     try:
         return ("", "") if theirs == key else ("another cluster's name or probe", decode(theirs, frame).sender)
-    except BadFrame:
+    except FrameError:
         return "", ""
 
 
@@ -194,29 +187,29 @@
 
 
 def length(key: int, head: bytes) -> int:
-    """Length in bytes of the frame that begins with these ``HEAD.size`` bytes. Raises BadFrame."""
+    """Length in bytes of the frame that begins with these ``HEAD.size`` bytes. Raises FrameError."""
     magic, version, cluster, size = HEAD.unpack_from(head)
     if magic != MAGIC:
-        raise BadFrame("garbage")
+        raise FrameError("garbage")
     if version != VERSION:
-        raise BadFrame("version")
+        raise FrameError("version")
     if cluster != key:
-        raise BadFrame("foreign")
+        raise FrameError("foreign")
     return OVERHEAD + size
 
 
 def decode(key: int, frame: bytes) -> Message:
-    """Decode one complete frame. Raises BadFrame."""
+    """Decode one complete frame. Raises FrameError."""
     if len(frame) < OVERHEAD:
-        raise BadFrame("short")
+        raise FrameError("short")
     if length(key, frame) != len(frame):
-        raise BadFrame("length")
+        raise FrameError("length")
     if TAIL.unpack_from(frame, len(frame) - TAIL.size)[0] != crc32c(frame[: -TAIL.size]):
-        raise BadFrame("checksum")
+        raise FrameError("checksum")
     try:
         return _decode(frame[HEAD.size : -TAIL.size])
     except msgspec.MsgspecError as error:
-        raise BadFrame("message") from error
+        raise FrameError("message") from error
 
 
 class ReplayWindow:
--- a/lynxscale/relay/cluster/membership_table.py
+++ b/lynxscale/relay/cluster/membership_table.py
@@ -52,10 +52,12 @@
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
+        """What updates of one node are ordered by."""
         return self.generation, self.boot, self.incarnation, self.state
 
     @property
     def identity(self) -> Identity:
+        """The process that the update is about."""
         return Identity(self.name, self.generation, self.boot)
 
 
@@ -103,9 +105,11 @@
         return iter(self._records.values())
 
     def get(self, name: str) -> MemberRecord | None:
+        """The node's record; None where no update is known."""
         return self._records.get(name)
 
     def state(self, name: str) -> State | None:
+        """The node's state; None where no update is known."""
         record = self._records.get(name)
         return record.update.state if record is not None else None
 
--- a/lynxscale/relay/cluster/messages.py
+++ b/lynxscale/relay/cluster/messages.py
@@ -24,13 +24,16 @@
 
     @property
     def names(self) -> tuple[str, ...]:
+        """Names of the members, sorted."""
         return tuple(member.name for member in self.members)
 
     def identity_of(self, name: str) -> Identity | None:
+        """The member of that name; None where there is none."""
         return next((member for member in self.members if member.name == name), None)
 
     @property
     def digest(self) -> int:
+        """63 bits of a hash of the whole view."""
         text = f"{self.number} {self.lineage} " + " ".join(
             f"{member.name}/{member.generation}/{member.boot}" for member in self.members
         )
--- /dev/null
+++ b/lynxscale/relay/cluster/proposer.py
@@ -0,0 +1,148 @@
+"""The proposer of Paxos (Lamport 1998): from ``Prepare`` to the decision, waiting for leases to expire between."""
+
+from __future__ import annotations
+
+from lynxscale.relay.cluster.acceptor import Acceptor
+from lynxscale.relay.cluster.instructions import (
+    LogEvent,
+)
+from lynxscale.relay.cluster.membership_table import Identity, State
+from lynxscale.relay.cluster.messages import (
+    Accept,
+    Accepted,
+    Ballot,
+    Decided,
+    MembershipChange,
+    Prepare,
+    Promise,
+    Reject,
+    after,
+)
+from lynxscale.relay.cluster.proposal import Proposal
+
+
+class Proposer(Acceptor):
+    """Has at most one proposal in flight; its own acceptor is asked by a direct call."""
+
+    def _propose(self, now: int, change: MembershipChange, previously_accepted: bool = False) -> None:
+        self._highest_round = max(self._highest_round, self.durable.promised.round) + 1
+        ballot = Ballot(self._highest_round, self.me.name, self.me.boot)
+        self._proposal = Proposal(
+            self.number + 1,
+            ballot,
+            change,
+            previously_accepted or change == self.durable.accepted,
+            now,
+            now,
+            now + self.timing.backoff // 3,
+        )
+        self._send_proposal(now)
+
+    def _send_proposal(self, now: int) -> None:
+        """Ask whoever has not answered so far."""
+        proposal = self._proposal
+        proposal.retry_at = now + self.timing.retry_interval
+        view = self.durable.view
+        base = view.digest if view is not None else 0
+        kind, answered = (Prepare, proposal.promises) if proposal.preparing else (Accept, proposal.accepted_by)
+        message = kind(proposal.number, base, proposal.ballot.round, proposal.change, proposal.previously_accepted)
+        asked = self._acceptors() - set(answered)
+        if now >= proposal.reassert_at:
+            # Guards against those who have answered and would propose themselves while slower disks still write.
+            proposal.reassert_at = now + self.timing.backoff // 3
+            asked = self._acceptors()
+        for name in sorted(asked - {self.me.name}):
+            self._send(name, message)
+        if self.me.name in asked and self.me.name not in answered:
+            if proposal.preparing:
+                self._on_prepare(now, self.me.name, self.me, message)
+            else:
+                self._on_accept(now, self.me.name, self.me, message)
+
+    def _ready_at(self) -> int | None:
+        """When so many of those who have promised can accept that they decide; None: too few have promised."""
+        ready = self._proposal.ready_at
+        names: list[str] = []
+        for name, at in sorted(ready.items(), key=lambda row: row[1]):
+            names.append(name)
+            if self._is_quorum(names):
+                return at
+        return None
+
+    def _accept_when_ready(self, now: int) -> bool:
+        """Ask for acceptance, if the time for it has come."""
+        proposal = self._proposal
+        at = self._ready_at() if proposal.preparing else None
+        if at is None or now < at:
+            return False
+        proposal.preparing, proposal.progress_at = False, now
+        proposal.rejected_by.clear()
+        self._send_proposal(now)
+        return True
+
+    def _timeout(self, now: int) -> int:
+        """µs for which the proposal may go without a new answer. Guards those whose disks are slow: begun anew it would
+        cost them another write, and never be voted on."""
+        there = {
+            name
+            for name in self._acceptors() - self._proposal.rejected_by
+            if name == self.me.name
+            or (self._membership.state(name) is State.ALIVE and self._answered_recently(name, now))
+        }
+        return self.timing.extended_proposal_timeout if self._is_quorum(there) else self.timing.proposal_timeout
+
+    def _abandon_proposal(self, now: int, reason: str) -> None:
+        self._failures += 1
+        rest = self.timing.backoff * (1 + min(self._failures, 4)) * self._random.uniform(0.5, 1.5)
+        self._instructions.append(LogEvent("proposal_failed", {"number": self._proposal.number, "why": reason}))
+        self._proposal = self._wanted_change = None
+        self._backoff_until = now + int(rest)
+
+    def _on_promise(self, now: int, sender: str, identity: Identity, message: Promise) -> None:
+        proposal = self._proposal
+        if not self._is_for_current_proposal(message) or not proposal.preparing:
+            return
+        if sender not in proposal.promises:
+            proposal.progress_at = now
+        proposal.promises[sender] = (message.ballot, message.change)
+        proposal.ready_at[sender] = now + self._grant_duration(message.wait)
+        if not self._is_quorum(proposal.promises):
+            return
+        _, change = max(proposal.promises.values(), key=lambda row: row[0])
+        if change is not None and change != proposal.change:
+            self._propose(now, change, previously_accepted=True)  # it may be decided already: ours has to wait
+            return
+        proposal.previously_accepted = proposal.previously_accepted or change is not None
+        self._accept_when_ready(now)
+
+    def _on_accepted(self, now: int, sender: str, identity: Identity, message: Accepted) -> None:
+        proposal = self._proposal
+        if not self._is_for_current_proposal(message) or proposal.preparing:
+            return
+        if sender not in proposal.accepted_by:
+            proposal.progress_at = now
+        proposal.accepted_by.add(sender)
+        if not self._is_quorum(proposal.accepted_by):
+            return
+        view = self.durable.view
+        base = view.digest if view is not None else 0
+        recipients = (set(self._acceptors()) | {member.name for member in proposal.change.added}) - {self.me.name}
+        for name in sorted(recipients):
+            self._send(name, Decided(proposal.number, base, proposal.change))
+        self._install(now, after(view, proposal.change))
+
+    def _on_reject(self, now: int, sender: str, identity: Identity, message: Reject) -> None:
+        proposal = self._proposal
+        if not self._is_for_current_proposal(message):
+            return
+        self._highest_round = max(self._highest_round, message.promised)
+        if message.reason != "lease":
+            proposal.rejected_by.add(sender)
+        if not self._is_quorum(self._acceptors() - proposal.rejected_by):
+            self._abandon_proposal(now, f"{message.reason}, says {sender}")
+        elif message.reason == "promised":
+            self._abandon_proposal(now, f"{sender} has promised another")
+
+    def _is_for_current_proposal(self, message: Promise | Accepted | Reject) -> bool:
+        proposal = self._proposal
+        return proposal is not None and (message.number, message.to) == (proposal.number, proposal.ballot)
--- a/tests/relay/cluster/test_core.py
+++ b/tests/relay/cluster/test_core.py
@@ -5,7 +5,7 @@
 from lynxscale.relay.cluster import frame
 from lynxscale.relay.cluster import view_change as views
 from lynxscale.relay.cluster.core import Core
-from lynxscale.relay.cluster.frame import BadFrame
+from lynxscale.relay.cluster.exceptions import FrameError
 from lynxscale.relay.cluster.membership_table import Identity
 from tests.relay.cluster.strategies import KEY
 
@@ -22,7 +22,7 @@
     assert one.differing_settings == {"r2": ("limits",)} and one.states_seen_by["r2"][1]["r2"] == "alive"
     assert not [order for order in one.receive(4, two.full_state(True), False) if isinstance(order, views.LogEvent)]
     theirs = frame.encode(frame.cluster_key("norte", 1_000_000), two.message(frame.Gossip()))
-    with pytest.raises(BadFrame, match="foreign"):  # its leases would be longer than others believe
+    with pytest.raises(FrameError, match="foreign"):  # its leases would be longer than others believe
         frame.decode(frame.cluster_key("norte", 500_000), theirs)
     assert frame.describe_mismatch(frame.cluster_key("norte", 500_000), theirs) == (
         "another cluster's name or probe",
--- a/tests/relay/cluster/test_durable_state.py
+++ b/tests/relay/cluster/test_durable_state.py
@@ -6,6 +6,7 @@
 import pytest
 
 from lynxscale.relay.cluster import durable_state as stable
+from lynxscale.relay.cluster.exceptions import ForeignStateError
 from lynxscale.relay.cluster.membership_table import Identity
 from lynxscale.relay.cluster.messages import Ballot, DurableState, MembershipChange, View
 
@@ -33,7 +34,7 @@
     saved(tmp_path, count)
     store = stable.StateStore(tmp_path, "norte", "r1")
     assert store.load() == stable.LoadResult(stable.StoredNode("norte", "r1", count, KEPT), serial=count)
-    with pytest.raises(stable.ForeignStateError, match="node r1 in cluster norte; this relay is r2"):
+    with pytest.raises(ForeignStateError, match="node r1 in cluster norte; this relay is r2"):
         stable.StateStore(tmp_path, "norte", "r2").load()
     for name in stable.FILES[:count]:
         path = tmp_path / stable.FOLDER / (name if count > 1 else stable.FILES[1])
--- a/tests/relay/cluster/test_frame.py
+++ b/tests/relay/cluster/test_frame.py
@@ -5,7 +5,8 @@
 from hypothesis import strategies as st
 
 from lynxscale.relay.cluster import frame
-from lynxscale.relay.cluster.frame import BadFrame, Message, ReplayWindow
+from lynxscale.relay.cluster.exceptions import FrameError
+from lynxscale.relay.cluster.frame import Message, ReplayWindow
 from tests.relay.cluster.strategies import (
     KEY,
     MESSAGES,
@@ -33,7 +34,7 @@
         whole[:at] + bytes([whole[at] ^ 1 << data.draw(st.integers(0, 7))]) + whole[at + 1 :],
         whole + b"\0",
     ):
-        with pytest.raises(BadFrame) as caught:
+        with pytest.raises(FrameError) as caught:
             frame.decode(KEY, bytes(spoilt))
         assert caught.value.reason in ("garbage", "version", "foreign", "short", "length", "checksum")
 
@@ -44,7 +45,7 @@
     whole = head + frame.TAIL.pack(frame.crc32c(head))
     try:
         message = frame.decode(KEY, whole)
-    except BadFrame as error:
+    except FrameError as error:
         assert error.reason == "message"
     else:
         assert isinstance(message, Message)
@@ -57,7 +58,7 @@
         (whole[:3] + b"\x01" + whole[4:], "version"),
         (b"GET / HTTP/1.1\r\n\r\n", "garbage"),
     ):
-        with pytest.raises(BadFrame, match=reason):
+        with pytest.raises(FrameError, match=reason):
             frame.decode(KEY, spoilt)
 
 
--- a/tests/relay/cluster/test_frame_sequences.py
+++ b/tests/relay/cluster/test_frame_sequences.py
@@ -6,7 +6,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule
 
 from lynxscale.relay.cluster import frame
-from lynxscale.relay.cluster.frame import BadFrame, Message, ReplayWindow
+from lynxscale.relay.cluster.exceptions import FrameError
+from lynxscale.relay.cluster.frame import Message, ReplayWindow
 from lynxscale.relay.cluster.membership_table import MemberUpdate, State
 
 KEY, FOREIGN = frame.cluster_key("norte", 500_000), frame.cluster_key("norte", 250_000)
@@ -75,7 +76,7 @@
 
     @staticmethod
     def refused(data: bytes, key: int) -> None:
-        with pytest.raises(BadFrame):
+        with pytest.raises(FrameError):
             frame.decode(key, data)
 
 
