--- a/lynxscale/coordination/disk_failure.py
+++ b/lynxscale/coordination/disk_failure.py
@@ -1,4 +1,4 @@
-"""What a member does when its disk fails: it stops leading and standing for a while."""
+"""A member's reaction to a failure of its disk: it gives up its lead, and is no candidate for a cooldown."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 log = logging.getLogger(__name__)
 
-DISK_FAILURE_COOLDOWN_S = 1.0  # a member whose disk failed does not stand for so long
+DISK_FAILURE_COOLDOWN_S = 1.0  # a member whose disk failed is no candidate for so long
 
 Argument = TypeVar("Argument")
 
--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -33,7 +33,7 @@
 MAX_AGE_INTERVALS = 4.8  # a parent whose versions were confirmed longer ago is partitioned off itself
 ISOLATED_AFTER_INTERVALS = 6.4  # without versions that a primary confirmed, a relay is isolated
 PRIMARY_FALLBACK_S = 3.0  # after a fault of its parent, a relay stays with the primary so long
-NEVER = -1e9
+NEVER = -1e9  # seconds: a time before all that happens
 
 
 def parent_of(roster: list[RosterEntry], address: str) -> str:
@@ -183,7 +183,7 @@
             self._become(TreeState.UNDER_PRIMARY, self.primary)
 
     def _become(self, state: TreeState, parent: str) -> None:
-        """The one change of state."""
+        """Change state and parent; no other method does."""
         self.state, self._parent = state, parent
         self._heard_at = self._clock.now()
 
--- a/lynxscale/coordination/eligibility.py
+++ b/lynxscale/coordination/eligibility.py
@@ -1,4 +1,4 @@
-"""Who is eligible as primary, and what a candidate proposes once a majority has promised it an epoch."""
+"""Eligibility as primary, and the record that a candidate proposes once a majority has promised it an epoch."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     """Decide by the promises. ``position``: how far the candidate's replica reaches.
 
     Only a voter whose replica counts may lead. In-sync members that have not promised are left out of the record where
-    more than ``tolerated`` replicas remain, as they may be gone.
+    more than ``tolerated`` replicas remain, as they may have failed.
     """
     base = proposal.base
     if candidate not in base.in_sync or candidate not in base.voters:
--- a/lynxscale/coordination/exceptions.py
+++ b/lynxscale/coordination/exceptions.py
@@ -13,7 +13,7 @@
 
 
 class NetstringError(CoordinationError, ValueError):
-    """A peer sent bytes that are no netstring, or one longer than the limit; the text says what was wrong."""
+    """A peer sent bytes that are no netstring, or one longer than the limit; the text names the violation."""
 
 
 class StorageCorruptError(CoordinationError):
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -1,4 +1,4 @@
-"""A backup's side of replication: it stores what its primary sends, and acknowledges how far it has come."""
+"""A backup's side of replication: it stores what its primary sends, and acknowledges the position stored."""
 
 from __future__ import annotations
 
--- a/lynxscale/coordination/graceful_leave.py
+++ b/lynxscale/coordination/graceful_leave.py
@@ -1,8 +1,8 @@
 """The graceful shutdown of a member: it goes on voting and replicating until nothing depends on it.
 
-The primary approves the leave once no decided record counts the member's replica, and either none names its vote or
-nobody could take its place. The member asks again and again until then. A stop that is followed by a return is treated
-the same; where nobody could take its place the approval takes one register round.
+The primary approves the leave once no decided record counts the member's replica, and either none names it as a
+voter or no member could replace it. The member repeats its request until then. A stop for a restart is treated the
+same; where no member could replace it, the approval takes one round of Paxos.
 """
 
 from __future__ import annotations
--- a/lynxscale/coordination/heartbeat_ring.py
+++ b/lynxscale/coordination/heartbeat_ring.py
@@ -11,7 +11,7 @@
 from lynxscale.coordination.messages import Heartbeat, Message, RosterEntry, Suspicion
 from lynxscale.coordination.ports import Clock, Network
 
-MONITORS = 3
+MONITORS = 3  # of each relay
 MISSED_HEARTBEATS = 2.5  # intervals without a heartbeat after which a relay is suspected
 
 
@@ -47,7 +47,7 @@
         clock.call_later(interval_s, self._tick)
 
     def set_roster(self, roster: list[RosterEntry]) -> None:
-        """Take the positions that the roster gives; a relay that is newly monitored counts as heard now."""
+        """Recompute monitors and monitored relays from the roster; a newly monitored relay counts as heard now."""
         addresses = [entry.address for entry in roster]
         self._monitors = neighbours(addresses, self.address, 1)
         monitored = neighbours(addresses, self.address, -1)
--- a/lynxscale/coordination/joining.py
+++ b/lynxscale/coordination/joining.py
@@ -1,4 +1,4 @@
-"""How a member announces itself to the group, as a newcomer, after a silence, or on its way out."""
+"""How a member announces itself to the group: to join, after it has received no heartbeat for long, and to leave."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         self._announced_at = NEVER
 
     def announce_if_due(self) -> None:
-        """Called regularly: announce this member while it is not known to be heard.
+        """Called regularly: announce this member while it joins, misses heartbeats or waits to leave.
 
         Also as a candidate: the others may have replaced it meanwhile, and only a primary's heartbeat shows that.
         """
@@ -53,12 +53,12 @@
                 self._network.send(address, self._join())
 
     def redirect(self, message: Join) -> None:
-        """Another member announces itself here: tell it the primary, where that is known."""
+        """Another member announces itself here: redirect it to the primary, where that is known."""
         if address := self._tracker.address():
             self._network.send(address_of(message.member), Redirect(address, self._acceptor.record.epoch))
 
     def on_redirect(self, message: Redirect) -> None:
-        """Another member tells which primary it knows of."""
+        """Another member redirects this one to the primary that it knows."""
         if message.epoch > self._acceptor.record.epoch and self._role.current is MemberRole.PRIMARY:
             self._role.apply(RoleChange.SAW_LATER_EPOCH)
         if self._role.current is MemberRole.JOINING and message.primary:
--- a/lynxscale/coordination/membership_plan.py
+++ b/lynxscale/coordination/membership_plan.py
@@ -1,8 +1,8 @@
-"""Which members should vote and which replicas should be in sync, from what the primary hears of the members.
+"""Which members should vote and which replicas should be in sync, from the messages that the primary receives.
 
-One voter is added, replaced or removed at a time. An in-sync replica belongs to a voter: nobody else may stand, and a
-replica that cannot stand saves nothing. A voter that is to go keeps its vote, and its replica stays in sync, until the
-remaining ones are enough: its successor is added beside it first, and has caught up.
+One voter is added, replaced or removed at a time. An in-sync replica belongs to a voter: only a voter may become
+primary, and a replica that cannot be elected adds no fault tolerance. A departing voter keeps its vote, and its replica
+stays in sync, until the remaining ones are enough: its successor is added beside it first, and has caught up.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
         return peer is not None and self.now - peer.heard_at < seconds
 
     def responsive(self, member: str) -> bool:
-        """Was the member heard lately?"""
+        """Was a message of the member received within ``unresponsive_after`` seconds?"""
         return self._heard_within(member, self.unresponsive_after)
 
     def expected_to_stay(self, member: str) -> bool:
@@ -75,7 +75,7 @@
         return member in self.lagging or member in self.behind or not self.responsive(member)
 
     def leaving(self, member: str) -> bool:
-        """Was the member asked to stop? It goes as soon as it may, also where nobody can take its place."""
+        """Was the member's process asked to stop? It leaves as soon as it may, even where no member can replace it."""
         peer = self.peers.get(member)
         return peer is not None and peer.leaving
 
@@ -101,7 +101,7 @@
 
 
 def plan_next_record(plan: PlanInput, epoch: int) -> EpochRecord:
-    """The record that the primary wants next; equal to the base but for the epoch where nothing is to change."""
+    """The record to propose next; equal to the base but for the epoch where nothing is to change."""
     for find_change in (_replace_voter_with_lost_disk, _replace_unresponsive_voter, _add_voter, _remove_voter):
         change = find_change(plan)
         if change is not None:
@@ -182,15 +182,15 @@
 
 
 def _catching_up(plan: PlanInput, in_sync: Sequence[str]) -> bool:
-    """Is there a voter that stays and is not in sync yet? No voter that is to go is let go before."""
+    """Is there a voter that stays and is not in sync yet? No departing voter is removed before it is."""
     return any(member not in in_sync for member in plan.base.voters if plan.expected_to_stay(member))
 
 
 def can_remove(plan: PlanInput, member: str) -> bool:
     """Does nothing depend any more on a member that is to go?
 
-    Its replica may not be in sync any more. Its vote may still be named where nobody can take its place and those that
-    are there, to stay, are a majority without it.
+    Its replica may not be in sync any more. It may still be named a voter where no member can replace it and the
+    responsive voters that stay are a majority without it.
     """
     if member in plan.base.in_sync:
         return False
--- a/lynxscale/coordination/peer_table.py
+++ b/lynxscale/coordination/peer_table.py
@@ -1,4 +1,4 @@
-"""What a primary hears of the other members: when, from which machine, and whether they are to stop."""
+"""The other members, by the messages that a primary has received: when, from which machine, and whether they leave."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """One member, as the primary sees it.
 
     ``heard_at``: steady time of its last message, in seconds. ``node``: its machine's name, empty where it was not
-    heard in this lead. ``leaving``: was it asked to stop?
+    heard in this lead. ``leaving``: was its process asked to stop?
     """
 
     heard_at: float = NEVER
--- a/lynxscale/coordination/ports.py
+++ b/lynxscale/coordination/ports.py
@@ -15,7 +15,7 @@
     """A call that is due later."""
 
     def cancel(self) -> None:
-        """Take the call back; nothing happens where it was made already."""
+        """Cancel the call; no effect where it was made already."""
 
 
 class Clock(Protocol):
@@ -34,7 +34,7 @@
 class Network(Protocol):
     """Datagrams between nodes: a message arrives once, in order, or not at all.
 
-    What was sent before a ``write`` or ``write_all`` of ``Files`` is on its way before its syncs.
+    Messages sent before a ``write`` or ``write_all`` of ``Files`` leave the node before its syncs block.
     """
 
     def send(self, address: str, message: Message) -> None:
@@ -42,23 +42,23 @@
 
 
 class FileWriter(Protocol):
-    """A file that is written in pieces."""
+    """A file that is written in chunks."""
 
     def append(self, content: bytes) -> None:
-        """Add a piece. Raises OSError."""
+        """Append a chunk. Raises OSError."""
 
     def finish(self) -> None:
-        """Returns once content and name are on stable storage. Raises OSError; the file is then as before."""
+        """Return once content and name are on stable storage. Raises OSError; the file is then as before."""
 
     def discard(self) -> None:
-        """Leave nothing behind."""
+        """Remove what was written; no file of that name appears."""
 
 
 class Files(Protocol):
     """A folder of small files, each written aside, synced and renamed into place."""
 
     def write(self, name: str, content: bytes) -> None:
-        """Returns once the content and the name are on stable storage. Raises OSError."""
+        """Return once content and name are on stable storage. Raises OSError."""
 
     def write_all(self, contents: dict[str, bytes]) -> None:
         """Write several files with one sync of the folder; they take their names in order. Raises OSError."""
--- a/lynxscale/coordination/pre_vote.py
+++ b/lynxscale/coordination/pre_vote.py
@@ -1,6 +1,6 @@
 """One pre-vote round: a member asks the voters whether they would promise, before it asks for an epoch.
 
-A pre-vote writes nothing, so a member that could not win disturbs nobody (Ongaro, "Consensus: Bridging Theory and
+A pre-vote writes nothing, so a member that could not win disrupts no lease (Ongaro, "Consensus: Bridging Theory and
 Practice", 2014, section 9.6).
 """
 
--- a/lynxscale/coordination/primary_calls.py
+++ b/lynxscale/coordination/primary_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the primary by nodes that may not know which member that is. A call is retried until it is answered."""
+"""Calls to the primary by nodes that may not know its address. A call is retried until its reply or its deadline."""
 
 from __future__ import annotations
 
@@ -54,13 +54,13 @@
         self._primary = primary
         self._contacts = contacts
         self._pending: dict[int, PendingCall] = {}
-        # A restarted node must not take the replies to calls of its earlier process, whatever its clock says.
+        # A restarted node must not take the replies to calls of its earlier process, whatever its clock reads.
         self._incarnation = random.getrandbits(INCARNATION_BITS)
         self._last_number = 0
         self._contact_index = 0
 
     def call(self, body: AdmitTurn | FinishTurn, timeout_s: float, on_reply: ReplyCallback) -> None:
-        """Send a request to the primary; ``on_reply(body)``, or ``on_reply(None)`` after the time-out."""
+        """Send a request to the primary; ``on_reply(body)``, or ``on_reply(None)`` after ``timeout_s`` seconds."""
         self._last_number += 1
         message = Call(self._last_number, self._address, self._incarnation, body)
         pending = PendingCall(message, self._clock.now() + timeout_s, on_reply)
@@ -98,5 +98,5 @@
             pending.on_reply(None)
             return
         pending.retries += 1
-        # The primary may be gone: two of three retries go to a contact, which redirects to the new one.
+        # The primary may have failed: two of three retries go to a contact, which redirects to the new one.
         self._send(pending, "" if pending.retries % PRIMARY_RETRY_EVERY else self._primary())
--- a/lynxscale/coordination/primary_tracker.py
+++ b/lynxscale/coordination/primary_tracker.py
@@ -1,4 +1,4 @@
-"""Which primary a member knows of, and when it last heard its heartbeat."""
+"""The primary that a member knows, and when it last received a heartbeat of it."""
 
 from __future__ import annotations
 
--- a/lynxscale/coordination/proposer.py
+++ b/lynxscale/coordination/proposer.py
@@ -58,7 +58,7 @@
 
     @property
     def timed_out(self) -> bool:
-        """Has the last round had its time?"""
+        """Has the last round run for longer than a round may take?"""
         allowed_s = ROUND_TIMEOUT_S + ROUND_WRITE_FACTOR * self._acceptor.write_s
         return self._clock.now() - self._started_at > allowed_s
 
@@ -89,8 +89,8 @@
 
     def _next_epoch(self) -> int:
         lowest = max(self._acceptor.record.epoch, self._highest_rejected) + 1
-        # An epoch for which no record was sent is asked for again: a candidate behind a partition must not climb
-        # without end.
+        # An epoch for which no record was sent is asked for again: a partitioned candidate must not raise
+        # its epoch without bound.
         if self._open_epoch >= max(lowest, self._acceptor.state.promised):
             return self._open_epoch
         return max(lowest, self._acceptor.state.promised + 1)
--- a/lynxscale/coordination/recovery.py
+++ b/lynxscale/coordination/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a store at its start: the newest snapshot, the batches behind it, and what files are missing."""
+"""Recovery of a store at its start: the newest snapshot, the batches behind it, and which files are missing."""
 
 from __future__ import annotations
 
--- a/lynxscale/coordination/relay_roster.py
+++ b/lynxscale/coordination/relay_roster.py
@@ -9,7 +9,7 @@
 from lynxscale.coordination.ports import Clock
 
 ROSTER_TOPIC = "roster"
-SUSPICION_EXPIRES_S = 4.0
+SUSPICION_EXPIRES_S = 4.0  # a suspicion that is not repeated for so long does not count
 
 
 class Roster:
--- a/lynxscale/coordination/replica_progress.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -228,7 +228,7 @@
         return self.state is ReplicaState.SNAPSHOT and self._snapshot.begun
 
     def _send_next_batch(self) -> bool:
-        """Send what follows, several small batches as one: a sync each would delay a replica that was away."""
+        """Send what follows, several small batches as one: a sync each would delay a replica that is catching up."""
         batches: list[Batch] = []
         size = 0
         position = self._sent
--- a/lynxscale/coordination/send_window.py
+++ b/lynxscale/coordination/send_window.py
@@ -13,7 +13,7 @@
 from lynxscale.coordination.ports import Clock
 
 MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 16_000, 512_000  # unacknowledged; one batch or chunk goes in any case
-SLOW_ACK_S = 0.12  # what takes longer was too much for the link
+SLOW_ACK_S = 0.12  # a slower acknowledgement shows a congested link: the window is halved
 RESEND_AFTER_S = 0.3  # without progress, and beyond the time that the link needs for what is in flight
 MIN_LINK_BYTES_PER_S = 200_000.0
 
--- a/lynxscale/coordination/topic_publisher.py
+++ b/lynxscale/coordination/topic_publisher.py
@@ -8,8 +8,8 @@
 from lynxscale.coordination.messages import Attach, Topic, TopicUpdate, Version
 from lynxscale.coordination.ports import Clock, Network
 
-CHILD_EXPIRES_S = 2.0  # without a request
-RESEND_AFTER_S = 2.0  # what a child has not confirmed
+CHILD_EXPIRES_S = 2.0  # a child without a request for so long is dropped
+RESEND_AFTER_S = 2.0  # a version that a child has not confirmed for so long is sent again
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,8 +39,7 @@
 class Publisher:
     """Keeps the newest version of each topic and sends it to the children.
 
-    ``primary``, ``epoch`` and ``age_s`` of its methods say which primary confirmed the versions here, and how many
-    seconds ago.
+    Parameters of its methods: ``primary`` confirmed the versions here in ``epoch``, ``age_s`` seconds ago.
     """
 
     def __init__(self, address: str, clock: Clock, network: Network) -> None:
@@ -55,7 +54,7 @@
         return {name: topic.version for name, topic in self.topics.items()}
 
     def update(self, topics: dict[str, Topic]) -> list[str]:
-        """Keep the topics that are newer than the own version; their names."""
+        """Adopt the topics that are newer than the own versions, and return their names."""
         newer = [name for name, topic in topics.items() if self._is_newer(name, topic)]
         for name in newer:
             self.topics[name] = topics[name]
@@ -73,7 +72,7 @@
         self._send(request.sender, child, primary, epoch, age_s)
 
     def push(self, primary: str, epoch: int, age_s: float) -> None:
-        """Send every child what it lacks, and drop children that ask no more."""
+        """Send every child the topics that it lacks, and drop children whose requests have stopped."""
         now = self._clock.now()
         oldest = now - CHILD_EXPIRES_S
         self.children = {address: child for address, child in self.children.items() if child.seen_at >= oldest}
--- a/lynxscale/coordination/version_files.py
+++ b/lynxscale/coordination/version_files.py
@@ -4,7 +4,7 @@
 ``state-INDEX-EPOCH`` the complete state at it, and ``mark`` the watermark: a position known to have been stored.
 
 A batch file that reappears after a loss of power, although it was removed, does no harm: a batch counts only behind
-the very position that it was made for. Missing files are detected by three things that do not fail together: a later
+the very position that it was made for. Missing files are detected by three signs that do not fail together: a later
 batch without its predecessor, a damaged file, and the watermark.
 """
 
--- a/lynxscale/coordination/vote_deference.py
+++ b/lynxscale/coordination/vote_deference.py
@@ -1,4 +1,4 @@
-"""To whom a voter defers: one member that asks by a pre-vote, or one that is about to lead.
+"""Vote deference: a voter gives way to one member that asks by a pre-vote, or to one that is about to lead.
 
 A voter that has answered a pre-vote with yes prefers that member for one round, unless a member with a better rank
 asks; it supports one that stands, was promised, or was asked to take over, until that one must have a lease. All this
@@ -68,7 +68,7 @@
         self._asking_since.pop(candidate, None)
 
     def on_primary_heartbeat(self) -> None:
-        """Somebody leads: pre-votes of before had an earlier reason and do not count as fruitless."""
+        """There is a primary: earlier pre-votes do not count as fruitless any more."""
         self._asking_since.clear()
 
     def _backoff_left(self, candidate: str, now: float) -> float:
--- a/lynxscale/coordination/voter.py
+++ b/lynxscale/coordination/voter.py
@@ -41,14 +41,14 @@
         self._network.send(address_of(message.candidate), answer)
 
     def on_accept(self, message: Accept) -> None:
-        """A candidate asks to store its record; a record that was passed by is not answered."""
+        """A candidate asks to store its record; a superseded record is not answered."""
         answer = self._acceptor.accept(message.record)
         if answer is not None:
             self._campaign.defer_to(message.record.primary)
             self._network.send(address_of(message.record.primary), answer)
 
     def on_lease_request(self, message: LeaseRequest) -> None:
-        """A primary's heartbeat: follow it and grant its lease, or tell a former primary of the present one."""
+        """A primary's heartbeat: follow it and grant its lease, or redirect a former primary to the present one."""
         record, member = message.record, self._acceptor.member
         if record.epoch < self._acceptor.record.epoch:
             redirect = Redirect(self._tracker.address(), self._acceptor.record.epoch)
