--- a/lynxscale/scheduling/admission.py
+++ b/lynxscale/scheduling/admission.py
@@ -150,7 +150,7 @@
                 self.give_up(entry.message)
 
     def _shed_beyond_rate(self, destination: Destination) -> None:
-        """What its rate limit lets through too late is answered now."""
+        """Give up the messages that the destination's rate limit would let through too late."""
         room = sum(max(1.0, route.rate_share.calls_in(QUEUE_MS)) * route.per_call for route in destination.routes)
         if destination.waiting > room:
             for entry in self._sheddable(destination, int(room)):
--- a/lynxscale/scheduling/connection_pools.py
+++ b/lynxscale/scheduling/connection_pools.py
@@ -17,7 +17,7 @@
 
 
 class ConnectionPools:
-    """The caller keeps the connections; here stands since when each is idle."""
+    """Times from which each connection has been idle; the connections themselves belong to the caller."""
 
     def __init__(self, context: SchedulerContext) -> None:
         self._context = context
--- a/lynxscale/scheduling/exceptions.py
+++ b/lynxscale/scheduling/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the scheduling package. Decisions raise none: they ignore what they do not know."""
+"""Errors of the scheduling package. Decisions raise none: they ignore unknown events, messages and endpoints."""
 
 from __future__ import annotations
 
--- a/lynxscale/scheduling/outcomes.py
+++ b/lynxscale/scheduling/outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes: what each ended attempt says of its message, call, endpoint and route."""
+"""Outcomes: what is learned from each ended attempt about its message, call, endpoint and route."""
 
 from __future__ import annotations
 
@@ -150,7 +150,7 @@
             self._health.succeeded(endpoint, health, not call.unresponsive)
 
     def _cool_down(self, endpoint: Endpoint, result: Result) -> None:
-        """Nodes that call rarely cannot tell chance from an outage: their first retries must not come at once.
+        """Nodes that call rarely cannot distinguish chance from an outage: their first retries must not coincide.
 
         Costs a second's delay after a lone error. Guards against crashes, errors and full connection tables alike.
         """
--- a/lynxscale/scheduling/rejection_backoff.py
+++ b/lynxscale/scheduling/rejection_backoff.py
@@ -1,7 +1,7 @@
 """Backoff after a rejection for load: how long a route is left alone, besides the wait that it asked for.
 
-All nodes are told the same end of a wait; if all came back at that moment they would be rejected again. So each adds
-a random backoff that grows with rejections in a row. Milliseconds.
+A destination gives all nodes the same end of a wait; if all retried at that moment they would be rejected again. So
+each adds a random backoff that grows with rejections in a row. Milliseconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def is_over_limit(allowance_left: float | None) -> bool:
-    """Rejected for want of allowance? Many nodes are at the limit together, which is no outage."""
+    """Was a rejection due to an exhausted rate limit? Many nodes reach it together, which is no outage."""
     return allowance_left is not None and allowance_left < LIMIT_LEFT
 
 
--- a/lynxscale/scheduling/restart_budget.py
+++ b/lynxscale/scheduling/restart_budget.py
@@ -20,7 +20,7 @@
 
 INF = math.inf
 RESTARTS_PER_SUCCESS = 0.1  # earned: cancelled calls may run on, so restarts are rationed
-RESTARTS_MAX = 3.0  # saved up at most, so that a bad spell meets no hoard
+RESTARTS_MAX = 3.0  # saved up at most, which bounds the restarts at the start of an overload
 LOST_RESTARTS_PER_SUCCESS = 0.4  # restarts of lost calls earned by a success
 LOST_RESTARTS_MAX = 5.0  # and saved up at most
 LOST_LATENCY_MULTIPLE = 4.0  # usual latencies until an overtaken call counts as lost
--- a/lynxscale/scheduling/routing_table.py
+++ b/lynxscale/scheduling/routing_table.py
@@ -67,7 +67,7 @@
         return endpoint
 
     def remove_if_unused(self, endpoint: Endpoint) -> None:
-        """Forget an endpoint that is gone once no call to it is in flight, so that the tables stay small."""
+        """Remove an unlisted endpoint once no call to it is in flight, so that the tables stay small."""
         if not endpoint.gone or endpoint.in_flight or endpoint.number not in self.endpoints:
             return
         del self.endpoints[endpoint.number]
