--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -87,7 +87,7 @@
         self._confirmed_at = NEVER
         self._fallback_until = NEVER
         self._next_contact = 0
-        self._relays = 0
+        self._relay_count = 0
         clock.call_later(0.0, self._tick)
 
     @property
@@ -109,7 +109,7 @@
     @property
     def _interval_s(self) -> float:
         """Seconds between two requests: a parent's cost grows with its children, not with the tier."""
-        return ATTACH_INTERVAL_S * min(MAX_INTERVAL_FACTOR, max(1.0, self._relays / FULL_RATE_RELAYS))
+        return ATTACH_INTERVAL_S * min(MAX_INTERVAL_FACTOR, max(1.0, self._relay_count / FULL_RATE_RELAYS))
 
     # Messages ----------------------------------------------------------------------------------------
 
@@ -136,7 +136,7 @@
         if self._confirms_all(message):
             self._confirmed_at = max(self._confirmed_at, now - message.age_s)
         if ROSTER_TOPIC in newer:
-            self._relays = len(self.roster)
+            self._relay_count = len(self.roster)
         if newer:
             self._on_topics(newer)
             self.publisher.push(self.primary, self.epoch, self.age_s)
--- a/lynxscale/discovery/endpoint_poller.py
+++ b/lynxscale/discovery/endpoint_poller.py
@@ -20,7 +20,7 @@
 POLL_INTERVAL_S = 0.6
 RETRY_DELAY_S = 0.3  # after a failed or rejected request
 REQUEST_TIMEOUT_S = 1.0
-MAX_PAGES = 200
+MAX_PAGES = 200  # of one list; pages beyond are not fetched
 
 
 class EndpointPage(msgspec.Struct, rename="kebab"):
@@ -42,7 +42,7 @@
         self._dial = dial
         self._on_list = on_list
         self._timer: Timer | None = None
-        self._run = 0  # rises with every start and stop, so that answers to earlier requests are dropped
+        self._run_number = 0  # rises with every start and stop, so that answers to earlier requests are dropped
         self._interval_s = POLL_INTERVAL_S
         self._endpoints: list[Endpoint] = []
         self._pages = 0
@@ -50,21 +50,21 @@
     def start(self, interval_s: float = POLL_INTERVAL_S) -> None:
         """Fetch the list now, and again ``interval_s`` seconds after each complete one."""
         self._interval_s = interval_s
-        self._run += 1
-        self._fetch_list(self._run)
+        self._run_number += 1
+        self._fetch_list(self._run_number)
 
     def stop(self) -> None:
         """Poll no more; the answer to a request in flight is dropped."""
-        self._run += 1
+        self._run_number += 1
         if self._timer is not None:
             self._timer.cancel()
 
-    def _fetch_list(self, run: int) -> None:
-        if run == self._run:
+    def _fetch_list(self, run_number: int) -> None:
+        if run_number == self._run_number:
             self._endpoints, self._pages = [], 0
-            self._fetch_page(run, None)
+            self._fetch_page(run_number, None)
 
-    def _fetch_page(self, run: int, token: str | None) -> None:
+    def _fetch_page(self, run_number: int, token: str | None) -> None:
         target = "/instances" + (f"?page-token={quote(token)}" if token else "")
         request = Request("GET", target, Head(((b"host", self.address.encode()),)))
         SingleRequest(
@@ -73,26 +73,26 @@
             self._clock,
             self._dial,
             REQUEST_TIMEOUT_S,
-            lambda status, body: self._on_response(run, status, body),
+            lambda status, body: self._on_response(run_number, status, body),
         )
 
-    def _on_response(self, run: int, status: int, body: bytes) -> None:
-        if run != self._run:
+    def _on_response(self, run_number: int, status: int, body: bytes) -> None:
+        if run_number != self._run_number:
             return
         page = decode_page(body) if status == HTTPStatus.OK else None
         if page is None:
-            self._fetch_list_later(run, RETRY_DELAY_S)
+            self._fetch_list_later(run_number, RETRY_DELAY_S)
             return
         self._endpoints += page.instances
         self._pages += 1
         if page.next_page_token and self._pages < MAX_PAGES:
-            self._fetch_page(run, page.next_page_token)
+            self._fetch_page(run_number, page.next_page_token)
             return
         self._on_list(sorted(self._endpoints))
-        self._fetch_list_later(run, self._interval_s)
+        self._fetch_list_later(run_number, self._interval_s)
 
-    def _fetch_list_later(self, run: int, delay_s: float) -> None:
-        self._timer = self._clock.call_later(delay_s, lambda: self._fetch_list(run))
+    def _fetch_list_later(self, run_number: int, delay_s: float) -> None:
+        self._timer = self._clock.call_later(delay_s, lambda: self._fetch_list(run_number))
 
 
 def decode_page(body: bytes) -> EndpointPage | None:
--- a/lynxscale/runtime/http_server.py
+++ b/lynxscale/runtime/http_server.py
@@ -110,7 +110,7 @@
         self._handler = handler
         self._limits = limits
         self._clock = clock
-        self._open = open_connections
+        self._open_connections = open_connections
         self._http = h11.Connection(h11.SERVER, max_incomplete_event_size=limits.header_bytes)
         self._transport: asyncio.Transport | None = None
         self._exchange: Exchange | None = None
@@ -129,7 +129,7 @@
         """Part of asyncio.Protocol."""
         self._transport = cast(asyncio.Transport, transport)
         configure_socket(transport)
-        self._open.add(self)
+        self._open_connections.add(self)
         self._set_deadline(self._limits.idle_timeout_s)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -269,7 +269,7 @@
         else:
             self._cancel_deadline()
         if state is ConnectionState.CLOSED:
-            self._open.discard(self)
+            self._open_connections.discard(self)
             self._detach_exchange()
 
     def _detach_exchange(self) -> None:
