--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -1,10 +1,11 @@
 """How long the longest step of a store takes at several sizes: ``python -m lab.tier.bench_store [MEGABYTES …]``.
 
-A step holds up everything else of its process; one of more than a lease (0.4 s) would cost the lease.
+A step blocks everything else of its process; one of more than a lease (0.4 s) would lose the lease.
 """
 
 from __future__ import annotations
 
+import asyncio
 import gc
 import sys
 import tempfile
@@ -21,7 +22,7 @@
 from lynxscale.runtime.clock import LoopClock
 from lynxscale.runtime.durable_files import DurableFiles
 
-TURN_BYTES = 2500  # input and output of a usual turn
+TURN_BYTES = 2500  # input and output of a typical turn
 
 
 class Steps:
@@ -29,17 +30,17 @@
 
     def __init__(self) -> None:
         self.longest_s = 0.0
-        self._waiting: list[Callable[[], None]] = []
+        self._pending: list[Callable[[], None]] = []
 
     def defer(self, step: Callable[[], None]) -> None:
         """Part of Store's port."""
-        self._waiting.append(step)
+        self._pending.append(step)
 
     def run(self) -> float:
         """The time of all steps together."""
         total = 0.0
-        while self._waiting:
-            step = self._waiting.pop(0)
+        while self._pending:
+            step = self._pending.pop(0)
             took = timed(step)
             self.longest_s = max(self.longest_s, took)
             total += took
@@ -53,26 +54,24 @@
     return time.perf_counter() - begun
 
 
-def filled(megabytes: int) -> tuple[Put, ...]:
-    """Turns of so many bytes in all."""
+def turns_of(megabytes: int) -> tuple[Put, ...]:
+    """Turns of so many megabytes in all."""
     value = msgspec.Raw(msgspec.json.encode(TurnRecord(b"x" * TURN_BYTES, "", 90.0)))
     count = megabytes * 1_000_000 // len(bytes(value))
     return tuple(Put(f"turn/{number:012x}", value) for number in range(count))
 
 
 def measure(megabytes: int) -> str:
-    """One size, as a line of a table."""
-    import asyncio
-
+    """One size, as a row of the table; times in milliseconds."""
     loop = asyncio.new_event_loop()
-    puts = filled(megabytes)
+    puts = turns_of(megabytes)
     with tempfile.TemporaryDirectory() as folder:
         steps = Steps()
         store = Store(DurableFiles(folder), steps.defer)
         table = KeyValueTable()
         table.apply(puts)
         installing = timed(lambda: store.install(Position(1, 1), table, lambda: None))
-        in_all = steps.run()
+        all_steps = steps.run()
         compare = timed(store.checksum)
         admission = TurnAdmission(store.values, LoopClock(loop))
         gc.collect()
@@ -80,14 +79,14 @@
         keys = timed(lambda: sorted(store.values))
         load = timed(lambda: Store(DurableFiles(folder)))
     loop.close()
-    cells = (installing, steps.longest_s, in_all, compare, begin, keys, load)
+    cells = (installing, steps.longest_s, all_steps, compare, begin, keys, load)
     return f"| {megabytes} | " + " | ".join(f"{1000 * cell:.1f}" for cell in cells) + " |"
 
 
 def main() -> None:
-    """Print a table, times in ms."""
+    """Print the table; sizes in megabytes as arguments."""
     sizes = [int(word) for word in sys.argv[1:]] or [1, 20, 100]
-    print("| MB | begin a whole version | longest step | all steps | compare | new lead's look | sort keys | start |")
+    print("| MB | begin a snapshot | longest step | all steps | compare | new leader's scan | sort keys | start |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for size in sizes:
         print(measure(size), flush=True)
--- a/lab/tier/demo.py
+++ b/lab/tier/demo.py
@@ -15,8 +15,8 @@
 SECONDS = 10.0
 PROGRAMS = 4
 TURNS = 6
-RETRY_PAUSE_S = 0.2
-MOST_TRIES = 6
+RETRY_BACKOFF_S = 0.2
+MAX_ATTEMPTS = 6
 
 
 async def run_program(tier: LocalTier, number: int, end: float, seen: Counter) -> None:
@@ -35,12 +35,12 @@
             answer = await tier.call(tier.frontend(tier.relay_names[number % 2]), "GET", "/look/1", b"", fields)
             seen[f"calls answered {answer.status}"] += 1
         else:
-            seen["programs whole"] += 1
+            seen["programs complete"] += 1
 
 
 async def run_turn(tier: LocalTier, name: str, program: str, previous: str, seen: Counter) -> str:
-    """One turn, tried a few times under new ids; the id that came whole, empty for none."""
-    for attempt in range(MOST_TRIES):
+    """One turn, retried a few times under new ids; the id of the complete one, empty for none."""
+    for attempt in range(MAX_ATTEMPTS):
         request_id = f"{name}-{attempt}"
         fields = (
             (b"lynxscale-request-id", request_id.encode()),
@@ -54,12 +54,12 @@
         seen[f"turns answered {answer.status}"] += 1
         if answer.status == 200:
             return request_id
-        await asyncio.sleep(RETRY_PAUSE_S)
+        await asyncio.sleep(RETRY_BACKOFF_S)
     return ""
 
 
 async def main() -> int:
-    """Exit code 0 where every program came whole."""
+    """Exit code 0 where every program was complete."""
     seen: Counter = Counter()
     with tempfile.TemporaryDirectory() as folder:
         tier = LocalTier(Path(folder))
@@ -79,7 +79,7 @@
             tier.stop()
     for what, count in sorted(seen.items()):
         print(f"{what}: {count}")
-    return int(seen["programs broken"] > 0 or not seen["programs whole"])
+    return int(seen["programs broken"] > 0 or not seen["programs complete"])
 
 
 if __name__ == "__main__":
--- a/lab/tier/failover_time.py
+++ b/lab/tier/failover_time.py
@@ -1,4 +1,4 @@
-"""How long nobody serves when a primary is lost, on simulated disks: ``python -m lab.tier.failover_time``.
+"""The failover time when a primary is lost, on simulated disks: ``python -m lab.tier.failover_time``.
 
 A group writes all the time; its primary is killed, loses its disk or is cut off, and what is measured is the time from
 there until a write that began afterwards is committed. Each seed draws the instant, the delays of links and the loss.
@@ -17,16 +17,16 @@
 from lab.tier.world import World
 from lynxscale.coordination.messages import address_of
 
-WAY_S = 0.0015
-WRITE_EVERY_S = 0.005
-WARM_S = 2.0
-LONGEST_S = 8.0
-HOWS = ("kill", "power", "wipe", "cut", "deaf", "mute")
+DELAY_S = 0.0015
+WRITE_INTERVAL_S = 0.005
+WARM_UP_S = 2.0
+MAX_FAILOVER_S = 8.0
+FAULTS = ("kill", "power", "wipe", "cut", "deaf", "mute")
 
 
 @dataclass(frozen=True)
 class FailoverCase:
-    """One loss of a primary. ``sync_s``: of one sync; ``busy``: does the group write meanwhile?"""
+    """One loss of a primary. ``sync_s``: duration of one sync; ``busy``: whether the group writes meanwhile."""
 
     seed: int
     sync_s: float = 0.0092
@@ -37,8 +37,8 @@
 
 
 def failover_time_s(case: FailoverCase) -> float:
-    """Seconds from the loss until another primary has committed a write; ``LONGEST_S`` where it takes longer."""
-    world = World(case.seed, delay_s=WAY_S)
+    """Seconds from the loss until another primary has committed a write; ``MAX_FAILOVER_S`` where it takes longer."""
+    world = World(case.seed, delay_s=DELAY_S)
     draws = Random(case.seed)
     group = ControlGroup(world, case.size, case.tolerated)
     for address in group.seeds:
@@ -47,13 +47,13 @@
     group.wait_for_leader(20.0)
     if case.busy:
         _keep_writing(group)
-    world.run(world.time + WARM_S + draws.uniform(0.0, 0.5))
+    world.run(world.time + WARM_UP_S + draws.uniform(0.0, 0.5))
     lost = address_of(group.wait_for_leader(5.0).member_id)
     begun = world.time
     _lose(group, lost, case.how)
     committed: list[bool] = []
     _try_to_write(group, lost, committed)
-    world.run_until(lambda: True in committed, LONGEST_S)
+    world.run_until(lambda: True in committed, MAX_FAILOVER_S)
     return world.time - begun
 
 
@@ -72,20 +72,20 @@
     for leader in group.leaders():
         for number in range(2):
             group.submit(leader, f"key{number}", group.world.time, lambda committed: None)
-    group.world.call_at(group.world.time + 2 * WRITE_EVERY_S, lambda: _keep_writing(group))
+    group.world.call_at(group.world.time + 2 * WRITE_INTERVAL_S, lambda: _keep_writing(group))
 
 
 def _try_to_write(group: ControlGroup, lost: str, committed: list[bool]) -> None:
-    """Ask every primary but the lost one, again and again."""
+    """Write at every primary but the lost one, until one commits."""
     for leader in group.leaders():
         if address_of(leader.member_id) != lost:
             group.submit(leader, "last", group.world.time, committed.append)
-    group.world.call_at(group.world.time + WRITE_EVERY_S, lambda: _try_to_write(group, lost, committed))
+    group.world.call_at(group.world.time + WRITE_INTERVAL_S, lambda: _try_to_write(group, lost, committed))
 
 
 @dataclass(frozen=True)
 class Distribution:
-    """Silences in seconds: how many, the median, the 95th percentile, the longest, and the seed of that one."""
+    """Failover times in seconds: count, median, 95th percentile, maximum, and the seed of the maximum."""
 
     count: int
     median_s: float
@@ -109,11 +109,11 @@
 
 
 def main() -> int:
-    """Exit code 1 where a failover took over ``--most`` seconds."""
+    """Exit code 1 where a failover took more than ``--most`` seconds."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=40)
     parser.add_argument("--sync-ms", default="0,9.2,30", help="by commas, of one sync")
-    parser.add_argument("--hows", default=",".join(HOWS), help="by commas, what becomes of the primary")
+    parser.add_argument("--hows", default=",".join(FAULTS), help="by commas, what becomes of the primary")
     parser.add_argument("--most", type=float, default=2.0, help="seconds")
     options = parser.parse_args()
     logging.disable(logging.CRITICAL)
--- a/lab/tier/local.py
+++ b/lab/tier/local.py
@@ -1,4 +1,4 @@
-"""A small tier of real processes on loopback, with stand-in endpoints and platform in this process.
+"""A small tier of real processes on loopback, with fake endpoints and platform in this process.
 
 Three control members and two relays run the programs as they are, each at an address of its own in 127.0.0.0/8.
 """
@@ -27,8 +27,8 @@
 
 CONTROLS, RELAYS = 3, 2
 ENDPOINT_PORT = 7399
-START_WITHIN_S = 20.0
-END_WITHIN_S = 10.0
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 10.0
 
 
 @dataclass
@@ -54,11 +54,11 @@
         return f"{self.host(name)}:{self.port + 1}"
 
     def frontend(self, name: str) -> str:
-        """Where clients connect."""
+        """The address for clients."""
         return f"{self.host(name)}:{self.port + 2}"
 
     def readiness(self, name: str) -> str:
-        """Where the platform asks."""
+        """The address of the readiness check."""
         return f"{self.host(name)}:{self.port + 3}"
 
     @property
@@ -92,7 +92,7 @@
         await asyncio.gather(*servers)
         for name in (*self.control_names, *self.relay_names):
             self.launch(name, bootstrap=True)
-        async with asyncio.timeout(START_WITHIN_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             await self._configure()
 
     async def _configure(self) -> None:
@@ -146,18 +146,18 @@
         )
 
     def kill(self, name: str) -> None:
-        """End a process at once."""
+        """Kill a process."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     def stop(self) -> None:
-        """End all processes in good order."""
+        """Stop all processes gracefully, and kill those that do not stop within ``STOP_TIMEOUT_S``."""
         for process in self.processes.values():
             process.send_signal(signal.SIGTERM)
         for process in self.processes.values():
             try:
-                process.wait(END_WITHIN_S)
+                process.wait(STOP_TIMEOUT_S)
             except subprocess.TimeoutExpired:
                 process.kill()
                 process.wait()
@@ -166,7 +166,7 @@
     # Calls -------------------------------------------------------------------------------------------
 
     async def call(self, address: str, method: str, target: str, body: bytes = b"", fields: tuple = ()) -> Response:
-        """One request; status 0 where nothing answers."""
+        """The response to one request; status 0 where there is none."""
         head = Head(((b"host", b"tier.example"), *fields))
         try:
             return await send_request(address, Request(method, target, head, body))
@@ -175,7 +175,7 @@
 
     async def primary(self) -> str:
         """The member that holds the lease. Raises TimeoutError."""
-        async with asyncio.timeout(START_WITHIN_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 for name in self.control_names:
                     response = await self.call(self.control(name), "GET", "/status")
