--- a/lab/tier/rolling_upgrade.py
+++ b/lab/tier/rolling_upgrade.py
@@ -46,8 +46,10 @@
     "bad_message",
     "configuration_unusable",
     "copy_differs",
+    "replica_differs",
     "disk_failed",
     "files_missing",
+    "storage_incomplete",
     "settings_unusable",
 )
 
--- a/lynxscale/coordination/candidacy.py
+++ b/lynxscale/coordination/candidacy.py
@@ -98,7 +98,7 @@
         self._campaign.postpone(min(lease_left_s, LEASE_S))
 
     def _yield_to(self, base: EpochRecord, more_complete: str) -> None:
-        log.warning("event=stands_aside member=%s", more_complete)
+        log.warning("event=candidacy_yielded member=%s", more_complete)
         self._role.apply(RoleChange.YIELDED_TO_REPLICA)
         self._campaign.postpone(LEASE_S)
         self._network.send(address_of(more_complete), TakeOver(base.epoch))
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -197,7 +197,7 @@
         """A replica's checksum: a replica that differs is sent a snapshot."""
         own = self._store.checksum_at(message.position)
         if own is not None and message.checksum != own:
-            log.error("event=copy_differs member=%s", message.member)
+            log.error("event=replica_differs member=%s", message.member)
             self.replicator.repair(message.member)
 
     def scrub(self) -> None:
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -144,7 +144,7 @@
         self._campaign.postpone(0.0 if may_stand_at_once else LEASE_S)
         self._clock.call_later(TICK_S, self._on_tick)
         if not self.store.intact:
-            log.error("event=files_missing damage=%s", ",".join(self.store.damage))
+            log.error("event=storage_incomplete damage=%s", ",".join(self.store.damage))
 
     # For the process -----------------------------------------------------------------------------------
 
--- a/lynxscale/coordination/messages/base.py
+++ b/lynxscale/coordination/messages/base.py
@@ -6,12 +6,12 @@
 
 
 def address_of(member: str) -> str:
-    """The internal ``host:port`` of a member."""
+    """The internal ``host:port`` of a member id."""
     return member.partition("#")[0]
 
 
 def member_id(address: str, incarnation: str) -> str:
-    """The id of a member."""
+    """The id of a member; a node that lost its disk comes back with another incarnation."""
     return f"{address}#{incarnation}"
 
 
@@ -20,16 +20,20 @@
 
 
 class Position(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """A place in the sequence of batches: the epoch that made the batch, and its index."""
+    """A position in the sequence of batches: the epoch that made the batch, and its index."""
 
     epoch: int
     index: int
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """What the voters store: who is primary in an epoch, who holds every acknowledged write, who may vote."""
+    """The record that the voters decide for an epoch.
+
+    ``primary``: the member that leads. ``in_sync``: members whose replicas hold every acknowledged write. ``voters``:
+    members that promise and accept; stored and sent as ``witnesses``.
+    """
 
     epoch: int
     primary: str
     in_sync: tuple[str, ...]
-    voters: tuple[str, ...] = msgspec.field(name="witnesses")  # the stored and sent name
+    voters: tuple[str, ...] = msgspec.field(name="witnesses")
--- a/lynxscale/coordination/messages/election.py
+++ b/lynxscale/coordination/messages/election.py
@@ -11,14 +11,17 @@
 
 
 class PreVote(Message, frozen=True, tag="pre_vote"):
-    """A member asks a voter whether it would promise an epoch now. ``round`` numbers the member's questions."""
+    """A member asks a voter whether it would promise an epoch now. ``round`` numbers the member's pre-votes."""
 
     round: int
     candidate: str
 
 
 class PreVoteReply(Message, frozen=True, tag="pre_vote_reply"):
-    """The voter's answer, with the seconds to wait where it would not, and how far its own copy reaches."""
+    """The voter's answer; ``wait_s``: seconds after which to ask again where it would not promise now.
+
+    ``position``: how far the voter's replica reaches.
+    """
 
     round: int
     voter: str = msgspec.field(name="witness")
@@ -28,20 +31,20 @@
 
 
 class CandidacyAnnounced(Message, frozen=True, tag="standing"):
-    """A member tells the voters that a majority would promise, and that it is about to ask for an epoch."""
+    """A member announces that a majority would promise, and that it is about to ask for an epoch."""
 
     candidate: str
 
 
 class Prepare(Message, frozen=True, tag="prepare"):
-    """A candidate asks a voter to take part in no lower epoch."""
+    """Phase 1 of a round: a candidate asks a voter to accept no lower epoch any more."""
 
     epoch: int
     candidate: str
 
 
 class Promise(Message, frozen=True, tag="promise"):
-    """The voter will not; it tells the highest record that it accepted, and how far its own copy reaches."""
+    """The voter promises; ``accepted``: the latest record it accepted; ``position``: how far its replica reaches."""
 
     epoch: int
     voter: str = msgspec.field(name="witness")
@@ -50,7 +53,7 @@
 
 
 class PrepareRejected(Message, frozen=True, tag="deny"):
-    """The voter cannot: it promised a higher epoch, or another's lease runs for ``lease_left`` seconds."""
+    """The voter does not promise: it promised a higher epoch, or another's lease runs for ``lease_left`` seconds."""
 
     epoch: int
     voter: str = msgspec.field(name="witness")
@@ -60,7 +63,7 @@
 
 
 class Accept(Message, frozen=True, tag="accept"):
-    """The candidate asks a voter to store the record."""
+    """Phase 2 of a round: the candidate asks a voter to store the record."""
 
     record: EpochRecord
 
--- a/lynxscale/coordination/messages/lease.py
+++ b/lynxscale/coordination/messages/lease.py
@@ -6,14 +6,19 @@
 
 
 class LeaseRequest(Message, frozen=True, tag="lease_request"):
-    """The primary's heartbeat. It carries the record that a majority has accepted, so anyone may learn it."""
+    """The primary's heartbeat, with the decided record. ``round`` numbers the heartbeats of a lead."""
 
     record: EpochRecord
     round: int
 
 
 class LeaseGrant(Message, frozen=True, tag="lease_grant"):
-    """Answer to a heartbeat; ``granted`` where the sender is a voter of that epoch and bound by no higher one."""
+    """Answer to a heartbeat.
+
+    ``granted``: the sender is a voter of that epoch and has promised no other candidate. ``promised``: the highest
+    epoch it promised. ``node``: its machine's name. ``position``: how far its replica reaches. ``leaving``: it is to
+    stop.
+    """
 
     epoch: int
     round: int
@@ -26,13 +31,16 @@
 
 
 class LeaseRelease(Message, frozen=True, tag="lease_release"):
-    """The primary of that epoch acts no more, so voters need not wait. ``successor``: whom it asked to take over."""
+    """The primary of that epoch leads no longer, so voters need not wait.
+
+    ``successor``: the member that it asked to take over, empty for none.
+    """
 
     epoch: int
     successor: str = ""
 
 
 class TakeOver(Message, frozen=True, tag="take_over"):
-    """The primary that leaves asks an in-sync member to become primary now."""
+    """The primary that steps down, or a candidate with a less complete replica, asks a member to stand now."""
 
     epoch: int
--- a/lynxscale/coordination/messages/membership.py
+++ b/lynxscale/coordination/messages/membership.py
@@ -6,7 +6,7 @@
 
 
 class Join(Message, frozen=True, tag="join"):
-    """A member tells that it is there; ``leaving`` where it is about to stop."""
+    """A member announces itself; ``node``: its machine's name; ``leaving``: it is to stop."""
 
     member: str
     node: str
@@ -14,13 +14,13 @@
 
 
 class LeaveApproved(Message, frozen=True, tag="released"):
-    """The primary of that epoch tells a leaving member that nothing depends on it any more."""
+    """The primary of that epoch approves a leave: nothing depends on the member any more."""
 
     epoch: int
 
 
 class Redirect(Message, frozen=True, tag="redirect"):
-    """Who is primary as far as the sender knows; an empty address where it knows of none."""
+    """The primary's internal address as the sender knows it, empty where it knows of none."""
 
     primary: str
     epoch: int
