--- a/lynxscale/cli/__init__.py
+++ b/lynxscale/cli/__init__.py
@@ -12,6 +12,8 @@
 
 import click
 
+from lynxscale.cli.exceptions import FAILED, OutputClosedError
+
 GROUPS = {
     "cluster": "lynxscale.cli.cluster:group",
     "conf": "lynxscale.cli.conf:group",
@@ -23,23 +25,6 @@
     "run": "lynxscale.cli.run:command",
     "trace": "lynxscale.cli.trace:group",
 }
-FAILED, USAGE = 1, 2
-
-
-class Failed(click.ClickException):
-    """The command could not do its work; the text is for its user."""
-
-    exit_code = FAILED
-
-
-class Misused(click.ClickException):
-    """The words or the configuration are off."""
-
-    exit_code = USAGE
-
-
-class ReaderLeft(Exception):
-    """Who read our output wants no more of it."""
 
 
 class Lazy(click.Group):
@@ -58,7 +43,7 @@
         try:
             return super().invoke(ctx)
         except BrokenPipeError as error:
-            raise ReaderLeft from error  # before click makes a failure of it
+            raise OutputClosedError from error  # before click turns it into a failure
 
 
 def example(text: str) -> Any:
@@ -91,8 +76,8 @@
     except click.ClickException as error:
         error.show()
         code = error.exit_code
-    except (BrokenPipeError, ReaderLeft):
-        # Who read us has gone: nothing is wrong. Guards against a second error as the interpreter flushes.
+    except (BrokenPipeError, OutputClosedError):
+        # The reader has gone, which is no fault. Guards against a second error as the interpreter flushes.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = 0
     except KeyboardInterrupt:
@@ -104,7 +89,7 @@
         name = f"{error.filename}: " if error.filename else ""
         click.echo(f"Error: {name}{error.strerror or error}", err=True)
         code = FAILED
-    except Exception as error:  # a fault of ours, told plainly; with the variable set it shows where
+    except Exception as error:  # a fault of ours, reported in one line; with the variable set it shows where
         if os.environ.get("LYNXSCALE_DEBUG"):
             raise
         click.echo(
--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -9,8 +9,9 @@
 import click
 import orjson
 
-from lynxscale.cli import FAILED, Failed, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import write_json, write_table
+from lynxscale.cli.exceptions import FAILED, CommandFailedError, InvalidUsageError
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.relay.conf.settings import Conf
 
@@ -28,14 +29,14 @@
     """Status and body of a call to an operators' door."""
     host, _, port = at.rpartition(":")
     if not (host and port.isdigit()):
-        raise Misused(f"{at}: want HOST:PORT, the admin-addr of a relay")
+        raise InvalidUsageError(f"{at}: want HOST:PORT, the admin-addr of a relay")
     connection = http.client.HTTPConnection(host, int(port), timeout=ANSWER_WITHIN)
     try:
         connection.request(method, path)
         answer = connection.getresponse()
         return answer.status, orjson.loads(answer.read())
     except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
-        raise Failed(f"{at}: no answer of a relay's door: {error}") from error
+        raise CommandFailedError(f"{at}: no answer of a relay's door: {error}") from error
     finally:
         connection.close()
 
@@ -47,14 +48,14 @@
 
     own = _read(conf)
     if own.cluster.name is None:
-        raise Failed(f"{conf}: it has no section cluster")
+        raise CommandFailedError(f"{conf}: it has no section cluster")
     path = Path(own.relay.state) / FOLDER / STATUS
     try:
         return orjson.loads(path.read_bytes())
     except FileNotFoundError as error:
-        raise Failed(f"{path}: not there; has this relay run, and is this its folder?") from error
+        raise CommandFailedError(f"{path}: not there; has this relay run, and is this its folder?") from error
     except ValueError as error:
-        raise Failed(f"{path}: not a status: {error}") from error
+        raise CommandFailedError(f"{path}: not a status: {error}") from error
 
 
 def _read(path: str) -> Conf:
@@ -63,7 +64,7 @@
     try:
         return read(path)
     except ConfigurationError as error:
-        raise Misused(str(error)) from error
+        raise InvalidUsageError(str(error)) from error
 
 
 def _rows(status: dict) -> list[list[Any]]:
@@ -136,7 +137,7 @@
     import time
 
     if bool(conf) == bool(at):
-        raise Misused("want --conf FILE, or --at HOST:PORT once or more")
+        raise InvalidUsageError("want --conf FILE, or --at HOST:PORT once or more")
     told: list[dict] = []
     silent: list[str] = []
     if conf:
@@ -145,7 +146,7 @@
     for one in at:
         try:
             code, answer = _call(one, "GET", "/admin/cluster")
-        except Failed as error:
+        except CommandFailedError as error:
             silent.append(error.message)
             continue
         if code != 200:
@@ -263,7 +264,7 @@
     read = [(path, _read(path)) for path in files]
     without = [path for path, conf in read if conf.cluster.name is None]
     if without:
-        raise Failed("\n".join(f"{path}: no section cluster" for path in without))
+        raise CommandFailedError("\n".join(f"{path}: no section cluster" for path in without))
     found = _differing(read)
     for fault in found:
         click.echo(str(fault), err=True)
@@ -288,7 +289,7 @@
     """
     code, told = _call(at, "GET", "/admin/cluster")
     if code != 200:
-        raise Failed(f"{at}: {told.get('said', code)}")
+        raise CommandFailedError(f"{at}: {told.get('said', code)}")
     view = told["view"]
     row = next((row for row in told["nodes"] if row["name"] == name), None)
     listed = view is not None and name in [one["name"] for one in view["members"]]
@@ -299,8 +300,8 @@
         "line out of the files afterwards."
     )
     if not yes and not click.confirm(f"Forget {name}?"):
-        raise Failed("nothing done")
+        raise CommandFailedError("nothing done")
     code, said = _call(at, "POST", f"/admin/cluster/forget?name={name}")
     if code != 200:
-        raise Failed(f"{at}: {said['said']}")
+        raise CommandFailedError(f"{at}: {said['said']}")
     click.echo(said["said"])
--- a/lynxscale/cli/common.py
+++ b/lynxscale/cli/common.py
@@ -11,7 +11,7 @@
 import click
 import orjson
 
-from lynxscale.cli import Failed, Misused
+from lynxscale.cli.exceptions import CommandFailedError, InvalidUsageError
 
 EVERY = 0.2  # seconds between two lines of progress
 
@@ -55,12 +55,12 @@
         if path.is_dir():
             inside = sorted(path.glob("*.lxt"))
             if not inside:
-                raise Failed(f"{name}: no *.lxt file is in this folder")
+                raise CommandFailedError(f"{name}: no *.lxt file is in this folder")
             found += inside
         elif path.exists():
             found.append(path)
         else:
-            raise Failed(f"{name}: no such file or folder")
+            raise CommandFailedError(f"{name}: no such file or folder")
     return found
 
 
@@ -68,9 +68,9 @@
     """Where a tool writes: not over what it reads, and in a folder that is there."""
     path = Path(name)
     if not path.parent.is_dir():
-        raise Misused(f"{name}: no such folder: {path.parent}")
+        raise InvalidUsageError(f"{name}: no such folder: {path.parent}")
     if path.exists() and any(path.samefile(one) for one in inputs):
-        raise Misused(f"{name}: want another file than those that are read")
+        raise InvalidUsageError(f"{name}: want another file than those that are read")
     return path
 
 
--- a/lynxscale/cli/conf.py
+++ b/lynxscale/cli/conf.py
@@ -8,7 +8,8 @@
 import click
 import orjson
 
-from lynxscale.cli import USAGE, Misused, example
+from lynxscale.cli import example
+from lynxscale.cli.exceptions import USAGE, InvalidUsageError
 from lynxscale.relay.conf import reader
 from lynxscale.relay.conf.directive import field_of
 from lynxscale.relay.conf.settings import Conf
@@ -23,7 +24,7 @@
     try:
         return reader.from_environment(path=given)
     except reader.ConfigurationError as error:
-        raise Misused("\n" + str(error)) from error
+        raise InvalidUsageError("\n" + str(error)) from error
 
 
 @example("lynxscale conf check deploy/lynxscale.conf")
@@ -41,7 +42,7 @@
     """Check FILE (else the one that LYNXSCALE_CONF names); exit code 2 with every fault it has."""
     path = _path(file)
     if path is None:
-        raise Misused(f"want a file, or {reader.VARIABLE} set")
+        raise InvalidUsageError(f"want a file, or {reader.VARIABLE} set")
     faults = []
     try:
         reader.read(path)
--- a/lynxscale/cli/demo.py
+++ b/lynxscale/cli/demo.py
@@ -4,8 +4,9 @@
 
 import click
 
-from lynxscale.cli import FAILED, example
+from lynxscale.cli import example
 from lynxscale.cli.common import write_json, write_table
+from lynxscale.cli.exceptions import FAILED
 
 COLUMNS = ("handed in", "rejected", "taken", "delivered", "deferred", "undeliverable", "lost", "twice")
 
--- a/lynxscale/cli/fleet.py
+++ b/lynxscale/cli/fleet.py
@@ -8,8 +8,9 @@
 
 import click
 
-from lynxscale.cli import Failed, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import write_json, write_table
+from lynxscale.cli.exceptions import CommandFailedError, InvalidUsageError
 
 if TYPE_CHECKING:
     from lynxscale.relay.fleet.lines import Line, UnreadableLines
@@ -63,7 +64,7 @@
     try:
         paths = log_files(names)
     except FileNotFoundError as error:
-        raise Failed(str(error)) from error
+        raise CommandFailedError(str(error)) from error
     return heapq.merge(
         *(sorted(read(path, unread), key=lambda line: line.at) for path in paths), key=lambda line: line.at
     )
@@ -94,7 +95,7 @@
     except ValueError:
         span = 0.0
     if span < 0.1:
-        raise Misused(f"--every: want a time of 100ms or more, such as 5s, not {every}")
+        raise InvalidUsageError(f"--every: want a time of 100ms or more, such as 5s, not {every}")
     unread, found = UnreadableLines(), FleetReport(span)
     found.take(_lines(paths, unread))
     for name in unread.named:
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -16,8 +16,9 @@
 import click
 import orjson
 
-from lynxscale.cli import FAILED, Failed, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import write_json, write_table
+from lynxscale.cli.exceptions import FAILED, CommandFailedError, InvalidUsageError
 
 if TYPE_CHECKING:
     from lynxscale.relay.journal import Entry, Journal
@@ -45,7 +46,7 @@
 
     folder = _folder(state)
     if not folder.is_dir():
-        raise Failed(f"{folder}: no such folder: want the state folder of a relay")
+        raise CommandFailedError(f"{folder}: no such folder: want the state folder of a relay")
     storage = FolderStorage(folder)
     names = storage.names()
     try:
@@ -59,7 +60,7 @@
         }
         return manifest, recover(manifest, segments), {number: len(data) for number, data in segments.items()}
     except JournalFormatError as error:
-        raise Failed(f"{folder}: {error}") from error
+        raise CommandFailedError(f"{folder}: {error}") from error
 
 
 def _when(unix: int) -> str:
@@ -184,14 +185,14 @@
     try:
         budget = amount(disk, SIZES)
     except ValueError:
-        raise Misused(f"--disk {disk}: want a size such as 3m") from None
+        raise InvalidUsageError(f"--disk {disk}: want a size such as 3m") from None
     journal = Journal(FolderStorage(_folder(state)), budget, lambda: time.time_ns() // 1000)
     try:
         journal.open(older)
     except BlockingIOError:
-        raise Failed(f"{state}: a relay is running on this journal: stop it first") from None
+        raise CommandFailedError(f"{state}: a relay is running on this journal: stop it first") from None
     except (JournalFullError, JournalFormatError) as error:
-        raise Failed(f"{state}: {error}") from error
+        raise CommandFailedError(f"{state}: {error}") from error
     return journal
 
 
@@ -269,7 +270,7 @@
                 )
             )
         except (ValueError, AttributeError) as error:
-            raise Failed(f"{path}:{number}: want a line of `journal export`: {error}") from None
+            raise CommandFailedError(f"{path}:{number}: want a line of `journal export`: {error}") from None
     return found
 
 
@@ -302,7 +303,7 @@
     """Copy what can be read of STATE's journal into the new state folder NEW; what is in doubt counts as one that may
     have run. STATE is left as it is."""
     if (Path(new) / "segments").exists():
-        raise Failed(f"{new}: want a folder without a journal")
+        raise CommandFailedError(f"{new}: want a folder without a journal")
     _manifest, found, _sizes = _recovered(state)
     journal = _open(new, disk, list(found.entries.values()))
     journal.close()
@@ -324,7 +325,7 @@
     try:
         journal.compact()
     except JournalFullError as error:
-        raise Failed(f"{state}: {error}") from error
+        raise CommandFailedError(f"{state}: {error}") from error
     finally:
         journal.close()
     _manifest, _found, after = _recovered(state)
--- a/lynxscale/cli/lab.py
+++ b/lynxscale/cli/lab.py
@@ -4,8 +4,9 @@
 
 import click
 
-from lynxscale.cli import FAILED, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import write_json, write_table
+from lynxscale.cli.exceptions import FAILED, InvalidUsageError
 
 STANDINGS = ("member", "cut_off", "joining", "forming")
 
@@ -56,7 +57,7 @@
 
     chosen = tuple(kinds.split(",")) if kinds else ALL
     if unknown := set(chosen) - set(ALL):
-        raise Misused(f"--kinds: no such kind: {', '.join(sorted(unknown))}; want some of {', '.join(ALL)}")
+        raise InvalidUsageError(f"--kinds: no such kind: {', '.join(sorted(unknown))}; want some of {', '.join(ALL)}")
     faults = draw(seed, [f"r{place + 1}" for place in range(nodes)], minutes * 60, at_once, chosen)
     if keep:
         Path(keep).mkdir(parents=True, exist_ok=True)
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -10,8 +10,9 @@
 
 import click
 
-from lynxscale.cli import FAILED, Failed, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import write_json, write_table
+from lynxscale.cli.exceptions import FAILED, CommandFailedError, InvalidUsageError
 
 if TYPE_CHECKING:
     from lynxscale.relay.conf.settings import Conf
@@ -34,7 +35,7 @@
     try:
         return reader.from_environment(path=path)
     except reader.ConfigurationError as error:
-        raise Misused("\n" + str(error)) from error
+        raise InvalidUsageError("\n" + str(error)) from error
 
 
 def _read(path: str, conf: Conf) -> Reading:
@@ -43,7 +44,7 @@
 
     seen = file_scan.view_file(path)
     if seen.what != file_scan.BYTES:
-        raise Failed(f"{path}: {seen.reason}")
+        raise CommandFailedError(f"{path}: {seen.reason}")
     return run_to_end(files.read(seen.data, path, _rules(conf), digest=seen.digest))
 
 
@@ -54,12 +55,12 @@
 
 
 def _candidate(path: str, conf: Conf) -> CandidateList:
-    """A file's list; Failed with its faults where it has any."""
+    """A file's list; CommandFailedError with its faults where it has any."""
     reading = _read(path, conf)
     if not reading.complete:
-        raise Failed(f"{path}: half-written: want a closing line, end COUNT, as its last")
+        raise CommandFailedError(f"{path}: half-written: want a closing line, end COUNT, as its last")
     if reading.candidate is None:
-        raise Failed("\n".join(map(str, reading.faults)))
+        raise CommandFailedError("\n".join(map(str, reading.faults)))
     return reading.candidate
 
 
@@ -68,7 +69,7 @@
 
     folder = Path(state or conf.relay.state)
     if not folder.is_dir():
-        raise Failed(f"{folder}: no such state folder")
+        raise CommandFailedError(f"{folder}: no such state folder")
     return ListStore(folder)
 
 
@@ -294,7 +295,7 @@
     found = [one for one in held if one.startswith(digest.lower())]
     if len(digest) < 8 or len(found) != 1:
         waiting = ", ".join(one[:16] for one in held) or "none"
-        raise Failed(f"{digest}: want 8 digits or more of one version that waits; waiting: {waiting}")
+        raise CommandFailedError(f"{digest}: want 8 digits or more of one version that waits; waiting: {waiting}")
     try:
         by = getpass.getuser()
     except (KeyError, OSError):  # no such user in the system's table
@@ -350,7 +351,7 @@
         try:
             entries[id_] = entries[_known(entries, id_)]._replace(weight=float(text))
         except ValueError:
-            raise Misused(f"{pair}: want ID=CALLS, calls a second as a number") from None
+            raise InvalidUsageError(f"{pair}: want ID=CALLS, calls a second as a number") from None
     told = [one for one in destinations.values() if one.rate is not None or one.kind is not None]
     data = files.write(entries.values(), 1 if generation is None else generation, told)
     if added:
@@ -360,7 +361,7 @@
     rules = _rules(conf)
     reading = run_to_end(files.read(data, output or "list", rules))
     if reading.candidate is None:
-        raise Failed("\n".join(map(str, reading.faults)))
+        raise CommandFailedError("\n".join(map(str, reading.faults)))
     data = files.write(reading.candidate.entries.values(), reading.candidate.version, told)
     if output is None:
         click.echo(data.decode(), nl=False)
@@ -373,5 +374,5 @@
 
 def _known(entries: dict[str, Endpoint], id_: str) -> str:
     if id_ not in entries:
-        raise Misused(f"{id_}: no such endpoint in the list")
+        raise InvalidUsageError(f"{id_}: no such endpoint in the list")
     return id_
--- a/lynxscale/cli/trace/replay.py
+++ b/lynxscale/cli/trace/replay.py
@@ -7,12 +7,13 @@
 
 import click
 
-from lynxscale.cli import FAILED, Failed, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import (
     Losses,
     progress,
     write_json,
 )
+from lynxscale.cli.exceptions import FAILED, CommandFailedError, InvalidUsageError
 from lynxscale.cli.trace.shared import checked, files, group, to_json
 from lynxscale.trace.merge import Merge
 from lynxscale.trace.view import iso
@@ -41,7 +42,7 @@
     try:
         played = play(progress(Merge(checked(files), Losses()), "replaying"), make, strict=not module)
     except NotReplayable as error:
-        raise Failed(str(error)) from error
+        raise CommandFailedError(str(error)) from error
     different = any(one.difference for one in played)
     if as_json:
         write_json([one.table() for one in played])
@@ -57,13 +58,15 @@
 
     spec = importlib.util.spec_from_file_location("replayed_module", path)
     if spec is None or spec.loader is None or not Path(path).is_file():
-        raise Misused(f"{path}: want a Python file")
+        raise InvalidUsageError(f"{path}: want a Python file")
     found = importlib.util.module_from_spec(spec)
     try:
         spec.loader.exec_module(found)
         return getattr(found, "Scheduler", None) or found.Sender  # the class's name in earlier versions
     except Exception as error:
-        raise Misused(f"{path}: cannot be loaded as a decision module: {type(error).__name__}: {error}") from error
+        raise InvalidUsageError(
+            f"{path}: cannot be loaded as a decision module: {type(error).__name__}: {error}"
+        ) from error
 
 
 def _tell_replay(one: Any, module: str | None, policy: str) -> None:
--- a/lynxscale/cli/trace/shared.py
+++ b/lynxscale/cli/trace/shared.py
@@ -9,11 +9,12 @@
 
 import click
 
-from lynxscale.cli import Failed, example
+from lynxscale.cli import example
 from lynxscale.cli.common import (
     progress,
     trace_files,
 )
+from lynxscale.cli.exceptions import CommandFailedError
 from lynxscale.trace.merge import Merge
 from lynxscale.trace.reader import NotATrace, Reader
 from lynxscale.trace.select import TooMany, Wanted, gather, unix_from
@@ -26,9 +27,9 @@
         try:
             return super().invoke(ctx)
         except NotATrace as error:
-            raise Failed(str(error)) from error
+            raise CommandFailedError(str(error)) from error
         except TooMany as error:
-            raise Failed(str(error)) from error
+            raise CommandFailedError(str(error)) from error
 
 
 def open_reader(path: Path) -> Reader:
--- a/lynxscale/cli/trace/show.py
+++ b/lynxscale/cli/trace/show.py
@@ -9,7 +9,7 @@
 
 import click
 
-from lynxscale.cli import FAILED, Failed, Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import (
     Losses,
     progress,
@@ -18,6 +18,7 @@
     write_line,
     write_table,
 )
+from lynxscale.cli.exceptions import FAILED, CommandFailedError, InvalidUsageError
 from lynxscale.cli.trace.shared import (
     checked,
     files,
@@ -114,7 +115,7 @@
     wanted, paths = wanted_from(**words), checked(files)
     if following:
         if len(paths) != 1 or wanted.two_passes:
-            raise Misused("--follow wants one file, and neither --endpoint nor --outcome")
+            raise InvalidUsageError("--follow wants one file, and neither --endpoint nor --outcome")
 
         def wait() -> None:
             sys.stdout.flush()
@@ -146,7 +147,7 @@
         if any(message_of(*record) for record in part.records)
     ]
     if not found:
-        raise Failed(f"{id}: no record of this message is in the files")
+        raise CommandFailedError(f"{id}: no record of this message is in the files")
     zero = found[0].unix
     if as_json:
         write_json([row for part in found for row in objects(part) if row.get("id") == id])
@@ -171,13 +172,13 @@
 
     columns = tuple(name for name in by.split(",") if name)
     if not set(columns) <= set(BY):
-        raise Misused(f"--by: want some of {', '.join(BY)}, not {by}")
+        raise InvalidUsageError(f"--by: want some of {', '.join(BY)}, not {by}")
     try:
         span = amount(window, TIMES) if window else 0
     except ValueError as error:
-        raise Misused(f"--window: want a time such as 10s, not {window}") from error
+        raise InvalidUsageError(f"--window: want a time such as 10s, not {window}") from error
     if plot is not None and Path(plot).suffix not in (".png", ".svg"):
-        raise Misused(f"--plot: want a .png or .svg file, not {plot}")
+        raise InvalidUsageError(f"--plot: want a .png or .svg file, not {plot}")
     paths = checked(files)
     wanted = gathered(wanted_from(**words), paths)
     summary = Summariser(columns, span, wanted)
@@ -185,7 +186,7 @@
         for frame in progress(frames_of(paths, wanted, Losses()), "summarising"):
             summary.add(frame)
     except TooManyRows as error:
-        raise Misused(str(error)) from error
+        raise InvalidUsageError(str(error)) from error
     rows = [row.table(summary.columns) for row in summary.rows()]
     if plot is not None:
         _plot(Path(plot), rows, summary.columns)
@@ -232,7 +233,7 @@
     try:
         from lynxscale.trace.plot import page
     except ImportError as error:
-        raise Misused("--plot: want the plots extra: pip install 'lynxscale[plots]'") from error
+        raise InvalidUsageError("--plot: want the plots extra: pip install 'lynxscale[plots]'") from error
     page(path, rows, columns)
 
 
--- a/lynxscale/cli/trace/write.py
+++ b/lynxscale/cli/trace/write.py
@@ -6,12 +6,13 @@
 
 import click
 
-from lynxscale.cli import Misused, example
+from lynxscale.cli import example
 from lynxscale.cli.common import (
     Losses,
     output_file,
     progress,
 )
+from lynxscale.cli.exceptions import InvalidUsageError
 from lynxscale.cli.trace.shared import (
     checked,
     files,
@@ -24,6 +25,7 @@
     wanted_from,
 )
 from lynxscale.trace import anonymise as anon
+from lynxscale.trace.exceptions import InvalidKeyError
 from lynxscale.trace.merge import Merge
 from lynxscale.trace.select import kept
 from lynxscale.trace.writer import Output
@@ -76,8 +78,8 @@
     """
     try:
         key = anon.read_key(key_file)
-    except anon.BadKey as error:
-        raise Misused(str(error)) from error
+    except InvalidKeyError as error:
+        raise InvalidUsageError(str(error)) from error
     paths = checked(files)
     target, losses = output_file(output, paths), Losses()
     names = anon.Anonymiser(key)
@@ -119,7 +121,7 @@
         losses = Losses()
         with open_reader(path) as reader:
             if reader.head.major == 1:
-                raise Misused(f"{path}: version 1 has no index: convert it")
+                raise InvalidUsageError(f"{path}: version 1 has no index: convert it")
             if reader.index() is not None:
                 click.echo(f"{path}: has its index")
                 continue
--- a/lynxscale/trace/anonymise.py
+++ b/lynxscale/trace/anonymise.py
@@ -15,24 +15,21 @@
 import orjson
 
 from lynxscale.trace import records as r
+from lynxscale.trace.exceptions import InvalidKeyError
 from lynxscale.trace.frames import Frame
 
 KEY_LEAST = 16  # bytes: guards against a key that could be guessed
 CACHE_MOST = 1 << 16
 
 
-class BadKey(Exception):
-    """The key file is not of use."""
-
-
 def read_key(path: str | Path) -> bytes:
     """A key: the file's bytes, without white space round them.
 
-    Raises BadKey, OSError.
+    Raises InvalidKeyError, OSError.
     """
     key = Path(path).read_bytes().strip()
     if len(key) < KEY_LEAST:
-        raise BadKey(f"{path}: want a key of at least {KEY_LEAST} bytes, not {len(key)}")
+        raise InvalidKeyError(f"{path}: want a key of at least {KEY_LEAST} bytes, not {len(key)}")
     return key
 
 
--- a/lynxscale/trace/fields.py
+++ b/lynxscale/trace/fields.py
@@ -1,22 +1,20 @@
 """The fields that records are made of, as bytes: docs/design/trace.md, "Fields".
 
 Numbers are LEB128 varints, seven bits a byte, the least first; signed ones are zigzag coded (as in Protocol Buffers'
-encoding guide). ``Cut`` is raised where the bytes end inside a field or a field is out of its bounds.
+encoding guide). ``MalformedDataError`` is raised where the bytes end inside a field or a field is out of its bounds.
 """
 
 from __future__ import annotations
 
 import struct
 
+from lynxscale.trace.exceptions import MalformedDataError
+
 F64 = struct.Struct("<d")
 TEXT_MOST = 1 << 24
 VARINT_MOST = 10  # bytes of one number: 64 bits and more, guards against a run of set bits
 
 
-class Cut(ValueError):
-    """These bytes are no field."""
-
-
 def put_uint(out: bytearray, value: int) -> None:
     if value < 0x4000:
         if value > 0x7F:
@@ -51,8 +49,8 @@
                 return value, behind + 1
             shift += 7
     except IndexError:
-        raise Cut("a number is cut short") from None
-    raise Cut("a number is too long")
+        raise MalformedDataError("a number is cut short") from None
+    raise MalformedDataError("a number is too long")
 
 
 def put_int(out: bytearray, value: int) -> None:
@@ -85,11 +83,11 @@
     packed, size = size & 1, size >> 1
     raw = data[at : at + size]
     if size > TEXT_MOST or len(raw) < size:
-        raise Cut("a text is cut short")
+        raise MalformedDataError("a text is cut short")
     try:
         return (raw.hex() if packed else raw.decode("utf-8", "surrogatepass")), at + size
     except UnicodeDecodeError:
-        raise Cut("a text is not UTF-8") from None
+        raise MalformedDataError("a text is not UTF-8") from None
 
 
 def put_float(out: bytearray, value: float) -> None:
@@ -100,7 +98,7 @@
     try:
         return F64.unpack_from(data, at)[0], at + 8
     except struct.error:
-        raise Cut("a number is cut short") from None
+        raise MalformedDataError("a number is cut short") from None
 
 
 def put_ms(out: bytearray, value: float, zero: int = 0) -> None:
--- a/lynxscale/trace/frames.py
+++ b/lynxscale/trace/frames.py
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from lynxscale.trace import records as r
+from lynxscale.trace.exceptions import MalformedDataError
 from lynxscale.trace.fields import (
-    Cut,
     get_float,
     get_int,
     get_ms,
@@ -229,7 +229,7 @@
     def frame(self, payload: bytes, base_time: int = 0, base_seq: int = 0) -> Frame:
         """The frame in these bytes.
 
-        Raises Cut where they are none.
+        Raises MalformedDataError where they are none.
         """
         source, self._time, seq, at = self.head(payload, base_time, base_seq)
         names = self._names = self._tables.setdefault(source, {table: {} for table in range(-1, len(r.TABLES))})
@@ -246,15 +246,15 @@
             length, at = get_uint(payload, at)
             end = at + length
             if end > size:
-                raise Cut("a record is cut short")
+                raise MalformedDataError("a record is cut short")
             get = GET_RECORD.get(number)
             if get is not None:
                 try:
                     values, at = get(payload, at, end, names, time)
                 except IndexError:
-                    raise Cut("a record is cut short") from None
+                    raise MalformedDataError("a record is cut short") from None
                 if at > end:
-                    raise Cut("a record's fields are longer than it is")
+                    raise MalformedDataError("a record's fields are longer than it is")
                 if at < end:
                     values.append(payload[at:end])
                 found.append((number, values))
@@ -269,7 +269,7 @@
                 found.append((number, payload[at:end]))
             at = end
         if source not in names[r.SOURCE]:
-            raise Cut("its relay is not named, as what was before it is damaged")
+            raise MalformedDataError("its relay is not named, as what was before it is damaged")
         origin = names[r.SOURCE][source][1]
         kept = {table: dict(rows) for table, rows in names.items() if table != r.SOURCE} if strange else None
         return Frame(origin, self._time, seq, self._anchors.get(source), found, kept)
@@ -295,11 +295,11 @@
 
 def _get_floats(data: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
     if count > FLOATS_MOST:
-        raise Cut("too many numbers")
+        raise MalformedDataError("too many numbers")
     try:
         return struct.unpack_from(f"<{count}d", data, at), at + 8 * count
     except struct.error:
-        raise Cut("a number is cut short") from None
+        raise MalformedDataError("a number is cut short") from None
 
 
 def _get_members(data: bytes, at: int, names: dict[int, dict[int, Any]]) -> tuple[list[r.Member], int]:
--- a/lynxscale/trace/head.py
+++ b/lynxscale/trace/head.py
@@ -8,7 +8,8 @@
 
 from crc32c import crc32c
 
-from lynxscale.trace.fields import Cut, get_text, get_uint, put_text, put_uint
+from lynxscale.trace.exceptions import MalformedDataError
+from lynxscale.trace.fields import get_text, get_uint, put_text, put_uint
 from lynxscale.trace.frames import FRAME_MOST
 
 MAGIC = b"\x89LXT\r\n\x1a\n"  # as PNG's: a file that went through text conversions shows it
@@ -62,7 +63,7 @@
     try:
         created, at = get_uint(data, FIXED.size)
         writer, _at = get_text(data, at)
-    except Cut as error:
+    except MalformedDataError as error:
         raise NotATrace("its head is damaged") from error
     return Head(major, minor, created, writer, end + CRC.size)
 
--- a/lynxscale/trace/reader.py
+++ b/lynxscale/trace/reader.py
@@ -12,7 +12,7 @@
 
 from lynxscale.trace import head as h
 from lynxscale.trace import v2
-from lynxscale.trace.fields import Cut
+from lynxscale.trace.exceptions import MalformedDataError
 from lynxscale.trace.frames import FRAME_MOST, Decoder, Frame
 from lynxscale.trace.head import NotATrace
 
@@ -144,7 +144,7 @@
                 continue
             try:
                 yield decoder.frame(payload, base_time, base_seq)
-            except Cut as error:
+            except MalformedDataError as error:
                 self._lose(at + whole, h.FRAME.size + len(payload), str(error))
             whole += h.FRAME.size + len(payload)
 
@@ -172,7 +172,7 @@
             return None
         try:
             return v2.IndexReader(self._file, offset)
-        except Cut:
+        except MalformedDataError:
             return None
 
     def _frames2(self, select: Select | None, id_: str | None) -> Iterator[Frame]:
@@ -207,18 +207,18 @@
             data = os.pread(self._file.fileno(), head.summary, at)
             try:
                 if v2.crc32c(data) != head.summary_checksum:
-                    raise Cut("its summary's checksum is wrong")
+                    raise MalformedDataError("its summary's checksum is wrong")
                 summary = v2.read_summary(data)
                 if (select is not None and not select(summary)) or (id_ is not None and not summary.may_hold_id(id_)):
                     return
-            except Cut:
+            except MalformedDataError:
                 pass  # it is read, as it may hold anything
         stored = os.pread(self._file.fileno(), head.stored, at + head.summary)
         decoder = Decoder()
         try:
             for payload in v2.payloads_in(head, stored):
                 yield decoder.frame(payload, head.base_time, head.base_seq)
-        except Cut as error:
+        except MalformedDataError as error:
             torn = len(stored) < head.stored
             span = self._span(head, at) or (known and (known.first, known.last))
             self._lose(
--- a/lynxscale/trace/v2.py
+++ b/lynxscale/trace/v2.py
@@ -17,7 +17,8 @@
 import zstandard
 from crc32c import crc32c
 
-from lynxscale.trace.fields import Cut, get_int, get_text, get_uint, put_int, put_text, put_uint
+from lynxscale.trace.exceptions import MalformedDataError
+from lynxscale.trace.fields import get_int, get_text, get_uint, put_int, put_text, put_uint
 from lynxscale.trace.frames import Encoder, Frame
 from lynxscale.trace.records import Msg
 
@@ -108,7 +109,7 @@
 def read_summary(data: bytes) -> Summary:
     """The summary in these bytes; fields behind the known ones are passed over.
 
-    Raises Cut where they are none.
+    Raises MalformedDataError where they are none.
     """
     one = Summary()
     one.frames, at = get_uint(data, 0)
@@ -132,7 +133,7 @@
     count, at = get_uint(data, at)
     raw = data[at : at + 2 * count]
     if len(raw) < 2 * count:
-        raise Cut("a summary is cut short")
+        raise MalformedDataError("a summary is cut short")
     one.ids = set(_little(array("H", raw)))
     return one
 
@@ -267,24 +268,24 @@
 def payloads_in(head: BlockHead, stored: bytes) -> Iterator[bytes]:
     """The payloads of a sealed block.
 
-    Raises Cut where what is stored is not what its head says.
+    Raises MalformedDataError where what is stored is not what its head says.
     """
     if crc32c(stored) != head.checksum or len(stored) != head.stored:
-        raise Cut("its checksum is wrong")
+        raise MalformedDataError("its checksum is wrong")
     if head.state == ZSTD:
         try:
             raw = zstandard.ZstdDecompressor().decompress(stored, max_output_size=head.raw)
         except zstandard.ZstdError as error:
-            raise Cut("it cannot be decompressed") from error
+            raise MalformedDataError("it cannot be decompressed") from error
     else:
         raw = stored
     if len(raw) != head.raw:
-        raise Cut("its length is wrong")
+        raise MalformedDataError("its length is wrong")
     at = 0
     while at < len(raw):
         size, at = get_uint(raw, at)
         if at + size > len(raw):
-            raise Cut("a frame is cut short")
+            raise MalformedDataError("a frame is cut short")
         yield raw[at : at + size]
         at += size
 
@@ -353,25 +354,25 @@
 class IndexReader:
     """The index at an offset of an open file, read as it is used.
 
-    Raises Cut where no whole one stands there.
+    Raises MalformedDataError where no whole one stands there.
     """
 
     def __init__(self, file: BinaryIO, offset: int) -> None:
         file.seek(offset)
         head = file.read(INDEX.size)
         if len(head) < INDEX.size or head[:8] != INDEX_MARK:
-            raise Cut("no index stands there")
+            raise MalformedDataError("no index stands there")
         _mark, self.count, self._left, checksum = INDEX.unpack(head)
         self._file, self._start = file, offset + INDEX.size
         found, left = crc32c(head[:-CRC_BYTES]), self._left
         while left:
             data = file.read(min(left, INDEX_CHUNK))
             if not data:
-                raise Cut("the index is cut short")
+                raise MalformedDataError("the index is cut short")
             found = crc32c(data, found)
             left -= len(data)
         if found != checksum:
-            raise Cut("the index's checksum is wrong")
+            raise MalformedDataError("the index's checksum is wrong")
 
     def __iter__(self) -> Iterator[Place]:
         chunks, buffer = self._raw(), bytearray()
@@ -379,7 +380,7 @@
             while (size := _row_size(buffer)) is None:
                 chunk = next(chunks, b"")
                 if not chunk:
-                    raise Cut("the index is cut short")
+                    raise MalformedDataError("the index is cut short")
                 buffer += chunk
             row = bytes(buffer[size[0] : size[1]])
             del buffer[: size[1]]
@@ -398,13 +399,13 @@
             try:
                 yield stream.decompress(data)
             except zstandard.ZstdError as error:
-                raise Cut("the index cannot be decompressed") from error
+                raise MalformedDataError("the index cannot be decompressed") from error
 
 
 def _row_size(buffer: bytearray) -> tuple[int, int] | None:
     """Where the buffer's first row begins and ends; None where it is not whole."""
     try:
         size, at = get_uint(buffer, 0)
-    except Cut:
+    except MalformedDataError:
         return None
     return (at, at + size) if len(buffer) >= at + size else None
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -11,7 +11,8 @@
 from lynxscale.trace import head as h
 from lynxscale.trace import records as r
 from lynxscale.trace import rotation, v2
-from lynxscale.trace.fields import Cut, get_ms, get_text, get_uint, put_ms, put_text, put_uint
+from lynxscale.trace.exceptions import MalformedDataError
+from lynxscale.trace.fields import get_ms, get_text, get_uint, put_ms, put_text, put_uint
 from lynxscale.trace.frames import Decoder, Encoder, Frame
 from lynxscale.trace.reader import NotATrace, Reader
 from tests import traces
@@ -84,9 +85,9 @@
 
 def test_what_is_no_field_is_refused():
     for data in (b"", b"\x80", b"\xff" * 11):
-        with pytest.raises(Cut):
+        with pytest.raises(MalformedDataError):
             get_uint(data, 0)
-    with pytest.raises(Cut):
+    with pytest.raises(MalformedDataError):
         get_text(b"\x08ab", 0)
     with pytest.raises(ValueError):
         put_uint(bytearray(), -1)
