--- a/lynxscale/coordination/compaction.py
+++ b/lynxscale/coordination/compaction.py
@@ -49,7 +49,7 @@
         self._batch_files = self._batch_bytes = 0
 
     def compact_if_due(self, position: Position, table: KeyValueTable) -> None:
-        """Begin a snapshot of the state at a position if it is time. Raises OSError."""
+        """Begin a snapshot of the state at a position where a limit is exceeded. Raises OSError."""
         if self._snapshot.active or not self._due:
             return
         covered_files, covered_bytes = self._batch_files, self._batch_bytes
@@ -61,7 +61,7 @@
             self._batch_bytes -= covered_bytes
             self._not_before_files = 0
 
-        # Where it fails the batches are as good; each attempt costs as much as the state is large.
+        # A failed snapshot loses nothing, as the batches remain; each attempt writes the complete state.
         self._not_before_files = self._batch_files + RETRY_AFTER_FILES
         self._snapshot.start(self._versions.create_snapshot(position, puts_of(table)), compacted)
 
--- a/lynxscale/coordination/digest_history.py
+++ b/lynxscale/coordination/digest_history.py
@@ -4,7 +4,7 @@
 
 from lynxscale.coordination.messages import Position
 
-MAX_DIGESTS = 1024
+MAX_DIGESTS = 1024  # positions
 
 
 class DigestHistory:
@@ -24,5 +24,5 @@
         return self._checksums.get(position)
 
     def clear(self) -> None:
-        """Forget all: the state belongs to another history now."""
+        """Remove all checksums: the state has been replaced by another member's."""
         self._checksums.clear()
--- a/lynxscale/coordination/lease.py
+++ b/lynxscale/coordination/lease.py
@@ -8,7 +8,7 @@
 from lynxscale.coordination.ports import Clock
 from lynxscale.coordination.quorum import is_majority
 
-LEASE_S = 0.4
+LEASE_S = 0.4  # for which a grant binds its voter
 LEASE_MARGIN = 0.85  # the holder's share of a lease: its clock may run slower than the voters'
 ROUNDS_REMEMBERED = 16  # heartbeats whose grants are still counted
 NEVER = -1e9  # seconds: a time before all that happens
@@ -40,7 +40,7 @@
         self.discard_rounds()
 
     def discard_rounds(self) -> None:
-        """Grants of earlier heartbeats count no more: another epoch has begun."""
+        """Ignore grants of earlier heartbeats: another epoch has begun."""
         self._sent, self._granted = {}, {}
 
     def begin_round(self) -> int:
--- a/lynxscale/coordination/replica_progress.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -1,19 +1,19 @@
-"""How far one replica has come, as its primary sees it, and what is sent to it next.
+"""The progress of one replica, as its primary sees it, and what the primary sends it next.
 
 The states are those of etcd's raft (https://pkg.go.dev/go.etcd.io/raft/v3/tracker), with a snapshot in three steps:
 
 - PROBE: the replica has not reported its position yet. Nothing is sent.
-- REPLICATE: the batches in memory lead on from its position. They go out as they are made, within a window.
-- SNAPSHOT_PROBE: they do not, so it needs a snapshot, the complete state. It is asked how much of one it has already,
-  as a transfer goes on where it stopped after a lost connection or under another primary.
-- SNAPSHOT: the keys go out in order, in chunks, each acknowledged, with the batches that are made meanwhile between
+- REPLICATE: the batches in memory continue from its position. They are sent as they are made, within a window.
+- SNAPSHOT_PROBE: they do not, so it needs a snapshot, the complete state. It is probed for how much of one it has
+  already, as a transfer resumes where it stopped after a lost connection or under another primary.
+- SNAPSHOT: the keys are sent in order, in chunks, each acknowledged, with the batches that are made meanwhile between
   them. So a chunk is always the state at the position of the last batch sent.
 - INSTALLING: the replica has all chunks and makes the state durable.
 
 ::
 
     state           next            when
-    PROBE           REPLICATE       the batches in memory lead on from the position that it reports
+    PROBE           REPLICATE       the batches in memory continue from the position that it reports
                     SNAPSHOT_PROBE  they do not
     REPLICATE       SNAPSHOT_PROBE  they do so no longer, or its state differs (``repair``)
     SNAPSHOT_PROBE  SNAPSHOT        it reports what it has of a snapshot
@@ -21,7 +21,7 @@
     SNAPSHOT        INSTALLING      it acknowledges the final chunk
     INSTALLING      REPLICATE       it reports the snapshot's position
     any snapshot    SNAPSHOT_PROBE  no progress for too long, another epoch, or its state differs
-    any snapshot    REPLICATE       it reports a position from which the batches in memory lead on
+    any snapshot    REPLICATE       it reports a position from which the batches in memory continue
 
 ``TRANSITIONS`` is the table, ``ReplicaProgress._become`` the one place of change.
 """
@@ -113,7 +113,7 @@
         return self._repairing
 
     def begin(self, epoch: int) -> None:
-        """The primary goes on in another epoch: what was sent in an earlier one may be rejected."""
+        """Continue in another epoch of this primary: what was sent in an earlier one may be rejected."""
         self._epoch = epoch
         if self.state is ReplicaState.REPLICATE:
             self._rewind()
@@ -272,7 +272,7 @@
         self._network.send(self._address, SnapshotProbe(self._epoch, self._probe_id))
 
     def _become(self, state: ReplicaState) -> None:
-        """The one change of state. What is in flight belongs to the state that ends."""
+        """Change the state; no other method does. What is in flight belongs to the state that ends."""
         assert state in TRANSITIONS[self.state], (self.state, state)
         if state is not self.state:
             log.info("event=replica_state member=%s state=%s", self._member, state.value)
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -72,7 +72,7 @@
     # Membership --------------------------------------------------------------------------------------
 
     def begin(self, record: EpochRecord) -> None:
-        """Go on in a new epoch of this primary; the first one opens with an empty batch, so positions differ."""
+        """Continue in a new epoch of this primary; the first one opens with an empty batch, so positions differ."""
         first = self._record is None
         self._record = record
         self._required = set(record.in_sync)
@@ -151,7 +151,7 @@
         return {one for one in self._required if one != self.member and self.replicas[one].stored != position}
 
     def lagging(self) -> set[str]:
-        """Members that have delayed the batch in flight for too long, whether they are heard of or not."""
+        """Members that have delayed the batch in flight for too long, whether they are responsive or not."""
         if self._in_flight is None or self._clock.now() - self._in_flight.begun_at < ACK_TIMEOUT_S:
             return set()
         return self.awaited
--- a/lynxscale/coordination/send_window.py
+++ b/lynxscale/coordination/send_window.py
@@ -12,7 +12,7 @@
 
 from lynxscale.coordination.ports import Clock
 
-MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 16_000, 512_000  # unacknowledged; one batch or chunk goes in any case
+MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 16_000, 512_000  # unacknowledged; one batch or chunk is sent in any case
 SLOW_ACK_S = 0.12  # a slower acknowledgement shows a congested link: the window is halved
 RESEND_AFTER_S = 0.3  # without progress, and beyond the time that the link needs for what is in flight
 MIN_LINK_BYTES_PER_S = 200_000.0
@@ -67,7 +67,7 @@
         return RESEND_AFTER_S + self._bytes_in_flight / MIN_LINK_BYTES_PER_S
 
     def add(self, end: Ordered, size: int) -> None:
-        """Something of so many bytes was sent."""
+        """A batch or chunk of ``size`` bytes was sent."""
         self._in_flight.append(InFlight(end, size, self._clock.now()))
 
     def acknowledge(self, end: Ordered) -> bool:
@@ -79,7 +79,7 @@
         return acknowledged
 
     def clear(self) -> None:
-        """What is in flight counts no more."""
+        """Forget what is in flight."""
         self._in_flight.clear()
 
     @property
--- a/lynxscale/coordination/snapshot_stream.py
+++ b/lynxscale/coordination/snapshot_stream.py
@@ -52,14 +52,14 @@
         self._cursor = 0
 
     def resume(self, last_key: str) -> None:
-        """Go on behind a key, up to which the replica has received an earlier stream."""
+        """Continue behind a key, up to which the replica has received an earlier stream."""
         self._keys = sorted(self._store.values)
         self._cursor = bisect_right(self._keys, last_key)
         self.last_key = last_key
         self.finished = False
 
     def next_chunk(self, max_bytes: int) -> KeyRange:
-        """The next entries, of little more than so many bytes."""
+        """Return the next entries; the last one may exceed ``max_bytes``."""
         puts = self._take(min(MAX_CHUNK_BYTES, max_bytes))
         self.finished = self._cursor >= len(self._keys)
         after_key, self.last_key = self.last_key, END_KEY if self.finished else self._keys[self._cursor - 1]
--- a/lynxscale/coordination/snapshot_writer.py
+++ b/lynxscale/coordination/snapshot_writer.py
@@ -1,4 +1,4 @@
-"""Writing a snapshot, the complete state at one position, in steps so that nothing else waits for long.
+"""Writing a snapshot, the complete state at one position, in steps, so that no step blocks the event loop for long.
 
 A snapshot file is a sequence of netstrings of JSON, first the position, then arrays of puts, with their CRC-32 behind.
 """
@@ -18,7 +18,7 @@
 CHUNK_BYTES = 256 * 1024  # of keys and values, encoded and written in one step
 
 Defer = Callable[[Callable[[], None]], None]
-"""Makes a call once other work has had its turn."""
+"""Makes a call in a later iteration of the event loop."""
 
 
 def run_immediately(step: Callable[[], None]) -> None:
--- a/lynxscale/coordination/store.py
+++ b/lynxscale/coordination/store.py
@@ -26,7 +26,7 @@
 class Store:
     """State at ``position``. ``apply`` changes the memory, ``save`` makes the same batch durable, in either order.
 
-    ``defer`` makes a call once other work has had its turn: snapshots are written in steps.
+    ``defer`` makes a call in a later iteration of the event loop: snapshots are written in steps.
     """
 
     def __init__(self, files: Files, defer: Defer = run_immediately) -> None:
