--- a/lynxscale/dataplane/response_stream.py
+++ b/lynxscale/dataplane/response_stream.py
@@ -37,7 +37,7 @@
         return self.events.last_event_id if self.events.event_count else None
 
     def begin_attempt(self) -> None:
-        """Drop what the earlier attempt left incomplete."""
+        """Discard the earlier attempt's head, body and partial event."""
         self.status = 0
         self.streams = False
         self._head, self._body = NO_FIELDS, bytearray()
--- a/lynxscale/dataplane/slot_queue.py
+++ b/lynxscale/dataplane/slot_queue.py
@@ -9,7 +9,7 @@
 
 from lynxscale.coordination.ports import Clock, Timer
 
-POLL_INTERVAL_S = 0.05  # an endpoint's cooldown ends without a notification
+POLL_INTERVAL_S = 0.05  # as an endpoint's cooldown ends without a notification
 
 
 @frozen
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -31,7 +31,7 @@
         """The turn's tokens are reserved; ``history`` is what goes before its own input."""
 
     def on_turn_rejected(self, status: int) -> None:
-        """Not admitted: 402 or 404 where that is certain, else 503. Nothing stays reserved."""
+        """Not admitted: 402 or 404 where that is certain, else 503. No reservation remains."""
 
     def on_turn_committed(self) -> None:
         """The turn is durable."""
@@ -50,7 +50,7 @@
         self._histories = HistoryCache()
 
     def turn_of(self, request: Request, route: Route) -> Turn | None:
-        """The turn that a request is; None where it neither has a budget nor is retained."""
+        """The turn of a request, None where it has no budget and is not retained, or its route does not stream."""
         budget = request.head.number(headers.BUDGET)
         if not route.streaming or (budget is None and not route.retained):
             return None
