--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 lint: build
 	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
+	.venv/bin/mypy
 	$(PYTHON) .ci/deployment_names.py
 
 run: build
