--- a/lynxscale/__main__.py
+++ b/lynxscale/__main__.py
@@ -6,6 +6,7 @@
 
 
 def main() -> None:
+    """Run the relay without arguments, as the platform starts it, else the command that they name."""
     begun = time.monotonic_ns() // 1000
     if len(sys.argv) > 1:
         from lynxscale.cli import main as commands
