--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -39,8 +39,8 @@
 def _recovered(state: str) -> tuple[Manifest, RecoveryResult, dict[int, int]]:
     """The manifest, what a start would find, and the sizes of the segments."""
     from lynxscale.relay.exceptions import JournalFormatError
-    from lynxscale.relay.journal.layout import Manifest, segment_name
-    from lynxscale.relay.journal.manifest_store import load_manifest
+    from lynxscale.relay.journal.layout import Manifest
+    from lynxscale.relay.journal.manifest_store import load_manifest, read_segments
     from lynxscale.relay.journal.recovery import RecoveryResult, recover
     from lynxscale.relay.journal.storage import FolderStorage
 
@@ -53,11 +53,7 @@
         manifest = load_manifest(storage, names)
         if manifest is None:  # nothing was ever taken on
             return Manifest(0, ()), RecoveryResult(), {}
-        segments = {
-            row.number: storage.read(segment_name(row.number))
-            for row in manifest.rows
-            if segment_name(row.number) in names
-        }
+        segments = read_segments(storage, manifest, names)
         return manifest, recover(manifest, segments), {number: len(data) for number, data in segments.items()}
     except JournalFormatError as error:
         raise CommandFailedError(f"{folder}: {error}") from error
--- a/lynxscale/relay/journal/journal.py
+++ b/lynxscale/relay/journal/journal.py
@@ -28,7 +28,7 @@
     segment_name,
     segment_number,
 )
-from lynxscale.relay.journal.manifest_store import ManifestStore
+from lynxscale.relay.journal.manifest_store import ManifestStore, read_segments
 from lynxscale.relay.journal.records import (
     ATTEMPT,
     COMPLETED,
@@ -113,7 +113,7 @@
         names = self._storage.names()
         manifest = self._manifest.load(names)
         if manifest is not None:
-            self._restore(manifest, recover(manifest, self._read_segments(manifest, names)))
+            self._restore(manifest, recover(manifest, read_segments(self._storage, manifest, names)))
         self._remove_unlisted(names)
         numbers = [number for name in names if (number := segment_number(name)) is not None]
         self._next_segment = max([self._next_segment, *(number + 1 for number in numbers)])
@@ -124,13 +124,6 @@
         self._recovered_outcomes = {uid for uid, entry in self._entries.items() if entry.outcome is not None}
         return self.entries()
 
-    def _read_segments(self, manifest: Manifest, names: list[str]) -> dict[int, bytes]:
-        return {
-            row.number: self._storage.read(segment_name(row.number))
-            for row in manifest.rows
-            if segment_name(row.number) in names
-        }
-
     def _restore(self, manifest: Manifest, recovered: RecoveryResult) -> None:
         self._next_seq, self._next_segment = recovered.next_seq, recovered.next_number
         self.gaps, self._entries = recovered.gaps, recovered.entries
--- a/lynxscale/relay/journal/manifest_store.py
+++ b/lynxscale/relay/journal/manifest_store.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 
 from lynxscale.relay.exceptions import JournalFormatError, JournalVersionError
-from lynxscale.relay.journal.layout import Manifest, ManifestRow, decode_manifest, encode_manifest
+from lynxscale.relay.journal.layout import Manifest, ManifestRow, decode_manifest, encode_manifest, segment_name
 from lynxscale.relay.journal.storage import Storage
 
 SLOTS = ("manifest.0", "manifest.1")
@@ -35,6 +35,13 @@
     return max(manifests, default=None, key=lambda manifest: manifest.generation)
 
 
+def read_segments(storage: Storage, manifest: Manifest, names: list[str]) -> dict[int, bytes]:
+    """The bytes of a manifest's segments, by number; without those that are not among ``names``. Raises OSError."""
+    return {
+        row.number: storage.read(segment_name(row.number)) for row in manifest.rows if segment_name(row.number) in names
+    }
+
+
 class ManifestStore:
     """Reads and writes the manifest.
 
--- a/lynxscale/relay/upgrade/journal_folders.py
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -9,8 +9,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from lynxscale.relay.journal.layout import segment_name
-from lynxscale.relay.journal.manifest_store import load_manifest
+from lynxscale.relay.journal.manifest_store import load_manifest, read_segments
 from lynxscale.relay.journal.records import UID, Entry
 from lynxscale.relay.journal.recovery import Gap, recover
 from lynxscale.relay.journal.storage import FolderStorage
@@ -151,14 +150,7 @@
         manifest = load_manifest(self._storage, names)
         if manifest is None:
             return {}
-        found = recover(
-            manifest,
-            {
-                row.number: self._storage.read(segment_name(row.number))
-                for row in manifest.rows
-                if segment_name(row.number) in names
-            },
-        )
+        found = recover(manifest, read_segments(self._storage, manifest, names))
         self.gaps = found.gaps
         data = self._storage.read(TAKEN_FILE) if TAKEN_FILE in names else b""
         # A truncated number is of a message that the successor has and never sent: it knows it by its id.
