--- a/lynxscale/scheduling/admission.py
+++ b/lynxscale/scheduling/admission.py
@@ -19,12 +19,15 @@
 
 INF = math.inf
 TENANT_BURST_S = 2.0  # seconds of its quota that a tenant may send at once and stay within it
-QUEUE_MS = 10_000.0  # of its limit's part that a destination may have waiting; more would be too late
-SHED_FROM, SHED_TO = 0.95, 0.85  # shares of the pending messages allowed: shed from the first down to the second
-SHED_PART = 4  # one entry in so many of the longest queue is shed at a time
-CLOSED_WEIGHT_MS = 1000  # queue lengths are compared by waiting messages times this and the time until they go
+QUEUE_MAX_MS = 10_000.0  # of its limit's part that a destination may have waiting; more would be too late
+SHED_START_SHARE, SHED_TARGET_SHARE = (
+    0.95,
+    0.85,
+)  # shares of the pending messages allowed: shed from the first down to the second
+SHED_BATCH_DIVISOR = 4  # one entry in so many of the longest queue is shed at a time
+QUEUE_WEIGHT_BASE_MS = 1000  # queue lengths are compared by waiting messages times this and the time until they go
 RETRY_AFTER_MIN_MS = 750.0  # at once would be too soon
-STALE_SHARE = 0.5  # of its value in time: attempted in vain and worth less, it makes way for fresher ones
+STALE_VALUE_SHARE = 0.5  # of its value in time: attempted in vain and worth less, it makes way for fresher ones
 
 
 class Admission:
@@ -43,7 +46,7 @@
         self.pending = pending  # by id
         self._quota_tokens = [INF for _ in context.settings.tenants]
         self._quota_counted_at = [0.0 for _ in context.settings.tenants]
-        queue.on_hopeless = self.give_up
+        queue.on_undeliverable = self.give_up
 
     # Arrival -------------------------------------------------------------------------------------
 
@@ -56,7 +59,7 @@
         message.target_at = event.expires - cls.deadline_ms + min(target_ms, cls.deadline_ms)
         message.over_quota = not self._is_within_quota(event.tenant)
         self.pending[message.id] = message
-        self._give_up_when_hopeless(message)
+        self._schedule_give_up(message)
         message.key = message.key if cls.ordered else 0
         if not message.key or self._keys.add(message):
             self._queue.add(message)
@@ -75,21 +78,21 @@
         self._quota_counted_at[tenant] = now
         return within
 
-    def _give_up_when_hopeless(self, message: PendingMessage) -> None:
+    def _schedule_give_up(self, message: PendingMessage) -> None:
         """Set anew whenever the message is queued again."""
-        self._context.timers.schedule(self._retries.hopeless_at(message), self.give_up, message)
+        self._context.timers.schedule(self._retries.undeliverable_at(message), self.give_up, message)
 
     def requeue(self, message: PendingMessage) -> None:
         """An attempt did not deliver it: queue it again, or give it up."""
         now = self._context.now
-        earliest = now + message.destination.closed_for(now)
+        earliest = now + message.destination.unavailable_for(now)
         in_time = self._queue.value(message, message.target_at)
-        stale = self._queue.value(message, earliest) < STALE_SHARE * in_time
+        stale = self._queue.value(message, earliest) < STALE_VALUE_SHARE * in_time
         attempts_cap = self._context.settings.attempts_cap or INF
         if now >= message.expires or stale or message.attempts >= attempts_cap:
             self.give_up(message)
         else:
-            self._give_up_when_hopeless(message)
+            self._schedule_give_up(message)
             self._queue.add(message)
 
     # End -----------------------------------------------------------------------------------------
@@ -107,7 +110,7 @@
     def _retry_after(self, message: PendingMessage) -> float:
         settings = self._context.settings
         longest = (settings.max_retry_after_ms or 0.0) if settings.may_advise_retry else 0.0
-        return min(max(RETRY_AFTER_MIN_MS, message.destination.closed_for(self._context.now)), longest)
+        return min(max(RETRY_AFTER_MIN_MS, message.destination.unavailable_for(self._context.now)), longest)
 
     def end(self, message: PendingMessage) -> None:
         """The message has its final answer: the next of its key may go."""
@@ -138,7 +141,7 @@
     def shed_load(self) -> None:
         """Give up what would be too late, and near the limit the least valuable of the longest queues."""
         allowed = self._context.settings.most_held or INF
-        target = SHED_TO * allowed if len(self.pending) >= SHED_FROM * allowed else INF
+        target = SHED_TARGET_SHARE * allowed if len(self.pending) >= SHED_START_SHARE * allowed else INF
         for destination in list(self._queue.active.values()):
             if destination.waiting >= 2 and destination.routes:
                 self._shed_beyond_rate(destination)
@@ -146,23 +149,25 @@
             entries = self._sheddable(self._longest_queue())
             if not entries:
                 return
-            for entry in entries[-max(1, len(entries) // SHED_PART) :]:
+            for entry in entries[-max(1, len(entries) // SHED_BATCH_DIVISOR) :]:
                 self.give_up(entry.message)
 
     def _shed_beyond_rate(self, destination: Destination) -> None:
         """Give up the messages that the destination's rate limit would let through too late."""
-        room = sum(max(1.0, route.rate_share.calls_in(QUEUE_MS)) * route.per_call for route in destination.routes)
-        if destination.waiting > room:
-            for entry in self._sheddable(destination, int(room)):
+        capacity = sum(
+            max(1.0, route.rate_share.calls_in(QUEUE_MAX_MS)) * route.per_call for route in destination.routes
+        )
+        if destination.waiting > capacity:
+            for entry in self._sheddable(destination, int(capacity)):
                 self.give_up(entry.message)
 
     def _longest_queue(self) -> Destination:
         now = self._context.now
         return max(
             self._table.destinations.values(),
-            key=lambda destination: destination.waiting * (CLOSED_WEIGHT_MS + destination.closed_for(now)),
+            key=lambda destination: destination.waiting * (QUEUE_WEIGHT_BASE_MS + destination.unavailable_for(now)),
         )
 
-    def _sheddable(self, destination: Destination, behind: int = 0) -> list[QueueEntry]:
+    def _sheddable(self, destination: Destination, skip: int = 0) -> list[QueueEntry]:
         """Entries behind the first so many, but for messages that a restart found untried."""
-        return [e for e in self._queue.entries(destination)[behind:] if not e.message.first_attempt_owed]
+        return [e for e in self._queue.entries(destination)[skip:] if not e.message.first_attempt_pending]
--- a/lynxscale/scheduling/class_ejection.py
+++ b/lynxscale/scheduling/class_ejection.py
@@ -12,7 +12,7 @@
     from lynxscale.scheduling.context import SchedulerContext
     from lynxscale.scheduling.model import Endpoint
 
-EJECTION_MS = 2000.0  # doubled with each further failure
+EJECTION_MIN_MS = 2000.0  # doubled with each further failure
 EJECTION_MAX_MS = 20_000.0
 
 
@@ -35,7 +35,7 @@
         """The endpoint failed the class: eject it, longer each time, if there are others."""
         if self.is_ejected(endpoint, cls) or not _has_others(endpoint):
             return
-        previous = endpoint.ejected_classes.get(cls, (0.0, EJECTION_MS / 2))[1]
+        previous = endpoint.ejected_classes.get(cls, (0.0, EJECTION_MIN_MS / 2))[1]
         duration = min(EJECTION_MAX_MS, 2 * previous)
         endpoint.ejected_classes[cls] = (self._context.now + duration, duration)
 
--- a/lynxscale/scheduling/concurrency_window.py
+++ b/lynxscale/scheduling/concurrency_window.py
@@ -13,10 +13,12 @@
     from lynxscale.scheduling.model import AttemptInFlight, Call, Destination, Route
     from lynxscale.scheduling.restart_budget import RestartBudget
 
-DESTINATION_SHARE = 0.75  # of the slots that one destination may use
-UNHEALTHY_PART = 2  # one slot in so many: what a slow or failing destination may use
-OUTAGE_PART = 4  # one slot in so many: for trial calls in outages, and for unresponsive calls when others need slots
-OLDEST_ATTEMPTS = 12  # looked at for unresponsive ones
+DESTINATION_SLOT_SHARE = 0.75  # of the slots that one destination may use
+UNHEALTHY_SLOT_DIVISOR = 2  # one slot in so many: what a slow or failing destination may use
+OUTAGE_SLOT_DIVISOR = (
+    4  # one slot in so many: for trial calls in outages, and for unresponsive calls when others need slots
+)
+UNRESPONSIVE_SCAN_MAX = 12  # looked at for unresponsive ones
 
 
 class ConcurrencyLimits:
@@ -25,9 +27,9 @@
     def __init__(self, context: SchedulerContext) -> None:
         self._context = context
         slots = context.settings.slots  # at the start; the caller may change it later
-        self.calls_max = max(1, math.ceil(slots * DESTINATION_SHARE) - 1)  # to one destination
-        self.calls_max_unhealthy = max(1, slots // UNHEALTHY_PART)
-        self.outage_slots = max(1, slots // OUTAGE_PART)
+        self.calls_max = max(1, math.ceil(slots * DESTINATION_SLOT_SHARE) - 1)  # to one destination
+        self.calls_max_unhealthy = max(1, slots // UNHEALTHY_SLOT_DIVISOR)
+        self.outage_slots = max(1, slots // OUTAGE_SLOT_DIVISOR)
         self.used = 0  # slots
         self.unresponsive = 0  # calls in flight that are long overdue
         self.in_outage = 0  # calls in flight that were sent to failing routes
@@ -93,7 +95,7 @@
         if not self._context.settings.may_cancel:
             return
         surplus = max(0, self.unresponsive - self.outage_slots)
-        oldest = [a for a in islice(self.attempts.values(), OLDEST_ATTEMPTS) if a.call.unresponsive]
+        oldest = [a for a in islice(self.attempts.values(), UNRESPONSIVE_SCAN_MAX) if a.call.unresponsive]
         for position, attempt in enumerate(oldest):
             if not attempt.cancelled and (position < surplus or restarts.take_if_lost(attempt.call)):
                 attempt.cancelled = True
--- a/lynxscale/scheduling/connection_reuse.py
+++ b/lynxscale/scheduling/connection_reuse.py
@@ -12,9 +12,9 @@
 from lynxscale.scheduling.events import Result
 
 INF = math.inf
-AGE_SHARE = 0.5  # of the idle age at which a connection failed: older ones are not reused ...
+REUSE_AGE_SHARE = 0.5  # of the idle age at which a connection failed: older ones are not reused ...
 AGE_MEMORY_MS = 30_000.0  # ... for so long
-YOUNG_BELOW_MS = 2000.0  # idle for less, one that fails was likely reset with its endpoint: resets are counted
+YOUNG_AGE_MAX_MS = 2000.0  # idle for less, one that fails was likely reset with its endpoint: resets are counted
 RESET_RISK = 0.35  # reset rate above that of new connections from which an idle age is too old
 RESET_RISK_UNSAFE = 0.03  # the same for messages that must not be executed twice
 RESETS_MIN = 3  # needed for that
@@ -22,8 +22,8 @@
 YOUNG_MEMORY_MS = 10_000.0  # for which an age learned from counts holds
 FULL_TABLES_SHARE = 0.05  # of connects that full tables failed: from there on tables count as crowded
 FULL_TABLES_WEIGHT = 0.02  # of the newest connect in that moving average
-AGE_ROWS = 13  # counts by doubled idle ages, new connections first
-SAYS_SOMETHING = (Result.OK, Result.FULL, Result.ERROR, Result.RESET)
+AGE_BUCKETS = 13  # counts by doubled idle ages, new connections first
+INFORMATIVE_RESULTS = (Result.OK, Result.FULL, Result.ERROR, Result.RESET)
 
 
 class ConnectionReuse:
@@ -38,7 +38,7 @@
         self._failed_age = INF  # idle age from which connections fail
         self._failed_at = -INF  # when one failed
         self._young = [(INF, 0.0), (INF, 0.0)]  # ages learned by counting, and until when they hold; second: unsafe
-        self._counts = [[0.0, 0.0] for _ in range(AGE_ROWS)]  # resets, uses
+        self._counts = [[0.0, 0.0] for _ in range(AGE_BUCKETS)]  # resets, uses
 
     def max_idle(self, now: float, unsafe: bool) -> float:
         """The idle age (ms) from which a connection is not used again."""
@@ -49,29 +49,29 @@
 
     def ended(self, now: float, idle: float, result: Result) -> None:
         """How a call ended; ``idle``: its connection's age in the pool, 0 for a new one."""
-        if result not in SAYS_SOMETHING:
+        if result not in INFORMATIVE_RESULTS:
             return
-        counts = self._counts[min(AGE_ROWS - 1, 1 + int(math.log2(max(1.0, idle)))) if idle else 0]
+        counts = self._counts[min(AGE_BUCKETS - 1, 1 + int(math.log2(max(1.0, idle)))) if idle else 0]
         counts[0] += result == Result.RESET
         counts[1] += 1
         if counts[1] >= USES_MAX:
             counts[0], counts[1] = counts[0] / 2, counts[1] / 2
         if result != Result.RESET or not idle:
             return
-        if idle >= YOUNG_BELOW_MS:
-            self._failed_age, self._failed_at = min(self._failed_age, AGE_SHARE * idle), now
+        if idle >= YOUNG_AGE_MAX_MS:
+            self._failed_age, self._failed_at = min(self._failed_age, REUSE_AGE_SHARE * idle), now
         for unsafe, risk in enumerate((RESET_RISK, RESET_RISK_UNSAFE)):
-            row = self._risky_row(risk)
-            if row is not None:
-                self._young[unsafe] = (2.0 ** (row - 1), now + YOUNG_MEMORY_MS)
+            bucket = self._risky_bucket(risk)
+            if bucket is not None:
+                self._young[unsafe] = (2.0 ** (bucket - 1), now + YOUNG_MEMORY_MS)
 
-    def _risky_row(self, risk: float) -> int | None:
+    def _risky_bucket(self, risk: float) -> int | None:
         """The first row of idle ages with a reset rate so far above that of new connections."""
         new_resets, new_uses = self._counts[0]
         acceptable = new_resets / max(1.0, new_uses) + risk
-        for row, (resets, uses) in enumerate(self._counts):
-            if row and resets >= RESETS_MIN and resets / uses > acceptable:
-                return row
+        for bucket, (resets, uses) in enumerate(self._counts):
+            if bucket and resets >= RESETS_MIN and resets / uses > acceptable:
+                return bucket
         return None
 
 
--- a/lynxscale/scheduling/dispatcher.py
+++ b/lynxscale/scheduling/dispatcher.py
@@ -25,9 +25,9 @@
     from lynxscale.scheduling.retry_policy import RetryPolicy
 
 INF = math.inf
-WAKE_STEP_MS = 20.0  # a wake timer is set anew only if so much earlier: otherwise timers would breed timers
+RECHECK_ADVANCE_MIN_MS = 20.0  # a wake timer is set anew only if so much earlier: otherwise timers would breed timers
 OVERDUE_MIN_MS, OVERDUE_MULTIPLE = 1000.0, 6.0  # a call is overdue after so long, and so many usual latencies
-JOINED_WEIGHT = 0.25  # tokens of slow start for each further message of a call; the first takes one
+JOINED_MESSAGE_TOKENS = 0.25  # tokens of slow start for each further message of a call; the first takes one
 
 
 class Dispatcher:
@@ -86,23 +86,23 @@
         entry = self._queue.head(destination)
         assert entry is not None  # it has been offered with one
         message = entry.message
-        if self._retries.is_hopeless(message):
+        if self._retries.is_undeliverable(message):
             self._admission.give_up(message)
             return True
-        endpoint, opens_at = self._choice.choose(destination, message)
+        endpoint, available_at = self._choice.choose(destination, message)
         if endpoint is None:
-            self._wake_at(destination, opens_at)
+            self._schedule_recheck(destination, available_at)
             return False
         if endpoint.route.health.state is FAILING:
             message = self._message_for_trial(destination, endpoint, message)
         self._send(message, endpoint)
         return True
 
-    def _wake_at(self, destination: Destination, opens_at: float) -> None:
+    def _schedule_recheck(self, destination: Destination, available_at: float) -> None:
         now = self._context.now
-        if opens_at < INF and not now < destination.wake_at <= opens_at + WAKE_STEP_MS:
-            destination.wake_at = max(opens_at, now) + 1
-            self._context.timers.schedule(destination.wake_at, self._queue.wake, destination)
+        if available_at < INF and not now < destination.recheck_at <= available_at + RECHECK_ADVANCE_MIN_MS:
+            destination.recheck_at = max(available_at, now) + 1
+            self._context.timers.schedule(destination.recheck_at, self._queue.activate, destination)
 
     def _message_for_trial(
         self, destination: Destination, endpoint: Endpoint, message: PendingMessage
@@ -117,7 +117,7 @@
             if entry.is_current()
             and entry.message.zone in (None, endpoint.zone)
             and retries.may_repeat(entry.message, now)
-            and not retries.is_hopeless(entry.message)
+            and not retries.is_undeliverable(entry.message)
         ]
         return min(repeatable).message if repeatable else message
 
@@ -126,9 +126,9 @@
         call = endpoint.latest_call
         if call is None or not self._choice.can_join(endpoint):
             call = self._open_call(message, endpoint)
-        for health in endpoint.healths:
+        for health in endpoint.health_records:
             if health.state is WARMING:
-                health.tokens -= JOINED_WEIGHT if call.size else 1.0
+                health.tokens -= JOINED_MESSAGE_TOKENS if call.size else 1.0
             elif health.state is FAILING and not call.size:
                 self._health.trial_sent(endpoint, health)
         call.size += 1
@@ -160,6 +160,6 @@
     def _overdue_after(self, message: PendingMessage, endpoint: Endpoint) -> float:
         route, latencies = endpoint.route, self._latencies
         ratio = max(1.0, latencies.class_ratio(message.cls))
-        usual = OVERDUE_MULTIPLE * max(route.median, route.recent_latency) * ratio
-        usual = max(usual, OVERDUE_MULTIPLE * latencies.class_means[message.cls][0])
-        return max(OVERDUE_MIN_MS, usual)
+        overdue_ms = OVERDUE_MULTIPLE * max(route.median, route.recent_latency) * ratio
+        overdue_ms = max(overdue_ms, OVERDUE_MULTIPLE * latencies.class_means[message.cls][0])
+        return max(OVERDUE_MIN_MS, overdue_ms)
--- a/lynxscale/scheduling/endpoint_choice.py
+++ b/lynxscale/scheduling/endpoint_choice.py
@@ -40,14 +40,14 @@
         routes = destination.routes
         unhealthy = any(route.health.state is FAILING or route.is_slow() for route in routes)
         no_slot = self._limits.is_full(destination, unhealthy)
-        best, least_cost, opens_at = None, INF, INF
+        best, least_cost, available_at = None, INF, INF
         for endpoint in self._candidates(destination, message):
-            at = self._opens_at(endpoint, no_slot)
+            at = self._available_at(endpoint, no_slot)
             cost = self._cost(endpoint, message) if at <= now else INF
-            opens_at = min(opens_at, at)
+            available_at = min(available_at, at)
             if cost < least_cost:
                 best, least_cost = endpoint, cost
-        return best, opens_at
+        return best, available_at
 
     def _candidates(self, destination: Destination, message: PendingMessage) -> list[Endpoint]:
         zone = message.zone
@@ -59,23 +59,23 @@
         ]
         return [endpoint for endpoint in ready if not self._ejection.is_ejected(endpoint, message.cls)] or ready
 
-    def _opens_at(self, endpoint: Endpoint, no_slot: bool) -> float:
+    def _available_at(self, endpoint: Endpoint, no_slot: bool) -> float:
         """When a message may go there; INF where only an outcome can change that."""
         now, route = self._context.now, endpoint.route
         if route.blocked_until > now:
             return route.blocked_until
         if self.can_join(endpoint):
             return 0.0
-        if (opens_at := route.rate_share.opens_at(now)) > now:
-            return opens_at
+        if (available_at := route.rate_share.available_at(now)) > now:
+            return available_at
         if no_slot or self._limits.window_is_full(route):
             return INF
         if route.health.state is FAILING and self._limits.outage_slots_exhausted():
             return now + TRIAL_GAP_MIN_MS
-        opens_at = max(endpoint.cooldown_until, 0.0)
-        for health in endpoint.healths:
-            opens_at = max(opens_at, self._health.opens_at(endpoint, health))
-        return opens_at
+        available_at = max(endpoint.cooldown_until, 0.0)
+        for health in endpoint.health_records:
+            available_at = max(available_at, self._health.available_at(endpoint, health))
+        return available_at
 
     def can_join(self, endpoint: Endpoint) -> bool:
         """May one more message join the endpoint's call of this step?"""
--- a/lynxscale/scheduling/endpoint_health.py
+++ b/lynxscale/scheduling/endpoint_health.py
@@ -19,20 +19,20 @@
     from lynxscale.scheduling.model import Call, Endpoint, Route
 
 INF = math.inf
-FAILURES_OF_OUTAGE = 2  # failures in a row that make a route failing: a lone error is chance
+OUTAGE_FAILURES_MIN = 2  # failures in a row that make a route failing: a lone error is chance
 OUTAGE_AFTER_MS = 2500.0  # no success and the first failure so long ago: an outage, not a limit or a short gap
 SUCCESS_RATE_MEMORY_MS = 10_000.0
-BASE_RATE_KEPT = 0.5  # share of the base rate of earlier outages that a new one keeps
+BASE_RATE_RETAINED_SHARE = 0.5  # share of the base rate of earlier outages that a new one keeps
 TRIAL_GAP_MIN_MS = 600.0  # between trial calls in an outage
 TRIAL_GAP_MAX_MS = 1000.0  # of a node that would otherwise wait longer, alone
 TRIAL_GAP_SPREAD = (0.7, 1.3)  # random factor, so that nodes do not call together
 TRIAL_GAP_PER_AGE = 2.0  # gap in ages of the outage, over start share and overload multiple: more nodes hold messages
-MIN_RATE = 1.0  # calls a second where no rate is known
-SLOW_START_LOAD = 0.8  # of the load that a returning destination bears
-SLOW_START_BURST = 0.25  # of the load of an overload span, that may go at once
+RATE_MIN_PER_S = 1.0  # calls a second where no rate is known
+SLOW_START_LOAD_SHARE = 0.8  # of the load that a returning destination bears
+SLOW_START_BURST_SHARE = 0.25  # of the load of an overload span, that may go at once
 RATE_SHARE_USED = 0.75  # of this node's part of an advertised rate, as other nodes may use more than theirs
 # Where the settings say nothing:
-START_SHARE = 0.15  # of its capacity that a destination has when it returns
+SLOW_START_INITIAL_SHARE = 0.15  # of its capacity that a destination has when it returns
 SLOW_START_MS = 15_000.0  # until it has all of it
 OVERLOAD_MULTIPLE = 1.5  # of its rate, above which a destination fails ...
 OVERLOAD_AFTER_MS = 3000.0  # ... when it lasts for so long
@@ -77,11 +77,11 @@
         settings = context.settings
         self._context = context
         self._senders = settings.senders
-        self._start_share = settings.cold_share or START_SHARE
+        self._initial_share = settings.cold_share or SLOW_START_INITIAL_SHARE
         self._slow_start_ms = settings.ramp_time_ms or SLOW_START_MS
         self._overload_multiple = settings.tip_multiple or OVERLOAD_MULTIPLE
         self._overload_after_ms = settings.tip_after_ms or OVERLOAD_AFTER_MS
-        self._gap_per_age = TRIAL_GAP_PER_AGE / (self._start_share * self._overload_multiple)
+        self._gap_per_age = TRIAL_GAP_PER_AGE / (self._initial_share * self._overload_multiple)
 
     # Rates ---------------------------------------------------------------------------------------
 
@@ -92,14 +92,14 @@
         part = max(route.limit, route.weight()) / sharers
         return max(health.base_rate, RATE_SHARE_USED * part, 1000 / self._overload_after_ms / self._senders)
 
-    def _slow_start_pace(self, endpoint: Endpoint, health: Health) -> float:
+    def _slow_start_rate_per_ms(self, endpoint: Endpoint, health: Health) -> float:
         """Calls a millisecond that a warming destination bears, from this node alone."""
         elapsed = self._context.now - health.slow_start_from
-        capacity = self._start_share + (1 - self._start_share) * elapsed / self._slow_start_ms
+        capacity = self._initial_share + (1 - self._initial_share) * elapsed / self._slow_start_ms
         rate = self._dependable_rate(endpoint, health)
-        return SLOW_START_LOAD * self._overload_multiple * min(1.0, capacity) * rate / 1000
+        return SLOW_START_LOAD_SHARE * self._overload_multiple * min(1.0, capacity) * rate / 1000
 
-    def opens_at(self, endpoint: Endpoint, health: Health) -> float:
+    def available_at(self, endpoint: Endpoint, health: Health) -> float:
         """When this health lets a call through; 0 for now."""
         state = health.state
         if state is not WARMING:
@@ -108,11 +108,11 @@
         if now - health.slow_start_from >= self._slow_start_ms:
             self._change(endpoint, health, HEALTHY)
             return 0.0
-        pace = self._slow_start_pace(endpoint, health)
-        burst = max(1.0, SLOW_START_BURST * pace * self._overload_after_ms)
-        health.tokens = min(burst, health.tokens + pace * (now - health.tokens_at))
+        rate_per_ms = self._slow_start_rate_per_ms(endpoint, health)
+        burst = max(1.0, SLOW_START_BURST_SHARE * rate_per_ms * self._overload_after_ms)
+        health.tokens = min(burst, health.tokens + rate_per_ms * (now - health.tokens_at))
         health.tokens_at = now
-        return 0.0 if health.tokens >= 1 - 1e-6 else now + (1 - health.tokens) / pace
+        return 0.0 if health.tokens >= 1 - 1e-6 else now + (1 - health.tokens) / rate_per_ms
 
     def trial_sent(self, endpoint: Endpoint, health: Health) -> None:
         """A trial call goes to a failing destination: schedule the next one."""
@@ -128,9 +128,9 @@
 
     def full_fleet_gap(self, route: Route, health: Health) -> float:
         """Gap at which all nodes together load a returning destination as it bears, by own or advertised rate."""
-        advertised = max(route.limit, route.weight(), MIN_RATE)
+        advertised = max(route.limit, route.weight(), RATE_MIN_PER_S)
         rate = max(advertised / self._senders, health.base_rate, health.success_rate(self._context.now))
-        return 1000 / (self._overload_multiple * self._start_share * rate)
+        return 1000 / (self._overload_multiple * self._initial_share * rate)
 
     def spread_after(self, route: Route, age: float) -> float:
         """Span over which nodes spread the first calls to a destination that was closed for ``age`` ms."""
@@ -189,7 +189,7 @@
         if rejected and health.failures and sent <= health.last_failure_at:
             return  # one volley above a limit is one rejection
         if not health.failures and health.state is HEALTHY:
-            health.base_rate = max(health.success_rate(now), health.base_rate * BASE_RATE_KEPT)
+            health.base_rate = max(health.success_rate(now), health.base_rate * BASE_RATE_RETAINED_SHARE)
             health.first_failure_at, health.definite_failures = now, 0
         health.failures += 1
         health.last_failure_at = now
@@ -197,7 +197,7 @@
         if health.state is WARMING:
             health.slow_start_from = min(now, health.slow_start_from + self._slow_start_ms / 4)
         outage = now - max(health.last_success_at, health.first_failure_at) > OUTAGE_AFTER_MS
-        begins = health.failures >= FAILURES_OF_OUTAGE and (outage or not rejected)
+        begins = health.failures >= OUTAGE_FAILURES_MIN and (outage or not rejected)
         if begins and health.state is not FAILING:
             self.trial_sent(endpoint, health)
             self._change(endpoint, health, FAILING)
@@ -206,6 +206,6 @@
         """A call is long overdue: with no success since it was sent the destination may hang."""
         endpoint = call.endpoint
         if endpoint.route.health.last_success_at < call.sent:
-            for health in endpoint.healths:
+            for health in endpoint.health_records:
                 self.failed(endpoint, health, False, call.sent)
                 health.definite_failures -= 1
--- a/lynxscale/scheduling/key_sequencing.py
+++ b/lynxscale/scheduling/key_sequencing.py
@@ -37,7 +37,7 @@
         if not was_first:
             return
         pause = self._context.settings.key_rest_ms or 0.0
-        until = message.doubtful_at + pause if message.doubtful_at else 0.0
+        until = message.in_doubt_at + pause if message.in_doubt_at else 0.0
         if until >= self._context.now:
             self._paused_until[message.key] = until
             self._context.timers.schedule(until + PAUSE_MARGIN_MS, self._queue_next, message.key)
--- a/lynxscale/scheduling/latency_estimates.py
+++ b/lynxscale/scheduling/latency_estimates.py
@@ -46,7 +46,7 @@
             route.recent_latency += (latency - route.recent_latency) * weight
         route.add(self._context.now, latency, self._restart_cost)
 
-    def usual(self, message: PendingMessage) -> float:
+    def typical_latency(self, message: PendingMessage) -> float:
         """Usual latency of an attempt of this message, 0 if unknown."""
         medians = [route.median for route in message.destination.routes if route.median]
         return min(medians) * self.class_ratio(message.cls) if medians else self.class_means[message.cls][0]
--- a/lynxscale/scheduling/learned_state.py
+++ b/lynxscale/scheduling/learned_state.py
@@ -47,7 +47,7 @@
     "answered_at",
 )
 ENDPOINT_FIELDS = ("cooldown_until", "failed_connects", "connect_failed_at", "answered_sent_at", "latency_ratio")
-SAMPLE_EXPORTED = 40  # latest attempts of each route that are exported: enough for a restart timeout
+EXPORTED_SAMPLE_MAX = 40  # latest attempts of each route that are exported: enough for a restart timeout
 
 
 def export(scheduler: Scheduler) -> dict[str, Any]:
@@ -59,8 +59,12 @@
                 continue  # never called
             routes.append(_export_route(route))
             for endpoint in route.endpoints:
-                own = [_values(health, HEALTH_FIELDS) for health in endpoint.healths if health is not route.health]
-                endpoints.append([endpoint.number, _values(endpoint, ENDPOINT_FIELDS), own])
+                own = [
+                    _attribute_values(health, HEALTH_FIELDS)
+                    for health in endpoint.health_records
+                    if health is not route.health
+                ]
+                endpoints.append([endpoint.number, _attribute_values(endpoint, ENDPOINT_FIELDS), own])
     return {
         "lanes": routes,
         "endpoints": endpoints,
@@ -73,10 +77,10 @@
     return [
         route.destination.number,
         [endpoint.number for endpoint in route.endpoints],
-        _values(route, ROUTE_FIELDS),
-        _values(route.health, HEALTH_FIELDS),
-        _values(route.rate_share, RATE_SHARE_FIELDS),
-        [[round(at), _finite(latency)] for at, latency in list(route.attempts)[-SAMPLE_EXPORTED:]],
+        _attribute_values(route, ROUTE_FIELDS),
+        _attribute_values(route.health, HEALTH_FIELDS),
+        _attribute_values(route.rate_share, RATE_SHARE_FIELDS),
+        [[round(at), _finite(latency)] for at, latency in list(route.attempts)[-EXPORTED_SAMPLE_MAX:]],
     ]
 
 
@@ -109,9 +113,9 @@
         endpoint = scheduler.table.endpoints.get(number)
         if endpoint is None:
             continue
-        _set(endpoint, ENDPOINT_FIELDS, values)
-        healths = (health for health in endpoint.healths if health is not endpoint.route.health)
-        for health, health_values in zip(healths, own, strict=False):
+        _set_attributes(endpoint, ENDPOINT_FIELDS, values)
+        health_records = (health for health in endpoint.health_records if health is not endpoint.route.health)
+        for health, health_values in zip(health_records, own, strict=False):
             _restore_health(health, health_values, now)
 
 
@@ -125,14 +129,14 @@
         restored += 1
         _restore_route(route, values, sample)
         _restore_health(route.health, health, now)
-        _set(route.rate_share, RATE_SHARE_FIELDS, rate_share)
+        _set_attributes(route.rate_share, RATE_SHARE_FIELDS, rate_share)
         route.rate_share.set_limit(route.limit or route.weight())
         route.rate_share.tokens, route.rate_share.tokens_at = 0.0, now  # the other process has used its burst
     return restored
 
 
 def _restore_route(route: Route, values: list, sample: list) -> None:
-    _set(route, ROUTE_FIELDS, values)
+    _set_attributes(route, ROUTE_FIELDS, values)
     route.window = max(1, int(route.window))
     route.attempts.extend((float(at), math.inf if latency is None else float(latency)) for at, latency in sample)
     route.added = len(route.attempts)
@@ -142,11 +146,11 @@
     if values[0] not in set(HealthState):
         raise ValueError(f"no state: {values[0]!r}")
     health.state = HealthState(values[0])
-    _set(health, HEALTH_FIELDS[1:], values[1:])
+    _set_attributes(health, HEALTH_FIELDS[1:], values[1:])
     health.tokens, health.tokens_at = 0.0, now
 
 
-def _values(source: object, names: tuple[str, ...]) -> list:
+def _attribute_values(source: object, names: tuple[str, ...]) -> list:
     values = [getattr(source, name) for name in names]
     return [value.value if isinstance(value, HealthState) else _finite(value) for value in values]
 
@@ -155,7 +159,7 @@
     return round(value, 3) if math.isfinite(value) else None
 
 
-def _set(target: object, names: tuple[str, ...], values: list) -> None:
+def _set_attributes(target: object, names: tuple[str, ...], values: list) -> None:
     for name, value in zip(names, values, strict=True):
         if value is not None:  # an infinity: as it is at the start
             setattr(target, name, value + 0)
--- a/lynxscale/scheduling/message_queue.py
+++ b/lynxscale/scheduling/message_queue.py
@@ -24,9 +24,9 @@
         values = (cls.worth for cls in context.settings.classes)
         self._low_value = LOW_VALUE_SHARE * min(values, default=1.0)
         self.active: dict[int, Destination] = {}  # by number: those to look at, with messages queued
-        self.on_hopeless: Callable[[PendingMessage], None] = lambda message: None
+        self.on_undeliverable: Callable[[PendingMessage], None] = lambda message: None
 
-    def wake(self, destination: Destination) -> None:
+    def activate(self, destination: Destination) -> None:
         """Something has changed there: look at it again."""
         if destination.waiting:
             self.active[destination.number] = destination
@@ -40,24 +40,24 @@
         if late_by > 0 and settings.late_halves:
             share *= max(cls.late_worth, 0.5 ** (late_by / max(1.0, cls.aim_ms)))
         elif late_by > 0:
-            time_to_sink = max(1.0, message.expires - message.target_at)
-            share *= 1 - (1 - cls.late_worth) * min(1.0, late_by / time_to_sink)
+            decay_ms = max(1.0, message.expires - message.target_at)
+            share *= 1 - (1 - cls.late_worth) * min(1.0, late_by / decay_ms)
         return cls.worth * share
 
     def add(self, message: PendingMessage) -> None:
         """Queue by present value; what has lost much of it by value for the time of a slot, behind all others."""
-        if self._retries.is_hopeless(message):
-            self.on_hopeless(message)
+        if self._retries.is_undeliverable(message):
+            self.on_undeliverable(message)
             return
         now = self._context.now
-        usual = max(1.0, self._latencies.usual(message))
-        value = self.value(message, now + usual)
-        message.late = now + usual > message.target_at
+        typical_ms = max(1.0, self._latencies.typical_latency(message))
+        value = self.value(message, now + typical_ms)
+        message.late = now + typical_ms > message.target_at
         if value >= self._low_value:
             tier, rank, order = 0, (-value, message.target_at), message.sequence
         else:
             newest_first = self._context.settings.late_halves
-            tier, rank = 1, (-value / usual, 0.0)
+            tier, rank = 1, (-value / typical_ms, 0.0)
             order = -message.sequence if newest_first else message.sequence
         message.version += 1
         destination = message.destination
--- a/lynxscale/scheduling/model.py
+++ b/lynxscale/scheduling/model.py
@@ -27,16 +27,16 @@
 
     def __init__(self, number: int) -> None:
         self.number = number
-        self.wake_at = 0.0  # when a timer will look at it again
+        self.recheck_at = 0.0  # when a timer will look at it again
         self.routes: list[Route] = []
         self.queue: list[QueueEntry] = []  # a heap; entries of an outdated version are skipped
         self.waiting = 0  # messages queued
         self.in_flight = 0  # calls
 
-    def closed_for(self, now: float) -> float:
+    def unavailable_for(self, now: float) -> float:
         """Milliseconds until one of its routes may be called."""
-        opens = min((max(route.blocked_until, route.health.next_trial_at) for route in self.routes), default=0.0)
-        return max(0.0, opens - now)
+        available_at = min((max(route.blocked_until, route.health.next_trial_at) for route in self.routes), default=0.0)
+        return max(0.0, available_at - now)
 
 
 class Route(AttemptSample):
@@ -74,7 +74,7 @@
         self.number, self.zone, self.kind, self.route = number, zone, kind, route
         self.ready = False
         self.gone = False
-        self.healths: tuple[Health, ...] = ()  # its route's and, where a route has several endpoints, its own
+        self.health_records: tuple[Health, ...] = ()  # its route's and, where a route has several endpoints, its own
         self.per_call = 1  # messages that a call may carry
         self.fee = 0.0  # price of a message
         self.weight = 0.0  # advertised calls a second
@@ -99,7 +99,7 @@
         self.size = 0  # attempts that it carries
         self.open_attempts = 0  # those without an outcome
         self.classes: dict[int, bool] = {}  # of its messages, in the order of joining
-        self.counted = False  # window and health have taken note of its outcome
+        self.outcome_recorded = False  # window and health have taken note of its outcome
         self.unresponsive = False  # long overdue
         self.in_outage = False  # sent to a failing route
         self.ended = False
@@ -123,10 +123,10 @@
         self.attempts = event.attempts
         self.maybe_executed_at = event.maybe_executed_at  # 0: no attempt may have been executed
         self.target_at = 0.0  # by when its latency target wants it delivered
-        self.doubtful_at = 0.0  # when an attempt last ended in doubt; 0: never
+        self.in_doubt_at = 0.0  # when an attempt last ended in doubt; 0: never
         self.restarts = 0
         self.version = 0  # of its queue entry; others are outdated
-        self.first_attempt_owed = event.inherited and not event.attempts  # a restart found it untried
+        self.first_attempt_pending = event.inherited and not event.attempts  # a restart found it untried
         self.over_quota = self.queued = self.ended = self.late = False
         self.attempt: AttemptInFlight | None = None
         self.zone: int | None = None  # in which it has to stay
--- a/lynxscale/scheduling/outcomes.py
+++ b/lynxscale/scheduling/outcomes.py
@@ -28,8 +28,8 @@
 INF = math.inf
 COOLDOWN_MS = 500.0  # of an endpoint that failed, while others of its route serve
 FIRST_RETRY_SPREAD = (1.0, 3.0)  # of the smallest trial gap, where successes are rare
-KEEPS_CONNECTION = (Result.OK, Result.ERROR, Result.FULL)
-SAYS_NOTHING = (Result.CANCELLED, Result.MOOT)  # of its endpoint
+REUSABLE_CONNECTION_RESULTS = (Result.OK, Result.ERROR, Result.FULL)
+UNINFORMATIVE_RESULTS = (Result.CANCELLED, Result.MOOT)  # of its endpoint
 
 
 class OutcomeHandler:
@@ -66,9 +66,9 @@
         allowance_left = self._read_report(endpoint.route, event.report)
         self._close_attempt(call, result)
         self._learn_rejection(call, event, allowance_left)
-        self._learn_once_a_call(call, result, is_over_limit(allowance_left))
-        self._learn_of_class(endpoint, message.cls, event)
-        self._note_doubt(attempt, result)
+        self._learn_once_per_call(call, result, is_over_limit(allowance_left))
+        self._learn_for_class(endpoint, message.cls, event)
+        self._record_possible_execution(attempt, result)
         self._table.remove_if_unused(endpoint)
         self._admission.attempt_ended(message, event.finished)
 
@@ -80,7 +80,7 @@
         self._limits.overdue(call)
         for cls in call.classes:
             self._ejection.failed(endpoint, cls)
-        self._queue.wake(endpoint.route.destination)
+        self._queue.activate(endpoint.route.destination)
         self._health.unanswered(call)
 
     def _read_report(self, route: Route, report: tuple[float, ...]) -> float | None:
@@ -98,9 +98,9 @@
         if call.open_attempts:
             return
         call.ended = True
-        self._queue.wake(call.endpoint.route.destination)
+        self._queue.activate(call.endpoint.route.destination)
         self._limits.closed(call)
-        if result in KEEPS_CONNECTION:
+        if result in REUSABLE_CONNECTION_RESULTS:
             self._pools.release(call.endpoint)
 
     def _learn_rejection(self, call: Call, event: Outcome, allowance_left: float | None) -> None:
@@ -110,13 +110,13 @@
         elif event.result == Result.OK:
             rate_share.answered(self._context.now, call.sent, allowance_left)
         elif event.result in NOT_SENT and not call.open_attempts:
-            rate_share.give_back()
+            rate_share.refund()
 
-    def _learn_once_a_call(self, call: Call, result: Result, over_limit: bool) -> None:
+    def _learn_once_per_call(self, call: Call, result: Result, over_limit: bool) -> None:
         """Connections, window and health take note of a call by its first outcome."""
-        if call.counted or result in SAYS_NOTHING:
+        if call.outcome_recorded or result in UNINFORMATIVE_RESULTS:
             return
-        call.counted = True
+        call.outcome_recorded = True
         endpoint = call.endpoint
         self._pools.ended(call, result)
         if result == Result.OK:
@@ -135,7 +135,7 @@
         if result in (Result.CONNECT_FAILED, Result.RESET, Result.ERROR):
             self._cool_down(endpoint, result)
         if not call.unresponsive and result != Result.TIMEOUT and not over_limit:  # late ones say nothing
-            for health in endpoint.healths:
+            for health in endpoint.health_records:
                 self._health.failed(endpoint, health, rejected, call.sent)
 
     def _call_succeeded(self, call: Call) -> None:
@@ -146,7 +146,7 @@
         endpoint.answered_sent_at = max(endpoint.answered_sent_at, call.sent)
         latency_ratio = (now - call.sent) / max(1.0, route.median)
         endpoint.latency_ratio += (latency_ratio - endpoint.latency_ratio) * RECENT_WEIGHT
-        for health in endpoint.healths:
+        for health in endpoint.health_records:
             self._health.succeeded(endpoint, health, not call.unresponsive)
 
     def _cool_down(self, endpoint: Endpoint, result: Result) -> None:
@@ -161,9 +161,9 @@
         if result == Result.RESET:
             endpoint.idle_since.clear()
 
-    def _learn_of_class(self, endpoint: Endpoint, cls: int, event: Outcome) -> None:
+    def _learn_for_class(self, endpoint: Endpoint, cls: int, event: Outcome) -> None:
         result = event.result
-        if result not in SAYS_NOTHING:
+        if result not in UNINFORMATIVE_RESULTS:
             latency = event.spent if result == Result.OK else INF
             self._latencies.record(endpoint.route, cls, latency)
         if result == Result.OK:
@@ -171,7 +171,7 @@
         elif result in (Result.ERROR, Result.TIMEOUT):
             self._ejection.failed(endpoint, cls)
 
-    def _note_doubt(self, attempt: AttemptInFlight, result: Result) -> None:
+    def _record_possible_execution(self, attempt: AttemptInFlight, result: Result) -> None:
         """Keep what decides whether and where the message may be sent again."""
         message, call = attempt.message, attempt.call
         if result in MAYBE_EXECUTED:
@@ -179,5 +179,5 @@
             if self._context.settings.classes[message.cls].group == "zone":
                 message.zone = call.endpoint.zone
         if result in IN_DOUBT:
-            message.doubtful_at = self._context.now
-        message.first_attempt_owed &= result in NOT_SENT
+            message.in_doubt_at = self._context.now
+        message.first_attempt_pending &= result in NOT_SENT
--- a/lynxscale/scheduling/rate_limits.py
+++ b/lynxscale/scheduling/rate_limits.py
@@ -14,11 +14,14 @@
 REJECTED_FACTOR, REJECTED_FACTOR_MIN = 0.6, 0.3  # for each rejection, as what others send is too much then; at least
 REJECTION_MEMORY_MS = 6000.0  # within which a reduced factor recovers: what was too much is not for ever
 ALLOWANCE_TARGET = 0.4  # share of the allowance that is left unused
-GAIN_BELOW, GAIN_ABOVE = 0.6, 0.3  # of the controller that keeps it there; reports are old, more would oscillate
-PLENTY_LEFT = 0.75  # with so much left a node may exceed its share
+ALLOWANCE_GAIN_BELOW, ALLOWANCE_GAIN_ABOVE = (
+    0.6,
+    0.3,
+)  # of the controller that keeps it there; reports are old, more would oscillate
+BOOST_ALLOWANCE_MIN = 0.75  # with so much left a node may exceed its share
 BOOST_PER_S, BOOST_MAX = 0.07, 6.0  # by so much more each second, and so many times at most
 ANSWER_SPAN_MAX_MS = 2000.0  # one answer counts for so much time before it at most
-TIGHT_FACTOR_MAX = 1.2  # up to this factor the limit is felt
+LIMITING_FACTOR_MAX = 1.2  # up to this factor the limit is felt
 BURST_MS = 700.0  # of the pace that may go at once, one call at least
 
 
@@ -40,54 +43,54 @@
         """What the even share is multiplied by."""
         return self.rejection_factor * self.level_factor * self.boost_factor
 
-    def pace(self) -> float:
+    def rate_per_ms(self) -> float:
         """Calls a millisecond that this node may send."""
         return self.limit * self._share_per_ms * self.factor
 
     @property
-    def is_tight(self) -> bool:
+    def is_limiting(self) -> bool:
         """Has the limit been felt recently? What is sent then is missed by others."""
-        return self.limit > 0 and self.factor <= TIGHT_FACTOR_MAX
+        return self.limit > 0 and self.factor <= LIMITING_FACTOR_MAX
 
     def calls_in(self, span: float) -> float:
         """Calls that may go within so many ms."""
-        return self.pace() * span if self.limit > 0 else INF
+        return self.rate_per_ms() * span if self.limit > 0 else INF
 
     def set_limit(self, limit: float) -> None:
         """The present limit, 0 if unknown."""
         self.limit = limit
 
-    def opens_at(self, now: float) -> float:
+    def available_at(self, now: float) -> float:
         """When a call may go: 0 for now."""
         if self.limit <= 0:
             return 0.0
         recovered = min(1.0, (now - self.factor_recovered_at) / REJECTION_MEMORY_MS)
         self.rejection_factor += (1 - self.rejection_factor) * recovered
         self.factor_recovered_at = now
-        pace = self.pace()
-        self.tokens = min(max(1.0, pace * BURST_MS), self.tokens + pace * (now - self.tokens_at))
+        rate_per_ms = self.rate_per_ms()
+        self.tokens = min(max(1.0, rate_per_ms * BURST_MS), self.tokens + rate_per_ms * (now - self.tokens_at))
         self.tokens_at = now
-        return 0.0 if self.tokens >= 1 - 1e-6 else now + (1 - self.tokens) / pace
+        return 0.0 if self.tokens >= 1 - 1e-6 else now + (1 - self.tokens) / rate_per_ms
 
     def spend(self) -> None:
         """A call is sent."""
         self.tokens -= 1.0
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """A call never reached the destination."""
         self.tokens += 1.0
 
-    def answered(self, now: float, sent: float, left: float | None) -> None:
+    def answered(self, now: float, sent: float, allowance_left: float | None) -> None:
         """A call sent at that time was served; ``left``: the share of the allowance left that its answer reports."""
         if sent < self.rejected_at:
             return
         since, self.answered_at = min(ANSWER_SPAN_MAX_MS, now - self.answered_at), now
-        left = 1.0 if left is None else left
-        gain = GAIN_BELOW if left < ALLOWANCE_TARGET else GAIN_ABOVE
-        self.level_factor = 1 + gain * (left - ALLOWANCE_TARGET)
-        if left >= PLENTY_LEFT:
+        allowance_left = 1.0 if allowance_left is None else allowance_left
+        gain = ALLOWANCE_GAIN_BELOW if allowance_left < ALLOWANCE_TARGET else ALLOWANCE_GAIN_ABOVE
+        self.level_factor = 1 + gain * (allowance_left - ALLOWANCE_TARGET)
+        if allowance_left >= BOOST_ALLOWANCE_MIN:
             self.boost_factor = min(BOOST_MAX, self.boost_factor * (1 + BOOST_PER_S * since / 1000))
-        elif left < ALLOWANCE_TARGET:
+        elif allowance_left < ALLOWANCE_TARGET:
             self.boost_factor = 1 + (self.boost_factor - 1) / 2
 
     def rejected(self, now: float, sent: float, jitter: float) -> None:
--- a/lynxscale/scheduling/rejection_backoff.py
+++ b/lynxscale/scheduling/rejection_backoff.py
@@ -16,16 +16,16 @@
     from lynxscale.scheduling.model import Call, Route
 
 BACKOFF_MIN_MS, BACKOFF_MAX_MS = 150.0, 12_000.0  # of the base that all destinations share
-BACKOFF_RISE, BACKOFF_FALL = 1.3, 0.985  # factors of that base, for a rejection and a success
-GROWTH, GROWTH_STEPS_MAX = 2.0, 6  # factor for each rejection in a row, so many times
-JITTER = (0.3, 1.0)  # share of the backoff that is used
-LIMIT_LEFT = 0.5  # with less of the allowance left a rejection is due to the limit; reports are old
-SUCCESS_RATE_MIN = 0.01  # a second, for the usual gap between a node's successes
+BACKOFF_INCREASE, BACKOFF_DECREASE = 1.3, 0.985  # factors of that base, for a rejection and a success
+BACKOFF_GROWTH, BACKOFF_GROWTH_STEPS_MAX = 2.0, 6  # factor for each rejection in a row, so many times
+BACKOFF_JITTER = (0.3, 1.0)  # share of the backoff that is used
+OVER_LIMIT_ALLOWANCE_MAX = 0.5  # with less of the allowance left a rejection is due to the limit; reports are old
+SUCCESS_RATE_MIN_PER_S = 0.01  # a second, for the usual gap between a node's successes
 
 
 def is_over_limit(allowance_left: float | None) -> bool:
     """Was a rejection due to an exhausted rate limit? Many nodes reach it together, which is no outage."""
-    return allowance_left is not None and allowance_left < LIMIT_LEFT
+    return allowance_left is not None and allowance_left < OVER_LIMIT_ALLOWANCE_MAX
 
 
 class RejectionBackoff:
@@ -40,25 +40,25 @@
         now, random = self._context.now, self._context.random
         route = call.endpoint.route
         health = route.health
-        closed_for = now + wait - (health.first_failure_at if health.failures else now)
+        unavailable_for = now + wait - (health.first_failure_at if health.failures else now)
         backoff = 0.0 if over_limit else self._backoff(route)  # the rate share paces the others
-        spread = self._health.spread_after(route, closed_for)
-        backoff = max(backoff * random.uniform(*JITTER), spread * random.random())
+        spread = self._health.spread_after(route, unavailable_for)
+        backoff = max(backoff * random.uniform(*BACKOFF_JITTER), spread * random.random())
         route.blocked_until = max(route.blocked_until, now + wait + backoff)
         route.rate_share.rejected(now, call.sent, random.random())
 
     def _backoff(self, route: Route) -> float:
         """A node that sends much there learns fast and need not wait for longer than its usual gap."""
         now, health = self._context.now, route.health
-        usual_gap = 1000 / max(health.success_rate(now), SUCCESS_RATE_MIN)
+        typical_gap = 1000 / max(health.success_rate(now), SUCCESS_RATE_MIN_PER_S)
         shortest = TRIAL_GAP_MIN_MS if now - health.last_success_at > OUTAGE_AFTER_MS else 0.0
-        backoff = max(shortest, self.base_ms) * GROWTH ** min(health.failures, GROWTH_STEPS_MAX)
-        return min(usual_gap, backoff)
+        backoff = max(shortest, self.base_ms) * BACKOFF_GROWTH ** min(health.failures, BACKOFF_GROWTH_STEPS_MAX)
+        return min(typical_gap, backoff)
 
     def rejected(self) -> None:
         """A destination rejected a call for another reason than its rate limit."""
-        self.base_ms = min(self.base_ms * BACKOFF_RISE, BACKOFF_MAX_MS)
+        self.base_ms = min(self.base_ms * BACKOFF_INCREASE, BACKOFF_MAX_MS)
 
     def succeeded(self) -> None:
         """A call succeeded."""
-        self.base_ms = max(BACKOFF_MIN_MS, self.base_ms * BACKOFF_FALL)
+        self.base_ms = max(BACKOFF_MIN_MS, self.base_ms * BACKOFF_DECREASE)
--- a/lynxscale/scheduling/restart_budget.py
+++ b/lynxscale/scheduling/restart_budget.py
@@ -46,7 +46,7 @@
             return
         if not self._retries.may_repeat(message, attempt.call.sent):
             return
-        if self._is_used_up(attempt) or self._is_useless(attempt):
+        if self._is_exhausted(attempt) or self._restart_is_useless(attempt):
             return
         if route.restarts >= 1:
             route.restarts -= 1
@@ -56,28 +56,30 @@
         attempt.cancelled = True
         self._context.actions.append(Cancel(message.id, attempt.number))
 
-    def _is_used_up(self, attempt: AttemptInFlight) -> bool:
+    def _is_exhausted(self, attempt: AttemptInFlight) -> bool:
         message = attempt.message
         attempts_cap = self._context.settings.attempts_cap or INF
         return message.restarts >= RESTARTS_PER_MESSAGE or message.attempts + 1 >= attempts_cap
 
-    def _is_useless(self, attempt: AttemptInFlight) -> bool:
+    def _restart_is_useless(self, attempt: AttemptInFlight) -> bool:
         """Slow or unhealthy: the next attempt is no faster there, and cancelled calls would pile up."""
         message, route = attempt.message, attempt.call.endpoint.route
         if route.health.state is not HEALTHY or route.is_slow():
             return True
         time_left = message.expires - self._context.now
-        return time_left < 2 * self._latencies.usual(message) or route.rate_share.is_tight
+        return time_left < 2 * self._latencies.typical_latency(message) or route.rate_share.is_limiting
 
     def _take_lost_restart(self, attempt: AttemptInFlight) -> bool:
         """Beyond the budget for slow calls: is this one lost, or its answer? Otherwise look at it again later."""
         now = self._context.now
         call, route = attempt.call, attempt.call.endpoint.route
-        usual = max(1.0, max(route.median, route.recent_latency) * self._latencies.class_ratio(attempt.message.cls))
-        lost_at = call.sent + LOST_LATENCY_MULTIPLE * usual
+        typical_ms = max(
+            1.0, max(route.median, route.recent_latency) * self._latencies.class_ratio(attempt.message.cls)
+        )
+        lost_at = call.sent + LOST_LATENCY_MULTIPLE * typical_ms
         if now >= lost_at and self.take_if_lost(call):
             return True
-        self._context.timers.schedule(max(lost_at, now + usual), self.timeout_expired, attempt)
+        self._context.timers.schedule(max(lost_at, now + typical_ms), self.timeout_expired, attempt)
         return False
 
     def take_if_lost(self, call: Call) -> bool:
--- a/lynxscale/scheduling/retry_policy.py
+++ b/lynxscale/scheduling/retry_policy.py
@@ -35,18 +35,18 @@
             return self._context.now - (message.maybe_executed_at or first_sent) < memory
         return cls.effect == Effect.IDEMPOTENT
 
-    def is_hopeless(self, message: PendingMessage) -> bool:
+    def is_undeliverable(self, message: PendingMessage) -> bool:
         """Is there too little time, no attempt left, or an attempt that may have been executed and not be repeated?"""
-        if message.expires - self._context.now <= MIN_LATENCIES_LEFT * self._latencies.usual(message):
+        if message.expires - self._context.now <= MIN_LATENCIES_LEFT * self._latencies.typical_latency(message):
             return True
         if message.attempts >= (self._context.settings.attempts_cap or INF):  # all made by an earlier incarnation
             return True
         maybe = message.maybe_executed_at
         return bool(maybe) and not self.may_repeat(message, maybe)
 
-    def hopeless_at(self, message: PendingMessage) -> float:
+    def undeliverable_at(self, message: PendingMessage) -> float:
         """When the message becomes hopeless, as far as time decides that."""
-        until = message.expires - MIN_LATENCIES_LEFT * self._latencies.usual(message)
+        until = message.expires - MIN_LATENCIES_LEFT * self._latencies.typical_latency(message)
         cls = self._context.settings.classes[message.cls]
         if message.maybe_executed_at and cls.effect == Effect.KEYED:
             until = min(until, message.maybe_executed_at + (cls.memory_span_ms or 0.0) * KEY_MEMORY_SHARE)
--- a/lynxscale/scheduling/routing_table.py
+++ b/lynxscale/scheduling/routing_table.py
@@ -15,7 +15,7 @@
     from lynxscale.scheduling.message_queue import MessageQueue
 
 INF = math.inf
-DESTINATION_KEPT_MS = 60_000.0  # for which a destination without endpoints is remembered
+DESTINATION_RETENTION_MS = 60_000.0  # for which a destination without endpoints is remembered
 WEIGHT_ERRORS = {"nominal": 1.0, "rough": 1.5}  # by kind of weights: they may be so many times too high
 
 
@@ -60,7 +60,7 @@
         endpoint.per_call = (settings.per_call[member.kind : member.kind + 1] or [1])[0]
         endpoint.fee = (settings.route_fee[member.zone : member.zone + 1] or [0.0])[0]
         own = () if apart else (Health(self._context.now),)
-        endpoint.healths = (route.health, *own)
+        endpoint.health_records = (route.health, *own)
         route.endpoints.append(endpoint)
         route.per_call = endpoint.per_call
         self.endpoints[member.endpoint] = endpoint
@@ -76,11 +76,11 @@
         if not route.endpoints and len(destination.routes) > 1:
             destination.routes.remove(route)
         if not any(route.endpoints for route in destination.routes):
-            self._check_later(destination)
+            self._schedule_removal_check(destination)
 
-    def _check_later(self, destination: Destination) -> None:
+    def _schedule_removal_check(self, destination: Destination) -> None:
         self._context.timers.schedule(
-            self._context.now + DESTINATION_KEPT_MS, self._remove_destination_if_unused, destination
+            self._context.now + DESTINATION_RETENTION_MS, self._remove_destination_if_unused, destination
         )
 
     def _remove_destination_if_unused(self, destination: Destination) -> None:
@@ -89,7 +89,7 @@
         used = destination.waiting or destination.in_flight
         used = used or any(message.destination is destination for message in self._pending.values())
         if used or any(route.blocked_until > now for route in destination.routes):
-            self._check_later(destination)
+            self._schedule_removal_check(destination)
         elif not any(route.endpoints for route in destination.routes):
             self.destinations.pop(destination.number, None)
             self._queue.active.pop(destination.number, None)
--- a/lynxscale/scheduling/settings_reader.py
+++ b/lynxscale/scheduling/settings_reader.py
@@ -24,24 +24,24 @@
     return value
 
 
-def _number(table: dict, path: str, name: str, least: float = 0.0, most: float = INF) -> float | None:
+def _number(table: dict, path: str, name: str, minimum: float = 0.0, maximum: float = INF) -> float | None:
     """A number from ``least`` to ``most``, ``None`` if it is absent."""
     value = table.get(name)
     if value is None:
         return None
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < INF:
         raise SettingsError(f"setting {path}{name} is not a number of use: {value!r}")
-    if not least <= value <= most:
-        raise SettingsError(f"setting {path}{name} is not a number of use: {value!r}, want {_range(least, most)}")
+    if not minimum <= value <= maximum:
+        raise SettingsError(f"setting {path}{name} is not a number of use: {value!r}, want {_range(minimum, maximum)}")
     return float(value)
 
 
-def _range(least: float, most: float) -> str:
-    return f"{least:g} at least" if most == INF else f"{least:g} to {most:g}"
+def _range(minimum: float, maximum: float) -> str:
+    return f"{minimum:g} or more" if maximum == INF else f"{minimum:g} to {maximum:g}"
 
 
-def _required_number(table: dict, path: str, name: str, least: float = 0.0) -> float:
-    return _required(_number(table, path, name, least), f"{path}{name}")
+def _required_number(table: dict, path: str, name: str, minimum: float = 0.0) -> float:
+    return _required(_number(table, path, name, minimum), f"{path}{name}")
 
 
 def _count(table: dict, path: str, name: str) -> int | None:
@@ -66,7 +66,7 @@
 
 def _memory_span(row: dict, path: str, keyed: bool) -> float | None:
     if keyed:
-        return _required_number(row, path, "memory_span_ms", least=1)
+        return _required_number(row, path, "memory_span_ms", minimum=1)
     return _number(row, path, "memory_span_ms")
 
 
@@ -81,7 +81,7 @@
     return MessageClass(
         name=str(row.get("name", index)),
         aim_ms=_required_number(row, path, "goal_time_ms"),
-        deadline_ms=_required_number(row, path, "deadline_ms", least=1),
+        deadline_ms=_required_number(row, path, "deadline_ms", minimum=1),
         worth=_required_number(row, path, "value"),
         late_worth=_number(row, path, "late_worth") or 0.0,
         effect=EFFECTS[effect],
@@ -145,7 +145,7 @@
     attempts_cap = _number(allowed, "allowed.", "attempts_cap")  # 0 for none
     per_call = [int(v) for v in _numbers(info, "per_call")]
     if any(not 1 <= v <= COUNT_MAX for v in per_call):
-        raise SettingsError(f"setting family_info.per_call is not of use: {per_call}, want 1 at least of each kind")
+        raise SettingsError(f"setting family_info.per_call is not of use: {per_call}, want 1 or more of each kind")
     return Settings(
         slots=_required_count(info, "family_info.", "max_calls"),
         senders=_required_count(conf, "", "balancers"),
--- a/lynxscale/scheduling/simulator_adapter.py
+++ b/lynxscale/scheduling/simulator_adapter.py
@@ -263,7 +263,7 @@
     return encoder(node, action, tail_size)
 
 
-def encode_broken(node: int, reason: str, tail_size: int) -> Record:
+def encode_failure(node: int, reason: str, tail_size: int) -> Record:
     """The record that says that an instance has failed."""
     text = reason.encode()
     return Record(struct.pack("<HHII", 259, node, tail_size, len(text)), text)
@@ -293,19 +293,19 @@
         if tail > len(frame):
             raise WireError("the frame is too short for its records")
         events_by_node: dict[int, list[Event]] = {}
-        broken: dict[int, str] = {}
+        failure_reasons: dict[int, str] = {}
         for at in range(BATCH_HEAD.size, tail, EVENT_SIZE):
-            self._read_record(frame, at, tail, events_by_node, broken)
+            self._read_record(frame, at, tail, events_by_node, failure_reasons)
         records: list[Record] = []
         tail_size = 0
         for node, events in events_by_node.items():
-            for record in self._step(node, now, events, tail_size, broken):
+            for record in self._step(node, now, events, tail_size, failure_reasons):
                 records.append(record)
                 tail_size += len(record.tail)
         return frame_reply(records)
 
     def _read_record(
-        self, frame: bytes, at: int, tail: int, events_by_node: dict[int, list[Event]], broken: dict[int, str]
+        self, frame: bytes, at: int, tail: int, events_by_node: dict[int, list[Event]], failure_reasons: dict[int, str]
     ) -> None:
         code, node = RECORD_HEAD.unpack_from(frame, at)
         if code == EVENT_MEMBER_TABLE:
@@ -315,12 +315,12 @@
             return
         if code == EVENT_START:
             events_by_node[node] = []
-            self._start(node, frame, at, tail, broken)
+            self._start(node, frame, at, tail, failure_reasons)
             return
         if code not in READERS and code not in (EVENT_MEMBERSHIP, EVENT_KILLED):
             raise WireError(f"unknown record code {code}")
         if node not in self.schedulers:
-            if node in broken:
+            if node in failure_reasons:
                 return
             raise WireError(f"event {code} for instance {node}, which was never started")
         if code == EVENT_KILLED:
@@ -331,13 +331,13 @@
         else:
             events_by_node.setdefault(node, []).append(READERS[code](frame, at, tail))
 
-    def _start(self, node: int, frame: bytes, at: int, tail: int, broken: dict[int, str]) -> None:
+    def _start(self, node: int, frame: bytes, at: int, tail: int, failure_reasons: dict[int, str]) -> None:
         seed, offset, size = START.unpack_from(frame, at + 4)
         settings = settings_from(_tail(frame, tail, offset, size))
         try:
             self.schedulers[node] = Scheduler(settings, seed)
         except Exception as error:  # a fault of one instance must not end the others
-            broken[node] = f"{type(error).__name__}: {error}"
+            failure_reasons[node] = f"{type(error).__name__}: {error}"
 
     def _membership(self, frame: bytes, at: int) -> MembershipUpdate:
         table, kind_code, version = MEMBERSHIP.unpack_from(frame, at + 4)
@@ -348,8 +348,10 @@
             raise WireError(f"list number {table} was never sent")
         return MembershipUpdate(kind, version, self.tables[table])
 
-    def _step(self, node: int, now: float, events: list[Event], tail_size: int, broken: dict[int, str]) -> list[Record]:
-        if node not in broken:
+    def _step(
+        self, node: int, now: float, events: list[Event], tail_size: int, failure_reasons: dict[int, str]
+    ) -> list[Record]:
+        if node not in failure_reasons:
             records: list[Record] = []
             offset = tail_size
             try:
@@ -359,8 +361,8 @@
                     offset += len(record.tail)
                 return records
             except Exception as error:  # as above
-                broken[node] = f"{type(error).__name__}: {error}"
-        return [encode_broken(node, broken[node], tail_size)]
+                failure_reasons[node] = f"{type(error).__name__}: {error}"
+        return [encode_failure(node, failure_reasons[node], tail_size)]
 
 
 def _read_exactly(source: BinaryIO, size: int) -> bytes:
--- a/lynxscale/scheduling/timers.py
+++ b/lynxscale/scheduling/timers.py
@@ -22,9 +22,9 @@
         self._heap: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self._armed_at = INF  # the earliest timer that the caller was asked for
 
-    def schedule(self, at: float, callback: Callable[[Any], None], subject: object) -> None:
+    def schedule(self, at: float, callback: Callable[[Any], None], argument: object) -> None:
         """Call ``callback(subject)`` in the first step at or after ``at`` (ms)."""
-        heappush(self._heap, (at, self._next_number(), callback, subject))
+        heappush(self._heap, (at, self._next_number(), callback, argument))
 
     def fired(self, now: float) -> None:
         """Note that the caller's timer has fired."""
@@ -35,8 +35,8 @@
         """Run all callbacks that are due, also those that these schedule."""
         heap = self._heap
         while heap and heap[0][0] <= now:
-            _, _, callback, subject = heappop(heap)
-            callback(subject)
+            _, _, callback, argument = heappop(heap)
+            callback(argument)
 
     def next_timer(self) -> SetTimer | None:
         """Ask the caller for an earlier timer, if one is needed."""
--- a/tests/scheduling/driver.py
+++ b/tests/scheduling/driver.py
@@ -51,8 +51,10 @@
     return Settings(**(base | changes))
 
 
-def member(endpoint: int, dest: int = 1, life: int = 1, **more) -> Member:
-    return Member(endpoint, Lifecycle(life), dest, more.get("zone", 0), more.get("kind", 0), more.get("weight", 1.0))
+def member(endpoint: int, dest: int = 1, lifecycle: int = 1, **more) -> Member:
+    return Member(
+        endpoint, Lifecycle(lifecycle), dest, more.get("zone", 0), more.get("kind", 0), more.get("weight", 1.0)
+    )
 
 
 class Driver:
@@ -62,15 +64,15 @@
         self.now = 1000.0
         self.scheduler = Scheduler(settings(**changes), seed)
         self.log: list[tuple[float, object]] = []
-        self.out: dict[tuple[int, int], tuple[Attempt, float]] = {}
+        self.attempts_in_flight: dict[tuple[int, int], tuple[Attempt, float]] = {}
         self.count: dict[int, int] = {}
-        self.finals: dict[int, list] = {}
+        self.final_answers: dict[int, list] = {}
         self.timers: list[tuple[float, int]] = []
         self.next_id = 0
         listed = [member(11)] if members is None else members
-        self.give(MembershipUpdate(MembershipKind.CACHED, 1, listed))
+        self.run_step(MembershipUpdate(MembershipKind.CACHED, 1, listed))
 
-    def give(self, *events) -> list:
+    def run_step(self, *events) -> list:
         actions = self.scheduler.step(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
@@ -81,55 +83,60 @@
         if isinstance(action, Attempt):
             number = self.count.get(action.id, 0)
             self.count[action.id] = number + 1
-            assert action.id not in self.finals, "an attempt after the final answer"
-            self.out[action.id, number] = (action, self.now)
+            assert action.id not in self.final_answers, "an attempt after the final answer"
+            self.attempts_in_flight[action.id, number] = (action, self.now)
         elif isinstance(action, SetTimer):
             self.timers.append((action.at, action.timer_id))
         elif isinstance(action, (Refuse, Fail)):
-            self.finals.setdefault(action.id, []).append(action)
+            self.final_answers.setdefault(action.id, []).append(action)
 
-    def message(self, cls: int = SAFE, dest: int = 1, left: float | None = None, **more) -> int:
+    def message(self, cls: int = SAFE, dest: int = 1, time_left: float | None = None, **more) -> int:
         self.next_id += 1
-        grade = classes()[cls]
-        self.give(
+        message_class = classes()[cls]
+        self.run_step(
             Message(
                 self.next_id,
                 dest,
                 cls,
                 more.get("tenant", 0),
-                self.now + (grade.deadline_ms if left is None else left),
+                self.now + (message_class.deadline_ms if time_left is None else time_left),
                 key=more.get("key", 0),
             )
         )
         return self.next_id
 
-    def pass_time(self, ms: float) -> None:
+    def advance(self, ms: float) -> None:
         """Let time go by; timers fire on the way, and time-outs end attempts."""
         end = self.now + ms
         while True:
-            due = min((at for at, _ in self.timers), default=end)
-            over = min((t + a.timeout for a, t in self.out.values()), default=end)
-            at = min(due, over)
+            timer_at = min((at for at, _ in self.timers), default=end)
+            timeout_at = min((t + a.timeout for a, t in self.attempts_in_flight.values()), default=end)
+            at = min(timer_at, timeout_at)
             if at >= end:
                 break
             self.now = max(self.now, at)
-            if due <= over:
-                mark = min(self.timers)[1]
+            if timer_at <= timeout_at:
+                timer_id = min(self.timers)[1]
                 self.timers.remove(min(self.timers))
-                self.give(TimerDue(mark))
+                self.run_step(TimerDue(timer_id))
             else:
-                key = min(self.out, key=lambda k: self.out[k][1] + self.out[k][0].timeout)
+                key = min(
+                    self.attempts_in_flight,
+                    key=lambda k: self.attempts_in_flight[k][1] + self.attempts_in_flight[k][0].timeout,
+                )
                 self.finish(key[0], Result.TIMEOUT)
         self.now = end
 
     def finish(self, number: int, result: int = Result.OK, wait: float = 0.0, report=()) -> list:
         """The outcome of the attempt of a message that is out."""
-        key = next(k for k in self.out if k[0] == number)
-        attempt, sent = self.out.pop(key)
-        done = result == Result.OK or number in self.finals
+        key = next(k for k in self.attempts_in_flight if k[0] == number)
+        attempt, sent = self.attempts_in_flight.pop(key)
+        finished = result == Result.OK or number in self.final_answers
         if result == Result.OK:
-            self.finals.setdefault(number, []).append("delivered")
-        return self.give(Outcome(number, key[1], attempt.endpoint, Result(result), self.now - sent, done, wait, report))
+            self.final_answers.setdefault(number, []).append("delivered")
+        return self.run_step(
+            Outcome(number, key[1], attempt.endpoint, Result(result), self.now - sent, finished, wait, report)
+        )
 
     def sent(self) -> list[Attempt]:
         return [a for _, a in self.log if isinstance(a, Attempt)]
@@ -137,12 +144,12 @@
     def sent_at(self) -> list[float]:
         return [t for t, a in self.log if isinstance(a, Attempt)]
 
-    def is_out(self, number: int) -> bool:
-        return any(k[0] == number for k in self.out)
+    def is_in_flight(self, number: int) -> bool:
+        return any(k[0] == number for k in self.attempts_in_flight)
 
     def warm_up(self, calls: int = 40, latency: float = 100.0, cls: int = SAFE, dest: int = 1) -> None:
         """A run of quick successes, one after another."""
         for _ in range(calls):
             number = self.message(cls, dest)
-            self.pass_time(latency)
+            self.advance(latency)
             self.finish(number)
--- a/tests/scheduling/test_concurrency_window.py
+++ b/tests/scheduling/test_concurrency_window.py
@@ -12,7 +12,7 @@
     lost = []
     for _ in range(calls):
         lost.append(d.message(cls))
-        d.pass_time(1)
+        d.advance(1)
         d.warm_up(1)
     return lost
 
@@ -26,19 +26,19 @@
     d.warm_up(60)
     for _ in range(40):
         d.message(SAFE)
-    assert 10 < len(d.out) < 15
+    assert 10 < len(d.attempts_in_flight) < 15
 
 
 def test_unresponsive_calls_do_not_keep_every_slot():
     members = [member(10 + dest, dest) for dest in range(1, 8)]
     d = Driver(members=members, slots=4)
     stuck = [d.message(UNSAFE, dest) for dest in range(1, 5)]
-    d.pass_time(4000)
+    d.advance(4000)
     waiting = d.message(UNSAFE, 6)
     cancelled = [a.id for _, a in d.log if isinstance(a, Cancel)]
     assert cancelled == stuck[:3]
     d.finish(stuck[0], Result.CANCELLED)
-    assert isinstance(d.finals[stuck[0]][0], Fail) and d.is_out(waiting)
+    assert isinstance(d.final_answers[stuck[0]][0], Fail) and d.is_in_flight(waiting)
 
 
 def test_lost_calls_that_must_not_be_repeated_give_way_when_no_slot_is_left():
@@ -46,7 +46,7 @@
     d.warm_up(30, dest=2)
     d.warm_up(60)
     lost = lose(d, 2, UNSAFE)
-    d.pass_time(2000)
+    d.advance(2000)
     assert not cancelled_ids(d)
     for dest in (1, 1, 2, 2, 2, 2):
         d.message(SAFE, dest=dest)
--- a/tests/scheduling/test_connection_reuse.py
+++ b/tests/scheduling/test_connection_reuse.py
@@ -14,9 +14,9 @@
 
 
 def use_after(d: Driver, idle: float) -> int:
-    d.pass_time(idle)
+    d.advance(idle)
     number = d.message(SAFE)
-    d.pass_time(50)
+    d.advance(50)
     return number
 
 
@@ -31,7 +31,7 @@
         first = d.message(SAFE)
         d.finish(first, Result.CONNECT_FAILED)
         assert not [a for _, a in d.log if isinstance(a, CloseIdle)]
-        d.pass_time(900)
+        d.advance(900)
         d.finish(first)  # on a connection older than the failure
     d.warm_up(3)
     d.warm_up(3, dest=2)
@@ -44,7 +44,7 @@
     for _ in range(3):
         number = d.message(SAFE)
         d.finish(number, Result.CONNECT_FAILED)
-        d.pass_time(2500)
+        d.advance(2500)
         d.finish(number)  # it is back
     d.warm_up(3)
     d.warm_up(3, dest=2)
@@ -55,8 +55,8 @@
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
     d.finish(use_after(d, 2000.0), RESET)
-    d.pass_time(700)
-    for number, _ in list(d.out):
+    d.advance(700)
+    for number, _ in list(d.attempts_in_flight):
         d.finish(number)
     assert not closes(d)
     d.finish(use_after(d, 500.0))  # young enough
@@ -69,8 +69,8 @@
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
     d.finish(use_after(d, 40.0), RESET)
-    d.pass_time(700)
-    for number, _ in list(d.out):
+    d.advance(700)
+    for number, _ in list(d.attempts_in_flight):
         d.finish(number)
     for _ in range(3):
         d.finish(use_after(d, 400.0))
@@ -86,11 +86,11 @@
         if turn % 16 == 15:
             d.finish(number, RESET)
         d.finish(number)
-    d.pass_time(300)
+    d.advance(300)
     d.message(SAFE)
     assert not d.sent()[-1].fresh
     d.warm_up(1)
-    d.pass_time(300)
+    d.advance(300)
     d.message(UNSAFE)
     assert d.sent()[-1].fresh and not closes(d)
 
@@ -99,8 +99,8 @@
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
     d.finish(use_after(d, 2000.0), RESET)
-    d.pass_time(700)
-    for number, _ in list(d.out):
+    d.advance(700)
+    for number, _ in list(d.attempts_in_flight):
         d.finish(number)
     d.finish(use_after(d, 31000.0))
     assert not closes(d)
@@ -111,7 +111,7 @@
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
     slow = use_after(d, 2000.0)
-    d.pass_time(1500)
+    d.advance(1500)
     d.finish(slow)
     d.finish(use_after(d, 3000.0))
     assert not closes(d)
@@ -120,8 +120,8 @@
 def test_reset_of_a_new_connection_says_nothing_of_idle_ones():
     d = Driver(idle_close_ms=60000.0)
     d.finish(d.message(SAFE), RESET)
-    d.pass_time(700)
-    for number, _ in list(d.out):
+    d.advance(700)
+    for number, _ in list(d.attempts_in_flight):
         d.finish(number)
     d.finish(use_after(d, 3000.0))
     assert not closes(d)
--- a/tests/scheduling/test_endpoint_choice.py
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -15,8 +15,8 @@
         d.warm_up(10)
         assert {attempt.endpoint for attempt in d.sent()} == used
     d = Driver(members=members, cross_price=0.03, zone=0)
-    d.give(
-        MembershipUpdate(MembershipKind.DELTA, 2, [member(12, life=2, zone=0)])
+    d.run_step(
+        MembershipUpdate(MembershipKind.DELTA, 2, [member(12, lifecycle=2, zone=0)])
     )  # it drains: only the far one is left
     d.warm_up(2)
     assert {attempt.endpoint for attempt in d.sent()} == {11}
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -23,9 +23,9 @@
             if d.now >= arrive:
                 d.message(UNSAFE)
                 arrive += outage
-            for number, _ in list(d.out):
+            for number, _ in list(d.attempts_in_flight):
                 d.finish(number, OK if d.now >= back else FAILED)
-            d.pass_time(50)
+            d.advance(50)
         calls += sum(t >= back for t in d.sent_at())
     return calls
 
@@ -39,8 +39,8 @@
     end = d.now + ms
     while d.now < end:
         d.message(cls)
-        d.pass_time(250)
-        for number, _ in list(d.out):
+        d.advance(250)
+        for number, _ in list(d.attempts_in_flight):
             d.finish(number, ERROR)
 
 
@@ -48,9 +48,9 @@
     end = d.now + ms
     while d.now < end:
         d.message(SAFE)
-        for key in list(d.out):
+        for key in list(d.attempts_in_flight):
             d.finish(key[0], result, wait=wait)
-        d.pass_time(100)
+        d.advance(100)
 
 
 def load_on_return(d: Driver, ms: float) -> list[float]:
@@ -58,9 +58,9 @@
     while d.now < start + ms:
         for _ in range(3):
             d.message(SAFE)
-        for key in list(d.out):
+        for key in list(d.attempts_in_flight):
             d.finish(key[0])
-        d.pass_time(100)
+        d.advance(100)
     return [t for t in d.sent_at() if t >= start]
 
 
@@ -98,8 +98,8 @@
     d.warm_up(100)
     for _ in range(50):
         d.message(UNSAFE)
-        d.pass_time(100)
-    assert len(d.out) <= 14
+        d.advance(100)
+    assert len(d.attempts_in_flight) <= 14
     assert any("failing" in a.text for _, a in d.log if isinstance(a, Note))
 
 
@@ -116,12 +116,12 @@
 def test_slow_answers_are_not_an_outage():
     d = Driver()
     d.warm_up(40)
-    d.pass_time(10)
+    d.advance(10)
     slow = [d.message(UNSAFE) for _ in range(3)]
-    d.pass_time(3000)
+    d.advance(3000)
     assert any("failing" in a.text for _, a in d.log if isinstance(a, Note))
     for number in slow:
-        if d.is_out(number):
+        if d.is_in_flight(number):
             d.finish(number)
     assert [a.text for _, a in d.log if isinstance(a, Note)][-1].endswith("ok")
 
@@ -129,11 +129,11 @@
 def test_trials_grow_sparser_with_the_age_of_an_outage():
     """Hundreds of nodes may each hold one message: their trials add up at the destination."""
     d = Driver(slots=3, senders=240, weights="rough", members=[member(11, weight=30.0)])
-    d.message(SAFE, left=60000.0)
+    d.message(SAFE, time_left=60000.0)
     end = d.now + 40000
     while d.now < end:
-        d.pass_time(50)
-        for number, _ in list(d.out):
+        d.advance(50)
+        for number, _ in list(d.attempts_in_flight):
             d.finish(number, Result.CONNECT_FAILED)
     times = d.sent_at()
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
@@ -146,14 +146,14 @@
     end = d.now + 8000
     while d.now < end:
         d.message(SAFE)
-        d.pass_time(100)
-        for number, _ in list(d.out):
+        d.advance(100)
+        for number, _ in list(d.attempts_in_flight):
             d.finish(number, Result.CONNECT_FAILED)
     failed = d.now
     d.message(SAFE)
-    while not d.out:
-        d.pass_time(20)
-    d.finish(next(iter(d.out))[0])
+    while not d.attempts_in_flight:
+        d.advance(20)
+    d.finish(next(iter(d.attempts_in_flight))[0])
     health = d.scheduler.table.destinations[1].routes[0].health
     assert health.state == "warming" and failed - 2000 < health.slow_start_from < d.now - 50
 
@@ -164,13 +164,13 @@
     d.warm_up(60)
     for _ in range(9):
         d.message(UNSAFE)
-        d.pass_time(1000)
-    for number, _ in list(d.out):
+        d.advance(1000)
+    for number, _ in list(d.attempts_in_flight):
         d.finish(number, Result.CANCELLED)
     d.message(UNSAFE)
-    while not d.out:
-        d.pass_time(50)
-    d.finish(min(d.out)[0])
+    while not d.attempts_in_flight:
+        d.advance(50)
+    d.finish(min(d.attempts_in_flight)[0])
     assert any(text.endswith("warming") for text in notes(d))
 
 
@@ -189,12 +189,12 @@
     d = Driver([member(11, weight=40.0), member(12, weight=40.0)], weights="nominal", attempts_cap=50)
     d.warm_up(40)
     failing_outage(d, 8000.0)
-    d.give(MembershipUpdate(MembershipKind.DELTA, 2, [member(12, life=2, weight=40.0)]))
+    d.run_step(MembershipUpdate(MembershipKind.DELTA, 2, [member(12, lifecycle=2, weight=40.0)]))
     begin, end = len(d.sent()), d.now + 6000.0
     while d.now < end:
         d.message(SAFE)
-        d.pass_time(20)
-        for number, _ in list(d.out):
+        d.advance(20)
+        for number, _ in list(d.attempts_in_flight):
             d.finish(number)
     assert 36 <= len(d.sent()) - begin <= 72
 
@@ -206,11 +206,11 @@
     numbers = []
     for _ in range(60):
         numbers.append(d.message(KEYED))
-        d.pass_time(100)
-        for number, _ in list(d.out):
+        d.advance(100)
+        for number, _ in list(d.attempts_in_flight):
             d.finish(number, result)
-    d.pass_time(25000)
-    assert sorted(d.finals) == numbers and all(len(f) == 1 for f in d.finals.values())
+    d.advance(25000)
+    assert sorted(d.final_answers) == numbers and all(len(f) == 1 for f in d.final_answers.values())
 
 
 def test_timeouts_of_calls_with_little_time_left_say_nothing_of_health():
@@ -218,9 +218,9 @@
     d = Driver()
     d.warm_up(40)
     for _ in range(4):
-        d.message(SAFE, left=300.0)
-        d.pass_time(301.0)
-    assert len(d.sent()) == 44 and not d.out
+        d.message(SAFE, time_left=300.0)
+        d.advance(301.0)
+    assert len(d.sent()) == 44 and not d.attempts_in_flight
     assert not any(text.endswith("failing") for text in notes(d))
 
 
--- a/tests/scheduling/test_message_queue.py
+++ b/tests/scheduling/test_message_queue.py
@@ -11,8 +11,8 @@
     d = Driver([member(11, weight=40.0)], **REPORTS)
     d.finish(d.message(SAFE), Result.FULL, wait=2000.0, report=(0.0, 40.0))
     old = d.message(SAFE)
-    d.pass_time(1900)
+    d.advance(1900)
     new = d.message(SAFE)
-    d.pass_time(4000)
+    d.advance(4000)
     first = next(a.id for a in d.sent()[1:])
     assert first == new and first != old
--- a/tests/scheduling/test_restart_budget.py
+++ b/tests/scheduling/test_restart_budget.py
@@ -12,7 +12,7 @@
     lost = []
     for _ in range(calls):
         lost.append(d.message(cls))
-        d.pass_time(1)
+        d.advance(1)
         d.warm_up(1)
     return lost
 
@@ -25,11 +25,11 @@
     d = Driver()
     d.warm_up(60)
     number = d.message(SAFE)
-    d.pass_time(150)
-    cuts = [a for _, a in d.log if isinstance(a, Cancel)]
-    assert [c.id for c in cuts] == [number]
+    d.advance(150)
+    cancelled = [a for _, a in d.log if isinstance(a, Cancel)]
+    assert [c.id for c in cancelled] == [number]
     d.finish(number, 7)
-    assert d.is_out(number) and d.count[number] == 2
+    assert d.is_in_flight(number) and d.count[number] == 2
 
 
 def test_unsafe_attempt_runs_to_its_deadline():
@@ -37,24 +37,24 @@
     d.warm_up(60)
     number = d.message(UNSAFE)
     assert d.sent()[-1].timeout == 20000.0
-    d.pass_time(3000)
-    assert not any(isinstance(a, Cancel) for _, a in d.log) and d.is_out(number)
+    d.advance(3000)
+    assert not any(isinstance(a, Cancel) for _, a in d.log) and d.is_in_flight(number)
 
 
 def test_restarts_are_rationed():
     d = Driver()
     d.warm_up(60)
     numbers = [d.message(SAFE) for _ in range(12)]
-    d.pass_time(150)
-    cuts = [a for _, a in d.log if isinstance(a, Cancel)]
-    assert 1 <= len(cuts) <= RESTARTS_MAX < len(numbers)
+    d.advance(150)
+    cancelled = [a for _, a in d.log if isinstance(a, Cancel)]
+    assert 1 <= len(cancelled) <= RESTARTS_MAX < len(numbers)
 
 
 def test_lost_calls_are_restarted_beyond_the_budget():
     d = Driver()
     d.warm_up(60)
     lost = lose(d, 5)
-    d.pass_time(500)
+    d.advance(500)
     assert cancelled_ids(d) == lost and len(lost) > RESTARTS_MAX
 
 
@@ -64,7 +64,7 @@
     d.warm_up(60)
     for _ in range(12):
         d.message(SAFE)
-    d.pass_time(900)
+    d.advance(900)
     assert len(cancelled_ids(d)) <= RESTARTS_MAX
 
 
@@ -75,12 +75,12 @@
         d = Driver([member(11, weight=400.0)], **REPORTS)
         for _ in range(40):
             number = d.message(SAFE)
-            d.pass_time(100)
+            d.advance(100)
             d.finish(number, report=(left, 400.0))
-            d.pass_time(200)
+            d.advance(200)
         share = d.scheduler.table.destinations[1].routes[0].rate_share
-        assert share.is_tight == (left < 0.5)
+        assert share.is_limiting == (left < 0.5)
         d.message(SAFE)
-        d.pass_time(1500)
+        d.advance(1500)
         cancelled.append(any(isinstance(a, Cancel) for _, a in d.log))
     assert cancelled == [True, False]
--- a/tests/scheduling/test_simulator_adapter.py
+++ b/tests/scheduling/test_simulator_adapter.py
@@ -38,34 +38,36 @@
     return struct.pack("<IId", 16 + len(body) + len(tail), len(records), now) + body + tail
 
 
-def hello(conf=CONF) -> tuple[bytes, bytes]:
+def start_record(conf=CONF) -> tuple[bytes, bytes]:
     text = json.dumps(conf).encode()
     return bytes.fromhex("02010300") + struct.pack("<QII", 77, 0, len(text)), text
 
 
 def started() -> adapter.Host:
     host = adapter.Host()
-    head, text = hello()
-    line = bytes.fromhex("01 074a1203 00 0000000000000000 3900 0000803f 00")
-    census = bytes.fromhex("04010000") + struct.pack("<II", len(text), 1)
-    registry = bytes.fromhex("0701 0300 0000 02 29000000")
-    assert host.reply(frame(head, census, registry, tail=text + line)) == bytes.fromhex("0000000008000000")
+    head, text = start_record()
+    member_row = bytes.fromhex("01 074a1203 00 0000000000000000 3900 0000803f 00")
+    member_table = bytes.fromhex("04010000") + struct.pack("<II", len(text), 1)
+    membership = bytes.fromhex("0701 0300 0000 02 29000000")
+    assert host.reply(frame(head, member_table, membership, tail=text + member_row)) == bytes.fromhex(
+        "0000000008000000"
+    )
     return host
 
 
-CALL = bytes.fromhex("0801 0300 c4913a5d 00000000 0000") + struct.pack("<d", 12000.0) + bytes(8) + b"\0"
-CALL += struct.pack("<fd", 57.0, 0.0)
-VERDICT = bytes.fromhex("0a010300c4913a5d00074a1203 0100 0000000000803240 01 00000000 02 cdcccc3e 0000a03f")
+MESSAGE = bytes.fromhex("0801 0300 c4913a5d 00000000 0000") + struct.pack("<d", 12000.0) + bytes(8) + b"\0"
+MESSAGE += struct.pack("<fd", 57.0, 0.0)
+OUTCOME = bytes.fromhex("0a010300c4913a5d00074a1203 0100 0000000000803240 01 00000000 02 cdcccc3e 0000a03f")
 
 
 def test_call_is_sent_and_its_outcome_read():
     host = started()
-    reply = host.reply(frame(CALL))
+    reply = host.reply(frame(MESSAGE))
     count, size = struct.unpack_from("<II", reply)
     assert size == len(reply) == 8 + 24 * count
     assert reply[8:20] == bytes.fromhex("0101 0300 c4913a5d 074a1203")
     assert struct.unpack_from("<d", reply, 20) == (7000.0,)
-    host.reply(frame(VERDICT))
+    host.reply(frame(OUTCOME))
     assert (
         not host.schedulers[3].admission.pending and host.schedulers[3].table.destinations[57].routes[0].limit == 1.25
     )
@@ -109,15 +111,15 @@
 
 def test_restart_in_one_batch_forgets():
     host = started()
-    host.reply(frame(CALL))
-    head, text = hello()
+    host.reply(frame(MESSAGE))
+    head, text = start_record()
     host.reply(frame(bytes.fromhex("09010300"), head, tail=text))
     assert not host.schedulers[3].admission.pending and not host.schedulers[3].table.endpoints
 
 
 def test_an_exception_becomes_broken():
     host = started()
-    bad = CALL[:12] + b"\7\0" + CALL[14:]  # a class that the settings do not have
+    bad = MESSAGE[:12] + b"\7\0" + MESSAGE[14:]  # a class that the settings do not have
     reply = host.reply(frame(bad))
     assert reply[8:12] == bytes.fromhex("03010300") and b"IndexError" in reply
 
@@ -127,7 +129,7 @@
     host = started()
     steps = iter([[Note("discarded"), Note("\ud800")]])
     monkeypatch.setattr(host.schedulers[3], "step", lambda now, events: next(steps))
-    reply = host.reply(frame(CALL))
+    reply = host.reply(frame(MESSAGE))
     assert reply[8:12] == bytes.fromhex("03010300")
     offset, size = struct.unpack_from("<II", reply, 12)
     assert offset == 0 and reply[32 + offset : 32 + offset + size].startswith(b"UnicodeEncodeError")
@@ -136,11 +138,11 @@
 @pytest.mark.parametrize(
     "data, word",
     [
-        (frame(CALL)[:30], "ends inside"),
-        (frame(CALL), "never started"),
+        (frame(MESSAGE)[:30], "ends inside"),
+        (frame(MESSAGE), "never started"),
         (struct.pack("<IId", 10, 1, 0.0), "impossible"),
         (frame(b"\xff\xff\3\0"), "unknown record code"),
-        (frame(hello()[0]), "outside the tail"),
+        (frame(start_record()[0]), "outside the tail"),
     ],
 )
 def test_bad_input_is_one_plain_line(data, word, capsys, monkeypatch):
--- a/tests/scheduling/test_timers.py
+++ b/tests/scheduling/test_timers.py
@@ -9,9 +9,9 @@
 def test_timer_that_fires_early_by_a_rounding_is_set_again():
     d = Driver(members=[])
     number = d.message(SAFE)
-    at, mark = min(d.timers)
+    at, timer_id = min(d.timers)
     d.timers.clear()
     d.now = at - 0.0004
-    d.give(TimerDue(mark))
-    d.pass_time(20000)
-    assert len(d.finals[number]) == 1
+    d.run_step(TimerDue(timer_id))
+    d.advance(20000)
+    assert len(d.final_answers[number]) == 1
