--- a/lynxscale/scheduling/admission.py
+++ b/lynxscale/scheduling/admission.py
@@ -49,7 +49,7 @@
     # Arrival -------------------------------------------------------------------------------------
 
     def accept(self, event: Message) -> None:
-        """Accept a new message, and queue it unless an earlier message has the same key."""
+        """Accept a new message, and queue it unless it has to wait for earlier messages with its key."""
         cls = self._context.settings.classes[event.cls]
         destination = self._table.destination(event.destination)
         message = PendingMessage(event, destination, self._context.next_number())
--- a/lynxscale/scheduling/concurrency_window.py
+++ b/lynxscale/scheduling/concurrency_window.py
@@ -31,9 +31,8 @@
         self.used = 0  # slots in use
         self.unresponsive = 0  # overdue calls in flight
         self.in_outage = 0  # calls in flight that were sent to failing routes
-        self.attempts: dict[
-            tuple[int, int], AttemptInFlight
-        ] = {}  # (message id, attempt number): attempt, in send order
+        # In send order, by message id and attempt number.
+        self.attempts: dict[tuple[int, int], AttemptInFlight] = {}
 
     def slots_exhausted(self) -> bool:
         """Are all slots in use?"""
@@ -53,7 +52,7 @@
         """Do trial calls to failing destinations use all slots allowed for them?"""
         return self.in_outage >= self.outage_slots
 
-    def opened(self, call: Call) -> None:
+    def call_opened(self, call: Call) -> None:
         """Count a call that is sent."""
         endpoint = call.endpoint
         self.used += 1
@@ -62,13 +61,13 @@
         endpoint.route.destination.in_flight += 1
         endpoint.in_flight += 1
 
-    def overdue(self, call: Call) -> None:
+    def mark_unresponsive(self, call: Call) -> None:
         """Count a call as unresponsive."""
         call.unresponsive = True
         call.endpoint.route.unresponsive += 1
         self.unresponsive += 1
 
-    def closed(self, call: Call) -> None:
+    def call_closed(self, call: Call) -> None:
         """Release the slot of a call whose attempts all have their outcomes."""
         endpoint, route = call.endpoint, call.endpoint.route
         self.used -= 1
--- a/lynxscale/scheduling/dispatcher.py
+++ b/lynxscale/scheduling/dispatcher.py
@@ -157,7 +157,7 @@
         idle_ms = 0.0 if fresh else self._pools.take(endpoint)
         call = endpoint.latest_call = Call(endpoint, context.now, context.step_number, idle_ms, fresh)
         call.in_outage = route.health.state is FAILING
-        self._limits.opened(call)
+        self._limits.call_opened(call)
         route.rate_share.spend()
         context.timers.schedule(context.now + self._overdue_after(message, endpoint), self._outcomes.call_overdue, call)
         return call
--- a/lynxscale/scheduling/message_queue.py
+++ b/lynxscale/scheduling/message_queue.py
@@ -23,9 +23,8 @@
         self._context, self._latencies, self._retries = context, latencies, retries
         values = (cls.worth for cls in context.settings.classes)
         self._low_value = LOW_VALUE_SHARE * min(values, default=1.0)
-        self.active: dict[
-            int, Destination
-        ] = {}  # destinations with queued messages that the next dispatch considers, by number
+        # Destinations with queued messages that the next dispatch considers, by number.
+        self.active: dict[int, Destination] = {}
         self.on_undeliverable: Callable[[PendingMessage], None] = lambda message: None
 
     def activate(self, destination: Destination) -> None:
--- a/lynxscale/scheduling/outcomes.py
+++ b/lynxscale/scheduling/outcomes.py
@@ -77,7 +77,7 @@
         if not call.open_attempts:
             return
         endpoint = call.endpoint
-        self._limits.overdue(call)
+        self._limits.mark_unresponsive(call)
         for cls in call.classes:
             self._ejection.failed(endpoint, cls)
         self._queue.activate(endpoint.route.destination)
@@ -99,7 +99,7 @@
             return
         call.ended = True
         self._queue.activate(call.endpoint.route.destination)
-        self._limits.closed(call)
+        self._limits.call_closed(call)
         if result in REUSABLE_CONNECTION_RESULTS:
             self._pools.release(call.endpoint)
 
@@ -134,9 +134,8 @@
             self._limits.shrink(endpoint.route)
         if result in (Result.CONNECT_FAILED, Result.RESET, Result.ERROR):
             self._cool_down(endpoint, result)
-        if (
-            not call.unresponsive and result != Result.TIMEOUT and not over_limit
-        ):  # results of overdue calls are no evidence
+        # Overdue calls have been counted already, and timeouts may be due to a short deadline.
+        if not call.unresponsive and result != Result.TIMEOUT and not over_limit:
             for health in endpoint.health_records:
                 self._health.failed(endpoint, health, rejected, call.sent)
 
--- a/lynxscale/scheduling/rate_limits.py
+++ b/lynxscale/scheduling/rate_limits.py
@@ -38,7 +38,7 @@
 
     @property
     def factor(self) -> float:
-        """Factor of the even share."""
+        """Factor by which this node's rate differs from an even share of the limit."""
         return self.rejection_factor * self.level_factor * self.boost_factor
 
     def rate_per_ms(self) -> float:
@@ -79,7 +79,10 @@
         self.tokens += 1.0
 
     def answered(self, now: float, sent: float, allowance_left: float | None) -> None:
-        """A call sent at that time was served; ``left``: the share of the allowance left that its answer reports."""
+        """Adapt to the served call that was sent at ``sent``.
+
+        ``allowance_left`` is the remaining share of the allowance that the response reports, ``None`` without a report.
+        """
         if sent < self.rejected_at:
             return
         since, self.answered_at = min(ANSWER_SPAN_MAX_MS, now - self.answered_at), now
@@ -92,7 +95,7 @@
             self.boost_factor = 1 + (self.boost_factor - 1) / 2
 
     def rejected(self, now: float, sent: float, jitter: float) -> None:
-        """A call sent at that time was rejected; ``jitter``, from 0 to 1, spreads the nodes' next ones."""
+        """Adapt to the rejected call that was sent at ``sent``; ``jitter`` (0 to 1) spreads the nodes' next calls."""
         if sent >= self.rejected_at:  # simultaneous rejections count once
             self.rejection_factor = max(REJECTED_FACTOR_MIN, self.rejection_factor * REJECTED_FACTOR)
             self.factor_recovered_at = self.rejected_at = now
--- a/lynxscale/scheduling/retry_policy.py
+++ b/lynxscale/scheduling/retry_policy.py
@@ -17,7 +17,7 @@
 KEY_MEMORY_SHARE = 0.9  # used share of the time for which a key is remembered, as a call takes time to arrive
 MIN_LATENCIES_LEFT = 2.0  # typical latencies that must be left for an attempt, as half of the calls take longer
 MAYBE_EXECUTED = (Result.ERROR, Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the endpoint may have executed it
-IN_DOUBT = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the endpoint may even execute it later
+IN_DOUBT = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)  # the endpoint may still execute it later
 NOT_SENT = (Result.CONNECT_FAILED, Result.MOOT)
 
 
@@ -36,7 +36,7 @@
         return cls.effect == Effect.IDEMPOTENT
 
     def is_undeliverable(self, message: PendingMessage) -> bool:
-        """Is there too little time, no attempt left, or an unrepeatable attempt that may have been executed?"""
+        """Is the message out of time or attempts, or may it have been executed and must not be repeated?"""
         if message.expires - self._context.now <= MIN_LATENCIES_LEFT * self._latencies.typical_latency(message):
             return True
         if message.attempts >= (self._context.settings.attempts_cap or INF):  # an earlier incarnation used them all
--- a/tests/scheduling/driver.py
+++ b/tests/scheduling/driver.py
@@ -76,10 +76,10 @@
         actions = self.scheduler.step(self.now, list(events))
         for action in actions:
             self.log.append((self.now, action))
-            self._keep(action)
+            self._record_action(action)
         return actions
 
-    def _keep(self, action) -> None:
+    def _record_action(self, action) -> None:
         if isinstance(action, Attempt):
             number = self.count.get(action.id, 0)
             self.count[action.id] = number + 1
--- a/tests/scheduling/test_concurrency_window.py
+++ b/tests/scheduling/test_concurrency_window.py
@@ -7,7 +7,7 @@
 from tests.scheduling.driver import SAFE, UNSAFE, Driver, member
 
 
-def lose(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
+def send_lost_calls(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
     """Send calls that stay unanswered; after each one, a later call is answered with the typical latency."""
     lost = []
     for _ in range(calls):
@@ -45,7 +45,7 @@
     d = Driver(members=[member(11, 1), member(12, 2)], slots=6)
     d.warm_up(30, dest=2)
     d.warm_up(60)
-    lost = lose(d, 2, UNSAFE)
+    lost = send_lost_calls(d, 2, UNSAFE)
     d.advance(2000)
     assert not cancelled_ids(d)
     for dest in (1, 1, 2, 2, 2, 2):
--- a/tests/scheduling/test_connection_reuse.py
+++ b/tests/scheduling/test_connection_reuse.py
@@ -9,11 +9,11 @@
 RESET = Result.RESET
 
 
-def closes(d: Driver) -> list[float]:
+def close_times(d: Driver) -> list[float]:
     return [t for t, a in d.log if isinstance(a, CloseIdle)]
 
 
-def use_after(d: Driver, idle: float) -> int:
+def send_after_idle(d: Driver, idle: float) -> int:
     d.advance(idle)
     number = d.message(SAFE)
     d.advance(50)
@@ -54,27 +54,27 @@
 def test_connections_idle_for_longer_than_failed_are_not_reused():
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
-    d.finish(use_after(d, 2000.0), RESET)
+    d.finish(send_after_idle(d, 2000.0), RESET)
     d.advance(700)
     for number, _ in list(d.attempts_in_flight):
         d.finish(number)
-    assert not closes(d)
-    d.finish(use_after(d, 500.0))  # young enough
-    assert not closes(d)
-    d.finish(use_after(d, 2500.0))
-    assert len(closes(d)) == 1
+    assert not close_times(d)
+    d.finish(send_after_idle(d, 500.0))  # young enough
+    assert not close_times(d)
+    d.finish(send_after_idle(d, 2500.0))
+    assert len(close_times(d)) == 1
 
 
 def test_reset_of_a_busy_connection_closes_no_idle_ones():
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
-    d.finish(use_after(d, 40.0), RESET)
+    d.finish(send_after_idle(d, 40.0), RESET)
     d.advance(700)
     for number, _ in list(d.attempts_in_flight):
         d.finish(number)
     for _ in range(3):
-        d.finish(use_after(d, 400.0))
-    assert not closes(d)
+        d.finish(send_after_idle(d, 400.0))
+    assert not close_times(d)
 
 
 def test_young_connections_that_are_often_reset_are_not_reused():
@@ -82,7 +82,7 @@
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
     for turn in range(48):
-        number = use_after(d, 300.0)
+        number = send_after_idle(d, 300.0)
         if turn % 16 == 15:
             d.finish(number, RESET)
         d.finish(number)
@@ -92,29 +92,29 @@
     d.warm_up(1)
     d.advance(300)
     d.message(UNSAFE)
-    assert d.sent()[-1].fresh and not closes(d)
+    assert d.sent()[-1].fresh and not close_times(d)
 
 
 def test_reuse_is_tried_again_once_resets_are_old():
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
-    d.finish(use_after(d, 2000.0), RESET)
+    d.finish(send_after_idle(d, 2000.0), RESET)
     d.advance(700)
     for number, _ in list(d.attempts_in_flight):
         d.finish(number)
-    d.finish(use_after(d, 31000.0))
-    assert not closes(d)
+    d.finish(send_after_idle(d, 31000.0))
+    assert not close_times(d)
 
 
 def test_timeouts_close_no_idle_connections():
     """A stall or a slow call also ends in a timeout; closing connections then would cost a handshake for every call."""
     d = Driver(idle_close_ms=60000.0)
     d.warm_up(20)
-    slow = use_after(d, 2000.0)
+    slow = send_after_idle(d, 2000.0)
     d.advance(1500)
     d.finish(slow)
-    d.finish(use_after(d, 3000.0))
-    assert not closes(d)
+    d.finish(send_after_idle(d, 3000.0))
+    assert not close_times(d)
 
 
 def test_reset_of_a_new_connection_says_nothing_of_idle_ones():
@@ -123,5 +123,5 @@
     d.advance(700)
     for number, _ in list(d.attempts_in_flight):
         d.finish(number)
-    d.finish(use_after(d, 3000.0))
-    assert not closes(d)
+    d.finish(send_after_idle(d, 3000.0))
+    assert not close_times(d)
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -13,7 +13,7 @@
 OK, FULL, FAILED, ERROR = Result.OK, Result.FULL, Result.CONNECT_FAILED, Result.ERROR
 
 
-def rates_of_a_returning_fleet(senders: int, outage: float, ms: float) -> int:
+def calls_of_recovering_fleet(senders: int, outage: float, ms: float) -> int:
     """Count the calls of a fleet in the first ``ms`` after an outage, with one or two messages pending at each node."""
     calls = 0
     for seed in range(senders):
@@ -34,7 +34,7 @@
     return [a.text for _, a in d.log if isinstance(a, Note)]
 
 
-def failing_outage(d: Driver, ms: float, cls: int = SAFE) -> None:
+def fail_all_attempts(d: Driver, ms: float, cls: int = SAFE) -> None:
     """Let every attempt fail for ``ms``, while four messages a second arrive."""
     end = d.now + ms
     while d.now < end:
@@ -53,7 +53,7 @@
         d.advance(100)
 
 
-def load_on_return(d: Driver, ms: float) -> list[float]:
+def send_after_recovery(d: Driver, ms: float) -> list[float]:
     start = d.now
     while d.now < start + ms:
         for _ in range(3):
@@ -78,7 +78,7 @@
     d = Driver()
     d.warm_up(150)  # 10 calls a second, which the destination can also serve after slow start
     outage(d, result, wait)
-    times = load_on_return(d, 6000)
+    times = send_after_recovery(d, 6000)
     for start in range(0, 3001, 250):
         t0 = times[0] + start
         share = 0.2 + 0.8 * start / 10000 + 0.8 * 3000 / 10000 / 2
@@ -107,7 +107,7 @@
     d = Driver()
     d.warm_up(100)
     outage(d, Result.CONNECT_FAILED)
-    load_on_return(d, 14000)
+    send_after_recovery(d, 14000)
     states = [a.text.rsplit(" ", 1)[1] for _, a in d.log if isinstance(a, Note)]
     assert states.index("failing") < states.index("warming") < len(states) - 1
     assert states[-1] == "ok"
@@ -177,9 +177,9 @@
 def test_trials_in_an_outage_are_a_second_apart_and_spare_unsafe_messages():
     d = Driver([member(11, weight=20.0)], weights="nominal", attempts_cap=50)
     d.warm_up(40)
-    failing_outage(d, 6000.0)
+    fail_all_attempts(d, 6000.0)
     once, begin = d.message(UNSAFE), len(d.sent())
-    failing_outage(d, 6000.0)
+    fail_all_attempts(d, 6000.0)
     assert 4 <= len(d.sent()) - begin <= 8
     assert once in d.scheduler.admission.pending and d.count.get(once, 0) == 0
 
@@ -188,7 +188,7 @@
     """When one of two endpoints drains, the other gets the destination's whole slow start rate, not half of it."""
     d = Driver([member(11, weight=40.0), member(12, weight=40.0)], weights="nominal", attempts_cap=50)
     d.warm_up(40)
-    failing_outage(d, 8000.0)
+    fail_all_attempts(d, 8000.0)
     d.run_step(MembershipUpdate(MembershipKind.DELTA, 2, [member(12, lifecycle=2, weight=40.0)]))
     begin, end = len(d.sent()), d.now + 6000.0
     while d.now < end:
@@ -227,4 +227,4 @@
 def test_returning_destination_with_hundreds_of_small_nodes():
     # 200 nodes with a message every 10 s send 20 a second, a third of the advertised rate. All have seen the outage.
     budget = 2.0 * (0.2 + 0.8 * 1500 / 10000) * 60 * 3
-    assert 10 < rates_of_a_returning_fleet(200, 10000.0, 3000.0) < budget
+    assert 10 < calls_of_recovering_fleet(200, 10000.0, 3000.0) < budget
--- a/tests/scheduling/test_restart_budget.py
+++ b/tests/scheduling/test_restart_budget.py
@@ -7,7 +7,7 @@
 REPORTS = dict(senders=40, slots=6, report_left=0, report_limit=1, weights="nominal")
 
 
-def lose(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
+def send_lost_calls(d: Driver, calls: int, cls: int = SAFE) -> list[int]:
     """Send calls that stay unanswered; after each one, a later call is answered with the typical latency."""
     lost = []
     for _ in range(calls):
@@ -53,7 +53,7 @@
 def test_lost_calls_are_restarted_beyond_the_budget():
     d = Driver()
     d.warm_up(60)
-    lost = lose(d, 5)
+    lost = send_lost_calls(d, 5)
     d.advance(500)
     assert cancelled_ids(d) == lost and len(lost) > RESTARTS_MAX
 
