--- a/lynxscale/scheduling/settings.py
+++ b/lynxscale/scheduling/settings.py
@@ -49,7 +49,8 @@
 class Settings:
     """Settings with which a scheduler starts.
 
-    The caller may change ``slots`` at any time: the scheduler reads it at every use.
+    The caller may change ``slots`` at any time: the scheduler reads it at every use. The limits that
+    ``ConcurrencyLimits`` derives from it at the start keep their initial values.
     """
 
     slots: int  # maximum of concurrent calls of this node
