--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -639,35 +639,35 @@
         for _ in range(8):
             before = len([1 for _, action in d.log if isinstance(action, Subscribe)])
             begun = d.now
-            d.give(MembershipUpdate(MembershipKind.FAILED, 1, []))
+            d.run_step(MembershipUpdate(MembershipKind.FAILED, 1, []))
             while len([1 for _, action in d.log if isinstance(action, Subscribe)]) == before:
-                d.pass_time(200.0)
+                d.advance(200.0)
                 assert d.now - begun <= 4 * 5000.0, f"seed {seed}: no call {d.now - begun} ms after a failure"
 
 
 def test_only_recovered_messages_without_an_attempt_are_spared_at_the_limit():
     for cls in (SAFE, KEYED, UNSAFE):
         d = Driver(members=[member(11, weight=1.0)], weights="nominal")
-        d.give(
+        d.run_step(
             *(Message(100 + k, 1, cls, 0, d.now + 16_000.0, inherited=True) for k in range(12)),
             *(Message(200 + k, 1, cls, 0, d.now + 16_000.0) for k in range(12)),
         )
-        assert not [number for number in d.finals if number < 200]
-        assert len(d.finals) >= 12 - 5  # as the limit's part lets five through in ten seconds
+        assert not [number for number in d.final_answers if number < 200]
+        assert len(d.final_answers) >= 12 - 5  # as the limit's part lets five through in ten seconds
 
 
 def test_more_recovered_messages_than_the_limit_are_still_attempted():
     """The bound has fallen over the restart: what waits for its first call stays, what came after it goes."""
     d = Driver(members=[member(11, dest=1), member(12, dest=2)], most_held=20)
-    d.give(*(Message(100 + k, 1 + k % 2, SAFE, 0, d.now + 8000.0, inherited=True) for k in range(40)))
-    d.give(*(Message(200 + k, 1, SAFE, 0, d.now + 8000.0) for k in range(4)))
-    assert not [number for number in d.finals if number < 200]
+    d.run_step(*(Message(100 + k, 1 + k % 2, SAFE, 0, d.now + 8000.0, inherited=True) for k in range(40)))
+    d.run_step(*(Message(200 + k, 1, SAFE, 0, d.now + 8000.0) for k in range(4)))
+    assert not [number for number in d.final_answers if number < 200]
     called = set()
-    while out := sorted(number for number, _attempt in d.out):
+    while out := sorted(number for number, _attempt in d.attempts_in_flight):
         called.update(out)
-        d.pass_time(50.0)
+        d.advance(50.0)
         for number in out:
-            if d.is_out(number):
+            if d.is_in_flight(number):
                 d.finish(number)
     assert called >= set(range(100, 140))
 
@@ -676,30 +676,30 @@
     """A connection that failed is no call; one that was answered is, and then it is held like any other."""
     for result, owed in ((Result.CONNECT_FAILED, True), (Result.MOOT, True), (Result.ERROR, False)):
         d = Driver(members=[member(11, weight=1.0)], weights="nominal")
-        d.give(Message(100, 1, SAFE, 0, d.now + 8000.0, inherited=True))
+        d.run_step(Message(100, 1, SAFE, 0, d.now + 8000.0, inherited=True))
         d.finish(100, result)
-        assert d.scheduler.admission.pending[100].first_attempt_owed is owed
+        assert d.scheduler.admission.pending[100].first_attempt_pending is owed
 
 
 def test_recovered_messages_wait_for_a_list_and_for_retry_after():
     """With no endpoint at first, and the only one shut when it comes: its first call goes when that is over."""
     d = Driver(members=[])
-    d.give(
+    d.run_step(
         *(Message(100 + k, 1, cls, 0, d.now + 8000.0, inherited=True) for k, cls in enumerate((SAFE, KEYED, UNSAFE)))
     )
-    d.pass_time(3000.0)
-    assert not d.finals
-    d.give(MembershipUpdate(MembershipKind.FULL, 2, [member(11)]))
-    first = next(iter(d.out))[0]
+    d.advance(3000.0)
+    assert not d.final_answers
+    d.run_step(MembershipUpdate(MembershipKind.FULL, 2, [member(11)]))
+    first = next(iter(d.attempts_in_flight))[0]
     d.finish(first, Result.FULL, wait=1500.0)
-    d.pass_time(1000.0)
-    assert not d.out
-    assert not d.finals
+    d.advance(1000.0)
+    assert not d.attempts_in_flight
+    assert not d.final_answers
     called = set()
     for _ in range(60):
-        d.pass_time(50.0)
-        for number in {number for number, _attempt in d.out}:
+        d.advance(50.0)
+        for number in {number for number, _attempt in d.attempts_in_flight}:
             called.add(number)
             d.finish(number)
     assert called == {100, 101, 102}
-    assert all(ends == ["delivered"] for ends in d.finals.values())
+    assert all(ends == ["delivered"] for ends in d.final_answers.values())
--- a/tests/relay/test_restart_rules.py
+++ b/tests/relay/test_restart_rules.py
@@ -204,23 +204,23 @@
         senders=senders,
     )
     expires = {100 + k: d.now + left * classes[cls].deadline_ms for k, (cls, _dest, left) in enumerate(messages)}
-    d.give(
+    d.run_step(
         *(
             Message(100 + k, dest, cls, 0, expires[100 + k], inherited=True)
             for k, (cls, dest, _left) in enumerate(messages)
         )
     )
-    d.give(*(Message(1000 + k, 1, 0, 0, d.now + classes[0].deadline_ms) for k in range(newcomers)))
+    d.run_step(*(Message(1000 + k, 1, 0, 0, d.now + classes[0].deadline_ms) for k in range(newcomers)))
     tried, latency = set(), 40.0
-    while any(number not in d.finals for number in expires):
-        out = {number for number, _attempt in d.out}
+    while any(number not in d.final_answers for number in expires):
+        out = {number for number, _attempt in d.attempts_in_flight}
         tried |= out
         for number in expires:
-            if number in d.finals and number not in tried:
+            if number in d.final_answers and number not in tried:
                 assert expires[number] - d.now <= 4 * latency + 200.0, number
-        d.pass_time(latency)
+        d.advance(latency)
         for number in out:
-            if d.is_out(number):
+            if d.is_in_flight(number):
                 d.finish(number)
         if d.now > 100_000.0:
             raise AssertionError("no end")
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -184,9 +184,9 @@
         before.median,
     )
     number = new.message(dest=2)
-    assert not new.is_out(number)  # the told wait holds on
-    new.pass_time(5000.0)
-    assert new.is_out(number)
+    assert not new.is_in_flight(number)  # the told wait holds on
+    new.advance(5000.0)
+    assert new.is_in_flight(number)
 
 
 @pytest.mark.parametrize(
