--- a/lynxscale/coordination/acceptor.py
+++ b/lynxscale/coordination/acceptor.py
@@ -1,8 +1,8 @@
 """The Paxos acceptor of each voting member: the epochs it promised and accepted, and the leases it grants.
 
 A round has two phases, as in CASPaxos (Rystsov, arXiv:1802.07000): a majority promises an epoch and reports the record
-accepted last, then a majority accepts the record built on it. A change of the voters needs a majority of both the old
-and the new ones. Only the latest record is stored, never a log of them.
+that it accepted last, then a majority accepts a record that is derived from the latest of these. A change of the voters
+needs a majority of both the old and the new voters. Only the latest record is stored, not a log of records.
 """
 
 from __future__ import annotations
@@ -22,24 +22,27 @@
 )
 from lynxscale.coordination.ports import Clock
 
-EXPECTED_WRITE_S = 0.03  # latency assumed before the first write
-WRITE_DECAY = 0.8  # factor on the slowest recent latency, for each write that is faster
+EXPECTED_WRITE_S = 0.03  # write latency assumed before the first write
+WRITE_DECAY = 0.8  # each faster write multiplies ``write_s`` by this factor
 
 
 @dataclass(frozen=True, slots=True)
 class DeferredPromise:
-    """The promise is durable, and may be given in ``wait_s`` seconds, once the lease granted here has ended."""
+    """The promise is durable, but may be sent only in ``wait_s`` seconds, when the lease granted here has ended."""
 
     wait_s: float
 
 
 class Acceptor:
-    """One member's votes. ``lease_s``: seconds for which a grant binds it, by its own steady clock.
+    """The promises, accepted record and lease grants of one voting member.
 
-    ``advance_s``: in the last so many seconds of a lease that it granted, a promise to another candidate is stored
-    already, and given as the lease ends. It is for speed alone: no promise is given while the lease may run.
+    ``lease_s``: seconds for which a grant binds this acceptor, by its own monotonic clock.
 
-    ``write_s``: seconds that a write of its durable state takes, by the slowest of the recent ones.
+    ``advance_s``: during the last ``advance_s`` seconds of a lease that it granted, the acceptor already stores a
+    promise to another candidate, and sends it as the lease ends. This only shortens a failover: no promise is sent
+    while the lease may run.
+
+    ``write_s``: estimated seconds per write of the durable state, a decaying maximum of recent writes.
     """
 
     def __init__(
@@ -51,8 +54,8 @@
         self.write_s = EXPECTED_WRITE_S
         self._clock = clock
         self._state_file = state_file
-        # Grants are not stored: an earlier process may have given one just before it ended, to the record's primary,
-        # as nobody else's epoch can begin while it runs.
+        # Grants are not stored. An earlier process may have granted a lease just before it ended; only the recorded
+        # primary can hold it, because no other member's epoch begins while a lease runs.
         self._lease_until = clock.now() + lease_s if state_file.restored else clock.now()
         self._lease_holder = state_file.state.accepted.primary
 
@@ -63,20 +66,20 @@
 
     @property
     def record(self) -> EpochRecord:
-        """The record that was accepted last."""
+        """The epoch record that was accepted last."""
         return self.state.accepted
 
     @property
     def lease_left(self) -> float:
-        """Seconds for which a lease that was granted here may still be valid, 0 for none."""
+        """Seconds for which a lease granted by this acceptor may still be valid, 0 for none."""
         return max(0.0, self._lease_until - self._clock.now())
 
     def lease_left_for_other(self, candidate: str) -> float:
-        """Seconds for which a lease of another member than the candidate may run."""
+        """Seconds for which a lease held by a member other than the candidate may still run."""
         return 0.0 if self._lease_holder == candidate else self.lease_left
 
     def learn(self, record: EpochRecord) -> bool:
-        """Adopt a record that a majority has accepted; False where it is not later than the own one."""
+        """Adopt a record that a majority has accepted; False if it is not later than the stored one."""
         if record.epoch <= self.record.epoch:
             return False
         if record.epoch >= self.state.promised:
@@ -86,30 +89,32 @@
         return True
 
     def advance_wait_s(self, candidate: str) -> float:
-        """Seconds until a promise to the candidate may be stored, were it asked for; 0 or less for now."""
+        """Seconds until a promise to the candidate may be stored; 0 or less if it may be stored now."""
         return self.lease_left_for_other(candidate) - self.advance_s
 
     def prepare(self, request: Prepare, position: Position) -> Promise | DeferredPromise | PrepareRejected:
         """Promise the epoch, unless a higher one was promised or another member may hold the lease.
 
-        Shortly before that lease ends the promise is stored, and has to be asked for again once it has ended.
+        In the last ``advance_s`` seconds of that lease the promise is stored, and the candidate's request has to be
+        handled again once the lease has ended.
 
-        ``position``: how far the replica beside this acceptor reaches. A repeated request comes from the same
-        process of the candidate, as each process has its own promise on its disk before it asks anyone else.
+        ``position``: the durable position of this member's replica. A repeated request comes from the same process of
+        the candidate: a candidate stores its own promise before it asks other voters, so a restarted one asks for a
+        later epoch.
         """
         repeated = request.epoch == self.state.promised and request.candidate == self.state.promised_to
         if self.advance_wait_s(request.candidate) > 0 or (request.epoch <= self.state.promised and not repeated):
             return PrepareRejected(request.epoch, self.member, self.state.promised, self.lease_left, self.record)
         if not repeated:
             self._save(self.record, request.epoch, request.candidate)
-        # The clock is read again: the write may have outlasted the lease.
+        # Recomputed because the lease may have ended during the write.
         wait_s = self.lease_left_for_other(request.candidate)
         if wait_s > 0:
             return DeferredPromise(wait_s)
         return Promise(request.epoch, self.member, self.record, position)
 
     def accept(self, record: EpochRecord) -> Accepted | None:
-        """Store the record, unless a higher epoch or another candidate of the same one was promised."""
+        """Store the record, unless a higher epoch was promised, or the same epoch to another candidate."""
         promised_other = record.epoch == self.state.promised and record.primary != self.state.promised_to
         if record.epoch < self.state.promised or promised_other or record.epoch < self.record.epoch:
             return None
@@ -118,7 +123,7 @@
         return Accepted(record.epoch, self.member)
 
     def grant(self, request: LeaseRequest) -> bool:
-        """Grant the lease of the accepted epoch to its primary, also while that one asks for its next epoch."""
+        """Grant the lease of the accepted epoch to its primary, even after promising that primary its next epoch."""
         record = request.record
         superseded = self.state.promised > record.epoch and self.state.promised_to != record.primary
         if record.epoch != self.record.epoch or superseded:
@@ -130,16 +135,16 @@
         return True
 
     def release(self, epoch: int) -> None:
-        """The primary of that epoch has given its lease back."""
+        """End the granted lease: the primary of that epoch has released it."""
         if epoch == self.record.epoch:
             self._lease_until = self._clock.now()
 
     def rewrite(self) -> None:
-        """Store the state anew, as one of its files is damaged. Raises OSError."""
+        """Store the state again because one of its files is damaged. Raises OSError."""
         self._state_file.save(self.state)
 
     def _save(self, accepted: EpochRecord, promised: int, promised_to: str) -> None:
-        """Store the state before it takes effect. Raises OSError."""
+        """Make a new state durable, then effective. Raises OSError."""
         started_at = self._clock.now()
         self._state_file.save(AcceptorState(self.member, accepted, promised, promised_to))
         self.write_s = max(self._clock.now() - started_at, self.write_s * WRITE_DECAY)
--- a/lynxscale/coordination/acceptor_state.py
+++ b/lynxscale/coordination/acceptor_state.py
@@ -1,10 +1,11 @@
 """The durable state of an acceptor: its member id, the record it accepted, and the epoch it promised.
 
-The id of a member holds an incarnation, drawn once for each disk. Founders are the seeds of the first start; their ids
-follow from their addresses, with no message. A member whose state is lost is another member: it has forgotten its
-promises and the lease it may have granted, so it draws a new id and waits to be admitted.
+A member id contains an incarnation, which is drawn at random once per disk. The founders are the seeds of the group's
+first start; their ids are derived from their addresses, so they need no messages to agree on them. A member that lost
+its state has lost its promises and the lease that it may have granted, so it must not vote under its former id: it
+draws a new one and waits to be admitted.
 
-The field names of ``AcceptorState`` and the name of its file are stored.
+The field names of ``AcceptorState`` and the name of its file are part of the storage format.
 """
 
 from __future__ import annotations
@@ -26,7 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """``address``: the internal one; ``seeds``: internal addresses of the seeds, the same for all on a first start."""
+    """How a member identifies itself at its first start.
+
+    ``address``: its internal address. ``bootstrap``: whether it may found the group. ``seeds``: internal addresses of
+    the founders, configured identically on all of them.
+    """
 
     address: str
     bootstrap: bool
@@ -34,7 +39,7 @@
 
 
 class AcceptorState(msgspec.Struct, frozen=True):
-    """What is stored. ``promised_to`` is the candidate of the promised epoch."""
+    """The stored state. ``promised_to`` is the candidate of the promised epoch."""
 
     member: str
     accepted: EpochRecord
@@ -43,10 +48,10 @@
 
 
 class AcceptorStateFile:
-    """Loads and stores the state of one process. ``restored``: did an earlier process on this disk write it?"""
+    """Loads and stores the acceptor state. ``restored``: whether an earlier process on this disk wrote it."""
 
     def __init__(self, identity: MemberIdentity, files: Files, random: Random) -> None:
-        """Raises OSError where a first one cannot be stored."""
+        """Load the state, or create and store the initial one. Raises OSError if it cannot be stored."""
         self._pair = ChecksummedFilePair(files, ACCEPTOR_STATE_FILE)
         first_start = not files.names()
         stored = self._pair.load()
@@ -54,24 +59,24 @@
         if stored is not None:
             self.state = msgspec.json.decode(stored, type=AcceptorState)
             if not self._pair.consistent:
-                # Later promises may rest on one file: were that one damaged, the other would hold an older state.
+                # With the newest state in one file only, damage to that file would bring back an older state.
                 self.save(self.state)
         else:
             self.save(_new_state(identity, first_start, random))
 
     def save(self, state: AcceptorState) -> None:
-        """Store the state before it takes effect. Raises OSError."""
+        """Make the state durable, then current. Raises OSError."""
         self._pair.save(msgspec.json.encode(state))
         self.state = state
 
 
 def founder_id(address: str) -> str:
-    """The member id of a founder, which follows from its address."""
+    """The member id of a founder, derived from its address alone."""
     return member_id(address, FIRST_INCARNATION)
 
 
 def _new_state(identity: MemberIdentity, first_start: bool, random: Random) -> AcceptorState:
-    """A founder's on an empty disk at the group's first start; else that of a member not known to the group yet."""
+    """The state of a founder on an empty disk at the group's first start; otherwise that of a new, unknown member."""
     founding = first_start and identity.bootstrap
     if founding and identity.address in identity.seeds:
         member = founder_id(identity.address)
--- a/lynxscale/coordination/candidacy.py
+++ b/lynxscale/coordination/candidacy.py
@@ -1,4 +1,4 @@
-"""A member's candidacy: from a won pre-vote, or the primary's wish, to an epoch of its own."""
+"""A member's candidacy: from a won pre-vote, or a request to take over, until its own epoch is decided."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Candidacy:
-    """``tolerated``: machines that may be lost at once."""
+    """Runs one member's candidacies. ``tolerated``: number of machines that may be lost at the same time."""
 
     def __init__(
         self,
@@ -40,31 +40,31 @@
 
     @property
     def eligible(self) -> bool:
-        """May this member stand? Only a backup with a vote and a complete in-sync replica."""
+        """May this member become a candidate? Only a backup that is a voter with a complete in-sync replica may."""
         record, member = self._acceptor.record, self._acceptor.member
-        counts = self._store.intact and member in record.in_sync and member in record.voters
-        return counts and self._role.current is MemberRole.BACKUP
+        complete = self._store.intact and member in record.in_sync and member in record.voters
+        return complete and self._role.current is MemberRole.BACKUP
 
     def on_pre_vote_won(self, more_complete: str) -> None:
-        """A majority would promise. ``more_complete``: an in-sync voter that has to stand instead, empty for none."""
+        """A majority would promise. ``more_complete``: an in-sync voter that must stand instead, empty for none."""
         if more_complete:
             self._yield_to(self._acceptor.record, more_complete)
         else:
             self._start()
 
     def on_take_over(self, message: TakeOver) -> None:
-        """The primary, or a candidate with a less complete replica, asks this member to stand."""
+        """The primary, or a candidate with a less complete replica, asks this member to become a candidate."""
         if message.epoch == self._acceptor.record.epoch and self.eligible:
             self._tracker.forget()
             self._start()
 
     def on_prepare_rejected(self, message: PrepareRejected) -> None:
-        """A voter does not promise."""
+        """A voter rejected the prepare; give up once a majority can no longer promise."""
         if self._proposer.on_prepare_rejected(message) and self._role.current is MemberRole.CANDIDATE:
             self._give_up(message.lease_left)
 
     def choose_record(self, proposal: Proposal) -> EpochRecord | None:
-        """The record to propose now that a majority has promised; None to give the round up."""
+        """The record to propose once a majority has promised; None to give up the round."""
         decision = CandidacyDecision()
         if self._role.current is MemberRole.CANDIDATE:
             position = self._store.durable_position
@@ -77,7 +77,7 @@
         return decision.record
 
     def check_timeout(self) -> None:
-        """Called regularly: a candidate whose round had too few answers in time becomes a backup again."""
+        """Called periodically: a candidate whose round has timed out becomes a backup again."""
         if self._role.current is MemberRole.CANDIDATE and self._proposer.timed_out:
             self._role.apply(RoleChange.ROUND_TIMED_OUT)
             self._campaign.postpone(0.0)
--- a/lynxscale/coordination/checksummed_file.py
+++ b/lynxscale/coordination/checksummed_file.py
@@ -1,4 +1,4 @@
-"""Files with a checksum at their end, and small values that are stored in two such files."""
+"""Files that end with a checksum, and small values that are stored in two such files."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 def append_checksum(content: bytes) -> bytes:
-    """The content, followed by its checksum."""
+    """Return the content followed by its checksum."""
     return content + encode_checksum(zlib.crc32(content))
 
 
 def encode_checksum(checksum: int) -> bytes:
-    """The last bytes of a file whose content has this CRC-32: eight lower-case hexadecimal digits."""
+    """Encode a CRC-32 as it stands at the end of a file: eight lower-case hexadecimal digits."""
     return b"%08x" % checksum
 
 
 def strip_checksum(name: str, stored: bytes) -> bytes:
-    """The content of a file with a checksum. Raises StorageCorruptError."""
+    """Verify and remove the checksum at the end of a file. Raises StorageCorruptError."""
     content, checksum = stored[:-CHECKSUM_BYTES], stored[-CHECKSUM_BYTES:]
     if checksum != encode_checksum(zlib.crc32(content)):
         raise StorageCorruptError(name)
@@ -30,14 +30,14 @@
 
 
 class ChecksummedFilePair:
-    """A small value in two files with a checksum each, so that one damaged or missing file loses nothing."""
+    """A small value stored in two checksummed files, so that one damaged or missing file loses nothing."""
 
     def __init__(self, files: Files, name: str) -> None:
         self._files = files
         self._names = (name, name + SECOND_FILE_SUFFIX)
 
     def load(self) -> bytes | None:
-        """The value saved last, None where neither file holds one. The first file counts where it is intact."""
+        """The value saved last, None if both files are damaged or missing. An intact first file takes precedence."""
         first, second = map(self._read, self._names)
         return second if first is None else first
 
@@ -48,7 +48,7 @@
         return first is not None and first == second
 
     def save(self, content: bytes) -> None:
-        """Returns once both files hold the value. Raises OSError; either may then hold it already."""
+        """Write the value durably to both files. If OSError is raised, either file may already hold it."""
         self._files.write_all(dict.fromkeys(self._names, append_checksum(content)))
 
     def _read(self, name: str) -> bytes | None:
--- a/lynxscale/coordination/compaction.py
+++ b/lynxscale/coordination/compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: once the batch files have become many, a snapshot takes their place."""
+"""Compaction: replaces the batch files by a snapshot once they are too many or too large."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from lynxscale.coordination.version_files import VersionFiles
 
 MAX_BATCH_FILES = 1000
-MIN_BATCH_BYTES = 1_000_000  # beyond the size of the last snapshot, before the next one is written
-RETRY_AFTER_FILES = 200  # further batch files after an attempt that failed
+# A snapshot is due once the batch files exceed the size of the last snapshot by this amount.
+MIN_COMPACTION_BYTES = 1_000_000
+RETRY_AFTER_FILES = 200  # additional batch files before a failed compaction is attempted again
 
 
 def puts_of(table: KeyValueTable) -> list[Put]:
-    """All entries of a table, as a snapshot holds them."""
+    """All entries of a table as puts, the form in which a snapshot stores them."""
     return [Put(key, value) for key, value in table.entries.items()]
 
 
@@ -32,29 +33,29 @@
         self._snapshot = snapshot
         self._batch_files = batch_files
         self._batch_bytes = batch_bytes
-        self._snapshot_bytes = snapshot_bytes  # of the last snapshot written or loaded
-        self._not_before_files = 0
+        self._snapshot_bytes = snapshot_bytes  # size of the last snapshot written or loaded
+        self._retry_at_files = 0
 
     def batch_saved(self, size: int) -> None:
-        """Count one more batch file of so many bytes."""
+        """Count one more batch file of ``size`` bytes."""
         self._batch_files += 1
         self._batch_bytes += size
 
     def snapshot_saved(self, size: int) -> None:
-        """Note the size in bytes of a snapshot that was written."""
+        """Record the size in bytes of a snapshot that was written."""
         self._snapshot_bytes = size
 
     def reset(self) -> None:
-        """All batch files were removed."""
+        """Reset the counts: all batch files were removed."""
         self._batch_files = self._batch_bytes = 0
 
     def compact_if_due(self, position: Position, table: KeyValueTable) -> None:
-        """Begin a snapshot of the state at a position where a limit is exceeded. Raises OSError."""
+        """Begin a snapshot of the state at a position if a limit is exceeded. Raises OSError."""
         if self._due:
             self.compact(position, table)
 
     def compact(self, position: Position, table: KeyValueTable) -> None:
-        """Begin a snapshot of the state at a position, unless one is being written. Raises OSError."""
+        """Begin a snapshot of the state at a position unless one is already being written. Raises OSError."""
         if self._snapshot.active:
             return
         covered_files, covered_bytes = self._batch_files, self._batch_bytes
@@ -64,14 +65,15 @@
             self._versions.remove_superseded(position)
             self._batch_files -= covered_files
             self._batch_bytes -= covered_bytes
-            self._not_before_files = 0
+            self._retry_at_files = 0
 
-        # A failed snapshot loses nothing, as the batches remain; each attempt writes the complete state.
-        self._not_before_files = self._batch_files + RETRY_AFTER_FILES
+        # A failed snapshot loses nothing because the batches remain, but each attempt writes the complete state:
+        # wait for more batch files before the next one.
+        self._retry_at_files = self._batch_files + RETRY_AFTER_FILES
         self._snapshot.start(self._versions.create_snapshot(position, puts_of(table)), compacted)
 
     @property
     def _due(self) -> bool:
-        too_large = self._batch_bytes > MIN_BATCH_BYTES + self._snapshot_bytes
+        too_large = self._batch_bytes > MIN_COMPACTION_BYTES + self._snapshot_bytes
         too_many = self._batch_files > MAX_BATCH_FILES
-        return (too_large or too_many) and self._batch_files >= self._not_before_files
+        return (too_large or too_many) and self._batch_files >= self._retry_at_files
--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -1,13 +1,14 @@
-"""Distribution: versioned topics flow from the primary down a tree that the relays build among themselves.
+"""Distribution of versioned topics from the primary to all relays, down a tree that the relays form themselves.
 
-Every relay computes its parent from the roster, itself a topic. A child asks its parent several times a second for
-the topics that it lacks; a parent sends updates on at once. Every answer says how long ago the primary confirmed the
-parent's versions, so a child detects a parent that is partitioned off, and asks the primary itself.
+Every relay computes its parent from the roster, which is itself a topic. A child asks its parent several times a second
+for the topics that it lacks; a parent forwards updates immediately. Every answer says how long ago the primary
+confirmed the parent's versions, so a child detects a parent that is partitioned from the primary, and then attaches to
+the primary directly.
 
 ::
 
     state          next           when
-    SEEKING        UNDER_PRIMARY  a control member names the primary
+    SEEKING        UNDER_PRIMARY  a control member redirects to the primary
     UNDER_PRIMARY  UNDER_RELAY    the roster gives a parent
                    SEEKING        the primary does not answer
     UNDER_RELAY    UNDER_PRIMARY  the roster gives no parent, or the parent does not answer or is out of date
@@ -26,21 +27,22 @@
 from lynxscale.coordination.topic_publisher import Publisher
 
 FANOUT = 4
-ATTACH_INTERVAL_S = 0.25  # in a small tier
-MAX_INTERVAL_FACTOR, FULL_RATE_RELAYS = 2.8, 32  # beyond so many relays each asks up to so many times less often
-SEEK_INTERVAL_S = 0.08  # while no primary is known
-PARENT_TIMEOUT_INTERVALS = 2.4  # without an answer for so many, another parent is asked
-MAX_AGE_INTERVALS = 4.8  # a parent whose versions were confirmed longer ago is partitioned off itself
-ISOLATED_AFTER_INTERVALS = 6.4  # without versions that a primary confirmed, a relay is isolated
-PRIMARY_FALLBACK_S = 3.0  # after a fault of its parent, a relay stays with the primary so long
-NEVER = -1e9  # seconds: a time before all that happens
+ATTACH_INTERVAL_S = 0.25  # between a child's requests, with up to ``FULL_RATE_RELAYS`` relays
+# With more relays the interval grows in proportion to their number, up to ``MAX_INTERVAL_FACTOR`` times.
+MAX_INTERVAL_FACTOR, FULL_RATE_RELAYS = 2.8, 32
+SEEK_INTERVAL_S = 0.08  # between requests while no primary is known
+PARENT_TIMEOUT_INTERVALS = 2.4  # attach intervals without an answer after which a relay changes its parent
+MAX_AGE_INTERVALS = 4.8  # a parent whose versions were confirmed longer ago counts as partitioned
+ISOLATED_AFTER_INTERVALS = 6.4  # a relay whose versions were confirmed longer ago is isolated
+PRIMARY_FALLBACK_S = 3.0  # how long a relay stays with the primary after its parent failed
+NEVER = -1e9  # seconds: earlier than every event
 
 
 def parent_of(roster: list[RosterEntry], address: str) -> str:
-    """The address of a relay's parent; empty for the primary's own children and for relays not in the roster.
+    """The address of a relay's parent; empty for the primary's direct children and for relays not in the roster.
 
-    Each zone has a tree of its own, a heap in the order of addresses, whose root is the primary's child: an update
-    crosses into a zone once.
+    Each zone has a separate tree: a heap of the relays sorted by address, whose root is a child of the primary. So an
+    update crosses into each zone only once.
     """
     zone = next((entry.zone for entry in roster if entry.address == address), None)
     tree = sorted(entry.address for entry in roster if entry.zone == zone)
@@ -57,10 +59,10 @@
 
 
 class Subscriber:
-    """A relay's place in the tree.
+    """A relay's position in the tree.
 
-    ``contacts``: internal addresses of control members, to ask for the primary. ``on_topics(names)`` is called with the
-    topics that have a newer version.
+    ``contacts``: internal addresses of control members that are asked for the primary. ``on_topics(names)`` is called
+    with the names of topics that have a newer version.
     """
 
     def __init__(
@@ -83,7 +85,7 @@
         self._network = network
         self._on_topics = on_topics
         self._parent = ""
-        self._heard_at = clock.now()  # of the parent
+        self._heard_at = clock.now()  # time of the last message from the parent
         self._confirmed_at = NEVER
         self._fallback_until = NEVER
         self._next_contact = 0
@@ -92,29 +94,32 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the primary confirmed the versions here."""
+        """Seconds since the primary last confirmed this relay's versions."""
         return self._clock.now() - self._confirmed_at
 
     @property
     def roster(self) -> list[RosterEntry]:
-        """All relays, as far as known here."""
+        """All relays known to this relay."""
         topic = self.publisher.topics.get(ROSTER_TOPIC)
         return msgspec.json.decode(topic.value, type=list[RosterEntry]) if topic else []
 
     @property
     def isolated(self) -> bool:
-        """Whether no primary has confirmed the versions here for too long."""
+        """Whether the primary has not confirmed this relay's versions for too long."""
         return self.age_s > ISOLATED_AFTER_INTERVALS * self._interval_s
 
     @property
     def _interval_s(self) -> float:
-        """Seconds between two requests: a parent's cost grows with its children, not with the tier."""
+        """Seconds between two requests, longer in a large tier.
+
+        A parent's load grows with the number of its children, not with the size of the tier.
+        """
         return ATTACH_INTERVAL_S * min(MAX_INTERVAL_FACTOR, max(1.0, self._relay_count / FULL_RATE_RELAYS))
 
     # Messages ----------------------------------------------------------------------------------------
 
     def receive(self, message: Message) -> bool:
-        """Handle a message of the tree; False for messages of other kinds."""
+        """Handle a message of the distribution tree; False for messages of other types."""
         if isinstance(message, Attach):
             self.publisher.on_attach(message, self.primary, self.epoch, self.age_s)
         elif isinstance(message, TopicUpdate):
@@ -145,7 +150,7 @@
             self._choose_parent()
 
     def _confirms_all(self, message: TopicUpdate) -> bool:
-        """Whether the sender has no topic newer than here."""
+        """Whether the sender has no newer version of any topic held here."""
         sender = message.known_versions
         return all(sender.get(name, version) <= version for name, version in self.publisher.versions().items())
 
@@ -157,7 +162,7 @@
                 self._become(TreeState.UNDER_PRIMARY, self.primary)
                 self._attach()
 
-    # Place in the tree -------------------------------------------------------------------------------
+    # Position in the tree ----------------------------------------------------------------------------
 
     def _tick(self) -> None:
         interval_s = SEEK_INTERVAL_S if self.state is TreeState.SEEKING else self._interval_s
@@ -175,7 +180,7 @@
         self._attach()
 
     def _choose_parent(self) -> None:
-        """Take the parent that the roster gives, or the primary."""
+        """Attach to the parent that the roster gives, or to the primary."""
         parent = parent_of(self.roster, self.address) if self._clock.now() > self._fallback_until else ""
         if parent and parent != self._parent:
             self._become(TreeState.UNDER_RELAY, parent)
@@ -183,12 +188,12 @@
             self._become(TreeState.UNDER_PRIMARY, self.primary)
 
     def _become(self, state: TreeState, parent: str) -> None:
-        """Change state and parent; no other method does."""
+        """Change the state and the parent; no other method changes them."""
         self.state, self._parent = state, parent
         self._heard_at = self._clock.now()
 
     def _acknowledge(self, parent: str) -> None:
-        """Report at once what was received, so that the newest may follow."""
+        """Report the received versions immediately, so that the parent may send newer ones."""
         self._network.send(parent, Attach(self.address, self._zone, self.publisher.versions()))
 
     def _attach(self) -> None:
--- a/lynxscale/coordination/election.py
+++ b/lynxscale/coordination/election.py
@@ -1,7 +1,7 @@
-"""When a backup stands for primary: it waits until nobody leads, asks the voters first, and defers to other candidates.
+"""When a backup becomes a candidate: when no primary leads, it has won a pre-vote, and it defers to no other member.
 
-Voters defer to one candidate at a time (``vote_deference``), so candidates do not collide, and a new primary has the
-time to get its lease. All of this is a matter of time only, never of safety.
+Voters defer to one candidate at a time (``vote_deference``), so candidates do not collide, and a new primary has enough
+time to get its lease. This module affects only how soon a primary is elected, never safety.
 """
 
 from __future__ import annotations
@@ -18,18 +18,18 @@
 from lynxscale.coordination.pre_vote import PreVoteRound
 from lynxscale.coordination.vote_deference import VoteDeference
 
-RANK_DELAY_S = 0.02  # between the pre-votes of in-sync members, so that they seldom collide
-JITTER_S = 0.01
-ROUNDS_REMEMBERED = 8  # whose replies still tell how long replies take
-LEAVING_DELAY_S = 0.3  # a member that is to stop stands only where nobody else does
+RANK_DELAY_S = 0.02  # stagger between the pre-votes of in-sync members, so that they rarely collide
+MAX_JITTER_S = 0.01
+ROUNDS_REMEMBERED = 8  # pre-vote rounds whose late replies still count for the reply time
+LEAVING_DELAY_S = 0.3  # extra delay of a leaving member, so that any other member stands first
 
 
 class ElectionCampaign:
     """The timing of one member's candidacies, and its answers to the pre-votes of others.
 
-    ``eligible()``: may this member stand now? ``on_won(more_complete)``: a majority would promise; the argument names
-    an in-sync voter whose replica is more complete than the own one, empty for none. ``replica_position()``: how far
-    the own replica reaches.
+    ``eligible()``: may this member become a candidate now? ``on_won(more_complete)``: a majority would promise; the
+    argument names an in-sync voter whose replica is more complete than this member's, empty for none.
+    ``replica_position()``: the durable position of this member's replica.
     """
 
     def __init__(
@@ -50,28 +50,30 @@
         self._replica_position = replica_position
         self._eligible = eligible
         self._on_won = on_won
-        self._ask_at = clock.now()
+        self._next_round_at = clock.now()
         self._timer: Timer | None = None
         self._round: PreVoteRound | None = None
         self._last_round_number = 0
-        self._asked_at: deque[tuple[int, float]] = deque(maxlen=ROUNDS_REMEMBERED)  # number and time of the last rounds
+        self._round_start_times: deque[tuple[int, float]] = deque(
+            maxlen=ROUNDS_REMEMBERED
+        )  # number and time of the last rounds
         self._deference = VoteDeference(acceptor, clock)
 
-    # When to ask -------------------------------------------------------------------------------------
+    # Scheduling --------------------------------------------------------------------------------------
 
     def postpone(self, delay_s: float) -> None:
-        """Start the next pre-vote in ``delay_s`` seconds, and a little later by rank among the in-sync members."""
-        self._ask_at = self._clock.now() + delay_s + self._rank_delay()
+        """Start the next pre-vote in ``delay_s`` seconds, plus a delay by rank among the in-sync members."""
+        self._next_round_at = self._clock.now() + delay_s + self._rank_delay()
         self._schedule()
 
     def postpone_at_least(self, delay_s: float) -> None:
-        """Start no pre-vote within ``delay_s`` seconds; one that is in flight counts no more."""
+        """Start no pre-vote within ``delay_s`` seconds, and abandon the one in flight."""
         self._round = None
-        self._ask_at = max(self._ask_at, self._clock.now() + delay_s)
+        self._next_round_at = max(self._next_round_at, self._clock.now() + delay_s)
         self._schedule()
 
     def on_primary_heartbeat(self) -> None:
-        """Somebody leads: nobody has to ask for promises before its lease is about to end."""
+        """A primary leads: no pre-vote is needed until its lease is about to end."""
         self._round = None
         self._deference.on_primary_heartbeat()
         self.postpone(LEASE_S - self._acceptor.advance_s)
@@ -79,12 +81,12 @@
     def _rank_delay(self) -> float:
         leaving_delay_s = LEAVING_DELAY_S if self.leaving else 0.0
         rank = self._deference.rank(self._acceptor.member)
-        return leaving_delay_s + rank * RANK_DELAY_S + self._random.uniform(0.0, JITTER_S)
+        return leaving_delay_s + rank * RANK_DELAY_S + self._random.uniform(0.0, MAX_JITTER_S)
 
     def _schedule(self) -> None:
-        """One timer, which looks at the time again when it fires: heartbeats postpone it all the time."""
+        """Start the timer unless it runs. ``_on_timer`` checks the due time, which each heartbeat postpones."""
         if self._timer is None:
-            self._timer = self._clock.call_later(max(0.0, self._ask_at - self._clock.now()), self._on_timer)
+            self._timer = self._clock.call_later(max(0.0, self._next_round_at - self._clock.now()), self._on_timer)
 
     def _schedule_sooner(self) -> None:
         if self._timer is not None:
@@ -95,47 +97,47 @@
     def _on_timer(self) -> None:
         self._timer = None
         now = self._clock.now()
-        if now < self._ask_at:
+        if now < self._next_round_at:
             self._schedule()
         elif self._eligible():
             self._start_round()
         else:
             self.postpone(LEASE_S)
 
-    # The candidate's side ----------------------------------------------------------------------------
+    # Candidate ---------------------------------------------------------------------------------------
 
     def _start_round(self) -> None:
         now = self._clock.now()
         self._last_round_number += 1
-        self._asked_at.append((self._last_round_number, now))
-        question = PreVote(self._last_round_number, self._acceptor.member)
-        own_reply = self._reply_to(question)
+        self._round_start_times.append((self._last_round_number, now))
+        request = PreVote(self._last_round_number, self._acceptor.member)
+        own_reply = self._reply_to(request)
         self._round = PreVoteRound(self._last_round_number, self._acceptor.record.voters, now)
-        self._send_to_other_voters(question)
-        self._ask_at = now + self._deference.round_s + self._random.uniform(0.0, JITTER_S)
+        self._send_to_other_voters(request)
+        self._next_round_at = now + self._deference.round_s + self._random.uniform(0.0, MAX_JITTER_S)
         self._schedule()
         self.on_reply(own_reply)
 
     def on_reply(self, reply: PreVoteReply) -> None:
-        """A voter's answer to a pre-vote; answers to earlier rounds tell how long they take, and count for no more."""
+        """Handle a voter's reply to a pre-vote. Replies to earlier rounds count only for the reply time."""
         self._note_reply_time(reply)
         current = self._round
         if current is None or reply.round != current.number:
             return
         now = self._clock.now()
         current.on_reply(reply, now)
-        if current.is_won(now) and now - current.asked_at < self._deference.round_s:
+        if current.is_won(now) and now - current.started_at < self._deference.round_s:
             self._win(current)
             return
         free_at = current.majority_free_at()
         if free_at is not None:
-            self._ask_at = max(free_at, now) + self._random.uniform(0.0, JITTER_S)
+            self._next_round_at = max(free_at, now) + self._random.uniform(0.0, MAX_JITTER_S)
             self._schedule_sooner()
 
     def _note_reply_time(self, reply: PreVoteReply) -> None:
-        asked_at = dict(self._asked_at).get(reply.round)
-        if asked_at is not None and reply.voter != self._acceptor.member:
-            self._deference.on_reply_time(self._clock.now() - asked_at)
+        started_at = dict(self._round_start_times).get(reply.round)
+        if started_at is not None and reply.voter != self._acceptor.member:
+            self._deference.on_reply_time(self._clock.now() - started_at)
 
     def _win(self, won: PreVoteRound) -> None:
         self._round = None
@@ -150,35 +152,35 @@
             if voter != self._acceptor.member:
                 self._network.send(address_of(voter), message)
 
-    # The voter's side --------------------------------------------------------------------------------
+    # Voter -------------------------------------------------------------------------------------------
 
-    def on_pre_vote(self, question: PreVote) -> None:
-        """Answer whether a member would be promised an epoch now."""
-        self._network.send(address_of(question.candidate), self._reply_to(question))
+    def on_pre_vote(self, request: PreVote) -> None:
+        """Reply whether this voter would promise the candidate an epoch now."""
+        self._network.send(address_of(request.candidate), self._reply_to(request))
 
     def on_candidacy_announced(self, message: CandidacyAnnounced) -> None:
-        """A member is about to ask for an epoch."""
+        """Another member is about to ask for an epoch: defer to it, unless this voter defers to a third."""
         if self._deference.wait_s(message.candidate) <= 0:
             self.defer_to(message.candidate)
 
     def defer_to(self, candidate: str) -> None:
-        """Leave time to a member that is about to lead: it stands, was promised, or was asked to take over.
+        """Hold back for a member that is about to lead: it is a candidate, was promised, or was asked to take over.
 
-        An own pre-vote in flight is void: won afterwards, it would begin a candidacy anew.
+        This member's pre-vote in flight is abandoned: won later, it would start a second candidacy.
         """
         self._round = None
         self._deference.support(candidate)
-        self._stay_back_for(candidate, self._deference.election_s)
+        self._postpone_for(candidate, self._deference.election_s)
 
-    def _reply_to(self, question: PreVote) -> PreVoteReply:
-        wait_s = self._deference.wait_s(question.candidate)
+    def _reply_to(self, request: PreVote) -> PreVoteReply:
+        wait_s = self._deference.wait_s(request.candidate)
         if wait_s <= 0:
-            self._deference.prefer(question.candidate)
-            self._stay_back_for(question.candidate, self._deference.round_s)
+            self._deference.prefer(request.candidate)
+            self._postpone_for(request.candidate, self._deference.round_s)
         return PreVoteReply(
-            question.round, self._acceptor.member, wait_s <= 0, max(0.0, wait_s), self._replica_position()
+            request.round, self._acceptor.member, wait_s <= 0, max(0.0, wait_s), self._replica_position()
         )
 
-    def _stay_back_for(self, candidate: str, seconds: float) -> None:
+    def _postpone_for(self, candidate: str, seconds: float) -> None:
         if candidate != self._acceptor.member:
             self.postpone_at_least(seconds + self._rank_delay())
--- a/lynxscale/coordination/eligibility.py
+++ b/lynxscale/coordination/eligibility.py
@@ -1,4 +1,4 @@
-"""Eligibility as primary, and the record that a candidate proposes once a majority has promised it an epoch."""
+"""Which replica may become primary, and the record that a candidate proposes once a majority has promised."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidacyDecision:
-    """A record to propose; or ``more_complete``, a voter that has to stand instead; or neither, to give up."""
+    """Either a record to propose, or ``more_complete``, a voter that must stand instead, or neither: give up."""
 
     record: EpochRecord | None = None
     more_complete: str = ""
 
 
 def decide_candidacy(candidate: str, position: Position, proposal: Proposal, tolerated: int) -> CandidacyDecision:
-    """Decide by the promises. ``position``: how far the candidate's replica reaches.
+    """Decide what a candidate proposes, given the promises. ``position``: the durable position of its replica.
 
-    Only a voter whose replica counts may lead. In-sync members that have not promised are left out of the record where
-    more than ``tolerated`` replicas remain, as they may have failed.
+    Only an in-sync voter may lead. In-sync members that have not promised may have failed, so they are left out of the
+    record if more than ``tolerated`` replicas remain.
     """
     base = proposal.base
     if candidate not in base.in_sync or candidate not in base.voters:
@@ -36,9 +36,9 @@
 
 
 def more_complete_voter(record: EpochRecord, positions: Mapping[str, Position], own: Position) -> str:
-    """The in-sync voter whose replica reaches furthest, if that is beyond ``own``; else empty.
+    """The in-sync voter with the highest replica position, if that is beyond ``own``; otherwise empty.
 
-    An in-sync replica that reaches less far has lost its last files.
+    An in-sync replica at a lower position has lost its newest files.
     """
     voters = [member for member in record.in_sync if member in record.voters and member in positions]
     best = max(voters, key=lambda member: positions[member], default="")
--- a/lynxscale/coordination/exceptions.py
+++ b/lynxscale/coordination/exceptions.py
@@ -1,6 +1,6 @@
 """Errors of the coordination package.
 
-A disk that fails raises ``OSError``, as the operating system names it; see ``disk_failure``.
+Disk failures are not wrapped: they are raised as ``OSError``; see ``disk_failure``.
 """
 
 from __future__ import annotations
@@ -9,15 +9,15 @@
 
 
 class CoordinationError(LynxscaleError):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
 
 
 class NetstringError(CoordinationError, ValueError):
-    """A peer sent bytes that are no netstring, or one longer than the limit; the text names the violation."""
+    """A peer sent bytes that are not a netstring, or one that is too long; the message names the violation."""
 
 
 class StorageCorruptError(CoordinationError):
-    """A file does not hold what was written to it; ``name`` is the file's name."""
+    """The content of a file does not match its checksum; ``name`` is the file's name."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"{name}: the content does not match its checksum")
--- a/lynxscale/coordination/file_scrub.py
+++ b/lynxscale/coordination/file_scrub.py
@@ -1,11 +1,12 @@
-"""Scrub of a member's own files while it runs: each is read again and again, and its checksum is compared.
+"""Scrubbing of a running member's files: reads each file periodically and verifies its checksum.
 
-A disk may spoil what it once stored, and a start would be too late to notice: by then another replica may be lost.
-The memory of a running member holds all that its files do, so a damaged file is replaced from there: a version file by
-a snapshot of the present state, the acceptor's state and the watermark by being written anew.
+A disk may corrupt stored data (bit rot). Detecting that at the next start would be too late, because another replica
+may be lost by then. A running member has the content of all its files in memory, so damaged files are rewritten from
+there: version files are replaced by a snapshot of the current state; the acceptor state and the watermark are written
+again.
 
-The scrub is paced: a step, every ``STEP_INTERVAL_S``, reads ``STEP_FILES`` files at most, and nothing more once it has
-read ``STEP_BYTES``; a single read is of no more than that.
+The scrub is paced: every ``STEP_INTERVAL_S`` a step reads at most ``STEP_FILES`` files and starts no further read once
+it has read ``STEP_BYTES``. A single read is of at most ``STEP_BYTES``.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 log = logging.getLogger(__name__)
 
 STEP_INTERVAL_S = 0.25
-STEP_BYTES = 64 * 1024  # at most twice as many a step, so 512 KiB a second
+STEP_BYTES = 64 * 1024  # a step reads less than twice this, so the scrub reads at most 512 KiB per second
 STEP_FILES = 8
 ACCEPTOR_FILES = frozenset((ACCEPTOR_STATE_FILE, ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX))
 WATERMARK_FILES = frozenset((WATERMARK_FILE, WATERMARK_FILE + SECOND_FILE_SUFFIX))
@@ -34,7 +35,7 @@
 
 @dataclass(slots=True)
 class FileCheck:
-    """The file that is being read: how far, the CRC-32 of its content so far, and its last bytes."""
+    """Progress of reading one file: offset, CRC-32 of the content read so far, and the last bytes read."""
 
     name: str
     offset: int = 0
@@ -42,7 +43,7 @@
     last_bytes: bytes = b""
 
     def feed(self, chunk: bytes) -> None:
-        """Take the next chunk; the last ``CHECKSUM_BYTES`` of the file are the stored checksum, not content."""
+        """Process the next chunk. The last ``CHECKSUM_BYTES`` of the file are the stored checksum, not content."""
         data = self.last_bytes + chunk
         self.checksum = zlib.crc32(data[:-CHECKSUM_BYTES], self.checksum)
         self.last_bytes = data[-CHECKSUM_BYTES:]
@@ -50,22 +51,22 @@
 
     @property
     def intact(self) -> bool:
-        """Is the stored checksum that of the content? Of use once the complete file was read."""
+        """Does the stored checksum match the content? Valid only after the complete file was read."""
         return self.last_bytes == encode_checksum(self.checksum)
 
 
 class FileScrub:
-    """Reads the files of one folder in turn. ``on_damage(name)`` is called for each that is damaged."""
+    """Reads all checksummed files in turn, and calls ``on_damage(name)`` for each that is damaged."""
 
     def __init__(self, files: Files, on_damage: Callable[[str], None]) -> None:
-        self.cycles = 0  # how often all files were read
+        self.cycles = 0  # number of complete passes over all files
         self._files = files
         self._on_damage = on_damage
-        self._names: list[str] = []  # still to be read in this cycle, the next one last
+        self._names: list[str] = []  # files left in this cycle, in reverse order
         self._current: FileCheck | None = None
 
     def step(self) -> None:
-        """Read the next chunks."""
+        """Read chunks until the limits of one step are reached."""
         bytes_read = files_read = 0
         while bytes_read < STEP_BYTES and files_read < STEP_FILES:
             check = self._current or self._next_file()
@@ -83,18 +84,18 @@
         return FileCheck(self._names.pop())
 
     def _read_chunk(self, check: FileCheck) -> int:
-        """Read a chunk of a file, and judge the file at its end; the number of bytes read.
+        """Read a chunk, verify the checksum at the end of the file, and return the number of bytes read.
 
-        A small file is read in one chunk: some are replaced by others of their name at any time.
+        Small files may be replaced under the same name at any time; they are read in one chunk, hence consistently.
         """
         try:
             chunk = self._files.read_chunk(check.name, check.offset, STEP_BYTES)
         except OSError:
-            chunk = b""  # unreadable: what was read so far does not match a checksum
+            chunk = b""  # an unreadable file counts as damaged: clearing ``last_bytes`` makes its check fail
             check.last_bytes = b""
         self._current = None
         if chunk is None:
-            return 0  # removed meanwhile: a snapshot has taken its place
+            return 0  # removed since the cycle began: a snapshot replaced it
         check.feed(chunk)
         if len(chunk) == STEP_BYTES:
             self._current = check
@@ -104,14 +105,14 @@
 
 
 def is_checksummed(name: str) -> bool:
-    """Is it a file of this program that ends with a checksum?"""
+    """Is this a file that ends with a checksum?"""
     return position_of(name) is not None or name in ACCEPTOR_FILES or name in WATERMARK_FILES
 
 
 class StorageScrub:
     """Scrubs the files of one member, and repairs them from its memory.
 
-    ``memory_is_at_position()``: is the store's memory the state at the store's position? Only then may it be written.
+    ``memory_is_at_position()``: whether the state in memory is that at the store's position; a repair waits for this.
     """
 
     def __init__(
@@ -126,11 +127,11 @@
 
     @property
     def cycles(self) -> int:
-        """How often all files were read."""
+        """Number of complete passes over all files."""
         return self._scrub.cycles
 
     def tick(self, now: float) -> None:
-        """Called several times a second; ``now`` in seconds of the steady clock. Raises OSError of a repair."""
+        """Called several times a second; ``now``: monotonic time in seconds. Raises OSError if a repair fails."""
         if self._repair_due and self._memory_is_at_position():
             self._repair_due = False
             self._store.replace_files()
@@ -139,7 +140,7 @@
             self._scrub.step()
 
     def _on_damage(self, name: str) -> None:
-        """A version file is replaced once the memory allows it; of the others there are two, and both are written."""
+        """Rewrite a pair of files immediately; version files are replaced in ``tick``, once the memory allows it."""
         log.error("event=file_damaged name=%s", name)
         if name in ACCEPTOR_FILES:
             self._acceptor.rewrite()
--- a/lynxscale/coordination/follower.py
+++ b/lynxscale/coordination/follower.py
@@ -1,4 +1,4 @@
-"""A backup's side of replication: it stores what its primary sends, and acknowledges the position stored."""
+"""The backup's side of replication: stores batches and snapshots from the primary and acknowledges its position."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass
 class SnapshotTransfer:
-    """A snapshot that is being received: all keys up to ``last_key`` as they are at ``position``.
+    """A snapshot that is being received: all entries with keys up to ``last_key``, as of ``position``.
 
     ``installing``: the snapshot is complete and is being made durable.
     """
@@ -36,9 +36,10 @@
 
 
 class Follower:
-    """Stores batches and snapshots.
+    """Stores the batches and snapshots that the primary sends.
 
-    ``accepts_writes_of(epoch)``: may a primary of that epoch write here? ``primary()``: its member id.
+    ``accepts_writes_of(epoch)``: may a primary of that epoch still write to this replica? ``primary()``: the member id
+    of the primary.
     """
 
     def __init__(
@@ -57,12 +58,12 @@
         self._transfer = SnapshotTransfer()
 
     def on_replicate(self, message: Replicate) -> None:
-        """Store a batch that follows the own position. Raises OSError."""
+        """Store a batch that directly follows the stored position. Raises OSError."""
         if not self._accepts_writes_of(message.epoch):
             return
         batch, transfer = message.batch, self._transfer
         if transfer.installing:
-            return  # what is stored now would be replaced by an older state
+            return  # the snapshot being installed is older: it would replace this batch
         staged = batch.previous == transfer.position
         if staged:
             transfer.table.apply(batch.puts)
@@ -81,7 +82,7 @@
             self._report_progress(message.epoch, message.probe_id)
 
     def on_snapshot_chunk(self, message: SnapshotChunk) -> None:
-        """Receive a chunk of a snapshot; behind the last one the snapshot replaces the own state. Raises OSError."""
+        """Receive a chunk of a snapshot; the final one starts replacing the local state. Raises OSError."""
         if not self._accepts_writes_of(message.epoch) or self._transfer.installing:
             return
         if not message.after_key:
@@ -96,13 +97,13 @@
             self._install(message.epoch)
 
     def on_digest_request(self, message: DigestRequest) -> None:
-        """Reply with the checksum that the state had at a position, where that is known."""
+        """Reply with the checksum of the state at a position, if it is known."""
         checksum = self._store.checksum_at(message.position)
         if self._accepts_writes_of(message.epoch) and self._store.intact and checksum is not None:
             self._send(DigestReply(message.epoch, self._member, message.position, checksum))
 
     def discard_transfer(self) -> None:
-        """The received snapshot cannot be made durable: it has to be sent again."""
+        """Drop the received snapshot, which could not be made durable; the primary has to send it again."""
         self._transfer = SnapshotTransfer()
 
     def _install(self, epoch: int) -> None:
--- a/lynxscale/coordination/graceful_leave.py
+++ b/lynxscale/coordination/graceful_leave.py
@@ -1,8 +1,8 @@
-"""The graceful shutdown of a member: it goes on voting and replicating until nothing depends on it.
+"""Graceful shutdown of a member: it keeps voting and replicating until nothing depends on it.
 
-The primary approves the leave once no decided record counts the member's replica, and either none names it as a
-voter or no member could replace it. The member repeats its request until then. A stop for a restart is treated the
-same; where no member could replace it, the approval takes one round of Paxos.
+The primary approves the leave once the member's replica is not in sync in the decided record, and the member either
+is not a voter there or cannot be replaced. The member repeats its request until then. A stop for a restart is handled
+the same way; if no member can replace it, the approval takes one Paxos round.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class LeaveState(Enum):
-    """How far a member's shutdown has come."""
+    """Progress of a member's graceful shutdown."""
 
     NOT_REQUESTED = auto()
     PENDING = auto()
@@ -20,7 +20,7 @@
 
 
 class GracefulLeave:
-    """One process's shutdown. ``on_approved()`` is called once."""
+    """The shutdown of one process, and whether the primary has approved it."""
 
     def __init__(self) -> None:
         self._state = LeaveState.NOT_REQUESTED
@@ -28,16 +28,16 @@
 
     @property
     def requested(self) -> bool:
-        """Is the member to stop, approved or not?"""
+        """Was the member asked to stop, whether or not the leave is approved yet?"""
         return self._state is not LeaveState.NOT_REQUESTED
 
     @property
     def pending(self) -> bool:
-        """Does it wait for approval?"""
+        """Does the member wait for the approval of its leave?"""
         return self._state is LeaveState.PENDING
 
     def request(self, on_approved: Callable[[], None]) -> None:
-        """The process was asked to stop; a repeated request is ignored."""
+        """The process was asked to stop. ``on_approved()`` is called once; a repeated request is ignored."""
         if self._state is LeaveState.NOT_REQUESTED:
             self._on_approved = on_approved
             self._state = LeaveState.PENDING
--- a/lynxscale/coordination/joining.py
+++ b/lynxscale/coordination/joining.py
@@ -1,4 +1,4 @@
-"""How a member announces itself to the group: to join, after it has received no heartbeat for long, and to leave."""
+"""How a member announces itself to the group: to join, when the primary's heartbeats stop, and to leave."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 from lynxscale.coordination.messages import Join, LeaveApproved, Redirect, address_of
 
 JOIN_INTERVAL_S = 0.25
-LEAVE_INTERVAL_S = 0.1  # for a member that waits for its leave to be approved
+LEAVE_INTERVAL_S = 0.1  # used instead while a leave waits for approval
 
 
 class JoinProtocol:
-    """``contacts()``: internal addresses of members that may be asked, beside those of the record."""
+    """Announces one member and follows redirects to the primary.
+
+    ``contacts()``: internal addresses of members to ask, in addition to those in the epoch record.
+    """
 
     def __init__(self, context: MemberContext, contacts: Callable[[], Iterable[str]]) -> None:
         self._context = context
@@ -27,19 +30,20 @@
         self._announced_at = NEVER
 
     def announce_if_due(self) -> None:
-        """Called regularly: announce this member while it joins, misses heartbeats or waits to leave.
+        """Called periodically: announce this member while it joins, receives no heartbeats or waits to leave.
 
-        Also as a candidate: the others may have replaced it meanwhile, and only a primary's heartbeat shows that.
+        A candidate announces itself too: the group may have replaced it meanwhile, which it learns only from a
+        primary's heartbeat.
         """
         pending = self._graceful_leave.pending
         follows = self._role.is_any_of(MemberRole.BACKUP, MemberRole.CANDIDATE)
-        unheard = self._role.current is MemberRole.JOINING or (follows and self._tracker.silent)
+        unheard = self._role.current is MemberRole.JOINING or (follows and self._tracker.heartbeat_overdue)
         interval_s = LEAVE_INTERVAL_S if pending else JOIN_INTERVAL_S
         if (unheard or pending) and self._context.clock.now() - self._announced_at >= interval_s:
             self.announce()
 
     def announce(self) -> None:
-        """Announce this member to the primary; to everyone known where there is none, or where it is to stop."""
+        """Announce this member to the primary; to all known members if the primary is unknown, or to leave."""
         self._announced_at = self._context.clock.now()
         primary = self._tracker.address()
         if primary and not self._graceful_leave.pending:
@@ -53,19 +57,19 @@
                 self._network.send(address, self._join())
 
     def redirect(self, message: Join) -> None:
-        """Another member announces itself here: redirect it to the primary, where that is known."""
+        """Redirect a member that announces itself to the primary, if the primary is known."""
         if address := self._tracker.address():
             self._network.send(address_of(message.member), Redirect(address, self._acceptor.record.epoch))
 
     def on_redirect(self, message: Redirect) -> None:
-        """Another member redirects this one to the primary that it knows."""
+        """Handle a redirect to the primary that another member knows."""
         if message.epoch > self._acceptor.record.epoch and self._role.current is MemberRole.PRIMARY:
             self._role.apply(RoleChange.SAW_LATER_EPOCH)
         if self._role.current is MemberRole.JOINING and message.primary:
             self._network.send(message.primary, self._join())
 
     def on_leave_approved(self, message: LeaveApproved) -> None:
-        """A primary approves the leave; a former primary's approval does not count."""
+        """The primary approves the leave; the approval of a former primary is ignored."""
         if message.epoch >= self._acceptor.record.epoch and self._role.current is not MemberRole.PRIMARY:
             self._graceful_leave.approve()
 
--- a/lynxscale/coordination/key_value_table.py
+++ b/lynxscale/coordination/key_value_table.py
@@ -1,4 +1,4 @@
-"""Keys and values in memory, with a checksum that each change updates incrementally."""
+"""In-memory table of keys and values, with an incrementally updated checksum."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 def entry_checksum(key: str, value: msgspec.Raw) -> int:
-    """CRC-32 of one key with its value."""
+    """CRC-32 of one key and its value."""
     return zlib.crc32(bytes(value), zlib.crc32(key.encode()))
 
 
 class KeyValueTable:
-    """Values by key. Tables with equal entries have the same ``checksum``, whatever the order of the changes.
+    """Values by key. The ``checksum`` depends on the entries only, not on the order of the changes.
 
-    The checksum is the exclusive or of the checksums of all entries. ``entries`` may be read anywhere and must be
-    changed by ``apply`` alone.
+    It is the exclusive or of the checksums of all entries. ``entries`` may be read directly but must be changed only by
+    ``apply``.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self.checksum = 0
 
     def apply(self, puts: Iterable[Put]) -> None:
-        """Change the entries."""
+        """Apply puts in order; a put of null removes its key."""
         for put in puts:
             old_value = self.entries.pop(put.key, None)
             if old_value is not None:
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -1,4 +1,4 @@
-"""What a member does while it is primary: heartbeats, its lease, replication, and the group's membership."""
+"""The duties of the primary: heartbeats, its lease, replication, and the membership of the group."""
 
 from __future__ import annotations
 
@@ -33,18 +33,18 @@
 
 log = logging.getLogger(__name__)
 
-TICK_S = 0.05  # between two calls of ``tick``
+TICK_S = 0.05  # interval between two calls of ``tick``
 HEARTBEAT_S = 0.08
-UNRESPONSIVE_AFTER_S = 0.32  # silence after which a member is not waited for
-MEMBERSHIP_KNOWN_AFTER_S = 0.6  # age of a lead that has heard every member that is there
-GONE_AFTER_S = 3.0  # silence after which a machine counts as gone for a retirement
+UNRESPONSIVE_AFTER_S = 0.32  # time without a message after which a member counts as unresponsive
+MEMBERSHIP_KNOWN_AFTER_S = 0.6  # time after which a new primary has received a message from every live member
+GONE_AFTER_S = 3.0  # time without a message after which a machine counts as gone
 
 
 class Leadership:
-    """One lead of one member, from the decision of its first epoch to its end.
+    """One member's time as primary, from the decision of its first epoch until it steps down.
 
-    ``node``: the own machine's name. ``tolerated``: machines that may be lost at once. ``retiring()``: names of the
-    machines that are to be vacated.
+    ``node``: the name of the primary's machine. ``tolerated``: number of machines that may be lost at the same time.
+    ``retiring()``: names of the machines that are being retired.
     """
 
     def __init__(
@@ -78,22 +78,22 @@
 
     @property
     def established(self) -> bool:
-        """Is the lease valid, and is all that earlier primaries committed known to be so?"""
+        """Is the lease valid, and has this primary committed a batch of its own, which covers all earlier commits?"""
         return self.lease.valid and self.replicator.committed.epoch > 0
 
     @property
     def lost(self) -> bool:
-        """Has the lease expired, or was it never granted within a lease's time?"""
+        """Has the lease expired, or was none granted within ``LEASE_S`` of the start?"""
         return self._clock.now() >= max(self.lease.expires_at, self._started_at + LEASE_S)
 
     @property
     def peers(self) -> dict[str, PeerView]:
-        """The other members that were heard in this lead."""
+        """The other members that this primary expects or has received messages from."""
         return self._peers.views
 
     @property
     def membership_known(self) -> bool:
-        """Has this lead lasted long enough to have heard every member that is there?"""
+        """Has this member been primary long enough to have received a message from every live member?"""
         return self._age_s > MEMBERSHIP_KNOWN_AFTER_S
 
     @property
@@ -101,11 +101,11 @@
         return self._clock.now() - self._started_at
 
     def live_nodes(self) -> set[str]:
-        """Machines that are heard now and are to stay."""
+        """Machines whose members are responsive and neither leaving nor being retired."""
         return self._nodes_within(UNRESPONSIVE_AFTER_S)
 
     def possibly_live_nodes(self) -> set[str] | None:
-        """Machines that may be there although they are silent now; None where this lead is too young to know."""
+        """Machines that are live, or may be although unresponsive; None before this primary can know."""
         return None if self._age_s < GONE_AFTER_S else self._nodes_within(GONE_AFTER_S)
 
     def _nodes_within(self, seconds: float) -> set[str]:
@@ -113,9 +113,9 @@
         return (self._peers.nodes_within(seconds) | own) - self._retiring()
 
     def is_vacated(self, node: str) -> bool:
-        """Does no replica that counts stand on the machine, and are there enough without it?
+        """Is no voter and no in-sync replica on the machine, and are there enough in-sync replicas without it?
 
-        Not before this lead knows which members are on the machine.
+        False until this primary knows which members are on the machine.
         """
         record = self._acceptor.record
         counted = {*record.in_sync, *record.voters}
@@ -127,14 +127,14 @@
     # Events ------------------------------------------------------------------------------------------
 
     def begin_epoch(self, record: EpochRecord, positions: Mapping[str, Position]) -> None:
-        """A record with this member as primary was decided; ``positions``: of the replicas, as the voters promised."""
+        """A record with this member as primary was decided. ``positions``: the replica positions in the promises."""
         self.lease.discard_rounds()
         self.heartbeat()
         self.replicator.begin(record, positions)
         self.replicator.retain_only(set(record.voters))
 
     def end(self) -> None:
-        """Another may lead from now on."""
+        """Stop acting as primary; another member may lead from now on."""
         self.lease.relinquish()
         self.replicator.abort()
 
@@ -149,7 +149,7 @@
         self._approve_leaving()
 
     def heartbeat(self) -> None:
-        """Ask the voters to renew the lease, and announce the record to every member heard."""
+        """Ask the voters to renew the lease, and announce the record to all members that are not gone."""
         self._heartbeat_at = self._clock.now()
         record = self._acceptor.record
         request = LeaseRequest(record, self.lease.begin_round())
@@ -158,7 +158,7 @@
             self.lease.on_grant(request.round, self.member_id, record.voters)
 
     def receive(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
-        """Handle an answer of another member to this epoch."""
+        """Handle another member's response to this epoch's primary."""
         if isinstance(message, LeaseGrant):
             self.on_lease_grant(message)
         elif isinstance(message, SnapshotProgress):
@@ -169,33 +169,33 @@
             self.on_digest_reply(message)
 
     def on_lease_grant(self, message: LeaseGrant) -> None:
-        """A member has answered a heartbeat."""
+        """Handle a member's response to a heartbeat."""
         record = self._acceptor.record
         self._peers.mark_announced(message.member, message.node, message.leaving)
         if message.granted:
             self.lease.on_grant(message.round, message.member, record.voters)
         elif message.promised > record.epoch and message.member in record.voters:
-            self._overtake_promise(message.promised)
+            self._supersede_promise(message.promised)
         self.replicator.on_position(message.member, message.position)
 
     def on_join(self, message: Join) -> None:
-        """A member announces itself, or that it is to stop."""
+        """Handle a member that announces that it joins or leaves."""
         self._peers.mark_announced(message.member, message.node, message.leaving)
         self.consider_plan()
         self._approve_leaving()
 
     def on_snapshot_progress(self, message: SnapshotProgress) -> None:
-        """A member reports how much of a snapshot it has received."""
+        """Handle a report of how much of a snapshot a member has received."""
         self._peers.mark_heard(message.member)
         self.replicator.on_progress(message)
 
     def on_replicate_ack(self, message: ReplicateAck) -> None:
-        """A member acknowledges what it has stored."""
+        """Handle a member's acknowledgement of the position that it has stored."""
         self._peers.mark_heard(message.member)
         self.replicator.on_position(message.member, message.position)
 
     def on_digest_reply(self, message: DigestReply) -> None:
-        """A replica's checksum: a replica that differs is sent a snapshot."""
+        """Compare a replica's checksum; a replica whose state differs is sent a snapshot."""
         own = self._store.checksum_at(message.position)
         if own is not None and message.checksum != own:
             log.error("event=replica_differs member=%s", message.member)
@@ -210,13 +210,16 @@
     # Membership ----------------------------------------------------------------------------------------
 
     def plan(self, proposal: Proposal) -> EpochRecord:
-        """The record that a round of this primary proposes; until it is decided, commits need the replicas of both."""
+        """The record that this primary proposes in a round.
+
+        Until it is decided, a commit needs the in-sync replicas of both the base and this record.
+        """
         record = plan_next_record(self._plan_input(proposal.base), proposal.epoch)
         self.replicator.require_also((*proposal.base.in_sync, *record.in_sync))
         return record
 
     def consider_plan(self) -> None:
-        """Propose a new epoch where other members should vote or be in sync."""
+        """Propose a new epoch if the voters or the in-sync set should change."""
         young = not self.established and self._age_s < UNRESPONSIVE_AFTER_S
         if self._proposer.active or not self.lease.valid or young:
             return
@@ -226,7 +229,7 @@
             self._proposer.propose()
 
     def transfer_leadership(self) -> bool:
-        """Give the lease back and ask an in-sync member to take over; False where none is ready."""
+        """Release the lease and ask an in-sync member to take over; False if none is ready."""
         record = self._acceptor.record
         plan = self._plan_input(record)
         live = set(self._peers.heard_within(UNRESPONSIVE_AFTER_S))
@@ -242,7 +245,7 @@
         return True
 
     def release_lease(self, successor: str = "") -> None:
-        """Give the lease back, or announce that it has expired, so that nobody waits for it."""
+        """Release the lease, or announce that it has expired, so that no voter waits for its end."""
         record = self._acceptor.record
         self.lease.relinquish()
         self._acceptor.release(record.epoch)
@@ -274,8 +277,8 @@
             if peer.leaving and can_remove(plan, member) and known:
                 self._network.send(address_of(member), LeaveApproved(record.epoch))
 
-    def _overtake_promise(self, promised: int) -> None:
-        """A voter that promised an epoch that was never decided grants no lease until a later one is decided."""
+    def _supersede_promise(self, promised: int) -> None:
+        """Propose a later epoch: a voter bound by a promise for an undecided epoch grants no lease until then."""
         self._proposer.note_higher_promise(promised)
         if not self._proposer.active and self.lease.valid:
             self._proposer.propose()
--- a/lynxscale/coordination/lease.py
+++ b/lynxscale/coordination/lease.py
@@ -1,6 +1,6 @@
-"""The primary's own view of its leader lease: granted by a majority of the voters, and over before theirs ends.
+"""The holder's side of the leader lease: granted by a majority of the voters, it ends before their grants do.
 
-The lease runs from when the heartbeat was sent, not from the arrival of the grants (Gray and Cheriton, "Leases", 1989).
+The lease starts when the heartbeat was sent, not when the grants arrive (Gray and Cheriton, "Leases", 1989).
 """
 
 from __future__ import annotations
@@ -8,15 +8,15 @@
 from lynxscale.coordination.ports import Clock
 from lynxscale.coordination.quorum import is_majority
 
-LEASE_S = 0.4  # for which a grant binds its voter
-LEASE_MARGIN = 0.85  # the holder's share of a lease: its clock may run slower than the voters'
-MAX_ADVANCE_S = LEASE_S * (1.0 - LEASE_MARGIN)  # of a grant: what is left of it once the holder's own lease is over
+LEASE_S = 0.4  # how long a grant binds the voter
+HOLDER_LEASE_FRACTION = 0.85  # the holder uses only this fraction, as its clock may run slower than the voters'
+MAX_ADVANCE_S = LEASE_S * (1.0 - HOLDER_LEASE_FRACTION)  # remaining time of a grant when the holder's lease has ended
 ROUNDS_REMEMBERED = 16  # heartbeats whose grants are still counted
-NEVER = -1e9  # seconds: a time before all that happens
+NEVER = -1e9  # seconds: earlier than every event
 
 
 class LeaderLease:
-    """Counts the grants of each heartbeat. Times are of the own steady clock, in seconds."""
+    """Counts the grants of each heartbeat. Times are in seconds of the holder's monotonic clock."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -27,12 +27,12 @@
 
     @property
     def valid(self) -> bool:
-        """Is the lease running now?"""
+        """Is the lease held now?"""
         return self._clock.now() < self._until
 
     @property
     def expires_at(self) -> float:
-        """When the lease ends, ``NEVER`` where there is none."""
+        """When the lease ends, ``NEVER`` if there is none."""
         return self._until
 
     def relinquish(self) -> None:
@@ -41,11 +41,11 @@
         self.discard_rounds()
 
     def discard_rounds(self) -> None:
-        """Ignore grants of earlier heartbeats: another epoch has begun."""
+        """Ignore grants of earlier heartbeats, because another epoch has begun."""
         self._sent, self._granted = {}, {}
 
     def begin_round(self) -> int:
-        """The number of a heartbeat that is sent now."""
+        """Start counting the grants of a heartbeat that is sent now, and return its number."""
         self._round += 1
         self._sent[self._round] = self._clock.now()
         self._granted[self._round] = set()
@@ -54,10 +54,10 @@
         return self._round
 
     def on_grant(self, number: int, member: str, voters: tuple[str, ...]) -> None:
-        """A voter granted the heartbeat of that number; a majority of grants renews the lease."""
+        """Count a voter's grant for the heartbeat ``number``; grants of a majority renew the lease."""
         granted = self._granted.get(number)
         if granted is None:
             return
         granted.add(member)
         if is_majority(voters, granted):
-            self._until = max(self._until, self._sent[number] + LEASE_S * LEASE_MARGIN)
+            self._until = max(self._until, self._sent[number] + LEASE_S * HOLDER_LEASE_FRACTION)
--- a/lynxscale/coordination/member.py
+++ b/lynxscale/coordination/member.py
@@ -1,15 +1,16 @@
-"""A control member: voter, replica and, in its epoch, primary.
-
-``ControlMember`` puts the parts together, hands each message to the part that owns it, and keeps the lead:
-
-- ``member_role``: the role, and the table of its changes
-- ``voter``: answers to candidates and to the primary, by the ``acceptor``'s durable state
-- ``election``, ``candidacy`` and ``proposer``: when to stand, standing, and the rounds of Paxos
-- ``leadership``: what it does while it is primary
-- ``follower``: what it stores for a primary
-- ``joining`` and ``graceful_leave``: how it comes and goes
-- ``disk_failure``: what happens where a write fails
-- ``file_scrub``: reads its files again while it runs, and repairs them
+"""A control member: a voter and a replica, and the primary of the epochs that name it.
+
+``ControlMember`` creates the components, dispatches each message to the component that handles it, and owns the
+``Leadership`` while it is primary:
+
+- ``member_role``: the role, and the table of role changes
+- ``voter``: replies to candidates and to the primary, based on the ``acceptor``'s durable state
+- ``election``, ``candidacy`` and ``proposer``: when to become a candidate, the candidacy, and its Paxos rounds
+- ``leadership``: the duties of the primary
+- ``follower``: stores what the primary replicates
+- ``joining`` and ``graceful_leave``: joining and leaving the group
+- ``disk_failure``: reaction to failed writes
+- ``file_scrub``: verifies and repairs the member's files while it runs
 """
 
 from __future__ import annotations
@@ -72,17 +73,17 @@
 
 log = logging.getLogger(__name__)
 
-WATERMARK_INTERVAL_S = 1.0  # between two records of the position apart from the versions
+WATERMARK_INTERVAL_S = 1.0  # interval between two writes of the watermark
 
-MessageHandler = Callable[[Any], None]  # takes messages of the class that it is registered for
+MessageHandler = Callable[[Any], None]  # accepts only messages of the class that it is registered for
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSettings:
-    """What an operator decides of a member.
+    """The configuration of a member.
 
-    ``node``: its machine's name. ``contacts``: internal addresses to join by. ``tolerated``: machines that may be lost
-    at once.
+    ``node``: the name of its machine. ``contacts``: internal addresses of members to announce itself to.
+    ``tolerated``: number of machines that may be lost at the same time.
     """
 
     node: str
@@ -91,11 +92,11 @@
 
 
 class ControlMember:
-    """One member of the group that holds the control state.
+    """One member of the group that replicates the control state.
 
-    ``on_leadership_change(leads)`` is called when this member becomes primary or stops being it.
+    ``on_leadership_change(leads)`` is called when this member becomes primary or stops being primary.
 
-    ``contacts`` and ``retiring`` (names of machines that are to be vacated) may be set at any time.
+    ``contacts`` and ``retiring`` (names of machines that are being retired) may be set at any time.
     """
 
     def __init__(
@@ -119,7 +120,7 @@
         self._network = network
         self._on_leadership_change = on_leadership_change
         self._graceful_leave = GracefulLeave()
-        self._disk = DiskFailureHandler(clock, self._stand_aside)
+        self._disk = DiskFailureHandler(clock, self._step_down)
         role = MemberRole.BACKUP if self.member_id in self.record.voters else MemberRole.JOINING
         self._role = RoleState(role, self._epoch, self._on_role_change)
         tracker = PrimaryTracker(self.acceptor, self._role, clock, self.leads)
@@ -142,40 +143,41 @@
         self._start()
 
     def _start(self) -> None:
-        # A primary whose process ended holds no lease any more: it may stand at once, and the others let it.
+        # A restarted primary does not hold its lease any more but is still its recorded holder, so the voters do not
+        # make it wait: it may become a candidate immediately.
         may_stand_at_once = self.record.epoch == 0 or self.record.primary == self.member_id
         self._campaign.postpone(0.0 if may_stand_at_once else LEASE_S)
         self._clock.call_later(TICK_S, self._on_tick)
         if not self.store.intact:
             log.error("event=storage_incomplete damage=%s", ",".join(self.store.damage))
 
-    # For the process -----------------------------------------------------------------------------------
+    # Process interface ---------------------------------------------------------------------------------
 
     @property
     def role(self) -> MemberRole:
-        """What this member is to the group now."""
+        """This member's current role."""
         return self._role.current
 
     @property
     def record(self) -> EpochRecord:
-        """The epoch record known here."""
+        """The latest epoch record that this member accepted."""
         return self.acceptor.record
 
     @property
     def min_members(self) -> int:
-        """With fewer the group could not bear the tolerated losses."""
+        """The number of members that the group needs to survive the tolerated losses."""
         return voters_wanted(self.settings.tolerated)
 
     def leads(self) -> bool:
-        """Is this the primary, with a valid lease and all that earlier primaries committed at hand?"""
+        """Is this the established primary, with a valid lease and all earlier commits?"""
         return self.leadership is not None and self.leadership.established
 
     def primary(self) -> str:
-        """The primary's internal address, empty where none was heard within a lease's time."""
+        """The primary's internal address, empty if no heartbeat arrived within ``LEASE_S``."""
         return self._tracker.address()
 
     def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
-        """Change the state as primary; ``on_outcome(outcome)`` once it is known what became of the change."""
+        """Submit a change of the state; ``on_outcome(outcome)`` is called once its outcome is known."""
         leadership = self.leadership
         if leadership is not None and leadership.established:
             leadership.replicator.submit(puts, on_outcome)
@@ -183,7 +185,7 @@
             on_outcome(CommitOutcome.NOT_LEADER)
 
     def barrier(self, on_outcome: CommitCallback) -> None:
-        """``COMMITTED`` once everything submitted before is committed and the lease is still valid."""
+        """Report ``COMMITTED`` once everything submitted before is committed, if the lease is still valid then."""
         leadership = self.leadership
         if leadership is not None and leadership.established:
             leadership.replicator.barrier(
@@ -193,7 +195,7 @@
             on_outcome(CommitOutcome.NOT_LEADER)
 
     def leave(self, on_approved: Callable[[], None]) -> None:
-        """The process is to stop. The member goes on until nothing depends on it, then ``on_approved()`` is called."""
+        """Leave before the process stops. ``on_approved()`` is called once nothing depends on this member."""
         self._graceful_leave.request(on_approved)
         self._campaign.leaving = True
         self._transfer_leadership()
@@ -202,7 +204,7 @@
     # Messages ------------------------------------------------------------------------------------------
 
     def receive(self, message: Message) -> bool:
-        """Handle a message between members; False where it is of another kind."""
+        """Handle a message between members; False for messages of other types."""
         handler = self._handlers.get(type(message))
         if handler is None:
             return False
@@ -210,7 +212,7 @@
         return True
 
     def _message_handlers(self) -> dict[type[Message], MessageHandler]:
-        """The part that owns each message."""
+        """The component that handles each type of message."""
         return {
             PreVote: self._campaign.on_pre_vote,
             PreVoteReply: self._campaign.on_reply,
@@ -237,7 +239,7 @@
         }
 
     def _forward_to_leadership(self, message: LeaseGrant | SnapshotProgress | ReplicateAck | DigestReply) -> None:
-        """An answer to a primary counts in the epoch that it was sent for."""
+        """Forward a response to the primary, unless it belongs to another epoch."""
         if self.leadership is not None and message.epoch == self.record.epoch:
             self.leadership.receive(message)
 
@@ -247,7 +249,7 @@
         else:
             self._joining.redirect(message)
 
-    # What the parts ask of the member ------------------------------------------------------------------
+    # Callbacks of the components -----------------------------------------------------------------------
 
     def _epoch(self) -> int:
         return self.record.epoch
@@ -271,12 +273,12 @@
         self._candidacy.on_pre_vote_won(more_complete)
 
     def _accepts_writes_of(self, epoch: int) -> bool:
-        """May a primary of that epoch still write here? Not once a later one was promised."""
+        """May a primary of that epoch still write to this replica? False once a later epoch was promised."""
         current = epoch == self.record.epoch and self.acceptor.state.promised <= epoch
         return current and self.role is not MemberRole.PRIMARY
 
     def _choose_record(self, proposal: Proposal) -> EpochRecord | None:
-        """The record to propose: as primary the planned one, as candidate one that names this member primary."""
+        """The record to propose: a primary's next plan, or a candidate's record that names itself primary."""
         if self.leadership is not None and proposal.base.primary == self.member_id:
             return self.leadership.plan(proposal)
         return self._candidacy.choose_record(proposal)
@@ -285,8 +287,8 @@
         if self.role is MemberRole.CANDIDATE:
             self._role.apply(RoleChange.EPOCH_DECIDED)
         if self.leadership is not None:
-            counts = len(record.in_sync), len(record.voters)
-            log.info("event=epoch epoch=%d in_sync=%d voters=%d", record.epoch, *counts)
+            sizes = len(record.in_sync), len(record.voters)
+            log.info("event=epoch epoch=%d in_sync=%d voters=%d", record.epoch, *sizes)
             self.leadership.begin_epoch(record, positions)
 
     # Time ----------------------------------------------------------------------------------------------
@@ -317,7 +319,7 @@
         if self.leadership is not None:
             self.leadership.tick()
 
-    # The lead ------------------------------------------------------------------------------------------
+    # Leadership ----------------------------------------------------------------------------------------
 
     def _on_role_change(self, before: MemberRole, after: MemberRole) -> None:
         if after is not MemberRole.CANDIDATE:
@@ -349,14 +351,14 @@
         self._on_leadership_change(False)
 
     def _transfer_leadership(self) -> None:
-        """As primary, let another in-sync member take over, and stay as its backup."""
+        """As primary, let another in-sync member take over, and become its backup."""
         if self.leadership is not None and self.leadership.transfer_leadership():
             self._role.apply(RoleChange.TRANSFERRED_LEADERSHIP)
 
     # Disk failures -------------------------------------------------------------------------------------
 
     def _defer_write(self, step: Callable[[], None]) -> None:
-        """Make a step of a long write once other work has had its turn."""
+        """Run one step of a long write in a later iteration of the event loop, so that other work is not delayed."""
         self._clock.call_later(0.0, lambda: self._run_write_step(step))
 
     def _run_write_step(self, step: Callable[[], None]) -> None:
@@ -366,7 +368,7 @@
             self._follower.discard_transfer()
             self._disk.on_failure(error)
 
-    def _stand_aside(self) -> None:
+    def _step_down(self) -> None:
         if self.leadership is not None:
             self.leadership.transfer_leadership()
         if self._role.is_any_of(MemberRole.PRIMARY, MemberRole.CANDIDATE):
--- a/lynxscale/coordination/member_context.py
+++ b/lynxscale/coordination/member_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one control member share."""
+"""The state and ports that the components of one control member share."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberContext:
-    """One member's ports, state and role. ``node``: its machine's name."""
+    """One member's ports, state and role. ``node``: the name of its machine."""
 
     node: str
     acceptor: Acceptor
@@ -27,5 +27,5 @@
 
     @property
     def member_id(self) -> str:
-        """The id of this member."""
+        """This member's id."""
         return self.acceptor.member
--- a/lynxscale/coordination/member_role.py
+++ b/lynxscale/coordination/member_role.py
@@ -1,42 +1,42 @@
 """The role of a control member, and the changes between roles.
 
-The theory in short (``docs/design/control-safety.md`` gives the argument and the tests):
+Summary of the safety argument (``docs/design/control-safety.md`` has the full argument and the tests):
 
 Epochs. Each epoch has one record: its primary, the replicas that hold every acknowledged write, and the voters. It is
 decided by single-decree Paxos over a register (CASPaxos, arXiv:1802.07000): a majority of the voters promises the
-epoch, then a majority of the old and of the new voters accepts the record. Two majorities share a voter, so no two
-records are decided under one epoch, and a later one builds on an earlier one.
+epoch, then a majority of the old and of the new voters accepts the record. Any two majorities share a voter, so at most
+one record is decided per epoch, and each decided record is derived from the one decided before it.
 
-Leader lease. A primary acts only while it holds a lease that a majority of the voters granted. A voter promises no
-other candidate's epoch while a lease that it granted may run, and the holder counts a shorter lease, from when it
-asked; so a primary stops before another can begin.
+Leader lease. A primary acts only while it holds a lease that a majority of the voters granted. While a lease that it
+granted may run, a voter promises no epoch to another candidate. The holder assumes a shorter lease that starts when it
+sent the request, so a primary stops before another can begin.
 
 Primary-backup replication. A batch is committed once every in-sync replica has stored it. Only an in-sync voter with
-complete files is eligible, so a new primary holds all that was ever committed.
+complete files is eligible, so a new primary holds everything that was ever committed.
 
-Roles are a matter of these rules, not the other way round: a voter promises and grants in each of them.
+Safety follows from these rules alone, not from the roles: a voter promises and grants in every role.
 
 =========  ========================  ==========  =====================================================================
 from       change                    to          when
 =========  ========================  ==========  =====================================================================
-any        FOLLOWS_AS_VOTER          BACKUP      a primary's heartbeat, or the record found, names this member a voter
-any        FOLLOWS_WITHOUT_VOTE      JOINING     the same, and it does not
+any        FOLLOWS_AS_VOTER          BACKUP      a heartbeat, or a record found by a round, names this member a voter
+any        FOLLOWS_WITHOUT_VOTE      JOINING     a heartbeat, or a record found by a round, does not name it a voter
 BACKUP     STARTED_CANDIDACY         CANDIDATE   a majority would promise, or the primary asked it to take over
 CANDIDATE  EPOCH_DECIDED             PRIMARY     a majority accepted the record that names this member primary
 CANDIDATE  PREPARE_REJECTED          BACKUP      a voter promised a higher epoch, or is bound by another's lease
-CANDIDATE  ROUND_TIMED_OUT           BACKUP      too few answers in time
+CANDIDATE  ROUND_TIMED_OUT           BACKUP      too few replies in time
 any        YIELDED_TO_REPLICA        BACKUP      an in-sync voter's replica is more complete
-PRIMARY    PROMISED_OTHER            BACKUP      the own voter promised another candidate's epoch
+PRIMARY    PROMISED_OTHER            BACKUP      its own acceptor promised another candidate's epoch
 PRIMARY    SAW_LATER_EPOCH           BACKUP      a redirect names a later epoch
-PRIMARY    TRANSFERRED_LEADERSHIP    BACKUP      it gave its lease back and asked a successor to take over
+PRIMARY    TRANSFERRED_LEADERSHIP    BACKUP      it released its lease and asked a successor to take over
 PRIMARY    LEASE_EXPIRED             BACKUP      no majority granted a heartbeat in time
-PRIMARY,   DISK_FAILED               BACKUP      it can promise and store nothing
+PRIMARY,   DISK_FAILED               BACKUP      a write failed: it can store neither promises nor batches
 CANDIDATE
 =========  ========================  ==========  =====================================================================
 
-A member that is about to stop keeps its role until its leave is approved (``graceful_leave``).
+A leaving member keeps its role until its leave is approved (``graceful_leave``).
 
-The sources are what the callers check, not this module: a change is applied from any role.
+The callers ensure the role in the first column; this module applies a change from any role.
 """
 
 from __future__ import annotations
@@ -49,23 +49,23 @@
 
 
 class MemberRole(Enum):
-    """What a member is to the group. The values stand in the status page and in log lines."""
+    """A member's role in the group. The values appear on the status page and in log lines."""
 
     JOINING = "joining"
-    """No vote yet."""
+    """Not a voter yet."""
 
     BACKUP = "backup"
-    """Votes, and stores what the primary replicates."""
+    """Votes, and stores the batches that the primary replicates."""
 
     CANDIDATE = "candidate"
-    """Asks the voters for an epoch of its own."""
+    """Asks the voters to promise it an epoch."""
 
     PRIMARY = "primary"
-    """Its epoch was decided; it leads while its lease is valid."""
+    """Primary of the decided epoch; leads while its lease is valid."""
 
 
 class RoleChange(Enum):
-    """Why a member changes its role; see the table at the top."""
+    """Why a member changes its role; see the table in the module docstring."""
 
     FOLLOWS_AS_VOTER = auto()
     FOLLOWS_WITHOUT_VOTE = auto()
@@ -100,7 +100,7 @@
 
 
 class RoleState:
-    """A member's role: the one place that changes it. ``on_change(before, after)`` is called for each real change."""
+    """Holds a member's role. ``on_change(before, after)`` is called when ``apply`` changes it to another role."""
 
     def __init__(self, role: MemberRole, epoch: Callable[[], int], on_change: RoleListener) -> None:
         self._role = role
@@ -109,7 +109,7 @@
 
     @property
     def current(self) -> MemberRole:
-        """The role now."""
+        """The current role."""
         return self._role
 
     def is_any_of(self, *roles: MemberRole) -> bool:
@@ -117,7 +117,7 @@
         return self._role in roles
 
     def apply(self, change: RoleChange) -> None:
-        """Change the role; nothing happens where it stays the same."""
+        """Change the role; no effect if the member already has it."""
         before, self._role = self._role, ROLE_AFTER[change]
         if before is self._role:
             return
@@ -125,5 +125,5 @@
         self._on_change(before, self._role)
 
     def follow(self, is_voter: bool) -> None:
-        """Follow the primary of a record, with a vote or without."""
+        """Follow the primary of a record, as a voter or without a vote."""
         self.apply(RoleChange.FOLLOWS_AS_VOTER if is_voter else RoleChange.FOLLOWS_WITHOUT_VOTE)
--- a/lynxscale/coordination/membership_plan.py
+++ b/lynxscale/coordination/membership_plan.py
@@ -1,8 +1,8 @@
-"""Which members should vote and which replicas should be in sync, from the messages that the primary receives.
+"""Plans which members should vote and which replicas should be in sync, from what the primary knows of its peers.
 
-One voter is added, replaced or removed at a time. An in-sync replica belongs to a voter: only a voter may become
+One voter is added, replaced or removed at a time. Only the replicas of voters are in sync: only a voter may become
 primary, and a replica that cannot be elected adds no fault tolerance. A departing voter keeps its vote, and its replica
-stays in sync, until the remaining ones are enough: its successor is added beside it first, and has caught up.
+stays in sync, until the remaining ones suffice: first its successor is added as an additional voter and catches up.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 from lynxscale.coordination.quorum import is_majority
 
 MIN_VOTERS = 3
-BRIEF_SILENCE_FACTOR = 4  # a voter silent for less than so many times the usual may be back in a moment
+BRIEF_SILENCE_FACTOR = 4  # multiple of ``unresponsive_after`` within which an unresponsive voter may soon respond
 
 
 def voters_wanted(tolerated: int) -> int:
-    """Enough voters that the loss of ``tolerated`` leaves a majority."""
+    """The number of voters of which a majority remains when ``tolerated`` are lost."""
     return max(MIN_VOTERS, 2 * tolerated + 1)
 
 
 @dataclass(frozen=True, slots=True)
 class PlanInput:
-    """All that a plan depends on.
+    """Everything that a plan depends on.
 
-    ``now`` and ``unresponsive_after``: seconds. ``caught_up``: members that hold all that may be committed.
-    ``lagging``: members that hold up writes, although they may be responsive. ``behind``: members known to lack what
-    is committed, as their files were damaged. ``retiring``: members on machines that are to be vacated.
+    ``now`` and ``unresponsive_after``: seconds. ``caught_up``: members that hold everything that may be committed.
+    ``lagging``: members that delay commits, although they may be responsive. ``behind``: members known to lack
+    committed data, for instance because their files were damaged. ``retiring``: members on machines that are being
+    retired.
     """
 
     base: EpochRecord
@@ -45,12 +46,12 @@
 
     @property
     def voters_wanted(self) -> int:
-        """Enough that the tolerated losses leave a majority."""
+        """The number of voters of which a majority remains after the tolerated losses."""
         return voters_wanted(self.tolerated)
 
     @property
     def replicas_wanted(self) -> int:
-        """Enough that the tolerated losses leave one."""
+        """The number of replicas of which one remains after the tolerated losses."""
         return self.tolerated + 1
 
     def _heard_within(self, member: str, seconds: float) -> bool:
@@ -64,44 +65,44 @@
         return self._heard_within(member, self.unresponsive_after)
 
     def expected_to_stay(self, member: str) -> bool:
-        """Is the member to stay, and responsive or only briefly silent, as behind a large message?"""
+        """Is the member not departing, and responsive or only briefly unresponsive, as during a large transfer?"""
         if member == self.primary:
             return True
-        lately = self._heard_within(member, BRIEF_SILENCE_FACTOR * self.unresponsive_after)
-        return lately and not self.departing(member)
+        heard_recently = self._heard_within(member, BRIEF_SILENCE_FACTOR * self.unresponsive_after)
+        return heard_recently and not self.departing(member)
 
     def replica_unavailable(self, member: str) -> bool:
-        """Can nothing be stored on the member's replica now, or does it lack what is committed?"""
+        """Can the member's replica store nothing now, or does it lack committed data?"""
         return member in self.lagging or member in self.behind or not self.responsive(member)
 
     def leaving(self, member: str) -> bool:
-        """Was the member's process asked to stop? It leaves as soon as it may, even where no member can replace it."""
+        """Was the member's process asked to stop? It leaves as soon as it may, even if no member can replace it."""
         peer = self.peers.get(member)
         return peer is not None and peer.leaving
 
     def departing(self, member: str) -> bool:
-        """Is the member about to go, for a while or for good?"""
+        """Is the member about to leave, temporarily or permanently?"""
         return member in self.retiring or self.leaving(member)
 
     def staying(self, member: str) -> bool:
-        """Is the member responsive, and to stay?"""
+        """Is the member responsive and not departing?"""
         return self.responsive(member) and not self.departing(member)
 
     def successors(self) -> list[str]:
-        """Members that could become voters."""
+        """Members that could become voters, in a fixed order."""
         return [member for member in sorted(self.peers) if member not in self.base.voters and self.staying(member)]
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """The in-sync members and the voters that a change leads to."""
+    """The in-sync members and the voters after a change."""
 
     in_sync: tuple[str, ...]
     voters: tuple[str, ...]
 
 
 def plan_next_record(plan: PlanInput, epoch: int) -> EpochRecord:
-    """The record to propose next; equal to the base but for the epoch where nothing is to change."""
+    """The record to propose next; if nothing should change, it differs from the base only in the epoch."""
     for find_change in (_replace_voter_with_lost_disk, _replace_unresponsive_voter, _add_voter, _remove_voter):
         change = find_change(plan)
         if change is not None:
@@ -110,16 +111,16 @@
 
 
 def _without_voter(plan: PlanInput, member: str, successor: str | None) -> MembershipChange | None:
-    """Take a voter and its replica out, with a successor for its vote; None where too few replicas would be left."""
-    in_sync = tuple(one for one in plan.base.in_sync if one != member)
+    """Remove a voter and its replica, replaced by the successor if any; None if too few replicas would remain."""
+    in_sync = tuple(voter for voter in plan.base.in_sync if voter != member)
     if member in plan.base.in_sync and len(in_sync) < plan.replicas_wanted:
         return None
-    voters = [successor if one == member else one for one in plan.base.voters]
-    return MembershipChange(in_sync, tuple(one for one in voters if one is not None))
+    voters = [successor if voter == member else voter for voter in plan.base.voters]
+    return MembershipChange(in_sync, tuple(voter for voter in voters if voter is not None))
 
 
 def _replace_voter_with_lost_disk(plan: PlanInput) -> MembershipChange | None:
-    """The same address with another incarnation: the earlier one has lost its disk."""
+    """Replace a voter by a member at the same address with a new incarnation: the voter has lost its disk."""
     for successor in plan.successors():
         for member in plan.base.voters:
             same_address = address_of(member) == address_of(successor)
@@ -129,7 +130,7 @@
 
 
 def _replace_unresponsive_voter(plan: PlanInput) -> MembershipChange | None:
-    """A vote that cannot be cast goes to a member that is there."""
+    """Replace an unresponsive voter by a responsive member."""
     successors = plan.successors()
     if not successors:
         return None
@@ -142,7 +143,7 @@
 
 
 def _add_voter(plan: PlanInput) -> MembershipChange | None:
-    """A voter beside those that are there, or beside one that is to go."""
+    """Add a voter if there are too few, or as the successor of a departing one."""
     successors = plan.successors()
     staying = [member for member in plan.base.voters if not plan.departing(member)]
     if successors and len(staying) < plan.voters_wanted:
@@ -151,7 +152,7 @@
 
 
 def _remove_voter(plan: PlanInput) -> MembershipChange | None:
-    """One that is to go, or one too many, once all others that are there have caught up."""
+    """Remove a departing or surplus voter, once all voters that stay have caught up."""
     if len(plan.base.voters) <= plan.voters_wanted or _catching_up(plan, plan.base.in_sync):
         return None
     removable = [member for member in plan.base.voters if member != plan.primary]
@@ -165,16 +166,16 @@
 
 
 def _plan_in_sync(plan: PlanInput) -> tuple[str, ...]:
-    """Add voters that caught up; drop silent, lagging and leaving ones, as long as enough replicas remain."""
+    """Add voters that have caught up; drop unavailable and leaving ones as long as enough replicas remain."""
     voters = plan.base.voters
     in_sync = list(plan.base.in_sync)
-    in_sync += [one for one in voters if one not in in_sync and one in plan.caught_up and plan.staying(one)]
+    in_sync += [voter for voter in voters if voter not in in_sync and voter in plan.caught_up and plan.staying(voter)]
     catching_up = _catching_up(plan, in_sync)
-    if sum(not plan.replica_unavailable(one) for one in in_sync) < plan.replicas_wanted:
-        # Better a replica that is about to go than none.
-        available = [one for one in voters if one in plan.caught_up and not plan.replica_unavailable(one)]
-        in_sync += [one for one in available if one not in in_sync]
-    for member in [one for one in in_sync if one != plan.primary]:
+    if sum(not plan.replica_unavailable(voter) for voter in in_sync) < plan.replicas_wanted:
+        # A departing replica is better than too few replicas.
+        available = [voter for voter in voters if voter in plan.caught_up and not plan.replica_unavailable(voter)]
+        in_sync += [voter for voter in available if voter not in in_sync]
+    for member in [voter for voter in in_sync if voter != plan.primary]:
         leaving = plan.leaving(member) and not catching_up
         if (plan.replica_unavailable(member) or leaving) and len(in_sync) > plan.replicas_wanted:
             in_sync.remove(member)
@@ -182,20 +183,20 @@
 
 
 def _catching_up(plan: PlanInput, in_sync: Sequence[str]) -> bool:
-    """Is there a voter that stays and is not in sync yet? No departing voter is removed before it is."""
+    """Is a voter that stays not in sync yet? Until it is, no voter is removed."""
     return any(member not in in_sync for member in plan.base.voters if plan.expected_to_stay(member))
 
 
 def can_remove(plan: PlanInput, member: str) -> bool:
-    """Does nothing depend any more on a member that is to go?
+    """Does nothing depend on a leaving member any more?
 
-    Its replica may not be in sync any more. It may still be named a voter where no member can replace it and the
-    responsive voters that stay are a majority without it.
+    Its replica must no longer be in sync. It may still be a voter if no member can replace it and the responsive
+    voters that stay are a majority without it.
     """
     if member in plan.base.in_sync:
         return False
     if member not in plan.base.voters:
         return True
     replaceable = bool(plan.successors()) or _catching_up(plan, plan.base.in_sync)
-    staying = {one for one in plan.base.voters if one != member and plan.staying(one)}
+    staying = {voter for voter in plan.base.voters if voter != member and plan.staying(voter)}
     return not replaceable and is_majority(plan.base.voters, staying)
--- a/lynxscale/coordination/messages/__init__.py
+++ b/lynxscale/coordination/messages/__init__.py
@@ -1,8 +1,7 @@
-"""All messages of the internal protocol, a module a conversation.
+"""All messages of the internal protocol, one module per topic.
 
-The names of classes and fields are free to change; ``tag`` and ``msgspec.field(name=...)`` keep what stands on the wire
-and in files. A member is ``ADDRESS#INCARNATION``: a node that lost its disk comes back as another member at the same
-address.
+Classes and fields may be renamed: ``tag`` and ``msgspec.field(name=...)`` hold the names that are sent and stored. A
+member id is ``ADDRESS#INCARNATION``: a node that lost its disk rejoins as a new member at the same address.
 """
 
 from lynxscale.coordination.messages.base import EpochRecord, Message, Position, address_of, member_id
--- a/lynxscale/coordination/messages/base.py
+++ b/lynxscale/coordination/messages/base.py
@@ -1,4 +1,4 @@
-"""Base of all messages, and the values that several of them carry."""
+"""The base class of all messages, and structures that several messages contain."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 def address_of(member: str) -> str:
-    """The internal ``host:port`` of a member id."""
+    """The internal ``host:port`` in a member id."""
     return member.partition("#")[0]
 
 
 def member_id(address: str, incarnation: str) -> str:
-    """The id of a member; a node that lost its disk comes back with another incarnation."""
+    """Build a member id; a node that lost its disk rejoins with a new incarnation."""
     return f"{address}#{incarnation}"
 
 
 class Message(msgspec.Struct, frozen=True, tag_field="type"):
-    """Base of all messages."""
+    """Base class of all messages; the ``type`` field holds the tag of the subclass."""
 
 
 class Position(msgspec.Struct, frozen=True, array_like=True, order=True):
@@ -27,10 +27,10 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """The record that the voters decide for an epoch.
+    """The record that the voters decide for one epoch.
 
-    ``primary``: the member that leads. ``in_sync``: members whose replicas hold every acknowledged write. ``voters``:
-    members that promise and accept; stored and sent as ``witnesses``.
+    ``primary``: member id of the primary. ``in_sync``: members whose replicas hold every acknowledged write.
+    ``voters``: members that promise and accept; stored and sent as ``witnesses``.
     """
 
     epoch: int
--- a/lynxscale/coordination/messages/calls.py
+++ b/lynxscale/coordination/messages/calls.py
@@ -1,7 +1,7 @@
 """Calls to the primary, and their replies.
 
-``tag`` and ``msgspec.field(name=...)`` keep the names that stand on the wire. Durations are in seconds, budgets and
-numbers of tokens in output tokens.
+``tag`` and ``msgspec.field(name=...)`` hold the names that are sent. Durations are in seconds; budgets and token counts
+are in output tokens.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 class AdmitTurn(Message, frozen=True, tag="admit_turn"):
     """Reserve a turn's tokens, and compose its prompt if it continues an earlier turn.
 
-    ``budget``: of the program, -1 for none. ``previous``: the turn that this one continues, empty for none.
-    ``cached``: a turn, perhaps of that chain, up to which the sender has the history already; empty for none.
+    ``budget``: the program's budget, -1 for none. ``previous``: the turn that this one continues, empty for none.
+    ``cached``: a turn up to which the sender already has the history, empty for none; it may belong to another chain.
     """
 
     program: str
@@ -31,8 +31,8 @@
 class TurnAdmitted(Message, frozen=True, tag="turn_admitted"):
     """The reservation is durable.
 
-    ``history`` goes before the new input, behind the history up to turn ``base_turn``, which the sender of the request
-    has; empty if there is none.
+    ``history`` precedes the new input in the prompt and follows the history up to turn ``base_turn``, which the sender
+    of the request already has. Both are empty if there is none.
     """
 
     history: bytes = b""
@@ -40,13 +40,13 @@
 
 
 class TurnRejected(Message, frozen=True, tag="turn_refused"):
-    """``status`` 402: the budget does not cover the turn; 404: there is no such previous turn."""
+    """The turn is rejected. ``status`` 402: the budget does not cover it; 404: the previous turn does not exist."""
 
     status: int
 
 
 class FinishTurn(Message, frozen=True, tag="finish_turn"):
-    """End a reservation with the ``tokens`` used; ``content`` is a complete retained turn's input and output."""
+    """End a reservation, charging the ``tokens`` used. ``content``: input and output of a complete, retained turn."""
 
     program: str
     request: str
@@ -57,13 +57,13 @@
 
 
 class TurnFinished(Message, frozen=True, tag="turn_finished"):
-    """The turn's end is durable."""
+    """The end of the turn is durable."""
 
 
 class Call(Message, frozen=True, tag="call"):
-    """A request to the primary. It is idempotent: retries have the same effect as one.
+    """A request to the primary. It is idempotent: retries have no further effect.
 
-    ``incarnation`` is drawn by each process of the caller, so it ignores replies to calls of an earlier process.
+    ``incarnation`` is drawn at random by each process of the caller, which ignores replies to an earlier process.
     """
 
     number: int
--- a/lynxscale/coordination/messages/codec.py
+++ b/lynxscale/coordination/messages/codec.py
@@ -65,13 +65,13 @@
 
 
 def encode(message: Message) -> bytes:
-    """The message as JSON, without a frame."""
+    """Encode a message as JSON, without framing."""
     return _encoder.encode(message)
 
 
 def decode(payload: bytes) -> Message:
-    """The message of a payload.
+    """Decode the message in a payload.
 
-    Raises msgspec.DecodeError for bytes that are no JSON, and its subclass ValidationError for a wrong shape.
+    Raises msgspec.DecodeError if the payload is not JSON, and its subclass ValidationError if the structure is wrong.
     """
     return _decoder.decode(payload)
--- a/lynxscale/coordination/messages/distribution.py
+++ b/lynxscale/coordination/messages/distribution.py
@@ -1,6 +1,6 @@
 """Messages between relays: topics down the distribution tree, and heartbeats around the ring.
 
-``msgspec.field(name=...)`` keeps the names that stand on the wire.
+``tag`` and ``msgspec.field(name=...)`` hold the names that are sent.
 """
 
 from __future__ import annotations
@@ -11,28 +11,28 @@
 
 
 class Version(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Versions of one topic are ordered by epoch, then by number."""
+    """The version of a topic; versions are ordered by epoch, then by number."""
 
     epoch: int = 0
     number: int = 0
 
 
 class Topic(msgspec.Struct, frozen=True):
-    """One versioned value, as JSON, that goes down the tree."""
+    """A versioned JSON value that is distributed down the tree."""
 
     version: Version
     value: msgspec.Raw
 
 
 class RosterEntry(msgspec.Struct, frozen=True, order=True):
-    """One relay of the roster topic: its internal address and its zone."""
+    """One relay in the roster topic: its internal address and its zone."""
 
     address: str
     zone: str
 
 
 class Attach(Message, frozen=True, tag="attach"):
-    """A relay asks a parent for topics newer than its own; repeated, it keeps its place in the tree."""
+    """A relay asks a parent for newer topics. Repeated requests keep the relay attached to that parent."""
 
     sender: str
     zone: str
--- a/lynxscale/coordination/messages/election.py
+++ b/lynxscale/coordination/messages/election.py
@@ -1,6 +1,6 @@
-"""Messages of an election: pre-votes, and the two phases by which an epoch record is accepted.
+"""Messages of an election: pre-votes, and the two Paxos phases that decide an epoch record.
 
-``msgspec.field(name="witness")`` keeps the sent name of a voter's id.
+``tag`` and ``msgspec.field(name=...)`` hold the names that are sent; a voter's id is sent as ``witness``.
 """
 
 from __future__ import annotations
@@ -18,9 +18,10 @@
 
 
 class PreVoteReply(Message, frozen=True, tag="pre_vote_reply"):
-    """The voter's answer; ``wait_s``: seconds after which to ask again where it would not promise now.
+    """The voter's reply to a pre-vote.
 
-    ``position``: how far the voter's replica reaches.
+    ``wait_s``: if it would not promise now, seconds after which to ask again. ``position``: the durable position of the
+    voter's replica.
     """
 
     round: int
@@ -37,14 +38,17 @@
 
 
 class Prepare(Message, frozen=True, tag="prepare"):
-    """Phase 1 of a round: a candidate asks a voter to accept no lower epoch any more."""
+    """Phase 1 of a round: a candidate asks a voter to promise that it accepts no record of a lower epoch."""
 
     epoch: int
     candidate: str
 
 
 class Promise(Message, frozen=True, tag="promise"):
-    """The voter promises; ``accepted``: the latest record it accepted; ``position``: how far its replica reaches."""
+    """The voter promises the epoch.
+
+    ``accepted``: the latest record that it accepted. ``position``: the durable position of its replica.
+    """
 
     epoch: int
     voter: str = msgspec.field(name="witness")
@@ -53,7 +57,7 @@
 
 
 class PrepareRejected(Message, frozen=True, tag="deny"):
-    """The voter does not promise: it promised a higher epoch, or another's lease runs for ``lease_left`` seconds."""
+    """The voter promised a higher epoch, or another member's lease may run for another ``lease_left`` seconds."""
 
     epoch: int
     voter: str = msgspec.field(name="witness")
@@ -69,7 +73,7 @@
 
 
 class Accepted(Message, frozen=True, tag="accepted"):
-    """The voter has stored the record of that epoch on its disk."""
+    """The voter has durably stored the record of that epoch."""
 
     epoch: int
     voter: str = msgspec.field(name="witness")
--- a/lynxscale/coordination/messages/lease.py
+++ b/lynxscale/coordination/messages/lease.py
@@ -1,4 +1,4 @@
-"""Messages of the primary's lease: heartbeats, their grants, and how a lease ends early."""
+"""Messages of the leader lease: heartbeats, grants, and the early end of a lease."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class LeaseRequest(Message, frozen=True, tag="lease_request"):
-    """The primary's heartbeat, with the decided record. ``round`` numbers the heartbeats of a lead."""
+    """The primary's heartbeat, with the decided record. ``round``: the number of the heartbeat."""
 
     record: EpochRecord
     round: int
 
 
 class LeaseGrant(Message, frozen=True, tag="lease_grant"):
-    """Answer to a heartbeat.
+    """Reply to a heartbeat.
 
     ``granted``: the sender is a voter of that epoch and has promised no other candidate. ``promised``: the highest
-    epoch it promised. ``node``: its machine's name. ``position``: how far its replica reaches. ``leaving``: it is to
-    stop.
+    epoch that it promised. ``node``: the name of its machine. ``position``: the durable position of its replica.
+    ``leaving``: whether it was asked to stop.
     """
 
     epoch: int
@@ -31,9 +31,9 @@
 
 
 class LeaseRelease(Message, frozen=True, tag="lease_release"):
-    """The primary of that epoch leads no longer, so voters need not wait.
+    """The primary of that epoch no longer leads, so voters need not wait for the end of its lease.
 
-    ``successor``: the member that it asked to take over, empty for none.
+    ``successor``: the member that the primary asked to take over, empty for none.
     """
 
     epoch: int
@@ -41,6 +41,6 @@
 
 
 class TakeOver(Message, frozen=True, tag="take_over"):
-    """The primary that steps down, or a candidate with a less complete replica, asks a member to stand now."""
+    """A primary that steps down, or a candidate with a less complete replica, asks a member to become a candidate."""
 
     epoch: int
--- a/lynxscale/coordination/messages/membership.py
+++ b/lynxscale/coordination/messages/membership.py
@@ -1,4 +1,4 @@
-"""Messages by which control members join, leave and find the primary."""
+"""Messages with which control members join, leave and find the primary."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Join(Message, frozen=True, tag="join"):
-    """A member announces itself; ``node``: its machine's name; ``leaving``: it is to stop."""
+    """A member announces itself. ``node``: the name of its machine. ``leaving``: whether it was asked to stop."""
 
     member: str
     node: str
@@ -20,7 +20,7 @@
 
 
 class Redirect(Message, frozen=True, tag="redirect"):
-    """The primary's internal address as the sender knows it, empty where it knows of none."""
+    """The primary's internal address according to the sender, empty if unknown."""
 
     primary: str
     epoch: int
--- a/lynxscale/coordination/messages/replication.py
+++ b/lynxscale/coordination/messages/replication.py
@@ -1,6 +1,6 @@
 """Messages of primary-backup replication: batches, snapshots and the scrub.
 
-``tag`` and ``msgspec.field(name=...)`` keep the names that stand on the wire and in files.
+``tag`` and ``msgspec.field(name=...)`` hold the names that are sent and stored.
 """
 
 from __future__ import annotations
@@ -11,29 +11,29 @@
 
 
 class Put(msgspec.Struct, frozen=True, array_like=True):
-    """A new value of a key, as JSON; null removes it."""
+    """Sets a key to a JSON value; null removes the key."""
 
     key: str
     value: msgspec.Raw
 
     @property
     def removes(self) -> bool:
-        """Whether this removes the key."""
+        """Whether this put removes the key."""
         return bytes(self.value) == b"null"
 
     @property
     def size(self) -> int:
-        """Size of key and value: characters of the key, bytes of the value."""
+        """Approximate size in bytes: characters of the key plus bytes of the value."""
         return len(self.key) + len(bytes(self.value))
 
 
 def put_value(key: str, value: object) -> Put:
-    """A put of any value that msgspec can encode as JSON."""
+    """Create a put from any value that msgspec can encode as JSON."""
     return Put(key, msgspec.Raw(msgspec.json.encode(value)))
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """Changes that are stored together behind those at ``previous``."""
+    """Puts that are stored together. They change the state at ``previous`` into that at ``position``."""
 
     previous: Position
     position: Position
@@ -41,19 +41,19 @@
 
     @property
     def size(self) -> int:
-        """Size of all keys and values, as ``Put.size`` counts it."""
+        """The sum of ``Put.size`` of all puts."""
         return sum(put.size for put in self.puts)
 
 
 class Replicate(Message, frozen=True, tag="replicate"):
-    """The primary sends a batch to store. ``epoch`` is the sender's, at least that of the batch."""
+    """The primary sends a batch to store. ``epoch``: the sender's epoch, which may be later than the batch's."""
 
     epoch: int
     batch: Batch
 
 
 class ReplicateAck(Message, frozen=True, tag="stored"):
-    """The sender's disk holds everything up to the position."""
+    """The sender has durably stored everything up to the position."""
 
     epoch: int
     member: str
@@ -61,17 +61,17 @@
 
 
 class SnapshotProbe(Message, frozen=True, tag="transfer_ask"):
-    """How much of a snapshot has the receiver? ``probe_id`` comes back in the answer."""
+    """Asks how much of a snapshot the receiver has. The reply repeats ``probe_id``."""
 
     epoch: int
     probe_id: int = msgspec.field(name="probe")
 
 
 class SnapshotProgress(Message, frozen=True, tag="transfer_progress"):
-    """The sender has all keys up to ``last_key`` as they are at ``position``.
+    """The sender has all entries with keys up to ``last_key``, as of ``position``.
 
-    ``probe_id``: of the probe that this answers, 0 for the acknowledgement of a chunk. ``installing``: the snapshot is
-    complete and is being made durable.
+    ``probe_id``: the probe that this replies to, 0 if it acknowledges a chunk. ``installing``: the snapshot is complete
+    and is being made durable.
     """
 
     epoch: int
@@ -83,9 +83,10 @@
 
 
 class SnapshotChunk(Message, frozen=True, tag="state_part"):
-    """The state's keys behind ``after_key`` up to ``last_key`` at the position; a new snapshot begins behind "".
+    """The entries with keys after ``after_key`` up to ``last_key``, as of ``position``.
 
-    Batches that come between chunks belong to the snapshot too, so all chunks together are the state at one position.
+    An empty ``after_key`` starts a new snapshot. Batches sent between the chunks are part of the snapshot, so that
+    together they form the state at a single position.
     """
 
     epoch: int
@@ -104,7 +105,7 @@
 
 
 class DigestReply(Message, frozen=True, tag="digest_reply"):
-    """Checksum of the complete state that the sender had at the position."""
+    """The checksum of the sender's complete state at the position."""
 
     epoch: int
     member: str
--- a/lynxscale/coordination/outcomes.py
+++ b/lynxscale/coordination/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a submitted change."""
+"""The outcome of a submitted change."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 
 class CommitOutcome(Enum):
-    """The result that a submitter is notified of, exactly once per submission."""
+    """The outcome of a submission; its callback is called with it exactly once."""
 
     COMMITTED = "committed"
-    """Stored by every replica that counts; no later primary can lack it."""
+    """Stored by every in-sync replica; every later primary has the change."""
 
     NOT_LEADER = "not_leader"
     """Never submitted, as this member is not the established primary. Safe to retry at the primary."""
 
     UNKNOWN = "unknown"
-    """The lead ended first: a later primary may or may not have the change. Retry only what is idempotent."""
+    """The member stopped leading first: a later primary may or may not have the change. Retry only if idempotent."""
 
     @property
     def committed(self) -> bool:
--- a/lynxscale/coordination/ports.py
+++ b/lynxscale/coordination/ports.py
@@ -1,6 +1,6 @@
-"""What a state machine needs from its process: time, messages and files that outlast it.
+"""The interfaces (ports) through which a state machine accesses time, the network and durable files.
 
-``lynxscale.runtime`` serves these ports by sockets and files, ``lab.tier`` by a simulator.
+``lynxscale.runtime`` implements them with sockets and files, ``lab.tier`` with a simulator.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Cancel the call; no effect where it was made already."""
+        """Cancel the call; no effect if it was made already."""
 
 
 class Clock(Protocol):
-    """Time and deferred calls, all on one thread."""
+    """Time and scheduled calls, all on one thread."""
 
     def now(self) -> float:
-        """Steady time in seconds; its zero has no meaning."""
+        """Monotonic time in seconds, from an arbitrary origin."""
 
     def wall(self) -> float:
-        """Unix time in seconds; it may be stepped."""
+        """Unix time in seconds; it may jump when the system clock is set."""
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Timer:
-        """Make the call once, ``delay`` seconds from now."""
+        """Call ``call`` once, ``delay`` seconds from now."""
 
 
 class Network(Protocol):
-    """Datagrams between nodes: a message arrives once, in order, or not at all.
+    """Messages between nodes. A message arrives once and in order, or not at all.
 
-    Messages sent before a ``write`` or ``write_all`` of ``Files`` leave the node before its syncs block.
+    Messages sent before a ``write`` or ``write_all`` of ``Files`` leave the node before it blocks in a sync.
     """
 
     def send(self, address: str, message: Message) -> None:
@@ -48,32 +48,32 @@
         """Append a chunk. Raises OSError."""
 
     def finish(self) -> None:
-        """Return once content and name are on stable storage. Raises OSError; the file is then as before."""
+        """Make content and name durable. If OSError is raised, the file of that name is as before."""
 
     def discard(self) -> None:
-        """Remove what was written; no file of that name appears."""
+        """Remove what was written, without creating or changing the file of that name."""
 
 
 class Files(Protocol):
-    """A folder of small files, each written aside, synced and renamed into place."""
+    """A directory of small files. Each is written to a temporary file, synced and renamed into place."""
 
     def write(self, name: str, content: bytes) -> None:
-        """Return once content and name are on stable storage. Raises OSError."""
+        """Make content and name of a file durable. Raises OSError."""
 
     def write_all(self, contents: dict[str, bytes]) -> None:
-        """Write several files with one sync of the folder; they take their names in order. Raises OSError."""
+        """Write several files with one sync of the directory, renaming them in order. Raises OSError."""
 
     def create(self, name: str) -> FileWriter:
-        """Begin a file of that name, which counts once it is finished. Raises OSError."""
+        """Begin a file, which takes its name only in ``FileWriter.finish``. Raises OSError."""
 
     def read(self, name: str) -> bytes | None:
-        """The content, or None where there is no such file."""
+        """The content, or None if the file does not exist."""
 
     def read_chunk(self, name: str, offset: int, size: int) -> bytes | None:
-        """At most ``size`` bytes from an offset, fewer at the end; None where there is no such file. Raises OSError."""
+        """Up to ``size`` bytes at an offset, fewer at the end; None if the file does not exist. Raises OSError."""
 
     def names(self) -> list[str]:
-        """All complete files, sorted."""
+        """The sorted names of all complete files."""
 
     def remove(self, name: str) -> None:
-        """The removal is durable once a later ``write`` has returned."""
+        """Remove a file. The removal is durable once a later ``write`` has returned."""
--- a/lynxscale/coordination/pre_vote.py
+++ b/lynxscale/coordination/pre_vote.py
@@ -1,6 +1,6 @@
-"""One pre-vote round: a member asks the voters whether they would promise, before it asks for an epoch.
+"""One pre-vote round: before a member asks for an epoch, it asks the voters whether they would promise.
 
-A pre-vote writes nothing, so a member that could not win disrupts no lease (Ongaro, "Consensus: Bridging Theory and
+A pre-vote writes nothing, so a member that cannot win does not disrupt a lease (Ongaro, "Consensus: Bridging Theory and
 Practice", 2014, section 9.6).
 """
 
@@ -11,14 +11,17 @@
 
 
 class PreVoteRound:
-    """The replies to one question. ``asked_at``: steady time in seconds; ``positions``: each voter's replica's."""
+    """The replies to one pre-vote.
 
-    def __init__(self, number: int, voters: tuple[str, ...], asked_at: float) -> None:
+    ``started_at``: monotonic time in seconds. ``positions``: replica position of each voter that replied.
+    """
+
+    def __init__(self, number: int, voters: tuple[str, ...], started_at: float) -> None:
         self.number = number
-        self.asked_at = asked_at
+        self.started_at = started_at
         self.positions: dict[str, Position] = {}
         self._voters = voters
-        self._free_at: dict[str, float] = {}
+        self._free_at: dict[str, float] = {}  # time from which each voter may promise
 
     def on_reply(self, reply: PreVoteReply, now: float) -> None:
         """Count a reply."""
@@ -30,7 +33,7 @@
         return is_majority(self._voters, {voter for voter, free_at in self._free_at.items() if free_at <= now})
 
     def majority_free_at(self) -> float | None:
-        """The time from which a majority may promise, by its replies; None where too few have replied."""
+        """The time from which a majority may promise, according to the replies; None if too few have replied."""
         replied = sorted(free_at for voter, free_at in self._free_at.items() if voter in self._voters)
         needed = len(self._voters) // 2 + 1
         return replied[needed - 1] if len(replied) >= needed else None
--- a/lynxscale/coordination/primary_calls.py
+++ b/lynxscale/coordination/primary_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the primary by nodes that may not know its address. A call is retried until its reply or its deadline."""
+"""Calls to the primary from nodes that may not know its address. A call is retried until its reply or deadline."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 RETRY_INTERVAL_S = 0.15
 INCARNATION_BITS = 48
-PRIMARY_RETRY_EVERY = 3  # every so many-th retry goes to the presumed primary, the others to contacts
+PRIMARY_RETRY_EVERY = 3  # one in this many retries goes to the presumed primary, the others to contacts
 
 ReplyCallback = Callable[[Message | None], None]
-"""Called with the reply's body, or None if no reply came in time."""
+"""Called with the body of the reply, or None if no reply arrived in time."""
 
 
 @dataclass(slots=True)
 class PendingCall:
-    """A call without a reply. ``deadline`` is in seconds of the clock."""
+    """A call that waits for its reply. ``deadline``: monotonic time in seconds."""
 
     call: Call
     deadline: float
@@ -28,15 +28,15 @@
     retries: int = 0
 
     def cancel_retry(self) -> None:
-        """Stop the timer of the next retry."""
+        """Cancel the timer of the next retry."""
         if self.timer is not None:
             self.timer.cancel()
 
 
 class PrimaryCalls:
-    """The calls of one node.
+    """The pending calls of one node.
 
-    ``primary()`` is the address to try first, empty if unknown; ``contacts()`` are then tried in turn.
+    ``primary()``: the address to try first, empty if unknown. ``contacts()``: addresses that are then tried in turn.
     """
 
     def __init__(
@@ -54,13 +54,13 @@
         self._primary = primary
         self._contacts = contacts
         self._pending: dict[int, PendingCall] = {}
-        # A restarted node must not take the replies to calls of its earlier process, whatever its clock reads.
+        # Drawn at random, not from the clock: a restarted node must ignore the replies to its earlier process.
         self._incarnation = random.getrandbits(INCARNATION_BITS)
         self._last_number = 0
         self._contact_index = 0
 
     def call(self, body: AdmitTurn | FinishTurn, timeout_s: float, on_reply: ReplyCallback) -> None:
-        """Send a request to the primary; ``on_reply(body)``, or ``on_reply(None)`` after ``timeout_s`` seconds."""
+        """Send a request to the primary and call ``on_reply`` with the reply, or with None after ``timeout_s``."""
         self._last_number += 1
         message = Call(self._last_number, self._address, self._incarnation, body)
         pending = PendingCall(message, self._clock.now() + timeout_s, on_reply)
@@ -68,7 +68,7 @@
         self._send(pending, self._primary())
 
     def receive(self, message: Message) -> bool:
-        """Handle a reply; False for messages of other kinds."""
+        """Handle a reply; False for messages of other types."""
         if not isinstance(message, Reply):
             return False
         own = message.incarnation == self._incarnation
@@ -79,7 +79,7 @@
         return True
 
     def primary_changed(self) -> None:
-        """Another primary is known: send it all pending calls at once."""
+        """Resend all pending calls immediately, because another primary is known."""
         for pending in list(self._pending.values()):
             pending.cancel_retry()
             self._send(pending, self._primary())
@@ -98,5 +98,5 @@
             pending.on_reply(None)
             return
         pending.retries += 1
-        # The primary may have failed: two of three retries go to a contact, which redirects to the new one.
+        # The primary may have failed: two of three retries go to a contact, which redirects to the new primary.
         self._send(pending, "" if pending.retries % PRIMARY_RETRY_EVERY else self._primary())
--- a/lynxscale/coordination/primary_tracker.py
+++ b/lynxscale/coordination/primary_tracker.py
@@ -1,4 +1,4 @@
-"""The primary that a member knows, and when it last received a heartbeat of it."""
+"""Tracks the current primary by its heartbeats."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PrimaryTracker:
-    """``leads()``: is this member itself the established primary?"""
+    """Knows the primary's address while heartbeats arrive. ``leads()``: is this member the established primary?"""
 
     def __init__(self, acceptor: Acceptor, role: RoleState, clock: Clock, leads: Callable[[], bool]) -> None:
         self._acceptor = acceptor
@@ -22,20 +22,20 @@
         self._heard_at = clock.now()
 
     def on_heartbeat(self) -> None:
-        """A primary's heartbeat arrived."""
+        """Record a heartbeat of the primary."""
         self._heard_at = self._clock.now()
 
     def forget(self) -> None:
-        """The primary has asked this member to take over: it leads no longer."""
+        """Forget the primary: it asked this member to take over, so it no longer leads."""
         self._heard_at = NEVER
 
     @property
-    def silent(self) -> bool:
+    def heartbeat_overdue(self) -> bool:
         """Has no heartbeat arrived for longer than a lease?"""
         return self._clock.now() - self._heard_at > LEASE_S
 
     def address(self) -> str:
-        """The primary's internal address, empty where no heartbeat arrived within a lease's time."""
+        """The primary's internal address, empty if no heartbeat arrived within ``LEASE_S``."""
         member = self._acceptor.member
         if self._leads():
             return address_of(member)
--- a/lynxscale/coordination/proposal.py
+++ b/lynxscale/coordination/proposal.py
@@ -1,4 +1,4 @@
-"""The proposer's count of one round: promises, then accepts, from a majority of the old and the new voters."""
+"""Counts the replies of one Paxos round: promises, then accepts, from majorities of the old and the new voters."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Proposal:
-    """One round of a proposer, from its prepare to a majority's accepts.
+    """One round of a proposer, from the prepare requests until a majority has accepted.
 
-    ``record``: the one proposed, None before it is chosen;
-    ``promised``: how far the replica of each voter that promised reaches.
+    ``record``: the proposed record, None before it is chosen. ``promised``: the replica position of each voter that
+    promised.
     """
 
     def __init__(self, epoch: int, candidate: str, voters: tuple[str, ...]) -> None:
@@ -25,21 +25,21 @@
 
     @property
     def base(self) -> EpochRecord:
-        """The latest record among the promises. Raises LookupError before the first promise."""
+        """The latest record reported by a promise. Raises LookupError before the first promise."""
         if self._base is None:
             raise LookupError("no promise has been counted yet")
         return self._base
 
     @property
     def voters(self) -> tuple[str, ...]:
-        """Members to ask: the voters known at the start, those of the base, those of the proposed record."""
+        """Members to ask: the voters known at the start, those of the base and those of the proposed record."""
         known = dict.fromkeys(self._voters)
         for record in (self._base, self.record):
             known.update(dict.fromkeys(record.voters if record else ()))
         return tuple(known)
 
     def promise(self, answer: Promise) -> bool:
-        """Count a promise; True once the record may be chosen from ``base``."""
+        """Count a promise; True once the record to propose may be derived from ``base``."""
         if answer.epoch != self.epoch or self.record is not None:
             return False
         self.promised[answer.voter] = answer.position
@@ -49,12 +49,12 @@
 
     @property
     def may_choose(self) -> bool:
-        """Have a majority and the candidate itself promised?"""
+        """Have a majority of the base's voters, and the candidate itself, promised?"""
         return self.candidate in self.promised and is_majority(self.base.voters, set(self.promised))
 
     @property
     def all_promised(self) -> bool:
-        """Has every voter promised?"""
+        """Has every voter of the base promised?"""
         return set(self.base.voters) <= set(self.promised)
 
     def reject(self, answer: PrepareRejected) -> bool:
--- a/lynxscale/coordination/proposer.py
+++ b/lynxscale/coordination/proposer.py
@@ -1,4 +1,4 @@
-"""The Paxos proposer of a candidate or primary: which epoch to ask for, and the round under way."""
+"""The Paxos proposer of a candidate or primary: chooses the epoch to ask for and runs the round."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 from lynxscale.coordination.ports import Clock, Network
 from lynxscale.coordination.proposal import Proposal
 
-ROUND_TIMEOUT_S = 0.25  # for the answers to a prepare or an accept, beside what disks take
+ROUND_TIMEOUT_S = 0.25  # time for the replies of both phases, in addition to disk writes
 ROUND_WRITE_FACTOR = 4.0  # acceptor writes that a round waits for
-LATE_PROMISE_S = 0.004  # a candidate waits so long for promises beyond a majority: who is absent leaves the in-sync set
+# How long a candidate waits for promises beyond a majority, since members without a promise leave the in-sync set.
+LATE_PROMISE_S = 0.004
 
 
 class Proposer:
     """Runs at most one round at a time.
 
-    ``replica_position()``: how far the own replica reaches. ``choose_record(proposal)``: the record to propose once a
-    majority has promised, None to give the round up. ``on_decided(record, positions)``: called once a majority has
-    accepted it, with how far the replica of each voter that promised reaches.
+    ``replica_position()``: the durable position of this member's replica. ``choose_record(proposal)``: the record to
+    propose once a majority has promised, None to give up the round. ``on_decided(record, positions)``: called once a
+    majority has accepted the record, with the replica position of each voter that promised.
 
     ``late_promise_s``: seconds that a candidate waits for promises beyond a majority; ``LATE_PROMISE_S`` by default.
     """
@@ -55,29 +56,29 @@
         self._proposal: Proposal | None = None
         self._started_at = NEVER
         self._highest_rejected = 0
-        self._open_epoch = 0  # the last one asked for, while no record was sent for it; 0 for none
+        self._open_epoch = 0  # the last epoch asked for, until a record is proposed for it; 0 for none
 
     @property
     def active(self) -> bool:
-        """Is a round under way?"""
+        """Is a round in progress?"""
         return self._proposal is not None
 
     @property
     def timed_out(self) -> bool:
-        """Has the last round run for longer than a round may take?"""
+        """Has the last round exceeded its timeout?"""
         allowed_s = ROUND_TIMEOUT_S + ROUND_WRITE_FACTOR * self._acceptor.write_s
         return self._clock.now() - self._started_at > allowed_s
 
     def cancel(self) -> None:
-        """Abort the round under way: answers to it count no more."""
+        """Abort the current round: further replies to it are ignored."""
         self._proposal = None
 
     def propose(self) -> PrepareRejected | None:
-        """Start a round; the own acceptor's rejection where it is bound, and then there is no round. Raises OSError.
+        """Start a round, unless this member's own acceptor rejects: then return its rejection. Raises OSError.
 
-        The own promise is durable before anyone else is asked: no later process of this member asks for that epoch
-        again, so no two records are proposed under one epoch. It counts from the end of the lease that the own acceptor
-        has granted, as those of the others do.
+        The member's own promise is durable before other voters are asked. So no later process of this member asks for
+        the same epoch, and at most one record is proposed per epoch. Like the other promises, it counts only once the
+        lease granted by its acceptor has ended.
         """
         self._proposal = None
         epoch = self._next_epoch()
@@ -100,18 +101,18 @@
 
     def _next_epoch(self) -> int:
         lowest = max(self._acceptor.record.epoch, self._highest_rejected) + 1
-        # An epoch for which no record was sent is asked for again: a partitioned candidate must not raise
-        # its epoch without bound.
+        # Reuse an epoch for which no record was proposed, so that a partitioned candidate does not raise its epoch
+        # without bound.
         if self._open_epoch >= max(lowest, self._acceptor.state.promised):
             return self._open_epoch
         return max(lowest, self._acceptor.state.promised + 1)
 
     def note_higher_promise(self, promised: int) -> None:
-        """A voter is bound by an epoch that was never decided: the next round asks for a later one."""
+        """Ask for an epoch after ``promised`` in the next round: a voter has promised that undecided epoch."""
         self._highest_rejected = max(self._highest_rejected, promised)
 
     def on_promise(self, message: Promise) -> None:
-        """A voter promised; with a majority the record is chosen and proposed."""
+        """Count a promise; once a majority has promised, choose and propose the record."""
         proposal = self._proposal
         if proposal is None:
             return
@@ -124,7 +125,7 @@
             self._clock.call_later(self._late_promise_s, lambda: self._choose(proposal))
 
     def _choose(self, proposal: Proposal) -> None:
-        """Choose the record and propose it, unless that has been done or the round has ended."""
+        """Choose and propose the record, unless this was done already or the round has ended."""
         if proposal is not self._proposal or proposal.record is not None:
             return
         record = self._choose_record(proposal)
@@ -136,7 +137,7 @@
         self._send_all(proposal.voters, Accept(record))
 
     def on_prepare_rejected(self, message: PrepareRejected) -> bool:
-        """A voter rejected; True where the round under way cannot get a majority any more."""
+        """Count a rejection; True if the current round can no longer get a majority."""
         proposal = self._proposal
         if proposal is None or message.epoch != proposal.epoch or proposal.record is not None:
             return False
@@ -144,7 +145,7 @@
         return not proposal.reject(message)
 
     def on_accepted(self, message: Accepted) -> None:
-        """A voter has stored the record; with a majority it is decided."""
+        """Count an accept; the record is decided once a majority has stored it."""
         proposal = self._proposal
         if proposal is None or proposal.record is None or not proposal.accept(message):
             return
@@ -153,7 +154,7 @@
         self._on_decided(proposal.record, proposal.promised)
 
     def _ask_new_voters(self, proposal: Proposal) -> None:
-        """The record that was found may name voters that were not asked yet."""
+        """Ask voters that are named only by a record found in a promise, and so were not asked yet."""
         if not proposal.promised or proposal.record is not None:
             return
         voters = proposal.base.voters
--- a/lynxscale/coordination/recent_batches.py
+++ b/lynxscale/coordination/recent_batches.py
@@ -1,4 +1,4 @@
-"""The newest batches in memory: replicas that missed a few are sent those, in place of the complete state."""
+"""The newest batches, kept in memory so that a replica that missed a few needs no complete snapshot."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from lynxscale.coordination.messages import Batch, Position
 
 MAX_RECENT_BATCHES = 4096
-MAX_RECENT_BYTES = 16_000_000  # of keys and values
+MAX_RECENT_BYTES = 16_000_000  # total size of keys and values
 
 
 class RecentBatches:
-    """A suffix of the log of batches, bounded in number and bytes."""
+    """A suffix of the log of batches, bounded by number and bytes."""
 
     def __init__(self) -> None:
         self._batches: deque[Batch] = deque()
         self._bytes = 0
-        self._sequence_numbers: dict[Position, int] = {}  # by the previous position; counted from the first batch ever
+        self._sequence_numbers: dict[Position, int] = {}  # batch number, counted from the first, by previous position
         self._dropped = 0
 
     def add(self, batch: Batch) -> None:
-        """Append the batch that follows the last one; the oldest are dropped beyond the bounds."""
+        """Append the batch that follows the last one, and drop the oldest batches beyond the bounds."""
         self._sequence_numbers[batch.previous] = self._dropped + len(self._batches)
         self._batches.append(batch)
         self._bytes += batch.size
--- a/lynxscale/coordination/recovery.py
+++ b/lynxscale/coordination/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of a store at its start: the newest snapshot, the batches behind it, and which files are missing."""
+"""Recovery of a store at start: loads the newest snapshot, replays the later batches and detects missing files."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
     position_of,
 )
 
-READ_CHUNK_BYTES = 256 * 1024  # of a snapshot file, decoded in one step
+READ_CHUNK_BYTES = 256 * 1024  # part of a snapshot file that is decoded at a time
 
 
 @dataclass(slots=True)
 class RecoveredState:
-    """The state that the files lead to. ``damage``: names of files that show that something is missing."""
+    """The recovered state. ``damage``: names of files that show that some data is missing."""
 
     position: Position = INITIAL_POSITION
     table: KeyValueTable = field(default_factory=KeyValueTable)
@@ -40,21 +40,21 @@
 
 
 def recover(files: Files, watermark: Position | None) -> RecoveredState:
-    """The newest state that the version files lead to."""
+    """Recover the newest state that the version files contain without a gap."""
     return _Recovery(files).run(watermark)
 
 
 class _Recovery:
-    """One pass over the version files. Names order by index, then by epoch."""
+    """One pass over the version files, whose names sort by index, then by epoch."""
 
     def __init__(self, files: Files) -> None:
         self._files = files
         self._state = RecoveredState()
         self._corrupt: list[str] = []
-        self._orphans: list[str] = []  # batches whose predecessor is not there
+        self._orphans: list[str] = []  # batches that do not follow the position reached
 
     def run(self, watermark: Position | None) -> RecoveredState:
-        """Load the snapshot, replay the batches behind it, and look for damage."""
+        """Load the newest snapshot, replay the batches after it, and detect damage."""
         self._load_snapshot()
         for names in self._batch_names_by_index():
             self._replay(names)
@@ -62,7 +62,7 @@
         return self._state
 
     def _find_damage(self, watermark: Position | None) -> list[str]:
-        """Files behind the position that was reached. Earlier ones were superseded by a snapshot."""
+        """Files that show damage after the position reached; earlier files were superseded by a snapshot."""
         reached = self._state.position
         damage = [name for name in (*self._corrupt, *self._orphans) if _position(name) > reached]
         if watermark is not None and watermark > reached:
@@ -70,7 +70,7 @@
         return sorted(damage)
 
     def _load_snapshot(self) -> None:
-        """Load the newest snapshot that is not corrupt."""
+        """Load the newest snapshot that is intact, if any."""
         for name in reversed(self._names(SNAPSHOT_PREFIX)):
             content = self._read(name)
             if content is not None:
@@ -82,7 +82,7 @@
                 return
 
     def _replay(self, names: list[str]) -> None:
-        """Apply one of the batches of an index. Of two that follow the position, that of the later epoch counts."""
+        """Apply one of the batches of an index: of those that follow the position, the one of the latest epoch."""
         state = self._state
         following: list[tuple[Batch, int]] = []
         for name in names:
@@ -118,14 +118,14 @@
 
 
 def _position(name: str) -> Position:
-    """The position in the name of a file that is known to be a version file."""
+    """The position in the name of a version file."""
     position = position_of(name)
     assert position is not None, name
     return position
 
 
 def _frames(content: bytes) -> Iterator[bytes]:
-    """The payloads of a snapshot file, decoded in chunks."""
+    """Yield the payloads of a snapshot file, decoding it in chunks."""
     decoder = netstring.Decoder()
     for begin in range(0, len(content), READ_CHUNK_BYTES):
         yield from decoder.feed(content[begin : begin + READ_CHUNK_BYTES])
--- a/lynxscale/coordination/relay_roster.py
+++ b/lynxscale/coordination/relay_roster.py
@@ -1,4 +1,4 @@
-"""The roster: the relays that are part of the tier, as the primary keeps it and publishes it as a topic."""
+"""The roster: the relays that belong to the tier. The primary maintains it and publishes it as a topic."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from lynxscale.coordination.ports import Clock
 
 ROSTER_TOPIC = "roster"
-SUSPICION_EXPIRES_S = 4.0  # a suspicion that is not repeated for so long does not count
+SUSPICION_EXPIRES_S = 4.0  # a suspicion that was not repeated within this time is ignored
 
 
 class Roster:
-    """The primary's membership of relays. ``on_change()`` is called after every change.
+    """The membership of relays. ``on_change()`` is called after every change.
 
-    A relay joins when it asks the primary itself to attach, and is removed once most of its monitors suspect it.
+    A relay joins when it asks the primary directly to attach, and is removed once most of its monitors suspect it.
     """
 
     def __init__(self, clock: Clock, on_change: Callable[[], None]) -> None:
         self._entries: dict[str, RosterEntry] = {}
-        self._suspicions: dict[str, dict[str, float]] = {}  # by suspect: each monitor's latest, and when it came
+        self._suspicions: dict[str, dict[str, float]] = {}  # suspect -> monitor -> time of its last suspicion
         self._clock = clock
         self._on_change = on_change
 
@@ -29,14 +29,14 @@
         return sorted(self._entries.values())
 
     def on_attach(self, address: str, zone: str) -> None:
-        """A relay has asked the primary itself, so it is running."""
+        """Handle a relay's request to the primary, which shows that the relay is running."""
         self._suspicions.pop(address, None)
         if address not in self._entries:
             self._entries[address] = RosterEntry(address, zone)
             self._on_change()
 
     def on_suspicion(self, suspicion: Suspicion) -> None:
-        """A monitor suspects a relay; with most of its monitors it is removed."""
+        """Count a monitor's suspicion; the relay is removed once most of its monitors suspect it."""
         suspect, now = suspicion.suspect, self._clock.now()
         if suspect not in self._entries:
             return
--- a/lynxscale/coordination/replica_progress.py
+++ b/lynxscale/coordination/replica_progress.py
@@ -1,29 +1,30 @@
-"""The progress of one replica, as its primary sees it, and what the primary sends it next.
+"""The primary's view of one replica's progress, and what it sends the replica next.
 
-The states are those of etcd's raft (https://pkg.go.dev/go.etcd.io/raft/v3/tracker), with a snapshot in three steps:
+The states are those of etcd's raft (https://pkg.go.dev/go.etcd.io/raft/v3/tracker), with three states for a snapshot:
 
 - PROBE: the replica has not reported its position yet. Nothing is sent.
-- REPLICATE: the batches in memory continue from its position. They are sent as they are made, within a window.
-- SNAPSHOT_PROBE: they do not, so it needs a snapshot, the complete state. It is probed for how much of one it has
-  already, as a transfer resumes where it stopped after a lost connection or under another primary.
-- SNAPSHOT: the keys are sent in order, in chunks, each acknowledged, with the batches that are made meanwhile between
-  them. So a chunk is always the state at the position of the last batch sent.
+- REPLICATE: the batches in memory continue from its position. New batches are sent immediately, within a window.
+- SNAPSHOT_PROBE: the batches in memory do not continue from its position, so it needs a snapshot, the complete state.
+  It is asked how much of a snapshot it already has, because a transfer resumes where it stopped, also after a lost
+  connection or under another primary.
+- SNAPSHOT: the entries are sent in key order, in chunks that are acknowledged. Batches made meanwhile are sent between
+  the chunks, so each chunk is the state at the position of the last batch sent.
 - INSTALLING: the replica has all chunks and makes the state durable.
 
 ::
 
     state           next            when
-    PROBE           REPLICATE       the batches in memory continue from the position that it reports, or promised with
-                    SNAPSHOT_PROBE  they do not
-    REPLICATE       SNAPSHOT_PROBE  they do so no longer, or its state differs (``repair``)
-    SNAPSHOT_PROBE  SNAPSHOT        it reports what it has of a snapshot
-                    INSTALLING      it reports that it has all of it
+    PROBE           REPLICATE       the batches in memory continue from the position in its report or its promise
+                    SNAPSHOT_PROBE  the batches in memory do not continue from the position that it reports
+    REPLICATE       SNAPSHOT_PROBE  the batches in memory no longer continue, or its state differs (``repair``)
+    SNAPSHOT_PROBE  SNAPSHOT        it reports how much of a snapshot it has
+                    INSTALLING      it reports that it has the complete snapshot
     SNAPSHOT        INSTALLING      it acknowledges the final chunk
-    INSTALLING      REPLICATE       it reports the snapshot's position
+    INSTALLING      REPLICATE       it reports the position of the snapshot
     any snapshot    SNAPSHOT_PROBE  no progress for too long, another epoch, or its state differs
     any snapshot    REPLICATE       it reports a position from which the batches in memory continue
 
-``TRANSITIONS`` is the table, ``ReplicaProgress._become`` the one place of change.
+``TRANSITIONS`` holds this table; only ``ReplicaProgress._become`` changes the state.
 """
 
 from __future__ import annotations
@@ -49,12 +50,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_MERGED_BYTES = 64_000  # small batches go as one up to this size
-PROBE_AFTER_S, MAX_PROBE_AFTER_S = 1.0, 8.0  # without progress of a snapshot; doubled each time
+MAX_MERGED_BYTES = 64_000  # small batches are merged into one up to this size
+# A replica whose snapshot makes no progress is probed after the first interval, which doubles up to the second.
+PROBE_AFTER_S, MAX_PROBE_AFTER_S = 1.0, 8.0
 
 
 class ReplicaState(Enum):
-    """What is sent to the replica."""
+    """How a replica is brought up to date; see the module docstring."""
 
     PROBE = "probe"
     REPLICATE = "replicate"
@@ -75,9 +77,9 @@
 
 
 class ReplicaProgress:
-    """One replica's progress.
+    """Tracks one replica's progress and sends it batches or a snapshot.
 
-    ``memory_is_at_position()``: is the store's memory the state at the store's position? Only then may a chunk go.
+    ``memory_is_at_position()``: whether the state in memory is that at the store's position; chunks are sent only then.
     """
 
     def __init__(
@@ -90,8 +92,8 @@
         memory_is_at_position: Callable[[], bool],
     ) -> None:
         self.state = ReplicaState.PROBE
-        self.stored = INITIAL_POSITION  # as reported last
-        self.known = False  # has it reported a position?
+        self.stored = INITIAL_POSITION  # the position reported last
+        self.known = False  # whether it has reported a position
         self._member = member
         self._address = address_of(member)
         self._epoch = epoch
@@ -99,7 +101,7 @@
         self._clock = clock
         self._network = network
         self._memory_is_at_position = memory_is_at_position
-        self._sent = INITIAL_POSITION  # the last batch sent, and the position of the snapshot's chunks
+        self._sent = INITIAL_POSITION  # position of the last batch sent, hence of the next snapshot chunk
         self._window = SendWindow(clock)
         self._snapshot = SnapshotStream(store)
         self._progress_at = clock.now()
@@ -109,11 +111,11 @@
 
     @property
     def repairing(self) -> bool:
-        """Whether the replica's state was found to differ and is not replaced yet."""
+        """Whether the replica's state was found to differ and was not replaced yet."""
         return self._repairing
 
     def begin(self, epoch: int) -> None:
-        """Continue in another epoch of this primary: what was sent in an earlier one may be rejected."""
+        """Continue in another epoch of this primary; messages sent in the earlier one may be rejected, so resend."""
         self._epoch = epoch
         if self.state is ReplicaState.REPLICATE:
             self._rewind()
@@ -122,32 +124,33 @@
         self.pump()
 
     def expect(self, position: Position) -> None:
-        """Send from the position that it had as it promised this epoch; it counts once it reports one itself.
+        """Send batches from the position in the replica's promise of this epoch, before it reports a position.
 
-        Nobody else can have written there since.
+        Since that promise no other primary can have written to the replica. It counts as caught up only once it
+        reports a position itself.
         """
         if self.state is ReplicaState.PROBE and self._store.continues_from(position):
             self.stored = position
             self._follow(position)
 
     def repair(self) -> None:
-        """Send a snapshot, since the replica's state differs."""
+        """Send a snapshot, because the replica's state differs from this primary's."""
         if not self._repairing:
             self._repairing = True
             self._probe_snapshot()
 
     def tick(self) -> None:
-        """Called several times a second: a replica whose snapshot makes no progress is probed."""
+        """Called several times a second: probe a replica whose snapshot makes no progress."""
         if self.state in (ReplicaState.PROBE, ReplicaState.REPLICATE):
             return
         if self._clock.now() - self._progress_at > self._probe_after_s:
             self._probe_after_s = min(MAX_PROBE_AFTER_S, 2 * self._probe_after_s)
             self._probe_snapshot()
 
-    # What the replica reports --------------------------------------------------------------------------
+    # Reports of the replica ----------------------------------------------------------------------------
 
     def on_position(self, position: Position) -> None:
-        """The replica reports the position that it has stored."""
+        """Handle the position that the replica has stored."""
         if position != self.stored or not self.known:
             self._progress_at = self._clock.now()
         self.stored, self.known = position, True
@@ -159,7 +162,7 @@
         self.pump()
 
     def _follow(self, position: Position) -> None:
-        """Send batches from a position, if they do not go out already."""
+        """Send batches from a position, unless they are being sent already."""
         if self.state is ReplicaState.REPLICATE:
             self._window.acknowledge(position)
             if not self._store.continues_from(self._sent) or self._sent < position or self._stalled:
@@ -176,7 +179,7 @@
         return self._clock.now() - self._progress_at > self._window.ack_timeout_s
 
     def on_progress(self, message: SnapshotProgress) -> None:
-        """The replica reports how much of a snapshot it has."""
+        """Handle a report of how much of a snapshot the replica has."""
         if self.state is ReplicaState.SNAPSHOT and message.probe_id == 0:
             self._acknowledge_chunks(message.last_key)
         elif self.state is ReplicaState.SNAPSHOT_PROBE and message.probe_id == self._probe_id:
@@ -191,7 +194,7 @@
             self._become(ReplicaState.INSTALLING)
 
     def _resume(self, message: SnapshotProgress) -> None:
-        """The answer to a probe: go on from there, or from the beginning."""
+        """Handle the reply to a probe: resume the transfer if possible, otherwise start it again."""
         self._progress_at = self._clock.now()
         self._window.clear()
         if message.installing:
@@ -204,16 +207,16 @@
             self._snapshot.reset()
         self._become(ReplicaState.SNAPSHOT)
 
-    # What is sent --------------------------------------------------------------------------------------
+    # Sending -------------------------------------------------------------------------------------------
 
     def offer(self, batch: Batch) -> None:
-        """A batch is about to be stored here too; the replica may have it at once."""
+        """Send a new batch immediately, if the window allows, while the primary itself stores it."""
         replicating = self.state is ReplicaState.REPLICATE and not self._window.full
         if (replicating or self._chunks_begun) and self._sent == batch.previous:
             self._send_batch(batch)
 
     def pump(self) -> None:
-        """Send what the window allows."""
+        """Send as much as the window allows."""
         if self.state is ReplicaState.REPLICATE:
             while not self._window.full and self._send_next_batch():
                 pass
@@ -222,13 +225,14 @@
 
     def _pump_snapshot(self) -> None:
         if not self._chunks_begun:
-            # Not earlier: a batch that went ahead of the first chunk would be in no snapshot, its new keys in no chunk.
+            # The keys are listed only now: a batch sent before the first chunk would be in no snapshot, and the new
+            # keys in it would be in no chunk.
             self._snapshot.begin()
             self._sent = self._store.position
         while self._send_next_batch():
             pass
         if self._sent != self._store.position:
-            self._probe_snapshot()  # the batches in between are no longer in memory: the snapshot has to begin again
+            self._probe_snapshot()  # the batches since the last one sent were dropped: the snapshot has to start again
         while self.state is ReplicaState.SNAPSHOT and self._send_next_chunk():
             pass
 
@@ -237,7 +241,7 @@
         return self.state is ReplicaState.SNAPSHOT and self._snapshot.begun
 
     def _send_next_batch(self) -> bool:
-        """Send what follows, several small batches as one: a sync each would delay a replica that is catching up."""
+        """Send the next batches, merging small ones: a sync per batch would slow down the catch-up."""
         batches: list[Batch] = []
         size = 0
         position = self._sent
@@ -269,7 +273,7 @@
         return True
 
     def _rewind(self) -> None:
-        """Send again from where the replica is."""
+        """Resend from the position that the replica reported last."""
         self._window.clear()
         self._sent = self.stored
         self._progress_at = self._clock.now()
@@ -281,7 +285,7 @@
         self._network.send(self._address, SnapshotProbe(self._epoch, self._probe_id))
 
     def _become(self, state: ReplicaState) -> None:
-        """Change the state; no other method does. What is in flight belongs to the state that ends."""
+        """Change the state; no other method changes it. Messages in flight belong to the old state and are dropped."""
         assert state in TRANSITIONS[self.state], (self.state, state)
         if state is not self.state:
             log.info("event=replica_state member=%s state=%s", self._member, state.value)
@@ -290,7 +294,7 @@
 
 
 def merge_batches(batches: list[Batch]) -> Batch:
-    """One batch with the effect of several that follow each other."""
+    """Merge consecutive batches into one with the same effect."""
     if len(batches) == 1:
         return batches[0]
     puts = {put.key: put for batch in batches for put in batch.puts}
--- a/lynxscale/coordination/replication.py
+++ b/lynxscale/coordination/replication.py
@@ -1,7 +1,7 @@
-"""The primary's side of primary-backup replication: batches out, acknowledgements in, snapshots for those far behind.
+"""The primary's side of primary-backup replication: sends batches and snapshots, and decides when a batch is committed.
 
-One batch is in flight at a time; what is submitted meanwhile goes with the next. A batch is committed once every
-in-sync member has stored it, and at least ``min_replicas`` members in all.
+One batch is in flight at a time; submissions made meanwhile go into the next one. A batch is committed once every
+in-sync member has stored it, and at least ``min_replicas`` members in total.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from lynxscale.coordination.store import Store
 from lynxscale.coordination.version_files import INITIAL_POSITION
 
-ACK_TIMEOUT_S = 0.4  # a member that has not stored a batch after so long is not waited for
+ACK_TIMEOUT_S = 0.4  # a member that has not stored a batch after this time counts as lagging
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """Puts that wait for their batch, the puts that undo them, and the callback for the outcome."""
+    """Submitted puts, the puts that undo them, and the callback for the outcome."""
 
     puts: tuple[Put, ...]
     undo: tuple[Put, ...]
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightBatch:
-    """The batch that is not committed yet, and the submissions that its commit decides."""
+    """The batch that is not committed yet, and the submissions that are committed with it."""
 
     batch: Batch
     begun_at: float
@@ -38,7 +38,7 @@
 
 
 class Replicator:
-    """Replicates the batches of one primary, through its epochs. It ends with ``abort``."""
+    """Replicates the batches of one primary through all its epochs, until ``abort`` is called."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.member = member
         self.committed = INITIAL_POSITION
         self.replicas: dict[str, ReplicaProgress] = {}
-        self._inherited = store.position  # what earlier primaries may have committed
+        self._inherited_position = store.position  # earlier primaries may have committed up to here
         self._store = store
         self._clock = clock
         self._network = network
@@ -72,9 +72,11 @@
     # Membership --------------------------------------------------------------------------------------
 
     def begin(self, record: EpochRecord, positions: Mapping[str, Position]) -> None:
-        """Continue in a new epoch of this primary; the first one opens with an empty batch, so positions differ.
+        """Continue in a new epoch of this primary.
 
-        ``positions``: where replicas were as their voters promised the epoch; batches go out from there at once.
+        The first epoch starts with an empty batch, whose position distinguishes it from earlier primaries' batches.
+
+        ``positions``: the replica positions in the voters' promises; batches are sent from there immediately.
         """
         first = self._record is None
         self._record = record
@@ -89,25 +91,25 @@
         self._check_commit()
 
     def require_also(self, members: tuple[str, ...]) -> None:
-        """While a change of the in-sync set is undecided, a commit needs every set that may be in force."""
+        """Require further members for a commit: while a change is undecided, either in-sync set may be in force."""
         self._required.update(members)
         self._replicate_to(members)
 
     def retain_only(self, members: set[str]) -> None:
-        """Send nothing more to members other than these and the required ones."""
+        """Stop replicating to members other than these and the required ones."""
         for member in set(self.replicas) - members - self._required:
             del self.replicas[member]
 
     # Submissions -------------------------------------------------------------------------------------
 
     def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
-        """Change the state now; ``on_outcome(outcome)`` once that is committed, or this lead has ended."""
+        """Change the state in memory; ``on_outcome(outcome)`` once that is committed or this primary stops leading."""
         self._pending.append(Submission(puts, self._store.undo_of(puts), on_outcome))
         self._store.apply(puts)
         self._schedule_flush()
 
     def barrier(self, on_outcome: CommitCallback) -> None:
-        """``on_outcome(COMMITTED)`` once all that was submitted before is committed."""
+        """Call ``on_outcome(COMMITTED)`` once everything submitted before is committed."""
         if self._pending:
             self._pending.append(Submission((), (), on_outcome))
         elif self._in_flight is not None:
@@ -116,9 +118,10 @@
             on_outcome(CommitOutcome.COMMITTED)
 
     def abort(self) -> None:
-        """Another member is primary: this one cannot know what becomes of the submissions.
+        """Stop replicating. The outcome of pending submissions is unknown, as another primary may have their batch.
 
-        Those that are in no batch yet are undone, as this member may lead again and would take them for committed.
+        Submissions that are in no batch yet are undone. Otherwise this member, leading again, would treat them as
+        committed.
         """
         for submission in reversed(self._pending):
             self._store.apply(submission.undo)
@@ -127,55 +130,59 @@
         for submission in undecided:
             submission.on_outcome(CommitOutcome.UNKNOWN)
 
-    # What replicas report ----------------------------------------------------------------------------
+    # Reports of replicas -----------------------------------------------------------------------------
 
     def on_position(self, member: str, position: Position) -> None:
-        """A member reports the position that it has stored."""
+        """Handle the position that a member has stored."""
         replica = self.replicas.get(member)
         if replica is not None:
             replica.on_position(position)
             self._check_commit()
 
     def on_progress(self, message: SnapshotProgress) -> None:
-        """A member reports how much of a snapshot it has received."""
+        """Handle a report of how much of a snapshot a member has received."""
         replica = self.replicas.get(message.member)
         if replica is not None:
             replica.on_progress(message)
 
     def tick(self) -> None:
-        """Called several times a second."""
+        """Called several times a second; probes snapshot transfers that make no progress."""
         for replica in self.replicas.values():
             replica.tick()
 
     @property
     def awaited(self) -> set[str]:
-        """Members without whose acknowledgement the batch in flight cannot be committed."""
+        """Members whose acknowledgement the batch in flight still needs to be committed."""
         if self._in_flight is None:
             return set()
         position = self._in_flight.batch.position
-        return {one for one in self._required if one != self.member and self.replicas[one].stored != position}
+        return {
+            member for member in self._required if member != self.member and self.replicas[member].stored != position
+        }
 
     def lagging(self) -> set[str]:
-        """Members that have delayed the batch in flight for too long, whether they are responsive or not."""
+        """Members that have delayed the batch in flight for too long, even if they are responsive."""
         if self._in_flight is None or self._clock.now() - self._in_flight.begun_at < ACK_TIMEOUT_S:
             return set()
         return self.awaited
 
     def caught_up(self, member: str) -> bool:
-        """Whether the member holds all that may be committed, also by earlier primaries."""
+        """Whether the member holds everything that this or an earlier primary may have committed."""
         replica = self.replicas.get(member)
         if replica is None or not replica.known or replica.repairing:
             return False
-        must_hold = max(self.committed, self._inherited)
+        must_hold = max(self.committed, self._inherited_position)
         return replica.stored >= must_hold and self._store.continues_from(replica.stored)
 
     def behind(self) -> set[str]:
-        """Members that lack what is committed, although they may count: damaged files, or a state that differs."""
-        lacking = {one for one, replica in self.replicas.items() if replica.known and replica.stored < self.committed}
-        return lacking | {one for one, replica in self.replicas.items() if replica.repairing}
+        """Members that lack committed data, even if in sync: their files are damaged or their state differs."""
+        lacking = {
+            member for member, replica in self.replicas.items() if replica.known and replica.stored < self.committed
+        }
+        return lacking | {member for member, replica in self.replicas.items() if replica.repairing}
 
     def repair(self, member: str) -> None:
-        """Send a member a snapshot, since its state differs."""
+        """Send a member a snapshot, because its state differs."""
         replica = self.replicas.get(member)
         if replica is not None:
             replica.repair()
@@ -183,7 +190,7 @@
     # Batches -----------------------------------------------------------------------------------------
 
     def memory_is_at_position(self) -> bool:
-        """Whether the memory is the state at the store's position: no submission waits for its batch."""
+        """Whether the state in memory is that at the store's position: no submission waits for its batch."""
         return not self._pending
 
     def _replicate_to(self, members: Iterable[str]) -> None:
@@ -200,7 +207,7 @@
             self._clock.call_later(0.0, self._flush)
 
     def _flush(self) -> None:
-        """Make one batch of everything that is pending, send it, and store it here."""
+        """Make one batch of all pending submissions, send it to the replicas and store it locally."""
         self._flush_scheduled = False
         if self._in_flight is not None or not self._pending or self._record is None:
             return
--- a/lynxscale/coordination/send_window.py
+++ b/lynxscale/coordination/send_window.py
@@ -1,7 +1,7 @@
-"""Flow control towards one replica: how many bytes may be unacknowledged, found from how long acknowledgements take.
+"""Flow control for one replica: limits the unacknowledged bytes, adapting to how long acknowledgements take.
 
-The window grows by each size that is acknowledged in time, as in TCP's slow start, and is halved by each that is
-acknowledged late, so that heartbeats on the same link do not queue up behind a transfer.
+The window grows by each size that is acknowledged in time, as in TCP's slow start, and is halved by each late
+acknowledgement, so that heartbeats on the same link do not queue up behind a transfer.
 """
 
 from __future__ import annotations
@@ -12,25 +12,24 @@
 
 from lynxscale.coordination.ports import Clock
 
-MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 16_000, 512_000  # unacknowledged; one batch or chunk is sent in any case
+MIN_WINDOW_BYTES, MAX_WINDOW_BYTES = 16_000, 512_000  # one batch or chunk is sent even if it is larger
 SLOW_ACK_S = 0.12  # a slower acknowledgement shows a congested link: the window is halved
-RESEND_AFTER_S = 0.3  # without progress, and beyond the time that the link needs for what is in flight
-MIN_LINK_BYTES_PER_S = 200_000.0
+RESEND_AFTER_S = 0.3  # time without progress before a resend, in addition to the transfer time
+MIN_LINK_BYTES_PER_S = 200_000.0  # assumed link speed for the transfer time
 
 
 class Ordered(Protocol):
-    """A position or a key. A window holds only one kind at a time."""
+    """A position or a key. A window holds values of only one of these types at a time."""
 
     def __le__(self, other: Any, /) -> bool:
-        """Part of the order."""
+        """Compare two positions or two keys."""
 
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """A batch or chunk that is not acknowledged.
+    """A batch or chunk that is not acknowledged yet.
 
-    ``end``: where the replica is once it has it, the position of a batch or the last key of a chunk. ``size`` is in
-    bytes of keys and values.
+    ``end``: the position of the batch or the last key of the chunk. ``size``: bytes of keys and values.
     """
 
     end: Ordered
@@ -39,17 +38,17 @@
 
 
 class SendWindow:
-    """What is in flight to one replica, and how much may be."""
+    """The batches or chunks in flight to one replica, and the limit of their size."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._in_flight: deque[InFlight] = deque()
-        self._window = MIN_WINDOW_BYTES
+        self._window_bytes = MIN_WINDOW_BYTES
 
     @property
     def size(self) -> int:
         """Bytes that may be in flight now."""
-        return self._window
+        return self._window_bytes
 
     @property
     def empty(self) -> bool:
@@ -59,19 +58,19 @@
     @property
     def full(self) -> bool:
         """Whether the next batch or chunk must wait for an acknowledgement."""
-        return self._bytes_in_flight >= self._window
+        return self._bytes_in_flight >= self._window_bytes
 
     @property
     def ack_timeout_s(self) -> float:
-        """Seconds without progress after which what is in flight counts as lost."""
+        """Seconds without progress after which everything in flight counts as lost."""
         return RESEND_AFTER_S + self._bytes_in_flight / MIN_LINK_BYTES_PER_S
 
     def add(self, end: Ordered, size: int) -> None:
-        """A batch or chunk of ``size`` bytes was sent."""
+        """Record that a batch or chunk of ``size`` bytes was sent."""
         self._in_flight.append(InFlight(end, size, self._clock.now()))
 
     def acknowledge(self, end: Ordered) -> bool:
-        """The replica has everything up to ``end``; True if that acknowledges anything in flight."""
+        """Record that the replica has everything up to ``end``; True if that acknowledges anything in flight."""
         acknowledged = False
         while self._in_flight and self._in_flight[0].end <= end:
             self._adapt(self._in_flight.popleft())
@@ -79,7 +78,7 @@
         return acknowledged
 
     def clear(self) -> None:
-        """Forget what is in flight."""
+        """Drop everything in flight, because it will be resent or is obsolete."""
         self._in_flight.clear()
 
     @property
@@ -88,6 +87,6 @@
 
     def _adapt(self, sent: InFlight) -> None:
         if self._clock.now() - sent.sent_at > SLOW_ACK_S:
-            self._window = max(MIN_WINDOW_BYTES, self._window // 2)
+            self._window_bytes = max(MIN_WINDOW_BYTES, self._window_bytes // 2)
         else:
-            self._window = min(MAX_WINDOW_BYTES, self._window + sent.size)
+            self._window_bytes = min(MAX_WINDOW_BYTES, self._window_bytes + sent.size)
--- a/lynxscale/coordination/snapshot_stream.py
+++ b/lynxscale/coordination/snapshot_stream.py
@@ -1,4 +1,4 @@
-"""Cutting the state in memory into chunks of a snapshot, in the order of the keys."""
+"""Splits the state in memory into the chunks of a snapshot, in key order."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from lynxscale.coordination.messages import Put
 from lynxscale.coordination.store import Store
 
-MAX_CHUNK_BYTES = 64_000  # of keys and values
-END_KEY = "\U0010ffff"  # behind all keys: where the last chunk ends
+MAX_CHUNK_BYTES = 64_000  # size of keys and values; the last entry may exceed it
+END_KEY = "\U0010ffff"  # sorts after all keys: the ``last_key`` of the final chunk
 
 
 @dataclass(frozen=True, slots=True)
 class KeyRange:
-    """The entries with keys behind ``after_key`` up to ``last_key``. ``final``: no chunk follows."""
+    """The entries with keys after ``after_key`` up to ``last_key``. ``final``: no chunk follows."""
 
     after_key: str
     last_key: str
@@ -25,12 +25,12 @@
 class SnapshotStream:
     """A cursor over the keys of a store.
 
-    The keys are those at ``begin`` or ``resume``; the values are those at the time of each chunk. Batches that are
-    made between two chunks have to be sent between them, so that all chunks together are the state at one position.
+    The keys are listed at ``begin`` or ``resume``, the values are read when each chunk is made. Batches that are made
+    between two chunks have to be sent between them, so that all chunks together form the state at one position.
     """
 
     def __init__(self, store: Store) -> None:
-        self.last_key = ""  # up to which chunks were sent, empty before the first
+        self.last_key = ""  # last key of the chunks sent so far, empty before the first
         self.finished = False
         self._store = store
         self._keys: list[str] = []
@@ -42,24 +42,24 @@
         return bool(self.last_key)
 
     def reset(self) -> None:
-        """The next chunk is the first; ``begin`` must be called before it."""
+        """Start again: the next chunk is the first; ``begin`` must be called before it."""
         self.last_key = ""
         self.finished = False
 
     def begin(self) -> None:
-        """Take the keys as they are now. The first chunk must follow before any batch."""
+        """List the current keys. The first chunk must be sent before any further batch."""
         self._keys = sorted(self._store.values)
         self._cursor = 0
 
     def resume(self, last_key: str) -> None:
-        """Continue behind a key, up to which the replica has received an earlier stream."""
+        """Continue after ``last_key``, up to which the replica has received an earlier stream."""
         self._keys = sorted(self._store.values)
         self._cursor = bisect_right(self._keys, last_key)
         self.last_key = last_key
         self.finished = False
 
     def next_chunk(self, max_bytes: int) -> KeyRange:
-        """Return the next entries; the last one may exceed ``max_bytes``."""
+        """Return the next chunk; its last entry may exceed ``max_bytes``."""
         puts = self._take(min(MAX_CHUNK_BYTES, max_bytes))
         self.finished = self._cursor >= len(self._keys)
         after_key, self.last_key = self.last_key, END_KEY if self.finished else self._keys[self._cursor - 1]
@@ -72,7 +72,7 @@
             key = self._keys[self._cursor]
             self._cursor += 1
             value = self._store.values.get(key)
-            if value is not None:  # removed since
+            if value is not None:  # otherwise removed since the keys were listed
                 puts.append(Put(key, value))
                 size += puts[-1].size
         return tuple(puts)
--- a/lynxscale/coordination/snapshot_writer.py
+++ b/lynxscale/coordination/snapshot_writer.py
@@ -1,6 +1,7 @@
-"""Writing a snapshot, the complete state at one position, in steps, so that no step blocks the event loop for long.
+"""Writes a snapshot, the complete state at one position, in short steps so that the event loop is not blocked for long.
 
-A snapshot file is a sequence of netstrings of JSON, first the position, then arrays of puts, with their CRC-32 behind.
+A snapshot file is a sequence of netstrings that contain JSON, first the position, then arrays of puts. The CRC-32 of
+all of them is at the end of the file.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 from lynxscale.coordination.messages import Position, Put
 from lynxscale.coordination.ports import FileWriter
 
-CHUNK_BYTES = 256 * 1024  # of keys and values, encoded and written in one step
+CHUNK_BYTES = 256 * 1024  # keys and values that are encoded and written in one step
 
 Defer = Callable[[Callable[[], None]], None]
-"""Makes a call in a later iteration of the event loop."""
+"""A function that makes a call in a later iteration of the event loop."""
 
 
 def run_immediately(step: Callable[[], None]) -> None:
-    """A ``Defer`` that defers nothing."""
+    """A ``Defer`` that runs each step immediately."""
     step()
 
 
 class SnapshotWriter:
-    """Writes one snapshot file step by step. The file counts once it is finished."""
+    """Writes one snapshot file step by step. The file takes its name only when it is finished."""
 
     def __init__(self, file: FileWriter, position: Position, puts: list[Put]) -> None:
         """Write the header. Raises OSError."""
@@ -49,7 +50,7 @@
         return True
 
     def discard(self) -> None:
-        """Remove what was written so far."""
+        """Remove the unfinished file."""
         self._file.discard()
 
     def _take_chunk(self) -> list[Put]:
@@ -66,7 +67,7 @@
 
 
 class BackgroundSnapshot:
-    """Runs one ``SnapshotWriter`` at a time by deferred steps."""
+    """Runs at most one ``SnapshotWriter`` at a time, in deferred steps."""
 
     def __init__(self, defer: Defer) -> None:
         self._defer = defer
@@ -78,9 +79,9 @@
         return self._writer is not None
 
     def start(self, writer: SnapshotWriter, on_complete: Callable[[SnapshotWriter], None]) -> None:
-        """Begin to write; ``on_complete(writer)`` once the file is durable.
+        """Begin to write; ``on_complete(writer)`` is called once the file is durable.
 
-        An OSError of a step discards the file and is raised from that step.
+        An OSError in a step discards the file and is raised by that step.
         """
         self._writer = writer
 
