--- a/lynxscale/coordination/store.py
+++ b/lynxscale/coordination/store.py
@@ -1,6 +1,7 @@
-"""The replicated state of one member: keys and values in memory, and its version files on disk.
+"""The replicated state of one member: keys and values in memory, and version files on disk.
 
-``recovery`` loads it, ``compaction`` replaces batch files by snapshots, ``digest_history`` serves the scrub.
+``recovery`` loads the state, ``compaction`` replaces batch files by snapshots, and ``digest_history`` holds the
+checksums that the scrub compares.
 """
 
 from __future__ import annotations
@@ -19,14 +20,14 @@
 from lynxscale.coordination.snapshot_writer import BackgroundSnapshot, Defer, SnapshotWriter, run_immediately
 from lynxscale.coordination.version_files import INITIAL_POSITION, VersionFiles
 
-NO_POSITION = Position(-1, -1)  # of a member whose files have a gap: nothing that it holds counts
+NO_POSITION = Position(-1, -1)  # durable position of a member that lacks data: it cannot be in sync
 REMOVED = msgspec.Raw(b"null")
 
 
 class Store:
-    """State at ``position``. ``apply`` changes the memory, ``save`` makes the same batch durable, in either order.
+    """The state at ``position``. ``apply`` changes the memory, ``save`` makes the same batch durable, in either order.
 
-    ``defer`` makes a call in a later iteration of the event loop: snapshots are written in steps.
+    ``defer`` makes a call in a later iteration of the event loop; snapshots are written in such deferred steps.
     """
 
     def __init__(self, files: Files, defer: Defer = run_immediately) -> None:
@@ -36,7 +37,7 @@
         self.position = state.position
         self.recent_batches = state.recent_batches
         self._table = state.table
-        self._watermark = INITIAL_POSITION  # saved last by this process
+        self._watermark = INITIAL_POSITION  # watermark saved last by this process
         self._snapshot = BackgroundSnapshot(defer)
         self._compactor = Compactor(
             self._versions, self._snapshot, state.batch_files, state.batch_bytes, state.snapshot_bytes
@@ -46,17 +47,17 @@
 
     @property
     def intact(self) -> bool:
-        """Whether the files hold all that was ever stored here; if not, only another member's snapshot repairs them."""
+        """Whether the files hold everything that was stored; if not, only another member's snapshot repairs them."""
         return not self.damage
 
     @property
     def values(self) -> dict[str, msgspec.Raw]:
-        """All JSON values by key; changed by ``apply`` alone."""
+        """All JSON values by key; to be changed only by ``apply``."""
         return self._table.entries
 
     @property
     def durable_position(self) -> Position:
-        """The position up to which this replica counts; ``NO_POSITION`` while something is missing."""
+        """The position up to which this replica is durable; ``NO_POSITION`` while data is missing."""
         return self.position if self.intact else NO_POSITION
 
     # Batches -----------------------------------------------------------------------------------------
@@ -66,17 +67,17 @@
         self._table.apply(puts)
 
     def undo_of(self, puts: tuple[Put, ...]) -> tuple[Put, ...]:
-        """Puts that would undo these, if they were applied now."""
+        """Puts that restore the current values of the keys that ``puts`` change."""
         return tuple(Put(put.key, self.values.get(put.key, REMOVED)) for put in puts)
 
     def save(self, batch: Batch) -> None:
-        """Write the batch file and move on to its position. Raises OSError; the position is then unchanged."""
+        """Write the batch file and advance to its position. If OSError is raised, the position is unchanged."""
         self._compactor.batch_saved(self._versions.save(batch))
         self.position = batch.position
         self.recent_batches.add(batch)
 
     def complete_batch(self) -> None:
-        """Call after each batch, as soon as the memory is the state at ``position``. Raises OSError."""
+        """Must be called after each batch, once the state in memory is that at ``position``. Raises OSError."""
         self._digests.record(self.position, self.checksum())
         self._compactor.compact_if_due(self.position, self._table)
 
@@ -85,24 +86,24 @@
         return self.recent_batches.after(position)
 
     def continues_from(self, position: Position) -> bool:
-        """Whether the batches in memory lead from a position to the present one."""
+        """Whether the batches in memory lead from ``position`` to the current one."""
         return position == self.position or self.recent_batches.continues_from(position)
 
     def save_watermark(self) -> None:
-        """Record the position apart from the versions, if it has changed. Raises OSError."""
+        """Write the watermark if the position has changed. Raises OSError."""
         if self.intact and self.position != self._watermark:
             self._versions.save_watermark(self.position)
             self._watermark = self.position
 
     def rewrite_watermark(self) -> None:
-        """Record the position anew, as one of the watermark's files is damaged. Raises OSError."""
+        """Write the watermark again because one of its files is damaged. Raises OSError."""
         self._watermark = INITIAL_POSITION
         self.save_watermark()
 
     def replace_files(self) -> None:
-        """Write a snapshot in place of all version files, as one is damaged. Raises OSError, here or in a later step.
+        """Replace all version files by a snapshot, because one is damaged. Raises OSError, here or in a later step.
 
-        The memory has to be the state at ``position``. Until the snapshot is durable the files remain as they are.
+        The state in memory must be that at ``position``. The files are kept until the snapshot is durable.
         """
         if self.intact:
             self._compactor.compact(self.position, self._table)
@@ -110,19 +111,19 @@
     # Digests -----------------------------------------------------------------------------------------
 
     def checksum(self) -> int:
-        """Checksum of all keys and values, the same on members with equal state."""
+        """Checksum of all keys and values; equal on members with equal state."""
         return self._table.checksum
 
     def checksum_at(self, position: Position) -> int | None:
-        """Checksum of the state at a position; None if no batch ended there on this member lately."""
+        """Checksum of the state at a position; None if no recent batch on this member ended there."""
         return self._digests.at(position)
 
     # Snapshots ---------------------------------------------------------------------------------------
 
     def install(self, position: Position, table: KeyValueTable, on_installed: Callable[[], None]) -> None:
-        """Replace the state by another member's; ``on_installed()`` once it is durable.
+        """Replace the state by a snapshot from another member; ``on_installed()`` is called once it is durable.
 
-        An OSError, here or in a later step, leaves the state as it was.
+        Raises OSError, here or in a later step; the state is then unchanged.
         """
         self._snapshot.cancel()
 
--- a/lynxscale/coordination/topic_publisher.py
+++ b/lynxscale/coordination/topic_publisher.py
@@ -1,4 +1,4 @@
-"""The topics of a node and the children that it sends them to. The primary and each relay have a publisher."""
+"""Publishes a node's topics to its children in the distribution tree; the primary and every relay have a publisher."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from lynxscale.coordination.messages import Attach, Topic, TopicUpdate, Version
 from lynxscale.coordination.ports import Clock, Network
 
-CHILD_EXPIRES_S = 2.0  # a child without a request for so long is dropped
-RESEND_AFTER_S = 2.0  # a version that a child has not confirmed for so long is sent again
+CHILD_EXPIRES_S = 2.0  # a child that sent no request for this long is dropped
+RESEND_AFTER_S = 2.0  # a version that a child has not confirmed for this long is sent again
 
 
 @dataclass(frozen=True, slots=True)
 class SentVersion:
-    """A version in flight to a child."""
+    """The version of a topic that was sent to a child last."""
 
     version: Version
     sent_at: float
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class Child:
-    """A relay below this node: the versions that it reported, and those sent since, by topic."""
+    """A relay attached to this node: the versions that it reported and those sent to it, by topic."""
 
     known_versions: dict[str, Version]
     seen_at: float
     sent: dict[str, SentVersion] = field(default_factory=dict)
 
     def needs(self, name: str, version: Version, now: float) -> bool:
-        """Whether to send this version: not while an earlier one is unconfirmed, as it would queue up behind that."""
+        """Whether to send this version. False while one is unconfirmed: on a slow link it would only queue up."""
         known = self.known_versions.get(name, Version())
         sent = self.sent.get(name)
         unconfirmed = sent is not None and sent.version > known and now - sent.sent_at < RESEND_AFTER_S
@@ -39,7 +39,7 @@
 class Publisher:
     """Keeps the newest version of each topic and sends it to the children.
 
-    Parameters of its methods: ``primary`` confirmed the versions here in ``epoch``, ``age_s`` seconds ago.
+    Method parameters: ``primary``, in ``epoch``, confirmed this node's versions ``age_s`` seconds ago.
     """
 
     def __init__(self, address: str, clock: Clock, network: Network) -> None:
@@ -54,18 +54,18 @@
         return {name: topic.version for name, topic in self.topics.items()}
 
     def update(self, topics: dict[str, Topic]) -> list[str]:
-        """Adopt the topics that are newer than the own versions, and return their names."""
+        """Adopt the topics that are newer than those held, and return their names."""
         newer = [name for name, topic in topics.items() if self._is_newer(name, topic)]
         for name in newer:
             self.topics[name] = topics[name]
         return newer
 
     def discard(self, unwanted: Callable[[str], bool]) -> None:
-        """Forget topics by name."""
+        """Remove the topics whose name is ``unwanted``."""
         self.topics = {name: topic for name, topic in self.topics.items() if not unwanted(name)}
 
     def on_attach(self, request: Attach, primary: str, epoch: int, age_s: float) -> None:
-        """Answer a child with what it lacks, perhaps nothing: the answer also confirms its versions."""
+        """Answer a child with the topics that it lacks. Even an empty answer confirms the child's versions."""
         now = self._clock.now()
         child = self.children.setdefault(request.sender, Child({}, now))
         child.known_versions, child.seen_at = request.known_versions, now
--- a/lynxscale/coordination/version_files.py
+++ b/lynxscale/coordination/version_files.py
@@ -1,10 +1,10 @@
-"""The version files of a store: a batch file for each position, and now and then a snapshot file.
+"""The version files of a store: one batch file per position, and occasional snapshot files.
 
-A batch file ``batch-INDEX-EPOCH`` holds the batch that leads to the position of its name, a snapshot file
-``state-INDEX-EPOCH`` the complete state at it, and ``mark`` the watermark: a position known to have been stored.
+A batch file ``batch-INDEX-EPOCH`` holds the batch that leads to the position in its name, a snapshot file
+``state-INDEX-EPOCH`` the complete state at that position, and ``mark`` the watermark: a position known to be stored.
 
-A batch file that reappears after a loss of power, although it was removed, does no harm: a batch counts only behind
-the very position that it was made for. Missing files are detected by three signs that do not fail together: a later
+A removed batch file that reappears after a power loss is harmless: a batch is applied only at the exact position that
+it was made for. Missing files are detected by three signs that do not fail together: a later
 batch without its predecessor, a damaged file, and the watermark.
 """
 
@@ -26,7 +26,7 @@
 
 
 def version_name(prefix: str, position: Position) -> str:
-    """The name of a version's file; names sort by index, then by epoch."""
+    """The name of a version file; names sort by index, then by epoch."""
     return f"{prefix}{position.index:012d}-{position.epoch:08d}"
 
 
@@ -44,13 +44,13 @@
         self._watermark = ChecksummedFilePair(files, WATERMARK_FILE)
 
     def save(self, batch: Batch) -> int:
-        """Write a batch file; its size in bytes. Raises OSError."""
+        """Write a batch file and return its size in bytes. Raises OSError."""
         content = append_checksum(msgspec.json.encode(batch))
         self._files.write(version_name(BATCH_PREFIX, batch.position), content)
         return len(content)
 
     def save_watermark(self, position: Position) -> None:
-        """Record, apart from the versions, that this position is stored. Raises OSError."""
+        """Record in a separate file that this position is stored. Raises OSError."""
         self._watermark.save(msgspec.json.encode(position))
 
     def load_watermark(self) -> Position | None:
@@ -63,7 +63,7 @@
         return SnapshotWriter(self._files.create(version_name(SNAPSHOT_PREFIX, position)), position, puts)
 
     def remove_superseded(self, position: Position) -> None:
-        """Remove the versions that the snapshot at a position makes unnecessary."""
+        """Remove the version files that the snapshot at a position supersedes."""
         snapshot = version_name(SNAPSHOT_PREFIX, position)
         for name in self._files.names():
             other = position_of(name)
@@ -71,7 +71,7 @@
                 self._files.remove(name)
 
     def remove_others(self, position: Position) -> None:
-        """Remove all versions but the snapshot at a position: they belong to another history, or are damaged."""
+        """Remove all version files but the snapshot at a position: they are of a replaced state or damaged."""
         snapshot = version_name(SNAPSHOT_PREFIX, position)
         for name in self._files.names():
             if name != snapshot and position_of(name) is not None:
--- a/lynxscale/coordination/voter.py
+++ b/lynxscale/coordination/voter.py
@@ -1,4 +1,4 @@
-"""The voter's side of elections and leases: how a member answers candidates and the primary."""
+"""The voter's side of elections and leases: replies to candidates and to the primary."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     address_of,
 )
 
-TIMER_MARGIN_S = 0.0005  # so that a timer for the end of a lease finds it ended
+TIMER_MARGIN_S = 0.0005  # a timer for the end of a lease fires this much later, when the lease has surely ended
 
 
 class Voter:
-    """Answers by the acceptor's durable state, in each role.
+    """Replies according to the acceptor's durable state, in every role.
 
-    Handlers raise OSError where the acceptor's state cannot be stored.
+    Handlers raise OSError if the acceptor's state cannot be stored.
     """
 
     def __init__(self, context: MemberContext, campaign: ElectionCampaign) -> None:
@@ -33,10 +33,10 @@
         self._tracker = context.tracker
         self._network = context.network
         self._campaign = campaign
-        self._deferred: Prepare | None = None  # to be answered once the lease that was granted here has ended
+        self._deferred: Prepare | None = None  # to be answered when the lease granted here has ended
 
     def on_prepare(self, message: Prepare) -> None:
-        """A candidate asks for a promise. A primary that gives it to another stops leading."""
+        """Handle a candidate's request for a promise. A primary that promises another member stops leading."""
         answer = self._acceptor.prepare(message, self._context.store.durable_position)
         if isinstance(answer, DeferredPromise):
             self._campaign.defer_to(message.candidate)
@@ -49,25 +49,25 @@
         self._network.send(address_of(message.candidate), answer)
 
     def _defer(self, message: Prepare, wait_s: float) -> None:
-        """Answer once the lease has ended; of several requests the last one counts."""
+        """Answer when the lease has ended; a later request replaces an earlier one."""
         self._deferred = message
         self._context.clock.call_later(wait_s + TIMER_MARGIN_S, lambda: self._answer_deferred(message))
 
     def _answer_deferred(self, message: Prepare) -> None:
         if self._deferred is message:
             self._deferred = None
-            # The promise is on the disk, unless a higher epoch was promised since: nothing is written here.
+            # This writes nothing: the promise is already durable, or a higher epoch was promised since.
             self.on_prepare(message)
 
     def on_accept(self, message: Accept) -> None:
-        """A candidate asks to store its record; a superseded record is not answered."""
+        """Store a candidate's record; a superseded record is not answered."""
         answer = self._acceptor.accept(message.record)
         if answer is not None:
             self._campaign.defer_to(message.record.primary)
             self._network.send(address_of(message.record.primary), answer)
 
     def on_lease_request(self, message: LeaseRequest) -> None:
-        """A primary's heartbeat: follow it and grant its lease, or redirect a former primary to the present one."""
+        """Handle a heartbeat: follow the primary and grant its lease, or redirect a former primary to the new one."""
         record, member = message.record, self._acceptor.member
         if record.epoch < self._acceptor.record.epoch:
             redirect = Redirect(self._tracker.address(), self._acceptor.record.epoch)
@@ -95,7 +95,7 @@
         )
 
     def on_lease_release(self, message: LeaseRelease) -> None:
-        """The primary's lease has ended early: defer to its successor, or ask the voters at once."""
+        """The primary has released its lease: defer to its successor, or start a pre-vote immediately."""
         if message.epoch != self._acceptor.record.epoch:
             return
         self._acceptor.release(message.epoch)
