--- a/tests/coordination/control_groups.py
+++ b/tests/coordination/control_groups.py
@@ -1,4 +1,4 @@
-"""Groups of control members for the tests: started, under writes, with damaged files."""
+"""Helpers that start groups of simulated control members, write to them and damage their files."""
 
 from lab.tier.control_group import ControlGroup
 from lab.tier.world import World
@@ -7,7 +7,7 @@
 
 
 def start_group(seed: int = 1, size: int = 3, tolerated: int = 1, **world) -> ControlGroup:
-    """A started group that has a primary."""
+    """Start a group and wait until it has a primary."""
     group = ControlGroup(World(seed, **world), size, tolerated)
     group.start_all()
     group.wait_for_leader()
@@ -15,7 +15,7 @@
 
 
 def start_group_with_slow_disks(seed: int = 1, size: int = 5, tolerated: int = 2, sync_s: float = 0.0) -> ControlGroup:
-    """A started group that has had a primary for a second; each sync of a disk takes ``sync_s`` seconds."""
+    """Start a group and run it until a second after its first election; each disk sync takes ``sync_s`` seconds."""
     group = ControlGroup(World(seed, delay_s=0.0015), size, tolerated)
     for address in group.seeds:
         group.world.machine(address).sync_s = sync_s
@@ -26,13 +26,13 @@
 
 
 def backups_of(group: ControlGroup) -> list[str]:
-    """The addresses of the founders that are not primary."""
+    """The addresses of the founders other than the primary."""
     leader = address_of(group.wait_for_leader().member_id)
     return [address for address in group.seeds if address != leader]
 
 
 def write_steadily(group: ControlGroup, every_s: float, value: object = 1, keys: int = 50) -> None:
-    """Write on and on, every so many seconds, from now on."""
+    """Submit a write every ``every_s`` seconds from now on, cycling through ``keys`` keys."""
     count = iter(range(10**9))
 
     def write() -> None:
@@ -44,7 +44,7 @@
 
 
 def fill(group: ControlGroup, megabytes: int) -> None:
-    """Write so many megabytes, and wait until they are replicated."""
+    """Write ``megabytes`` of values and wait until they are replicated."""
     value = "x" * 20_000
     for number in range(megabytes * 50):
         for leader in group.leaders():
--- a/tests/coordination/test_acceptor.py
+++ b/tests/coordination/test_acceptor.py
@@ -1,4 +1,4 @@
-"""Promises and grants of one acceptor."""
+"""Promises and lease grants of one acceptor."""
 
 from lab.tier.world import World
 from lynxscale.coordination.acceptor import Acceptor, DeferredPromise
@@ -8,7 +8,7 @@
 
 
 def test_primary_keeps_its_lease_during_its_own_next_epoch():
-    """Seen simulated with 30 ms a sync: each change of the in-sync set cost the primary its lease, for ever again."""
+    """Regression: with 30 ms per disk sync, every change of the in-sync set cost the primary its lease, forever."""
     world = World(1)
     machine = world.machine("a:1")
     record = EpochRecord(3, "b#0", ("b#0",), ("a#0", "b#0", "c#0"))
@@ -35,7 +35,7 @@
     assert acceptor.grant(LeaseRequest(record, 1))
     assert isinstance(acceptor.prepare(Prepare(4, "c#0"), start), PrepareRejected)
     assert isinstance(acceptor.prepare(Prepare(4, "b#0"), start), Promise)
-    # Its holder asks for its own next epoch: the lease goes on. Nobody else gets a promise or a lease meanwhile.
+    # The holder asked for its own next epoch: its lease is renewed, and no other member gets a promise or a lease.
     assert acceptor.grant(LeaseRequest(record, 2))
     assert isinstance(acceptor.prepare(Prepare(5, "c#0"), start), PrepareRejected)
     assert not acceptor.grant(LeaseRequest(EpochRecord(3, "c#0", ("c#0",), record.voters), 1))
@@ -76,6 +76,6 @@
     assert acceptor.grant(LeaseRequest(record, 1))
     world.run(LEASE_S - MAX_ADVANCE_S + 0.01)
     assert isinstance(acceptor.prepare(Prepare(4, "c#0"), Position(0, 0)), DeferredPromise)
-    assert isinstance(acceptor.prepare(Prepare(5, "b#0"), Position(0, 0)), Promise)  # the lease is its own
+    assert isinstance(acceptor.prepare(Prepare(5, "b#0"), Position(0, 0)), Promise)  # b#0 holds the lease itself
     world.run(LEASE_S + 0.001)
     assert isinstance(acceptor.prepare(Prepare(4, "c#0"), Position(0, 0)), PrepareRejected)
--- a/tests/coordination/test_acceptor_state.py
+++ b/tests/coordination/test_acceptor_state.py
@@ -1,4 +1,4 @@
-"""The acceptor's durable state outlasts damage to one of its files."""
+"""The acceptor's durable state survives damage to one of its two files."""
 
 import msgspec
 import pytest
@@ -14,7 +14,7 @@
 
 
 def test_state_whose_second_file_is_older_is_rewritten_at_start():
-    """Else a promise made from the first file alone would be forgotten where that one is damaged later."""
+    """Otherwise a promise that only the first file holds is lost when that file is damaged later."""
     machine = World(1).machine("a:1")
     identity = MemberIdentity("a:1", True, ("a:1",))
     state_file = AcceptorStateFile(identity, machine.files, machine.world.random)
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("how", ["corrupt", "truncate", "missing"])
 def test_one_damaged_state_file_loses_nothing_and_two_make_another_member(how):
-    """Seen from reading: a damaged register ended the process at each start, a missing one was a first start."""
+    """Regression: a damaged state file ended the process at every start, and a missing one passed for a first start."""
     group = start_group()
     address = backups_of(group)[0]
     before = group.members[address].acceptor.state
@@ -43,7 +43,7 @@
 
     for name in (ACCEPTOR_STATE_FILE, ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX):
         break_file(name)
-        # The start that finds one damaged writes both anew.
+        # A start that finds one file damaged writes both again.
         assert (
             AcceptorStateFile(MemberIdentity(address, False, group.seeds), machine.files, group.world.random).state
             == before
--- a/tests/coordination/test_compaction.py
+++ b/tests/coordination/test_compaction.py
@@ -1,11 +1,11 @@
-"""Snapshots that take the place of batch files."""
+"""Snapshots that replace batch files."""
 
 from lynxscale.coordination.store import Store
 from tests.coordination.control_groups import start_group
 
 
 def test_a_snapshot_holds_the_batch_that_led_to_it(monkeypatch):
-    """Seen as a turn that was lost: a backup wrote its state whole before it had applied the newest batch."""
+    """Regression: a backup wrote a snapshot before it had applied the newest batch, so a turn was lost."""
     monkeypatch.setattr("lynxscale.coordination.compaction.MAX_BATCH_FILES", 3)
     group = start_group()
     for number in range(9):
--- a/tests/coordination/test_disk_failure.py
+++ b/tests/coordination/test_disk_failure.py
@@ -1,4 +1,4 @@
-"""A member whose disk fails stands aside."""
+"""A primary whose disk fails steps down."""
 
 from lynxscale.coordination.messages import address_of
 from tests.coordination.control_groups import start_group
--- a/tests/coordination/test_distribution_tree.py
+++ b/tests/coordination/test_distribution_tree.py
@@ -21,7 +21,7 @@
 
 
 def test_an_update_crosses_into_each_zone_once():
-    """Seen on the grown sites: nearly half of all bytes between zones were versions that a tree over zones carried."""
+    """Regression: a single tree across all zones caused nearly half of the traffic between zones."""
     zones = ("a", "b", "c", "d")
     roster = [RosterEntry(f"10.{n % 4}.0.{n}:1", zones[n % 4]) for n in range(59)]
     zone_of = {entry.address: entry.zone for entry in roster}
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -1,4 +1,4 @@
-"""A lost primary is followed by another soon, and by one candidate at a time."""
+"""A lost primary is replaced soon, with one candidate at a time."""
 
 from unittest.mock import patch
 
@@ -17,7 +17,7 @@
 @pytest.mark.parametrize("how", ["kill", "wipe", "cut", "deaf", "mute"])
 @pytest.mark.parametrize(("sync_s", "median_s", "most_s"), [(0.0, 0.40, 0.46), (0.0092, 0.53, 0.8), (0.03, 0.96, 1.1)])
 def test_failover_time_on_fast_and_slow_disks(how, sync_s, median_s, most_s):
-    """Seen on scale-1 and trouble-3 of the Stadtwerke Steyr site: 1.4 to 1.7 s, as candidates put each other aside."""
+    """Regression: a failover took 1.4 to 1.7 s, because candidates displaced each other."""
     times = sorted(failover_time_s(FailoverCase(seed, sync_s, how=how)) for seed in range(1, 10))
     assert times[len(times) // 2] <= median_s and times[-1] <= most_s, times
 
@@ -41,7 +41,7 @@
 
 
 def test_pre_votes_of_an_isolated_member_do_not_disturb_the_primary():
-    """Its pre-votes are refused: it writes nothing, asks for no epoch, and the primary goes on."""
+    """Its pre-votes are rejected, so it writes nothing and asks for no epoch, and the primary keeps leading."""
     group = start_group_with_slow_disks()
     leader = group.wait_for_leader()
     backup = next(one for one in group.members.values() if one is not leader)
@@ -49,14 +49,14 @@
     group.world.partition(address_of(leader.member_id), address_of(backup.member_id), both_ways=False)
     group.world.run(group.world.time + 5)
     assert leader.leads() and backup.acceptor.state.promised in (promised, leader.record.epoch)
-    assert leader.record.epoch <= epoch + 2  # it left the in-sync set, no more
+    assert leader.record.epoch <= epoch + 2  # epochs only for its removal from the in-sync set
     group.world.heal()
     assert group.put("a", 1)
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
 def test_a_pre_vote_in_flight_at_a_take_over_begins_no_second_candidacy(seed, monkeypatch):
-    """Found by reading: the round was won while the candidacy that the primary asked for was under way."""
+    """Regression: a pre-vote round was won during the candidacy that a ``TakeOver`` had started."""
     started: list[MemberRole] = []
     apply = RoleState.apply
 
@@ -71,7 +71,7 @@
     backup = next(one for one in group.members.values() if one is not leader)
     monkeypatch.setattr(RoleState, "apply", record)
     for member in group.members.values():
-        member.acceptor.release(leader.record.epoch)  # every voter is free to answer yes
+        member.acceptor.release(leader.record.epoch)  # so that every voter grants pre-votes
     backup._campaign._start_round()
     backup.receive(TakeOver(leader.record.epoch))
     group.world.run(group.world.time + 2.0)
@@ -80,8 +80,8 @@
 
 
 @pytest.mark.parametrize("how", ["kill", "cut", "mute"])
-def test_the_failover_time_leaves_no_room_for_what_waits_for_nothing(how):
-    """Before promises were stored in advance: 0.56 s at the median and 0.69 s at p95, at 9.2 ms a sync."""
+def test_failover_time_with_promises_stored_before_the_lease_ends(how):
+    """Without promises stored in advance it took 0.56 s at the median and 0.69 s at p95, with 9.2 ms per sync."""
     times = sorted(failover_time_s(FailoverCase(seed, 0.0092, how=how)) for seed in range(1, 21))
     assert times[10] <= 0.50 and times[19] <= 0.60, times
 
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("seed", range(1, 7))
 @pytest.mark.parametrize(("sync_s", "members"), [(0.0, 3), (0.0092, 1)])
 def test_no_promise_leaves_a_voter_while_the_lease_that_it_granted_may_run(seed, sync_s, members):
-    """Promises are stored before the lease has ended, so that they can be given as it ends."""
+    """Promises are stored shortly before the lease ends, but sent only once it has ended."""
     group = start_group_with_slow_disks(seed, sync_s=sync_s)
     stored_in_advance: list[str] = []
     prepare, deliver = Acceptor.prepare, group.world.deliver
@@ -119,7 +119,7 @@
 
 
 def test_a_primary_overtakes_a_promise_that_was_stored_in_advance():
-    """A voter that missed some heartbeats has promised another; the primary goes on, and that one gives up."""
+    """A voter that missed heartbeats promised another epoch: the primary decides a later one and keeps leading."""
     group = start_group(3)
     group.world.run(group.world.time + 1.0)
     leader = group.wait_for_leader()
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("delay_s", [0.02, 0.04, 0.06])
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_primary_is_elected_and_replaced_over_links_on_which_replies_take_long(seed, delay_s):
-    """Seen in history 5508: replies to pre-votes came after the round's fixed time, each time, for ever."""
+    """Regression: replies to pre-votes always arrived after the fixed duration of a round, so no round was ever won."""
     group = start_group(seed, delay_s=delay_s)
     group.world.run(group.world.time + 3.0)
     group.kill(address_of(group.wait_for_leader().member_id))
@@ -144,7 +144,7 @@
 
 
 def test_members_whose_processors_run_at_other_times_elect_a_primary():
-    """A processor quota stops a process for the rest of each tenth of a second: here two never run together."""
+    """A CPU quota pauses each process for part of every 100 ms, here so that no two members run simultaneously."""
     group = ControlGroup(World(1), 3, 1)
     group.start_all()
     group.wait_for_leader()
--- a/tests/coordination/test_eligibility.py
+++ b/tests/coordination/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Only a complete replica leads."""
+"""Only a member with a complete replica becomes primary."""
 
 from lynxscale.coordination.checksummed_file import SECOND_FILE_SUFFIX
 from lynxscale.coordination.version_files import BATCH_PREFIX, WATERMARK_FILE
@@ -6,7 +6,7 @@
 
 
 def test_candidate_yields_to_a_more_complete_replica():
-    """The newest batch and the mark are gone from one disk, which nothing on that disk can tell."""
+    """The newest batch and the watermark are lost from one disk, so that its files show no gap."""
     for seed in range(6):
         group = start_group(seed)
         assert group.put("a", 1)
--- a/tests/coordination/test_file_scrub.py
+++ b/tests/coordination/test_file_scrub.py
@@ -1,4 +1,4 @@
-"""Files that are damaged while their member runs are found and repaired before they are needed."""
+"""Files that are damaged while their member runs are detected and repaired before they are needed."""
 
 import logging
 
@@ -14,12 +14,12 @@
 from lynxscale.coordination.version_files import BATCH_PREFIX, WATERMARK_FILE, position_of
 from tests.coordination.control_groups import backups_of, start_group, write_steadily
 
-CYCLE_S = 3.0  # more than a group of this size needs for all of its files
+CYCLE_S = 3.0  # more than a scrub of all files of one member takes
 PAIRS = [name + suffix for name in (ACCEPTOR_STATE_FILE, WATERMARK_FILE) for suffix in ("", SECOND_FILE_SUFFIX)]
 
 
 def written_group(seed: int = 1) -> ControlGroup:
-    """A group that has written some batches and is at rest."""
+    """Start a group that has written some batches and is idle."""
     group = start_group(seed)
     for number in range(12):
         assert group.put(f"k{number}", number)
@@ -60,7 +60,7 @@
         group.world.run(group.world.time + 2 * CYCLE_S)
     assert f"event=file_damaged name={name}" in caplog.text
     assert damaged_files(group, address) == []
-    assert leader.leads() and leader.record.epoch == epoch  # nobody left the in-sync set, no primary was lost
+    assert leader.leads() and leader.record.epoch == epoch  # the in-sync set and the primary did not change
     for one in group.seeds:
         group.kill(one, power=True)
     for one in group.seeds:
@@ -71,7 +71,7 @@
 
 
 def test_without_the_scrub_the_damage_is_found_at_a_start_only(monkeypatch):
-    """What the scrub is for: a second member is lost before the damage is known."""
+    """Why the scrub is needed: another member may be lost before the damage is known."""
     monkeypatch.setattr(file_scrub, "STEP_INTERVAL_S", 1e9)
     group = written_group()
     address = backups_of(group)[0]
@@ -108,7 +108,7 @@
 
 
 class CountingFiles:
-    """Files of given contents, which count what is read of them. ``removed``: names that a read does not find."""
+    """In-memory files that record the size of each read. ``removed``: names for which a read finds no file."""
 
     def __init__(self, contents: dict[str, bytes]) -> None:
         self.contents = contents
@@ -116,11 +116,11 @@
         self.reads: list[int] = []
 
     def names(self) -> list[str]:
-        """Part of the Files port."""
+        """Implements ``Files``."""
         return sorted(self.contents)
 
     def read_chunk(self, name: str, offset: int, size: int) -> bytes | None:
-        """Part of the Files port."""
+        """Implements ``Files``."""
         if name in self.removed:
             return None
         chunk = self.contents[name][offset : offset + size]
@@ -129,7 +129,7 @@
 
 
 def version(number: int, size: int) -> dict[str, bytes]:
-    """A batch file of so many bytes of content."""
+    """A batch file with ``size`` bytes of content."""
     return {f"{BATCH_PREFIX}{number:012d}-00000001": append_checksum(b"x" * size)}
 
 
@@ -145,11 +145,11 @@
         assert len(files.reads) - before <= STEP_FILES
         assert sum(files.reads[before:]) < 2 * STEP_BYTES
     assert found == []
-    spoilt = sorted(contents)[7]
-    contents[spoilt] = b"y" + contents[spoilt][1:]
+    damaged = sorted(contents)[7]
+    contents[damaged] = b"y" + contents[damaged][1:]
     while scrub.cycles < 4:
         scrub.step()
-    assert set(found) == {spoilt}
+    assert set(found) == {damaged}
 
 
 def test_a_file_that_is_removed_while_it_is_read_is_not_damaged():
--- a/tests/coordination/test_golden_messages.py
+++ b/tests/coordination/test_golden_messages.py
@@ -1,4 +1,4 @@
-"""Messages and stored structures have the very bytes that the program before the renaming wrote and read."""
+"""Messages and stored structures are encoded as before classes and fields were renamed (golden bytes)."""
 
 import msgspec
 import pytest
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -1,4 +1,4 @@
-"""Folders that the program before the renaming stored are read whole, and what is stored now has the same bytes."""
+"""Stored folders from before names in the code changed are read completely, and new files have the same bytes."""
 
 import shutil
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 def copied(tmp_path):
-    """Copies a golden folder, as a store may change it."""
+    """A function that copies a golden folder, because a store may change its files."""
     return lambda name: shutil.copytree(golden.DATA / name, tmp_path / "copy")
 
 
@@ -37,7 +37,7 @@
 
 
 def test_the_golden_folders_hold_what_they_are_meant_to():
-    """Whole versions hold the same as the batches; what is cut off in writing costs nothing but itself."""
+    """Snapshots hold the same state as the batches, and an unfinished file loses only its own content."""
     whole, batches = FOLDERS["whole"], FOLDERS["batches"]
     assert whole == batches == FOLDERS["whole-in-frames"] == FOLDERS["cut-off-whole"]
     kinds = {key.partition("/")[0] for key in batches["entries"]}
@@ -64,7 +64,7 @@
 
 
 def test_a_whole_version_is_stored_with_the_golden_bytes(copied):
-    """The golden folder before the fold is what its batches alone lead to."""
+    """Compacting the batches of the golden folder alone yields its snapshot."""
     folder = copied("folders/whole-not-swept")
     for path in folder.glob("state-*"):
         path.unlink()
@@ -84,12 +84,12 @@
 
 
 @pytest.mark.parametrize("name", REGISTERS)
-@pytest.mark.parametrize("spoilt", ["", ACCEPTOR_STATE_FILE, ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX])
+@pytest.mark.parametrize("damaged_file", ["", ACCEPTOR_STATE_FILE, ACCEPTOR_STATE_FILE + SECOND_FILE_SUFFIX])
 @pytest.mark.parametrize("how", ["damaged", "torn", "missing"])
-def test_a_golden_register_is_read_with_either_file_spoilt(name, spoilt, how, copied):
+def test_a_golden_register_is_read_with_either_file_damaged(name, damaged_file, how, copied):
     folder = copied(f"registers/{name}")
-    if spoilt:
-        spoil(folder / spoilt, how)
+    if damaged_file:
+        damage(folder / damaged_file, how)
     address, bootstrap, fields = REGISTERS[name]
     register = golden.open_register(folder, address, bootstrap)
     assert register.restored
@@ -97,7 +97,7 @@
     assert golden.files_of(folder) == golden.files_of(golden.DATA / "registers" / name)
 
 
-def spoil(path, how: str) -> None:
+def damage(path, how: str) -> None:
     content = path.read_bytes()
     if how == "missing":
         path.unlink()
@@ -122,8 +122,8 @@
     assert golden.files_of(tmp_path) == golden.files_of(golden.DATA / "registers" / name)
 
 
-def test_who_has_a_golden_register_is_bound_by_its_promise_and_lease(copied):
-    """No grant is stored: a restored voter counts with one to the primary of the record that it accepted."""
+def test_a_voter_restored_from_a_golden_register_is_bound_by_its_promise_and_lease(copied):
+    """Grants are not stored: a restored voter assumes that it granted a lease to the primary of its record."""
     register = golden.open_register(copied("registers/promised"))
     member, record, promised, candidate = REGISTERS["promised"][2]
     voter = Acceptor(register, World(golden.SEED).machine(golden.SEEDS[0]).clock(), LEASE_S)
--- a/tests/coordination/test_graceful_leave.py
+++ b/tests/coordination/test_graceful_leave.py
@@ -1,4 +1,4 @@
-"""A member that is to stop goes once nothing depends on it."""
+"""A member that is asked to stop leaves once nothing depends on it."""
 
 import pytest
 
@@ -22,29 +22,29 @@
 @pytest.mark.parametrize("gap", [0.0, 0.02, 0.1, 0.2])
 @pytest.mark.parametrize(("leaves", "lost"), [(0, 1), (0, 2), (1, 0), (1, 2)])
 def test_loss_right_after_a_leaving_member_leaves_a_majority(gap, leaves, lost):
-    """Seen: the member that left voted and copied no more at once, and the group had no primary ever again."""
+    """Regression: the leaving member stopped voting and replicating at once, and no primary was elected again."""
     for seed in range(4):
         group = start_group(seed)
         group.start(NEWCOMER)
         assert group.put("a", seed)
         group.world.run(group.world.time + 1.5)
-        places = second_failure.members_by_rank(group)
-        group.leave(places[leaves])
+        ranked = second_failure.members_by_rank(group)
+        group.leave(ranked[leaves])
         group.world.run(group.world.time + gap)
-        group.kill(places[lost], power=True, wipe=True)
+        group.kill(ranked[lost], power=True, wipe=True)
         assert group.put("b", 1, within=10.0), (seed, leaves, lost)
         assert group.value("a") == seed
 
 
 def test_leave_without_a_successor_is_approved_soon():
     for seed in range(10):
-        for place in (0, 1):
+        for rank in (0, 1):
             group = start_group(seed)
             group.world.run(group.world.time + 2)
-            address = second_failure.members_by_rank(group)[place]
+            address = second_failure.members_by_rank(group)[rank]
             begun = group.world.time
             group.leave(address)
-            assert group.world.run_until(lambda g=group, a=address: a not in g.members, 1.3), (seed, place)
+            assert group.world.run_until(lambda g=group, a=address: a not in g.members, 1.3), (seed, rank)
             assert group.world.time - begun < 1.3
             assert group.put("a", 1)
 
--- a/tests/coordination/test_joining.py
+++ b/tests/coordination/test_joining.py
@@ -7,7 +7,7 @@
 
 
 def test_spare_member_announces_itself_to_the_primary_only():
-    """Seen on the Stadtwerke Steyr site: spare machines told everybody four times a second that they were there."""
+    """Regression: spare members announced themselves to all members four times a second."""
     group = start_group_with_slow_disks(size=3, tolerated=1)
     joins: list[str] = []
     group.start("10.0.0.8:7000")
@@ -30,22 +30,22 @@
 
 
 def test_member_replaced_during_a_partition_is_known_again_at_once():
-    """Seen on a bench day: it went on standing for epochs and told nobody, so it was no successor to anyone."""
+    """Regression: it kept starting candidacies without announcing itself, so it could not replace a lost voter."""
     for seed in range(6):
         group = start_group(seed)
         group.start(NEWCOMER)
         assert group.put("a", 1)
-        cut = group.seeds[seed % 3]
+        isolated = group.seeds[seed % 3]
         for other in (*group.seeds, NEWCOMER):
-            if other != cut:
-                group.world.partition(cut, other)
+            if other != isolated:
+                group.world.partition(isolated, other)
         group.world.run(group.world.time + 12)
         group.world.heal()
-        member = group.members[cut]
+        member = group.members[isolated]
         leader = group.wait_for_leader()
         assert member.member_id not in leader.record.voters
         assert group.world.run_until(lambda m=member, r=leader.record: m.record == r, 1.0), seed
-        lost = next(a for a in group.seeds if a not in (cut, address_of(leader.member_id)))
+        lost = next(a for a in group.seeds if a not in (isolated, address_of(leader.member_id)))
         group.kill(lost, wipe=True)
         assert group.world.run_until(
             lambda m=member, g=group: m.member_id in g.wait_for_leader().record.in_sync, 2.0
--- a/tests/coordination/test_lease.py
+++ b/tests/coordination/test_lease.py
@@ -1,4 +1,4 @@
-"""A primary acts only while its lease is valid, by the steady clock."""
+"""A primary acts only while its lease is valid by the monotonic clock."""
 
 from lynxscale.coordination.messages import address_of
 from tests.coordination.control_groups import start_group
--- a/tests/coordination/test_member.py
+++ b/tests/coordination/test_member.py
@@ -1,4 +1,4 @@
-"""A group of control members: its first start, a primary's end, and drawn histories of faults."""
+"""A group of control members: first start, loss of the primary, and random sequences of faults."""
 
 import pytest
 
@@ -71,7 +71,7 @@
 
 
 def inject_fault(group: ControlGroup, world: World) -> None:
-    """One fault that the group has to bear; the one before is over."""
+    """Repair the previous fault, then inject a random one that the group must tolerate."""
     world.heal()
     for address in group.seeds:
         if address not in group.members:
--- a/tests/coordination/test_member_role.py
+++ b/tests/coordination/test_member_role.py
@@ -1,4 +1,4 @@
-"""The role of a member changes by the table in ``member_role`` only."""
+"""A member's role changes only as the table in ``member_role`` says."""
 
 import pytest
 
--- a/tests/coordination/test_membership_plan.py
+++ b/tests/coordination/test_membership_plan.py
@@ -1,4 +1,4 @@
-"""Voters are admitted, replaced and removed without a loss."""
+"""Voters are admitted, replaced and removed without losing data."""
 
 from lynxscale.coordination.messages import address_of
 from tests.coordination.control_groups import start_group
--- a/tests/coordination/test_netstring.py
+++ b/tests/coordination/test_netstring.py
@@ -1,4 +1,4 @@
-"""Frames of the internal protocol."""
+"""Framing of the internal protocol."""
 
 import pytest
 
@@ -11,8 +11,8 @@
     data = encode_netstring(b"one") + encode_netstring(b"") + encode_netstring(b"x" * 300)
     for size in (1, 2, 7, len(data)):
         decoder, found = Decoder(), []
-        for place in range(0, len(data), size):
-            found += decoder.feed(data[place : place + size])
+        for offset in range(0, len(data), size):
+            found += decoder.feed(data[offset : offset + size])
         assert found == [b"one", b"", b"x" * 300]
     for wrong in (b"x:", b"3:abcd", b"999999999999:", b"-1:"):
         with pytest.raises(NetstringError):
--- a/tests/coordination/test_outcomes.py
+++ b/tests/coordination/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What a submitter is notified of: committed, not leader, or unknown."""
+"""The outcome of a submission: committed, not leader, or unknown."""
 
 from lynxscale.coordination.messages import address_of, put_value
 from lynxscale.coordination.outcomes import CommitOutcome
--- a/tests/coordination/test_partitions.py
+++ b/tests/coordination/test_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions of the group, and members that return from them."""
+"""Partitions of the group, and members that return from a partition."""
 
 import pytest
 
@@ -35,22 +35,22 @@
     for seed in range(4):
         group = start_group(seed)
         assert group.put("a", 1)
-        cut = group.seeds[seed % 3]
+        isolated = group.seeds[seed % 3]
         for other in group.seeds:
-            if other != cut and one_way in ("both", "out"):
-                group.world.partition(cut, other, both_ways=False)
-            if other != cut and one_way in ("both", "in"):
-                group.world.partition(other, cut, both_ways=False)
+            if other != isolated and one_way in ("both", "out"):
+                group.world.partition(isolated, other, both_ways=False)
+            if other != isolated and one_way in ("both", "in"):
+                group.world.partition(other, isolated, both_ways=False)
         group.world.run(group.world.time + 20)
         leader = group.wait_for_leader()
         group.world.heal()
         gaps = []
 
-        def look(group=group, gaps=gaps) -> None:
+        def sample(group=group, gaps=gaps) -> None:
             gaps.append(not group.leaders())
-            group.world.call_at(group.world.time + 0.02, look)
+            group.world.call_at(group.world.time + 0.02, sample)
 
-        look()
+        sample()
         group.world.run(group.world.time + 1)
         assert not any(gaps), (seed, one_way)
         assert group.wait_for_leader() is leader
--- a/tests/coordination/test_power_loss.py
+++ b/tests/coordination/test_power_loss.py
@@ -1,4 +1,4 @@
-"""Disks are lost while all other members lose power."""
+"""Some disks are lost while all members lose power."""
 
 import pytest
 
--- a/tests/coordination/test_primary_calls.py
+++ b/tests/coordination/test_primary_calls.py
@@ -21,14 +21,14 @@
 
     answers: list[Message] = []
     body = FinishTurn("p", "r", 0, 60.0)
-    lives = [
+    processes = [
         PrimaryCalls("a:1", machine.clock(), Wire(), machine.world.random, lambda: "b:1", lambda: ["b:1"])
         for _ in range(2)
     ]
-    lives[0].call(body, 1.0, lambda answer: None)
-    lives[1].call(body, 1.0, answers.append)
+    processes[0].call(body, 1.0, lambda answer: None)
+    processes[1].call(body, 1.0, answers.append)
     assert sent[0].number == sent[1].number
-    lives[1].receive(Reply(sent[0].number, sent[0].incarnation, TurnFinished()))
+    processes[1].receive(Reply(sent[0].number, sent[0].incarnation, TurnFinished()))
     assert answers == []
-    lives[1].receive(Reply(sent[1].number, sent[1].incarnation, TurnFinished()))
+    processes[1].receive(Reply(sent[1].number, sent[1].incarnation, TurnFinished()))
     assert answers == [TurnFinished()]
--- a/tests/coordination/test_proposer.py
+++ b/tests/coordination/test_proposer.py
@@ -1,4 +1,4 @@
-"""Rounds for a new epoch: durable promises first, and no epochs that climb without end."""
+"""Rounds for a new epoch: own promises are durable first, and epochs do not grow without bound."""
 
 from lynxscale.coordination.acceptor_state import AcceptorStateFile, MemberIdentity
 from lynxscale.coordination.messages import Message, Prepare, address_of
@@ -6,25 +6,25 @@
 
 
 def test_member_back_from_a_partition_soon_votes_and_is_in_sync():
-    """Seen in an incident: it had promised itself epoch after epoch, and refused the primary's for good."""
+    """Regression: a partitioned member promised itself ever higher epochs and then rejected the primary's for good."""
     group = start_group()
     leader = group.wait_for_leader()
-    cut = next(a for a in group.seeds if a != address_of(leader.member_id))
+    isolated = next(a for a in group.seeds if a != address_of(leader.member_id))
     for other in group.seeds:
-        if other != cut:
-            group.world.partition(cut, other)
+        if other != isolated:
+            group.world.partition(isolated, other)
     group.world.run(group.world.time + 12)
     group.world.heal()
-    member = group.members[cut]
+    member = group.members[isolated]
     assert group.world.run_until(lambda: member.member_id in leader.record.in_sync, 1.5)
-    third = next(a for a in group.seeds if a not in (cut, address_of(leader.member_id)))
+    third = next(a for a in group.seeds if a not in (isolated, address_of(leader.member_id)))
     group.kill(third)
     assert group.put("a", 1, within=1.5)
     assert leader.leads()
 
 
 def test_own_promise_is_durable_before_any_voter_is_asked():
-    """Else its next life asks for the same epoch, and two records may stand under it."""
+    """Otherwise a restarted candidate asks for the same epoch again, and two records may be decided under it."""
     group = start_group()
     candidate = group.members[backups_of(group)[0]]
     machine = group.world.machine(address_of(candidate.member_id))
--- a/tests/coordination/test_recovery.py
+++ b/tests/coordination/test_recovery.py
@@ -32,7 +32,7 @@
 @pytest.mark.parametrize("how", ["corrupt", "truncate", "missing"])
 @pytest.mark.parametrize("where", ["middle", "last"])
 def test_a_backup_with_a_gap_in_its_files_never_leads_from_there(how, where):
-    """Seen: it led from where its chain of files broke, and eight of twelve acknowledged values were gone."""
+    """Regression: it became primary with the state before the gap; eight of twelve acknowledged values were lost."""
     for seed in range(8):
         group = start_group(seed)
         for number in range(12):
@@ -68,7 +68,7 @@
 
 
 def test_files_after_a_loss_of_power_do_not_count_as_damaged():
-    """The files that a loss of power leaves, with names that come back, must not bar every member."""
+    """Removed files whose names reappear after a power loss must not make every member ineligible."""
     for seed in range(40):
         group = start_group(seed)
         write_steadily(group, 0.011, value="x" * 2000)
--- a/tests/coordination/test_replica_progress.py
+++ b/tests/coordination/test_replica_progress.py
@@ -12,7 +12,7 @@
 
 
 def test_a_backup_that_returns_amid_steady_writes_is_soon_in_sync_again():
-    """Seen on a bench day: batches went on to a member that lacked earlier ones, so it never caught up."""
+    """Regression: new batches were sent to a member that lacked earlier ones, so it never caught up."""
     group = start_group()
     leader = group.wait_for_leader()
     backup = next(a for a in group.seeds if a != address_of(leader.member_id))
@@ -31,7 +31,7 @@
 
 
 def test_a_returning_member_is_sent_each_batch_about_once():
-    """Seen on a variant's day: each of its steps had all the rest sent again, 50 MB in 0.2 s, and the primary died."""
+    """Regression: each acknowledgement made the primary resend all later batches: 50 MB in 0.2 s, and it failed."""
     group = start_group()
     leader = group.wait_for_leader()
     backup = next(a for a in group.seeds if a != address_of(leader.member_id))
@@ -50,7 +50,7 @@
 
 
 def brought_up_amid_writes(bytes_per_s: float, within_s: float) -> bool:
-    """An emptied member behind such a link gets 20 MB while 100 writes a second go on; is it in sync in time?"""
+    """Does a wiped member receive 20 MB over such a link, during 100 writes per second, and get in sync in time?"""
     group = start_group()
     fill(group, 20)
     write_steadily(group, 0.01)
@@ -64,7 +64,7 @@
 
 
 def test_a_large_snapshot_arrives_over_a_slow_link_amid_writes():
-    """Seen: 20 MB over 1.9 MB/s with 100 writes a second never arrived, as it began again every 1.5 s."""
+    """Regression: 20 MB at 1.9 MB/s with 100 writes per second never arrived, as the transfer restarted every 1.5 s."""
     assert brought_up_amid_writes(1_900_000.0, within_s=16.0)
 
 
@@ -94,7 +94,7 @@
     group.world.run(group.world.time + 0.7)
     group.world.heal()
     assert group.world.run_until(lambda: member.member_id in group.wait_for_leader().record.in_sync, 14.0)
-    assert len(set(sent)) < 160  # of 200 and more: the rest had arrived before
+    assert len(set(sent)) < 160  # of more than 200 keys: the others had arrived before
 
 
 def test_a_replica_that_differs_is_repaired_while_writes_go_on():
@@ -117,7 +117,7 @@
 
 
 def test_a_replica_that_differs_is_out_of_the_in_sync_set_until_it_is_repaired():
-    """A copy that counts has to hold all that was committed; the comparison waits for no moment without writes."""
+    """An in-sync replica must hold everything committed; the scrub compares replicas even during writes."""
     group = start_group(size=5, tolerated=2)
     write_steadily(group, 0.004)
     member = group.members[backups_of(group)[0]]
@@ -132,12 +132,12 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_a_snapshot_amid_new_keys_has_them_all(seed):
-    """Seen on trouble-3 (copy_differs) and in history 19: a batch that went before the first part was in no part."""
+    """Regression: a batch that was sent before the first chunk was in no chunk, so the replica differed."""
     group = start_group(seed)
     fill(group, 1)
     for address, one in group.members.items():
         group.world.machine(address).sync_s = 0.004
-        one.store.recent_batches = RecentBatches()  # so that only a whole state helps
+        one.store.recent_batches = RecentBatches()  # so that the member needs a snapshot
     wiped = backups_of(group)[0]
     group.kill(wiped, power=True, wipe=True)
     number = 0
--- a/tests/coordination/test_replication.py
+++ b/tests/coordination/test_replication.py
@@ -1,4 +1,4 @@
-"""Commits: which replicas they wait for, and what becomes of submissions when the lead ends."""
+"""Commits: which replicas they wait for, and the outcome of submissions when the primary stops leading."""
 
 from lynxscale.coordination.messages import address_of
 from tests.coordination.control_groups import start_group
@@ -43,7 +43,7 @@
 
 
 def test_submissions_in_no_batch_are_undone_when_the_lead_ends():
-    """Else a member that leads again acknowledges a change that only its own memory holds."""
+    """Otherwise a member that leads again acknowledges a change that exists only in its own memory."""
     group = start_group()
     assert group.put("a", 1)
     group.world.run(group.world.time + 0.5)
--- a/tests/coordination/test_topic_publisher.py
+++ b/tests/coordination/test_topic_publisher.py
@@ -1,4 +1,4 @@
-"""Topics of a publisher: versions never go back, and a slow child is sent only the newest."""
+"""Topics of a publisher: versions never go back, and a slow child receives only the newest one."""
 
 import msgspec
 
@@ -23,7 +23,7 @@
 
 
 def test_versions_in_quick_succession_do_not_queue_up_on_a_slow_link():
-    """Seen on a variant's day: ten configurations a second on 12 Mbit/s were seconds late, as each was sent."""
+    """Regression: with ten configurations per second on 12 Mbit/s, each was sent and all were seconds late."""
     machine = World(3).machine("a:1")
     sent: list[TopicUpdate] = []
 
--- a/tests/coordination/test_vote_deference.py
+++ b/tests/coordination/test_vote_deference.py
@@ -9,7 +9,7 @@
 
 
 def test_fruitless_candidate_backs_off():
-    """Seen simulated: a member that heard no answers asked again and again, and all voters kept out of its way."""
+    """Regression: a member that received no replies kept asking, and all voters kept deferring to it."""
     world = World(1)
     machine = world.machine("a:1")
     record = EpochRecord(3, "p#0", ("p#0", "b#0", "c#0"), ("a#0", "b#0", "c#0"))
