--- a/lynxscale/coordination/acceptor.py
+++ b/lynxscale/coordination/acceptor.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeferredPromise:
-    """The promise is durable, but may be sent only in ``wait_s`` seconds, when the lease granted here has ended."""
+    """The promise is durable, but must not be sent before the granted lease ends in ``wait_s`` seconds."""
 
     wait_s: float
 
--- a/lynxscale/coordination/candidacy.py
+++ b/lynxscale/coordination/candidacy.py
@@ -46,7 +46,7 @@
         return complete and self._role.current is MemberRole.BACKUP
 
     def on_pre_vote_won(self, more_complete: str) -> None:
-        """A majority would promise. ``more_complete``: an in-sync voter that must stand instead, empty for none."""
+        """A majority would promise. ``more_complete``: an in-sync voter to take over instead, empty for none."""
         if more_complete:
             self._yield_to(self._acceptor.record, more_complete)
         else:
--- a/lynxscale/coordination/distribution_tree.py
+++ b/lynxscale/coordination/distribution_tree.py
@@ -27,13 +27,13 @@
 from lynxscale.coordination.topic_publisher import Publisher
 
 FANOUT = 4
-ATTACH_INTERVAL_S = 0.25  # between a child's requests, with up to ``FULL_RATE_RELAYS`` relays
+ATTACH_INTERVAL_S = 0.25  # interval between a child's requests, with up to ``FULL_RATE_RELAYS`` relays
 # With more relays the interval grows in proportion to their number, up to ``MAX_INTERVAL_FACTOR`` times.
 MAX_INTERVAL_FACTOR, FULL_RATE_RELAYS = 2.8, 32
-SEEK_INTERVAL_S = 0.08  # between requests while no primary is known
+SEEK_INTERVAL_S = 0.08  # interval between requests while no primary is known
 PARENT_TIMEOUT_INTERVALS = 2.4  # attach intervals without an answer after which a relay changes its parent
-MAX_AGE_INTERVALS = 4.8  # a parent whose versions were confirmed longer ago counts as partitioned
-ISOLATED_AFTER_INTERVALS = 6.4  # a relay whose versions were confirmed longer ago is isolated
+MAX_AGE_INTERVALS = 4.8  # attach intervals since the last confirmation after which a parent counts as partitioned
+ISOLATED_AFTER_INTERVALS = 6.4  # attach intervals since the last confirmation after which a relay is isolated
 PRIMARY_FALLBACK_S = 3.0  # how long a relay stays with the primary after its parent failed
 NEVER = -1e9  # seconds: earlier than every event
 
@@ -88,7 +88,7 @@
         self._heard_at = clock.now()  # time of the last message from the parent
         self._confirmed_at = NEVER
         self._fallback_until = NEVER
-        self._next_contact = 0
+        self._contact_index = 0
         self._relay_count = 0
         clock.call_later(0.0, self._tick)
 
@@ -199,6 +199,6 @@
     def _attach(self) -> None:
         target = self._parent
         if self.state is TreeState.SEEKING:
-            self._next_contact = (self._next_contact + 1) % len(self.contacts)
-            target = self.contacts[self._next_contact]
+            self._contact_index = (self._contact_index + 1) % len(self.contacts)
+            target = self.contacts[self._contact_index]
         self._network.send(target, Attach(self.address, self._zone, self.publisher.versions()))
--- a/lynxscale/coordination/election.py
+++ b/lynxscale/coordination/election.py
@@ -21,7 +21,7 @@
 RANK_DELAY_S = 0.02  # stagger between the pre-votes of in-sync members, so that they rarely collide
 MAX_JITTER_S = 0.01
 ROUNDS_REMEMBERED = 8  # pre-vote rounds whose late replies still count for the reply time
-LEAVING_DELAY_S = 0.3  # extra delay of a leaving member, so that any other member stands first
+LEAVING_DELAY_S = 0.3  # extra delay of a leaving member, so that another member becomes candidate first
 
 
 class ElectionCampaign:
@@ -54,9 +54,8 @@
         self._timer: Timer | None = None
         self._round: PreVoteRound | None = None
         self._last_round_number = 0
-        self._round_start_times: deque[tuple[int, float]] = deque(
-            maxlen=ROUNDS_REMEMBERED
-        )  # number and time of the last rounds
+        # Number and start time of the last rounds.
+        self._round_start_times: deque[tuple[int, float]] = deque(maxlen=ROUNDS_REMEMBERED)
         self._deference = VoteDeference(acceptor, clock)
 
     # Scheduling --------------------------------------------------------------------------------------
@@ -159,7 +158,7 @@
         self._network.send(address_of(request.candidate), self._reply_to(request))
 
     def on_candidacy_announced(self, message: CandidacyAnnounced) -> None:
-        """Another member is about to ask for an epoch: defer to it, unless this voter defers to a third."""
+        """Defer to a member that is about to ask for an epoch, unless this voter already defers to another one."""
         if self._deference.wait_s(message.candidate) <= 0:
             self.defer_to(message.candidate)
 
--- a/lynxscale/coordination/eligibility.py
+++ b/lynxscale/coordination/eligibility.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CandidacyDecision:
-    """Either a record to propose, or ``more_complete``, a voter that must stand instead, or neither: give up."""
+    """A record to propose, or ``more_complete``, a voter that must take over instead; neither means to give up."""
 
     record: EpochRecord | None = None
     more_complete: str = ""
--- a/lynxscale/coordination/joining.py
+++ b/lynxscale/coordination/joining.py
@@ -43,7 +43,7 @@
             self.announce()
 
     def announce(self) -> None:
-        """Announce this member to the primary; to all known members if the primary is unknown, or to leave."""
+        """Announce this member to the primary, or to all known members if there is none or this member leaves."""
         self._announced_at = self._context.clock.now()
         primary = self._tracker.address()
         if primary and not self._graceful_leave.pending:
--- a/lynxscale/coordination/leadership.py
+++ b/lynxscale/coordination/leadership.py
@@ -36,7 +36,7 @@
 TICK_S = 0.05  # interval between two calls of ``tick``
 HEARTBEAT_S = 0.08
 UNRESPONSIVE_AFTER_S = 0.32  # time without a message after which a member counts as unresponsive
-MEMBERSHIP_KNOWN_AFTER_S = 0.6  # time after which a new primary has received a message from every live member
+MEMBERSHIP_KNOWN_AFTER_S = 0.6  # time in which every live member sends a new primary a message
 GONE_AFTER_S = 3.0  # time without a message after which a machine counts as gone
 
 
@@ -105,7 +105,7 @@
         return self._nodes_within(UNRESPONSIVE_AFTER_S)
 
     def possibly_live_nodes(self) -> set[str] | None:
-        """Machines that are live, or may be although unresponsive; None before this primary can know."""
+        """Machines that are live, or may be although unresponsive; None until ``GONE_AFTER_S`` as primary."""
         return None if self._age_s < GONE_AFTER_S else self._nodes_within(GONE_AFTER_S)
 
     def _nodes_within(self, seconds: float) -> set[str]:
--- a/lynxscale/coordination/membership_plan.py
+++ b/lynxscale/coordination/membership_plan.py
@@ -15,7 +15,8 @@
 from lynxscale.coordination.quorum import is_majority
 
 MIN_VOTERS = 3
-BRIEF_SILENCE_FACTOR = 4  # multiple of ``unresponsive_after`` within which an unresponsive voter may soon respond
+# A voter that was unresponsive for less than this multiple of ``unresponsive_after`` is expected to respond again soon.
+BRIEF_SILENCE_FACTOR = 4
 
 
 def voters_wanted(tolerated: int) -> int:
--- a/lynxscale/coordination/store.py
+++ b/lynxscale/coordination/store.py
@@ -20,7 +20,7 @@
 from lynxscale.coordination.snapshot_writer import BackgroundSnapshot, Defer, SnapshotWriter, run_immediately
 from lynxscale.coordination.version_files import INITIAL_POSITION, VersionFiles
 
-NO_POSITION = Position(-1, -1)  # durable position of a member that lacks data: it cannot be in sync
+NO_POSITION = Position(-1, -1)  # durable position of a member whose files have a gap: no data that it holds counts
 REMOVED = msgspec.Raw(b"null")
 
 
--- a/lynxscale/coordination/version_files.py
+++ b/lynxscale/coordination/version_files.py
@@ -4,8 +4,8 @@
 ``state-INDEX-EPOCH`` the complete state at that position, and ``mark`` the watermark: a position known to be stored.
 
 A removed batch file that reappears after a power loss is harmless: a batch is applied only at the exact position that
-it was made for. Missing files are detected by three signs that do not fail together: a later
-batch without its predecessor, a damaged file, and the watermark.
+it was made for. Missing files are detected by three signs that do not fail together: a later batch without its
+predecessor, a damaged file, and the watermark.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
                 self._files.remove(name)
 
     def remove_others(self, position: Position) -> None:
-        """Remove all version files but the snapshot at a position: they are of a replaced state or damaged."""
+        """Remove all version files but the snapshot at a position: they belong to the replaced state or are damaged."""
         snapshot = version_name(SNAPSHOT_PREFIX, position)
         for name in self._files.names():
             if name != snapshot and position_of(name) is not None:
--- a/lynxscale/coordination/vote_deference.py
+++ b/lynxscale/coordination/vote_deference.py
@@ -15,7 +15,7 @@
 # From a won pre-vote to the lease of the new primary: a minimum time, and the acceptor writes in addition to it.
 MIN_ELECTION_S, ELECTION_WRITE_FACTOR = 0.1, 6.0
 REPLY_DECAY = 0.8  # each faster reply multiplies the slowest recent reply time by this factor
-MAX_REPLY_S = 0.3  # no voter waits for replies that take longer
+MAX_REPLY_S = 0.3  # upper limit of the reply time that rounds and elections allow for
 # Multiples of the slowest recent reply time that a round and an election are given.
 ROUND_REPLY_FACTOR, ELECTION_REPLY_FACTOR = 2.0, 5.0
 # A member that asks for this many rounds without becoming a candidate may be receiving no replies: it then has to back
--- a/lynxscale/coordination/voter.py
+++ b/lynxscale/coordination/voter.py
@@ -33,7 +33,7 @@
         self._tracker = context.tracker
         self._network = context.network
         self._campaign = campaign
-        self._deferred: Prepare | None = None  # to be answered when the lease granted here has ended
+        self._deferred: Prepare | None = None  # the request to answer when the lease granted here has ended
 
     def on_prepare(self, message: Prepare) -> None:
         """Handle a candidate's request for a promise. A primary that promises another member stops leading."""
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -41,7 +41,7 @@
 
 
 def test_pre_votes_of_an_isolated_member_do_not_disturb_the_primary():
-    """Its pre-votes are rejected, so it writes nothing and asks for no epoch, and the primary keeps leading."""
+    """The member's pre-votes are rejected, so it writes nothing and asks for no epoch; the primary keeps leading."""
     group = start_group_with_slow_disks()
     leader = group.wait_for_leader()
     backup = next(one for one in group.members.values() if one is not leader)
@@ -49,7 +49,7 @@
     group.world.partition(address_of(leader.member_id), address_of(backup.member_id), both_ways=False)
     group.world.run(group.world.time + 5)
     assert leader.leads() and backup.acceptor.state.promised in (promised, leader.record.epoch)
-    assert leader.record.epoch <= epoch + 2  # epochs only for its removal from the in-sync set
+    assert leader.record.epoch <= epoch + 2  # at most the epochs that remove it from the in-sync set
     group.world.heal()
     assert group.put("a", 1)
 
--- a/tests/coordination/test_file_scrub.py
+++ b/tests/coordination/test_file_scrub.py
@@ -51,8 +51,8 @@
     address = address_of(leader.member_id) if on_primary else backups_of(group)[0]
     files = group.world.machine(address).files
     batches = [name for name in files.names() if name.startswith(BATCH_PREFIX)]
-    places = {"first": batches[0], "middle": batches[len(batches) // 2], "last": batches[-1]}
-    name = places.get(which, which)
+    named_batches = {"first": batches[0], "middle": batches[len(batches) // 2], "last": batches[-1]}
+    name = named_batches.get(which, which)
     epoch = leader.record.epoch
     getattr(files, how)(name, group.world.random)
     assert damaged_files(group, address) == [name]
--- a/tests/coordination/test_proposer.py
+++ b/tests/coordination/test_proposer.py
@@ -24,7 +24,7 @@
 
 
 def test_own_promise_is_durable_before_any_voter_is_asked():
-    """Otherwise a restarted candidate asks for the same epoch again, and two records may be decided under it."""
+    """Otherwise a restarted candidate asks for the same epoch again, and two records may be proposed under it."""
     group = start_group()
     candidate = group.members[backups_of(group)[0]]
     machine = group.world.machine(address_of(candidate.member_id))
