--- a/lynxscale/relay/journal/cleaning_plan.py
+++ b/lynxscale/relay/journal/cleaning_plan.py
@@ -21,11 +21,11 @@
 from lynxscale.relay.journal.records import COMPLETED, MESSAGE, Record
 
 BLOCK_SIZE = 4096  # bytes: a file takes complete blocks
-LIVE_SHARE = 0.5  # of the budget for open messages: what cleaning needs besides grows without bound towards 1
-ATTEMPTS_SHARE = 0.75  # beyond it attempts are not recorded: COMPLETED records need the rest
+MAX_LIVE_SHARE = 0.5  # of the budget for open messages: what cleaning needs besides grows without bound towards 1
+MAX_SHARE_WITH_ATTEMPTS = 0.75  # beyond it attempts are not recorded: COMPLETED records need the rest
 # Free segments that must remain when another is opened: for new messages, for records of open ones, for cleaning.
 RESERVE_NEW, RESERVE_OPEN, RESERVE_CLEANING = 2, 1, 0
-SEGMENTS = 24  # that the budget is divided into
+TARGET_SEGMENTS = 24  # that the budget is divided into
 MIN_SEGMENT_SIZE, MAX_SEGMENT_SIZE = 4 * BLOCK_SIZE, 64 << 20
 MIN_SEGMENTS = 4  # however small the budget
 MIN_FREE_SEGMENTS = 3  # at so few free segments or fewer, one is cleaned
@@ -62,7 +62,7 @@
     """The account of the segments. ``budget``: bytes that all files may take, in complete blocks."""
 
     def __init__(self, budget: int) -> None:
-        size = budget // SEGMENTS // BLOCK_SIZE * BLOCK_SIZE
+        size = budget // TARGET_SEGMENTS // BLOCK_SIZE * BLOCK_SIZE
         self.segment_size = min(MAX_SEGMENT_SIZE, max(MIN_SEGMENT_SIZE, size))
         # The manifest's two files, the one that replaces one of them and the lock take a part of the budget.
         self._all_segments = max(MIN_SEGMENTS, (budget - 4 * BLOCK_SIZE) // self.segment_size - 1)
@@ -77,7 +77,7 @@
     def limit_to_share(self, share: float) -> None:
         """Use only this share of the budget from now on: another journal has the rest."""
         self.max_segments = max(MIN_SEGMENTS, int(self._all_segments * share))
-        self.max_live = int(LIVE_SHARE * self.max_segments * self.segment_size)
+        self.max_live = int(MAX_LIVE_SHARE * self.max_segments * self.segment_size)
 
     def restore(
         self, rows: Iterable[ManifestRow], records: Iterable[tuple[int, Record]], sizes: Mapping[int, int]
@@ -172,7 +172,7 @@
 
     def only_completions_fit(self) -> bool:
         """Is the remaining space reserved for COMPLETED records?"""
-        return self.live > ATTEMPTS_SHARE / LIVE_SHARE * self.max_live
+        return self.live > MAX_SHARE_WITH_ATTEMPTS / MAX_LIVE_SHARE * self.max_live
 
     def needs_new_segment(self, size: int) -> bool:
         """Is the active segment too full for a record of ``size`` bytes?"""
--- a/lynxscale/relay/journal/journal.py
+++ b/lynxscale/relay/journal/journal.py
@@ -94,17 +94,19 @@
         self._next_seq = self._next_segment = 1
         self._handle = -1  # of the active segment
         self._salt = 0  # of the active segment
-        self._last_size = 0  # of the last record, in bytes
+        self._last_record_size = 0  # of the last record, in bytes
         self._recovered_outcomes: set[int] = set()  # messages whose outcome was in the files at the start
         self._unwritten_completions: list[int] = []  # messages whose COMPLETED could not be written yet
         self._cleaning: Iterator[int] | None = None
-        self._written = 0  # bytes since the last slice of cleaning
-        self._check_empty = True  # a segment was begun since empty ones were last removed
+        self._bytes_since_cleaning = 0  # bytes since the last slice of cleaning
+        self._empty_check_due = True  # a segment was begun since empty ones were last removed
 
     # Start ---------------------------------------------------------------------------------------
 
-    def open(self, older: list[Entry] | None = None) -> list[Entry]:
-        """What earlier processes left open. ``older``: messages from a file of the legacy format, to be adopted.
+    def open(self, legacy_entries: list[Entry] | None = None) -> list[Entry]:
+        """Lock the folder, recover the open messages of earlier processes, and return them.
+
+        ``legacy_entries`` are messages from a file of the legacy format; those that are not yet here are recorded.
 
         Raises OSError where the folder cannot be read or another process has locked it, JournalFormatError where no
         manifest can be read or a newer version wrote the files.
@@ -118,7 +120,7 @@
         numbers = [number for name in names if (number := segment_number(name)) is not None]
         self._next_segment = max([self._next_segment, *(number + 1 for number in numbers)])
         recovered_ids = {entry.id for entry in self._entries.values()}
-        for entry in older or []:
+        for entry in legacy_entries or []:
             if entry.id not in recovered_ids:
                 self._append_message(entry, RESERVE_OPEN)
         self._recovered_outcomes = {uid for uid, entry in self._entries.items() if entry.outcome is not None}
@@ -246,9 +248,9 @@
         self._write(encode_record(kind, self._next_seq, payload, self._salt))
         self.plan.record_written(uid, self._next_seq, size, is_state=kind == MESSAGE, is_completion=kind == COMPLETED)
         self._next_seq += 1
-        self._last_size = size
+        self._last_record_size = size
         if reserve != RESERVE_CLEANING:
-            self._written += size
+            self._bytes_since_cleaning += size
 
     def _write(self, data: bytes) -> None:
         active = self.plan.active
@@ -303,7 +305,7 @@
             self._close_segment()
         self._handle, self._salt = handle, salt
         self.plan.segment_opened(number, self._next_seq, len(header))
-        self._check_empty = True
+        self._empty_check_due = True
 
     def _write_manifest(self, new: ManifestRow | None = None, without: frozenset[int] = frozenset()) -> None:
         """Write the manifest of the plan's segments ``without`` some; ``new``: one that is active instead. OSError."""
@@ -325,16 +327,16 @@
             self._write_completions()
         if self.cleaning_paused:
             return
-        is_low = self.plan.free_segments() <= MIN_FREE_SEGMENTS
-        if not is_low and not self._check_empty:
-            self._written = 0
+        few_segments_free = self.plan.free_segments() <= MIN_FREE_SEGMENTS
+        if not few_segments_free and not self._empty_check_due:
+            self._bytes_since_cleaning = 0
             return
-        self._check_empty = False
-        if self._cleaning is None and is_low:
+        self._empty_check_due = False
+        if self._cleaning is None and few_segments_free:
             victim = self.plan.choose_victim(self._next_seq)
             if victim is not None:
-                self._cleaning = self._carry_forward(victim)
-        quota, self._written = self.plan.cleaning_quota(self._written), 0
+                self._cleaning = self._copy_live_records(victim)
+        quota, self._bytes_since_cleaning = self.plan.cleaning_quota(self._bytes_since_cleaning), 0
         try:
             while self._cleaning is not None and quota > 0:
                 size = next(self._cleaning, None)
@@ -356,7 +358,7 @@
             self._unwritten_completions.pop()
             del self._entries[uid]
 
-    def _carry_forward(self, number: int) -> Iterator[int]:
+    def _copy_live_records(self, number: int) -> Iterator[int]:
         """Write what is live in a segment anew, message by message; yields the bytes of each."""
         for uid, completed in self.plan.live_messages(number):
             message = self.plan.messages.get(uid)
@@ -366,10 +368,10 @@
                 self._append(COMPLETED, uid, encode_completed(uid), RESERVE_CLEANING)
             else:
                 self._append(MESSAGE, uid, encode_message(uid, self._entries[uid]), RESERVE_CLEANING)
-            yield self._last_size
+            yield self._last_record_size
 
-    def _carry_all_forward(self, number: int) -> None:
-        for _size in self._carry_forward(number):
+    def _copy_all_live_records(self, number: int) -> None:
+        for _size in self._copy_live_records(number):
             pass
 
     def _clean_until_open(self, reserve: int, size: int) -> None:
@@ -381,7 +383,7 @@
             victim = self.plan.choose_victim(self._next_seq)
             if victim is None or reserve == RESERVE_CLEANING:
                 break
-            self._carry_all_forward(victim)
+            self._copy_all_live_records(victim)
             self._remove_empty()
         if not self.plan.can_open_segment(reserve, size):
             raise JournalFullError("the folder is full")
@@ -404,7 +406,7 @@
         """Carry all that is live into new segments, and remove the others; for a journal without a relay."""
         for number in list(self.plan.segments):
             if number in self.plan.segments and self.plan.segments[number] is not self.plan.active:
-                self._carry_all_forward(number)
+                self._copy_all_live_records(number)
                 self._remove_empty()
 
     def close(self) -> None:
--- a/lynxscale/relay/journal/manifest_store.py
+++ b/lynxscale/relay/journal/manifest_store.py
@@ -11,7 +11,7 @@
 
 SLOTS = ("manifest.0", "manifest.1")
 NEW_SLOT = "manifest.new"  # a slot while it is written for the first time
-SLOT_SIZE_UNIT = 4096  # bytes
+SLOT_SIZE_STEP = 4096  # bytes
 
 
 def load_manifest(storage: Storage, names: list[str]) -> Manifest | None:
@@ -55,7 +55,7 @@
         self._storage = storage
         self._generation = 0
         self._slots: set[str] = set()  # those that exist
-        self._slot_size = SLOT_SIZE_UNIT
+        self._slot_size = SLOT_SIZE_STEP
         self.is_current = True
 
     def load(self, names: list[str]) -> Manifest | None:
@@ -87,7 +87,7 @@
 
     def _create_slot(self, slot: str, data: bytes) -> None:
         """A slot's first write, or one that needs more space: atomic, and with space for many more rows."""
-        self._slot_size = max(self._slot_size, -(-len(data) // SLOT_SIZE_UNIT) * SLOT_SIZE_UNIT)
+        self._slot_size = max(self._slot_size, -(-len(data) // SLOT_SIZE_STEP) * SLOT_SIZE_STEP)
         handle = self._storage.create(NEW_SLOT)
         try:
             written = self._storage.write(handle, data.ljust(self._slot_size, b"\0"))
--- a/lynxscale/relay/journal/records.py
+++ b/lynxscale/relay/journal/records.py
@@ -65,8 +65,8 @@
     Its checksum begins from its segment's salt. Guards against a body that a client made to look like a record, should
     a reader begin to look for one in the middle of it.
     """
-    rest = RECORD_HEADER.pack(0, len(payload), kind, seq)[CHECKSUM.size :] + payload
-    return CHECKSUM.pack(crc32c(rest, salt)) + rest
+    checksummed = RECORD_HEADER.pack(0, len(payload), kind, seq)[CHECKSUM.size :] + payload
+    return CHECKSUM.pack(crc32c(checksummed, salt)) + checksummed
 
 
 def encode_message(uid: int, entry: Entry) -> bytes:
@@ -142,7 +142,7 @@
     """The message of a MESSAGE record's payload."""
     _uid, size = MESSAGE_PREFIX.unpack_from(payload)
     metadata, body = payload[MESSAGE_PREFIX.size : MESSAGE_PREFIX.size + size], payload[MESSAGE_PREFIX.size + size :]
-    accepted_at, id_, class_name, tenant, key, dest, expires, attempts, uncertain, outcome = orjson.loads(metadata)
+    accepted_at, id_, class_name, tenant, key, dest, expires, attempts, may_have_run, outcome = orjson.loads(metadata)
     return Entry(
         id_,
         class_name,
@@ -152,7 +152,7 @@
         expires,
         body,
         attempts,
-        uncertain,
+        may_have_run,
         tuple(outcome) if outcome else None,
         accepted_at,
     )
--- a/lynxscale/relay/upgrade/board.py
+++ b/lynxscale/relay/upgrade/board.py
@@ -16,13 +16,13 @@
 from pathlib import Path
 
 MAGIC, VERSION = b"LXUP", 1
-HEAD = struct.Struct("<4sHHQQIII")
-WAIT = struct.Struct("<qQ")  # key and time
+HALF_HEADER = struct.Struct("<4sHHQQIII")
+WAIT_ENTRY = struct.Struct("<qQ")  # key and time
 HALF_SIZE = 4096
-MAX_WAITS = (HALF_SIZE - HEAD.size) // WAIT.size
-SIZE = 2 * HALF_SIZE
-NAME = "board"
-IN_FLIGHT_AT, WAITS_COUNT_AT = HEAD.size - 12, HEAD.size - 8
+MAX_WAITS = (HALF_SIZE - HALF_HEADER.size) // WAIT_ENTRY.size
+BOARD_SIZE = 2 * HALF_SIZE
+FILE_NAME = "board"
+IN_FLIGHT_OFFSET, PUBLISH_COUNT_OFFSET = HALF_HEADER.size - 12, HALF_HEADER.size - 8
 COUNT = struct.Struct("<I")
 
 
@@ -40,24 +40,24 @@
     """One process's half of the file."""
 
     def __init__(self, data: mmap.mmap, index: int) -> None:
-        self._data, self._at, self.index = data, index * HALF_SIZE, index
+        self._data, self._offset, self.index = data, index * HALF_SIZE, index
         self._waits: dict[int, int] = {}
-        self._read_count = -1  # how often waits had been published when they were read last
+        self._last_publish_count = -1  # how often waits had been published when they were read last
 
     # The owner's side ----------------------------------------------------------------------------
 
     def begin(self, generation: int, inode: int) -> None:
         """This process owns it from now on."""
-        self._data[self._at : self._at + HALF_SIZE] = bytes(HALF_SIZE)
-        HEAD.pack_into(self._data, self._at, MAGIC, VERSION, Stage.STARTING, generation, inode, 0, 0, 0)
+        self._data[self._offset : self._offset + HALF_SIZE] = bytes(HALF_SIZE)
+        HALF_HEADER.pack_into(self._data, self._offset, MAGIC, VERSION, Stage.STARTING, generation, inode, 0, 0, 0)
 
     def set_stage(self, stage: Stage) -> None:
         """Publish its stage."""
-        struct.pack_into("<H", self._data, self._at + 6, stage)
+        struct.pack_into("<H", self._data, self._offset + 6, stage)
 
     def set_in_flight(self, count: int) -> None:
         """Publish how many attempts are in flight."""
-        COUNT.pack_into(self._data, self._at + IN_FLIGHT_AT, count)
+        COUNT.pack_into(self._data, self._offset + IN_FLIGHT_OFFSET, count)
 
     def publish_wait(self, key: int, until: int, now: int) -> None:
         """A peer asked this process to wait."""
@@ -68,26 +68,34 @@
         if len(waits) > MAX_WAITS:
             for expired in [one for one, end in waits.items() if end <= now] or [min(waits, key=waits.__getitem__)]:
                 del waits[expired]
-        rows = b"".join(WAIT.pack(*row) for row in waits.items())
-        self._data[self._at + HEAD.size : self._at + HEAD.size + len(rows)] = rows
-        published = COUNT.unpack_from(self._data, self._at + WAITS_COUNT_AT)[0]
-        struct.pack_into("<II", self._data, self._at + WAITS_COUNT_AT, (published + 1) & 0xFFFFFFFF, len(waits))
+        rows = b"".join(WAIT_ENTRY.pack(*row) for row in waits.items())
+        self._data[self._offset + HALF_HEADER.size : self._offset + HALF_HEADER.size + len(rows)] = rows
+        published = COUNT.unpack_from(self._data, self._offset + PUBLISH_COUNT_OFFSET)[0]
+        struct.pack_into(
+            "<II", self._data, self._offset + PUBLISH_COUNT_OFFSET, (published + 1) & 0xFFFFFFFF, len(waits)
+        )
 
     # The other's side ----------------------------------------------------------------------------
 
     def read(self) -> tuple[Stage, int, int, int] | None:
         """Stage, generation, inode and attempts in flight; None where no process of this version wrote it."""
-        magic, version, stage, generation, inode, in_flight, _published, _count = HEAD.unpack_from(self._data, self._at)
+        magic, version, stage, generation, inode, in_flight, _published, _count = HALF_HEADER.unpack_from(
+            self._data, self._offset
+        )
         if (magic, version) != (MAGIC, VERSION) or stage not in Stage.__members__.values():
             return None
         return Stage(stage), generation, inode, in_flight
 
     def wait_until(self, key: int) -> int:
         """Until when its process was asked to wait; 0 where it was not."""
-        published, count = struct.unpack_from("<II", self._data, self._at + WAITS_COUNT_AT)
-        if published != self._read_count:
-            rows = self._data[self._at + HEAD.size : self._at + HEAD.size + min(count, MAX_WAITS) * WAIT.size]
-            self._waits, self._read_count = dict(WAIT.iter_unpack(rows)), published
+        published, count = struct.unpack_from("<II", self._data, self._offset + PUBLISH_COUNT_OFFSET)
+        if published != self._last_publish_count:
+            rows = self._data[
+                self._offset + HALF_HEADER.size : self._offset
+                + HALF_HEADER.size
+                + min(count, MAX_WAITS) * WAIT_ENTRY.size
+            ]
+            self._waits, self._last_publish_count = dict(WAIT_ENTRY.iter_unpack(rows)), published
         return self._waits.get(key, 0)
 
 
@@ -95,14 +103,14 @@
     """The file, created where it is missing. Raises OSError."""
 
     def __init__(self, folder: Path) -> None:
-        handle = os.open(folder / NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        handle = os.open(folder / FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            if os.fstat(handle).st_size != SIZE:
+            if os.fstat(handle).st_size != BOARD_SIZE:
                 # Written and not only extended: a hole that cannot be filled would kill the process at its first use.
-                if os.pwrite(handle, bytes(SIZE), 0) != SIZE:
+                if os.pwrite(handle, bytes(BOARD_SIZE), 0) != BOARD_SIZE:
                     raise OSError(errno.ENOSPC, "no space for the board")
-                os.ftruncate(handle, SIZE)
-            self._data = mmap.mmap(handle, SIZE)
+                os.ftruncate(handle, BOARD_SIZE)
+            self._data = mmap.mmap(handle, BOARD_SIZE)
         finally:
             os.close(handle)
 
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -16,9 +16,9 @@
     Claim,
     InheritedJournal,
     alive,
+    append_released,
     folder_of,
-    release,
-    released,
+    read_released,
 )
 from lynxscale.relay.upgrade.journal_follower import JournalFollower
 from lynxscale.relay.upgrade.learned_file import load, save
@@ -28,10 +28,10 @@
 log = structlog.get_logger()
 
 # µs between two looks at the other process, while there is one and else:
-CHECK_INTERVAL, IDLE_CHECK_INTERVAL = 10_000, 100_000
-SLICE = 32  # messages adopted in one turn
-MAX_RELEASED = 128  # the same of released ones: they wait for their first attempt
-RETRY_INTERVAL = 200_000  # µs, where there was no space
+CHECK_INTERVAL_US, IDLE_CHECK_INTERVAL_US = 10_000, 100_000
+MAX_ADOPTED_PER_TURN = 32  # messages adopted in one turn
+MAX_RELEASED_PER_CHECK = 128  # the same of released ones: they wait for their first attempt
+RETRY_INTERVAL_US = 200_000  # µs, where there was no space
 
 
 class Handover:
@@ -104,7 +104,7 @@
         numbers = self._relay.recovery.release()
         if numbers:
             try:
-                release(self._claim.path, numbers)
+                append_released(self._claim.path, numbers)
             except OSError as error:
                 log.warning("not_released", left=len(numbers), error=str(error))  # adopted at this process's end
             self._counters.add("handover", "released", len(numbers))
@@ -135,11 +135,11 @@
             stage = Stage.NONE
         elif self._predecessor < 0:
             self._successor = generation
-        there = (stage is not Stage.NONE or self._succession.has_predecessor) and alive(
+        is_running = (stage is not Stage.NONE or self._succession.has_predecessor) and alive(
             claim.state, generation if expected else self._predecessor
         )
-        self._other = (stage if there else Stage.NONE, there)
-        return in_flight if there else 0
+        self._other = (stage if is_running else Stage.NONE, is_running)
+        return in_flight if is_running else 0
 
     def _check(self) -> None:
         in_flight = self._read_board()
@@ -159,21 +159,23 @@
                 self._limit_sockets(0.5 if action is SuccessionAction.SHARE else 1.0)
         if self._predecessor >= 0 and self._other[0] is Stage.HANDED_OVER:
             self._adopt_released()
-        self._deadlines.after(CHECK_INTERVAL if self._succession.shared else IDLE_CHECK_INTERVAL, self._check)
+        self._deadlines.after(CHECK_INTERVAL_US if self._succession.shared else IDLE_CHECK_INTERVAL_US, self._check)
 
     def _adopt_released(self) -> None:
         """The predecessor still runs, and has released some."""
         path = folder_of(self._claim.state, self._predecessor)
-        numbers, at = released(path, self._released_at)
+        numbers, at = read_released(path, self._released_at)
         if not numbers or self._follower is None or not self._follower.poll():
             return
         if self._inherited is None:
             self._inherited = InheritedJournal(self._claim.state, self._predecessor)
         entries = self._follower.entries
         left = [(number, entries[number]) for number in numbers if number in entries]
-        if self._adopt_entries(self._inherited, left[:MAX_RELEASED]):
+        if self._adopt_entries(self._inherited, left[:MAX_RELEASED_PER_CHECK]):
             # The rest at the next check: a turn must stay short.
-            done = len(numbers) if len(left) <= MAX_RELEASED else numbers.index(left[MAX_RELEASED][0])
+            done = (
+                len(numbers) if len(left) <= MAX_RELEASED_PER_CHECK else numbers.index(left[MAX_RELEASED_PER_CHECK][0])
+            )
             self._released_at += done * RELEASED_SIZE
 
     # Adoption ----------------------------------------------------------------------------
@@ -181,7 +183,7 @@
     def _adopt(self, generation: int) -> None:
         inherited = InheritedJournal(self._claim.state, generation)
         if not inherited.lock():
-            self._deadlines.after(CHECK_INTERVAL, self._adopt, generation)
+            self._deadlines.after(CHECK_INTERVAL_US, self._adopt, generation)
             return
         try:
             entries = inherited.read()
@@ -198,12 +200,12 @@
         self._adopt_slice(inherited, generation, list(entries.items()))
 
     def _adopt_slice(self, inherited: InheritedJournal, generation: int, left: list) -> None:
-        chunk = left[:SLICE]
+        chunk = left[:MAX_ADOPTED_PER_TURN]
         if chunk and not self._adopt_entries(inherited, chunk):
-            self._deadlines.after(RETRY_INTERVAL, self._adopt_slice, inherited, generation, left)
+            self._deadlines.after(RETRY_INTERVAL_US, self._adopt_slice, inherited, generation, left)
             return
-        if len(left) > SLICE:
-            self._deadlines.after(0, self._adopt_slice, inherited, generation, left[SLICE:])
+        if len(left) > MAX_ADOPTED_PER_TURN:
+            self._deadlines.after(0, self._adopt_slice, inherited, generation, left[MAX_ADOPTED_PER_TURN:])
             return
         inherited.remove()
         log.info("taken_over", folder=inherited.path.name)
--- a/lynxscale/relay/upgrade/journal_folders.py
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -15,8 +15,8 @@
 from lynxscale.relay.journal.storage import FolderStorage
 from lynxscale.relay.upgrade.board import Board, BoardHalf
 
-FIRST = "segments"
-GONE_SUFFIX = ".gone"  # of a folder that is about to be removed
+FIRST_FOLDER = "segments"
+REMOVED_SUFFIX = ".gone"  # of a folder that is about to be removed
 TAKEN_FILE = "taken"  # numbers of messages that another process has taken over
 RELEASED_FILE = "released"  # numbers of messages that its process has released while it runs
 START_LOCK = "heir"  # held by a process from its start until it is alone
@@ -26,15 +26,15 @@
 
 def generation_of(name: str) -> int | None:
     """The generation of a folder's name; None for others."""
-    if name == FIRST:
+    if name == FIRST_FOLDER:
         return 0
     stem, dot, digits = name.partition(".")
-    return int(digits) if stem == FIRST and dot and digits.isascii() and digits.isdigit() else None
+    return int(digits) if stem == FIRST_FOLDER and dot and digits.isascii() and digits.isdigit() else None
 
 
 def folder_of(state: Path, generation: int) -> Path:
     """The folder of a generation."""
-    return state / (f"{FIRST}.{generation}" if generation else FIRST)
+    return state / (f"{FIRST_FOLDER}.{generation}" if generation else FIRST_FOLDER)
 
 
 def generations(state: Path) -> list[int]:
@@ -68,31 +68,31 @@
         """Raises BlockingIOError where another process holds the folder for longer, and this is no successor."""
         end = time.monotonic() + seconds
         board = Board(self.state) if self._inode is not None else None
-        while not self._try(board):
+        while not self._try_claim(board):
             # One that was asked to stop may still be stopping: the platform starts the next at once.
             if time.monotonic() > end:
                 raise BlockingIOError(errno.EAGAIN, "another process has this journal", str(self.state))
             time.sleep(RETRY_INTERVAL_S)
 
-    def _try(self, board: Board | None) -> bool:
+    def _try_claim(self, board: Board | None) -> bool:
         """One try; with True this process holds the start lock, until ``release_start_lock``."""
         try:
             self._start_lock.lock()
         except BlockingIOError:
             return False  # there are two processes already
-        there = generations(self.state)
-        live = [number for number in there if not _is_free(folder_of(self.state, number))]
+        existing = generations(self.state)
+        live = [number for number in existing if not _is_free(folder_of(self.state, number))]
         halves = board.halves() if board is not None else None
         if not live:
-            self.is_successor, self.generation = False, there[-1] if there else 0
+            self.is_successor, self.generation = False, existing[-1] if existing else 0
             index = 0
         elif len(live) == 1 and halves is not None and (index := self._half_of(halves, live[0])) is not None:
-            self.is_successor, self.generation, self.predecessor = True, there[-1] + 1, live[0]
+            self.is_successor, self.generation, self.predecessor = True, existing[-1] + 1, live[0]
             index = 1 - index
         else:
             self._start_lock.unlock()
             return False
-        self.earlier = [number for number in there if number != self.generation]
+        self.earlier = [number for number in existing if number != self.generation]
         if halves is not None:
             self.half, self.other = halves[index], halves[1 - index]
             self.half.begin(self.generation, self._inode or 0)
@@ -150,12 +150,12 @@
         manifest = load_manifest(self._storage, names)
         if manifest is None:
             return {}
-        found = recover(manifest, read_segments(self._storage, manifest, names))
-        self.gaps = found.gaps
+        recovered = recover(manifest, read_segments(self._storage, manifest, names))
+        self.gaps = recovered.gaps
         data = self._storage.read(TAKEN_FILE) if TAKEN_FILE in names else b""
         # A truncated number is of a message that the successor has and never sent: it knows it by its id.
         taken = {number for (number,) in UID.iter_unpack(data[: len(data) // UID.size * UID.size])}
-        return {uid: entry for uid, entry in found.entries.items() if uid not in taken}
+        return {uid: entry for uid, entry in recovered.entries.items() if uid not in taken}
 
     def mark_taken(self, numbers: list[int]) -> None:
         """Another process has these in its journal from now on. Raises OSError: then they must not be sent."""
@@ -185,14 +185,14 @@
     def remove(self) -> None:
         """All messages are taken: remove the folder, atomically."""
         self.close()
-        gone = self.path.with_name(self.path.name + GONE_SUFFIX)
+        removed = self.path.with_name(self.path.name + REMOVED_SUFFIX)
         with suppress(OSError):
-            os.rename(self.path, gone)
-            shutil.rmtree(gone, ignore_errors=True)
+            os.rename(self.path, removed)
+            shutil.rmtree(removed, ignore_errors=True)
         self._storage.unlock()
 
 
-def release(path: Path, numbers: list[int]) -> None:
+def append_released(path: Path, numbers: list[int]) -> None:
     """Release messages to the successor. Raises OSError: it then gets them once this process ends."""
     handle = os.open(path / RELEASED_FILE, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     try:
@@ -201,18 +201,18 @@
         os.close(handle)
 
 
-def released(path: Path, at: int) -> tuple[list[int], int]:
-    """What was released from byte ``at`` on, and where to read on."""
+def read_released(path: Path, offset: int) -> tuple[list[int], int]:
+    """What was released from byte ``offset`` on, and where to read on."""
     with suppress(OSError), open(path / RELEASED_FILE, "rb") as file:
-        file.seek(at)
+        file.seek(offset)
         data = file.read()
         complete = len(data) // UID.size * UID.size
-        return [number for (number,) in UID.iter_unpack(data[:complete])], at + complete
-    return [], at
+        return [number for (number,) in UID.iter_unpack(data[:complete])], offset + complete
+    return [], offset
 
 
 def remove_leftovers(state: Path) -> None:
     """Remove what an earlier process was about to remove."""
     for path in state.iterdir():
-        if path.name.endswith(GONE_SUFFIX) and generation_of(path.name.removesuffix(GONE_SUFFIX)) is not None:
+        if path.name.endswith(REMOVED_SUFFIX) and generation_of(path.name.removesuffix(REMOVED_SUFFIX)) is not None:
             shutil.rmtree(path, ignore_errors=True)
--- a/lynxscale/relay/upgrade/journal_follower.py
+++ b/lynxscale/relay/upgrade/journal_follower.py
@@ -24,9 +24,9 @@
         self._path = path
         self.entries: dict[int, Entry] = {}
         self._ids: dict[str, int] = {}
-        self._number = -1  # the segment that is read
+        self._segment_number = -1  # the segment that is read
         self._handle = -1
-        self._at = self._salt = 0
+        self._offset = self._salt = 0
         self._last_seq = 0  # of the last record
 
     def close(self) -> None:
@@ -44,13 +44,13 @@
     def poll(self) -> bool:
         """Read what is new; False where the journal cannot be read just now."""
         try:
-            if self._number < 0:
+            if self._segment_number < 0:
                 self._begin()
             while self._read() or self._next_segment():
                 pass
         except (OSError, JournalFormatError):
             self.close()
-            self._number = -1  # from the start at the next poll
+            self._segment_number = -1  # from the start at the next poll
             return False
         return True
 
@@ -61,48 +61,56 @@
         if manifest is None or not manifest.rows:
             return
         rows = sorted(manifest.rows, key=lambda row: row.first_seq)
-        found = recover(manifest, {row.number: storage.read(segment_name(row.number)) for row in rows})
+        recovered = recover(manifest, {row.number: storage.read(segment_name(row.number)) for row in rows})
         last = rows[-1].number
-        if last not in found.salts:
+        if last not in recovered.salts:
             return  # its head is not written yet
         self._handle = os.open(self._path / segment_name(last), os.O_RDONLY | os.O_CLOEXEC)
-        self._number, self._at, self._salt = last, found.sizes[last], found.salts[last]
-        self.entries, self._last_seq = found.entries, found.next_seq - 1
+        self._segment_number, self._offset, self._salt = last, recovered.sizes[last], recovered.salts[last]
+        self.entries, self._last_seq = recovered.entries, recovered.next_seq - 1
         self._ids = {entry.id: uid for uid, entry in self.entries.items()}
 
     def _read(self) -> bool:
         """More of the segment; False at its end."""
         if self._handle < 0:
             return False
-        data = os.pread(self._handle, MAX_READ_BYTES, self._at)
-        before = self._at
-        for one in read_records(data, 0, self._salt):
-            self._at += one.size
-            if one.seq <= self._last_seq:
+        data = os.pread(self._handle, MAX_READ_BYTES, self._offset)
+        start = self._offset
+        for record in read_records(data, 0, self._salt):
+            self._offset += record.size
+            if record.seq <= self._last_seq:
                 continue
-            self._last_seq = one.seq
-            ended = self.entries.get(one.uid) if one.kind == COMPLETED else None
-            apply_record(self.entries, one)
+            self._last_seq = record.seq
+            ended = self.entries.get(record.uid) if record.kind == COMPLETED else None
+            apply_record(self.entries, record)
             if ended is not None:
                 self._ids.pop(ended.id, None)
-            elif one.kind == MESSAGE:
-                self._ids[self.entries[one.uid].id] = one.uid
-        return self._at > before
+            elif record.kind == MESSAGE:
+                self._ids[self.entries[record.uid].id] = record.uid
+        return self._offset > start
 
     def _next_segment(self) -> bool:
         """On to the next segment, if there is one."""
         if self._handle < 0:
             return False
         with suppress(FileNotFoundError):
-            handle = os.open(self._path / segment_name(self._number + 1), os.O_RDONLY | os.O_CLOEXEC)
+            handle = os.open(self._path / segment_name(self._segment_number + 1), os.O_RDONLY | os.O_CLOEXEC)
             try:
-                _number, _first, salt = decode_segment_header(os.pread(handle, SEGMENT_HEADER_SIZE, 0))
+                _segment_number, _first, salt = decode_segment_header(os.pread(handle, SEGMENT_HEADER_SIZE, 0))
             except JournalFormatError:
                 os.close(handle)
                 return False  # its head is not complete yet
             self.close()
-            self._handle, self._number, self._at, self._salt = handle, self._number + 1, SEGMENT_HEADER_SIZE, salt
+            self._handle, self._segment_number, self._offset, self._salt = (
+                handle,
+                self._segment_number + 1,
+                SEGMENT_HEADER_SIZE,
+                salt,
+            )
             return True
-        if any(name.endswith(SEGMENT_SUFFIX) and name > segment_name(self._number) for name in os.listdir(self._path)):
+        if any(
+            name.endswith(SEGMENT_SUFFIX) and name > segment_name(self._segment_number)
+            for name in os.listdir(self._path)
+        ):
             raise OSError(errno.ENOENT, "a segment was skipped")
         return False
--- a/lynxscale/relay/upgrade/learned_file.py
+++ b/lynxscale/relay/upgrade/learned_file.py
@@ -14,9 +14,9 @@
 
 log = structlog.get_logger()
 
-NAME, VERSION = "knowledge", 1
+FILE_NAME, VERSION = "knowledge", 1
 MAX_BYTES = 64 << 10  # beyond it nothing is stored, as the folder is small
-MAX_AGE = 15_000_000  # µs: what is older is outdated
+MAX_AGE_US = 15_000_000  # µs: what is older is outdated
 
 
 def save(state: Path, learned: dict[str, Any], name_of: Callable[[int], tuple[str, str] | None], now: int) -> None:
@@ -35,10 +35,10 @@
     )
     if len(data) > MAX_BYTES:
         return
-    new = state / f"{NAME}.new"
+    new = state / f"{FILE_NAME}.new"
     try:
         new.write_bytes(data)
-        os.replace(new, state / NAME)
+        os.replace(new, state / FILE_NAME)
     except OSError as error:
         log.warning("learned_not_saved", error=str(error))
         with suppress(OSError):
@@ -51,10 +51,14 @@
     ``number_of``: of an id at an address, None where that is not listed.
     """
     try:
-        learned = orjson.loads((state / NAME).read_bytes())
-        (state / NAME).unlink()
+        learned = orjson.loads((state / FILE_NAME).read_bytes())
+        (state / FILE_NAME).unlink()
         age = time.time_ns() // 1000 - learned["unix"]
-        if learned["version"] != VERSION or not 0 <= age <= MAX_AGE or not 0 <= now - learned["now"] <= 2 * MAX_AGE:
+        if (
+            learned["version"] != VERSION
+            or not 0 <= age <= MAX_AGE_US
+            or not 0 <= now - learned["now"] <= 2 * MAX_AGE_US
+        ):
             return None
         learned["endpoints"] = [
             [number, *row[1:]] for row in learned["endpoints"] if (number := number_of(*row[0])) is not None
--- a/lynxscale/relay/upgrade/succession.py
+++ b/lynxscale/relay/upgrade/succession.py
@@ -27,10 +27,10 @@
     def advance(self, other: Stage, alive: bool) -> list[SuccessionAction]:
         """What is due. ``other``: the stage of the other process on the board; ``alive``: it holds its folder."""
         actions = []
-        there = alive and other is not Stage.NONE
-        if there != self.shared:
-            self.shared = there
-            actions.append(SuccessionAction.SHARE if there else SuccessionAction.ALONE)
+        other_runs = alive and other is not Stage.NONE
+        if other_runs != self.shared:
+            self.shared = other_runs
+            actions.append(SuccessionAction.SHARE if other_runs else SuccessionAction.ALONE)
         if self.waiting and (not alive or other is Stage.HANDED_OVER):
             self.waiting = False
             actions.append(SuccessionAction.ACCEPT)
--- a/lynxscale/relay/upstream/background.py
+++ b/lynxscale/relay/upstream/background.py
@@ -15,15 +15,15 @@
 from lynxscale.relay.deadlines import Deadlines
 from lynxscale.relay.upstream.model import SlicedWork
 
-MAX_HOLD_NS = 1_500_000  # of the loop at a time; the scheduler's step on what was applied meanwhile adds to it
+MAX_BLOCKING_NS = 1_500_000  # of the loop at a time; the scheduler's step on what was applied meanwhile adds to it
 
 
 class SlicedRunner:
-    """Runs work in slices; ``longest`` is the longest that it has blocked the loop so far, in ns."""
+    """Runs work in slices; ``longest_block_ns`` is the longest that it has blocked the loop so far, in ns."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self._deadlines = deadlines
-        self.longest = 0
+        self.longest_block_ns = 0
 
     def run(self, work: SlicedWork, large: bool) -> Deferred:
         """Fires with the result, or the failure. ``large``: it creates very many objects that stay."""
@@ -41,7 +41,7 @@
         try:
             while True:
                 next(work)
-                if time.monotonic_ns() - started >= MAX_HOLD_NS:
+                if time.monotonic_ns() - started >= MAX_BLOCKING_NS:
                     break
         except StopIteration as end:
             result, ended = end.value, True
@@ -51,7 +51,7 @@
             return
         else:
             ended = False
-        self.longest = max(self.longest, time.monotonic_ns() - started)
+        self.longest_block_ns = max(self.longest_block_ns, time.monotonic_ns() - started)
         if ended:
             self._finish(large)
             done.callback(result)
--- a/lynxscale/relay/upstream/endpoint_table.py
+++ b/lynxscale/relay/upstream/endpoint_table.py
@@ -15,7 +15,7 @@
 from lynxscale.relay.upstream.slow_start import SlowStart
 from lynxscale.scheduling.events import Lifecycle, Member
 
-FORGET_DESTINATION_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
+DESTINATION_RETENTION_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
 
 
 class EndpointTable:
@@ -27,8 +27,8 @@
         self.slow_start = slow_start
         self._numbers: dict[str, int] = {}
         self._by_number: dict[int, Endpoint] = {}
-        self._listed: dict[int, int] = {}  # destinations and how many endpoints each has
-        self._left: dict[int, int] = {}  # destinations without an endpoint, and since when
+        self._endpoint_counts: dict[int, int] = {}  # destinations and how many endpoints each has
+        self._emptied_at: dict[int, int] = {}  # destinations without an endpoint, and since when
         self._next_number = count(1).__next__
 
     def __len__(self) -> int:
@@ -36,11 +36,11 @@
 
     def has_destination(self, destination: int, now: int) -> bool:
         """Does the list have this destination, or did it until lately?"""
-        if destination in self._listed:
+        if destination in self._endpoint_counts:
             return True
-        if destination in self._left and now - self._left[destination] > FORGET_DESTINATION_MS * 1000:
-            del self._left[destination]
-        return destination in self._left
+        if destination in self._emptied_at and now - self._emptied_at[destination] > DESTINATION_RETENTION_MS * 1000:
+            del self._emptied_at[destination]
+        return destination in self._emptied_at
 
     def entry(self, number: int) -> Endpoint | None:
         """The endpoint of a number, while it is listed."""
@@ -59,14 +59,14 @@
 
         Returns the scheduler's members, drains and removals first, and the numbers that were removed.
         """
-        first: list[Member] = []
-        last: list[Member] = []
+        drains_and_removals: list[Member] = []
+        other_members: list[Member] = []
         removed: list[int] = []
         for id_, entry in changes:
             number = self._numbers.get(id_)
             before = self._by_number[number] if number is not None else None
             if before is not None and (entry is None or not entry.same_endpoint(before)):
-                first.append(self._member(number, before, Lifecycle.GONE))
+                drains_and_removals.append(self._member(number, before, Lifecycle.GONE))
                 self._remove(number, before, now)
                 removed.append(number)
                 before = None
@@ -77,10 +77,10 @@
             elif entry.weight != before.weight:
                 self.slow_start.set_target(number, now, before.weight, entry.weight)
             self._by_number[number] = entry
-            (first if entry.lifecycle == Lifecycle.DRAINING else last).append(
+            (drains_and_removals if entry.lifecycle == Lifecycle.DRAINING else other_members).append(
                 self._member(number, entry, entry.lifecycle)
             )
-        return first + last, removed
+        return drains_and_removals + other_members, removed
 
     def members(self) -> list[Member]:
         """All of it."""
@@ -95,17 +95,17 @@
 
     def _add(self, id_: str, entry: Endpoint) -> int:
         number = self._numbers[id_] = self._next_number()
-        self._listed[entry.destination] = self._listed.get(entry.destination, 0) + 1
-        self._left.pop(entry.destination, None)
+        self._endpoint_counts[entry.destination] = self._endpoint_counts.get(entry.destination, 0) + 1
+        self._emptied_at.pop(entry.destination, None)
         return number
 
     def _remove(self, number: int, entry: Endpoint, now: int) -> None:
         del self._numbers[entry.id], self._by_number[number]
         self.slow_start.forget(number)
-        self._listed[entry.destination] -= 1
-        if not self._listed[entry.destination]:
-            del self._listed[entry.destination]
-            self._left[entry.destination] = now
+        self._endpoint_counts[entry.destination] -= 1
+        if not self._endpoint_counts[entry.destination]:
+            del self._endpoint_counts[entry.destination]
+            self._emptied_at[entry.destination] = now
 
     def _member(self, number: int, entry: Endpoint, lifecycle: Lifecycle) -> Member:
         return Member(
--- a/lynxscale/relay/upstream/file_watch.py
+++ b/lynxscale/relay/upstream/file_watch.py
@@ -24,7 +24,7 @@
 from lynxscale.relay.exceptions import StoredListCorruptError
 from lynxscale.relay.upstream import file_scan, files
 from lynxscale.relay.upstream.background import SlicedRunner, Worker
-from lynxscale.relay.upstream.file_scan import FileView, Scan
+from lynxscale.relay.upstream.file_scan import FileReadResult, Scan
 from lynxscale.relay.upstream.group import FILES, Group
 from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.relay.upstream.model import (
@@ -33,9 +33,9 @@
     Endpoint,
     ListOutcome,
     ListVerdict,
-    Shards,
+    ShardedDict,
     SlicedWork,
-    release,
+    clear_in_slices,
     run_to_end,
 )
 from lynxscale.relay.upstream.rules import guards_of
@@ -45,13 +45,13 @@
 log = structlog.get_logger()
 
 # µs:
-SCAN_GAP = 100_000  # between the end of a scan and the next one: bounds the work that a flapping file makes
-UNSTEADY_SCAN_GAP = 10_000  # where a file changed while it was read
-INCOMPLETE_REPORT_AFTER = 5_000_000  # an incomplete file that stays one so long is reported
-SLOW_SCAN = 1_000_000  # a scan that takes so long is reported: nothing new can be known meanwhile
+MIN_SCAN_DELAY_US = 100_000  # between the end of a scan and the next one: bounds the work that a flapping file makes
+UNSTEADY_SCAN_DELAY_US = 10_000  # where a file changed while it was read
+INCOMPLETE_REPORT_DELAY_US = 5_000_000  # an incomplete file that stays one so long is reported
+SLOW_SCAN_US = 1_000_000  # a scan that takes so long is reported: nothing new can be known meanwhile
 MAX_WATCHED_FILES = 1024  # that have, or had, a list in force: guards against a writer of ever new names
 LARGE_FILE_BYTES = 64 << 10  # of a file from which on its objects are very many
-REPORTED = 1 << 62  # in place of the time since which a file is incomplete, once that was reported
+INCOMPLETE_REPORTED = 1 << 62  # in place of the time since which a file is incomplete, once that was reported
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     digest: str = ""  # in force
     entries: dict[str, Endpoint] = field(default_factory=dict)  # in force
     destinations: dict[int, Destination] = field(default_factory=dict)  # in force
-    known: Shards = field(default_factory=Shards)  # its lines, for the next version
+    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # its lines, for the next version
     stamp: file_scan.FileStamp = ()
     last_digest: str = ""  # of what was read last
     pending: ListVerdict | None = None  # awaits approval, or that another file gives up what this one wants
@@ -102,7 +102,7 @@
         self._timer: Deadline | None = None  # of the next scan
         self._scanning = self._scan_again = self._stopped = False
         self._excess_reported = False  # that there are more files than MAX_WATCHED_FILES
-        self._rows: list[dict] = []
+        self._verdict_rows: list[dict] = []
         self._version = 0
 
     # Source --------------------------------------------------------------------------------------
@@ -145,7 +145,7 @@
         if verdict.outcome != ListOutcome.APPLIED:
             log.error("list_restore_failed", unit=path, error=" | ".join(map(str, verdict.reasons[:3])))
             return
-        run_to_end(self._apply(file, verdict, reading.known))
+        run_to_end(self._apply(file, verdict, reading.parsed_lines))
         log.info("list_restored", unit=path, version=file.version, digest=digest[:16], endpoints=len(file.entries))
         if not reported:
             # Guards its verdict against the end of a process that had stored it and not reported it yet: nothing about
@@ -164,7 +164,7 @@
         if self._scanning:
             self._scan_again = True
         elif not self._stopped:
-            self._schedule(SCAN_GAP)
+            self._schedule(MIN_SCAN_DELAY_US)
 
     # When to scan --------------------------------------------------------------------------------
 
@@ -204,7 +204,7 @@
 
     def _scan(self) -> None:
         self._scanning, self._scan_again = True, False
-        slow_timer = self._deadlines.after(SLOW_SCAN, self._report_slow)
+        slow_timer = self._deadlines.after(SLOW_SCAN_US, self._report_slow)
         stamps = {path: file.stamp for path, file in self._files.items()}
         any_pending = any(file.pending is not None for file in self._files.values())
         approved: Callable = self._lists.approved_digests if any_pending else frozenset
@@ -214,7 +214,7 @@
         done.addCallback(self._scan_finished, slow_timer)
 
     def _report_slow(self) -> None:
-        self._reporter.event("list_scan_slow", seconds=SLOW_SCAN / 1e6)
+        self._reporter.event("list_scan_slow", seconds=SLOW_SCAN_US / 1e6)
         self._counters.add("lists", "slow_looks")
 
     def _failed(self, failure: Failure) -> None:
@@ -228,40 +228,40 @@
             return
         self._group.has_list = True
         if unsteady:
-            self._schedule(UNSTEADY_SCAN_GAP)
-        self._schedule(SCAN_GAP if self._scan_again else self._conf.poll)
+            self._schedule(UNSTEADY_SCAN_DELAY_US)
+        self._schedule(MIN_SCAN_DELAY_US if self._scan_again else self._conf.poll)
 
     # What a scan found -------------------------------------------------------------------------------
 
     @inlineCallbacks
-    def _scanned(self, found: Scan, slow_timer: Deadline) -> Generator[Deferred, Any, bool]:
+    def _scanned(self, scan: Scan, slow_timer: Deadline) -> Generator[Deferred, Any, bool]:
         """Process what a scan found; whether some file was unsteady."""
         self._deadlines.cancel(slow_timer)
         if self._stopped:
             return False
-        self._watch_folders(found.folders)
-        for fault in found.faults:
+        self._watch_folders(scan.folders)
+        for fault in scan.faults:
             if fault not in self._path_faults:
                 self._reporter.event("list_path", error=fault)
-        self._path_faults = found.faults
+        self._path_faults = scan.faults
         unsteady = applied = False
-        for view in found.views:
-            file = self._file_of(view.path)
+        for result in scan.results:
+            file = self._file_of(result.path)
             if file is None:
                 continue
-            if view.what == file_scan.BYTES:
-                file.stamp = view.stamp
-                applied |= yield self._process(file, view)
-            elif view.what == file_scan.ABSENT and not file.entries and file.path not in self._conf.files:
+            if result.status == file_scan.BYTES:
+                file.stamp = result.stamp
+                applied |= yield self._process(file, result)
+            elif result.status == file_scan.ABSENT and not file.entries and file.path not in self._conf.files:
                 yield self._forget(file)
-            elif view.what in (file_scan.ABSENT, file_scan.UNREADABLE):
-                self._mark_stale(file, view)
-            elif view.what in (file_scan.UNSTEADY, file_scan.LATER):
+            elif result.status in (file_scan.ABSENT, file_scan.UNREADABLE):
+                self._mark_stale(file, result)
+            elif result.status in (file_scan.UNSTEADY, file_scan.LATER):
                 unsteady = True
             self._report_incomplete(file)
-        yield self._retry_pending(found.approved, applied)
-        if self._rows:
-            rows, self._rows = self._rows, []
+        yield self._retry_pending(scan.approved, applied)
+        if self._verdict_rows:
+            rows, self._verdict_rows = self._verdict_rows, []
             yield self._write(self._lists.append_verdicts, rows)
         return unsteady
 
@@ -277,8 +277,8 @@
 
     def _report_incomplete(self, file: WatchedFile) -> None:
         since = file.incomplete_since
-        if since is not None and self._deadlines.now() - since > INCOMPLETE_REPORT_AFTER:
-            file.incomplete_since = REPORTED
+        if since is not None and self._deadlines.now() - since > INCOMPLETE_REPORT_DELAY_US:
+            file.incomplete_since = INCOMPLETE_REPORTED
             self._reporter.event("list_half_written", unit=file.path, wanted="a closing line: end COUNT")
 
     def _report_excess(self, path: str) -> None:
@@ -296,25 +296,27 @@
         if file.version is not None:
             yield self._write(self._lists.remove_good, file.path)
 
-    def _mark_stale(self, file: WatchedFile, view: FileView) -> None:
+    def _mark_stale(self, file: WatchedFile, result: FileReadResult) -> None:
         file.stamp, file.incomplete_since = (), None
-        if file.stale_reason != view.reason:
-            file.stale_reason = view.reason
+        if file.stale_reason != result.reason:
+            file.stale_reason = result.reason
             self._counters.add("lists", "stale")
             self._reporter.event(
-                "list_stale", unit=file.path, reason=view.reason, kept=file.version, endpoints=len(file.entries)
+                "list_stale", unit=file.path, reason=result.reason, kept=file.version, endpoints=len(file.entries)
             )
 
     @inlineCallbacks
-    def _process(self, file: WatchedFile, view: FileView) -> Generator[Deferred, Any, bool]:
+    def _process(self, file: WatchedFile, result: FileReadResult) -> Generator[Deferred, Any, bool]:
         """Parse and validate a file that was read; whether it was applied."""
         if file.stale_reason:
             file.stale_reason = ""
             self._reporter.event("list_back", unit=file.path)
-        if view.digest == file.last_digest:
+        if result.digest == file.last_digest:
             return False  # touched, or read before its times were certain
-        file.last_digest = view.digest
-        reading = yield self._run(files.read(view.data, file.path, self._rules, file.known, view.digest), view.data)
+        file.last_digest = result.digest
+        reading = yield self._run(
+            files.read(result.data, file.path, self._rules, file.parsed_lines, result.digest), result.data
+        )
         if not reading.complete:
             file.incomplete_since = self._deadlines.now()
             return False
@@ -322,10 +324,10 @@
         yield self._discard_pending(file)
         if reading.candidate is None:
             self._report(
-                ListVerdict(CandidateList(file.path, 0, view.digest, {}, {}), ListOutcome.REJECTED, reading.faults)
+                ListVerdict(CandidateList(file.path, 0, result.digest, {}, {}), ListOutcome.REJECTED, reading.faults)
             )
             return False
-        return (yield self._validate(file, reading.candidate, reading.known, view.data, frozenset()))
+        return (yield self._validate(file, reading.candidate, reading.parsed_lines, result.data, frozenset()))
 
     @inlineCallbacks
     def _discard_pending(self, file: WatchedFile) -> Generator[Deferred, Any, None]:
@@ -336,16 +338,21 @@
 
     @inlineCallbacks
     def _validate(
-        self, file: WatchedFile, candidate: CandidateList, known: Shards, data: bytes, approved: frozenset[str]
+        self,
+        file: WatchedFile,
+        candidate: CandidateList,
+        parsed_lines: ShardedDict,
+        data: bytes,
+        approved: frozenset[str],
     ) -> Generator[Deferred, Any, bool]:
         """Validate a version and do what its verdict says; whether it was applied. ``approved``: digests."""
         verdict = yield self._run(evaluate(file.active_list(), candidate, self._owners, self._guards, approved), data)
         if verdict.outcome == ListOutcome.SAME:
             return False
-        again = file.pending is not None and file.pending.candidate.digest == candidate.digest
+        was_pending = file.pending is not None and file.pending.candidate.digest == candidate.digest
         file.pending, file.pending_data = None, b""
         if verdict.outcome != ListOutcome.REJECTED:
-            yield self._run(self._apply(file, verdict, known), data)
+            yield self._run(self._apply(file, verdict, parsed_lines), data)
         elif verdict.changes.drained:
             yield self._run(self._apply_drains(file, verdict), data)
         if verdict.outcome == ListOutcome.APPLIED:
@@ -353,9 +360,9 @@
             yield self._write(self._lists.remove_awaiting, candidate.digest)
         else:
             file.pending, file.pending_data = verdict, data
-            if verdict.outcome == ListOutcome.AWAITING_APPROVAL and not again:
+            if verdict.outcome == ListOutcome.AWAITING_APPROVAL and not was_pending:
                 yield self._write(self._lists.save_awaiting, candidate.digest, data)
-        if not again or verdict.outcome == ListOutcome.APPLIED:
+        if not was_pending or verdict.outcome == ListOutcome.APPLIED:
             self._report(verdict)
         return verdict.outcome == ListOutcome.APPLIED
 
@@ -367,39 +374,39 @@
                 pending = file.pending
                 if pending is None or not (applied or pending.candidate.digest in approved):
                     continue
-                if (yield self._validate(file, pending.candidate, file.known, file.pending_data, approved)):
+                if (yield self._validate(file, pending.candidate, file.parsed_lines, file.pending_data, approved)):
                     applied = True
                     break
             else:
                 return
 
-    def _apply(self, file: WatchedFile, verdict: ListVerdict, known: Shards) -> SlicedWork[None]:
+    def _apply(self, file: WatchedFile, verdict: ListVerdict, parsed_lines: ShardedDict) -> SlicedWork[None]:
         """Put the entries of a verdict in force."""
         old, candidate = file.entries, verdict.candidate
         if verdict.outcome == ListOutcome.APPLIED:
             destinations = candidate.destinations
-            before, file.known = file.known, known
+            before, file.parsed_lines = file.parsed_lines, parsed_lines
             file.version, file.digest = candidate.version, candidate.digest
-            if before is not known:
-                yield from before.release()
+            if before is not parsed_lines:
+                yield from before.clear_in_slices()
         else:
             destinations = file.destinations
         self._version += 1
         yield from self._group.replace(FILES, self._version, old, verdict.entries)
         yield from self._owners.replace(file.path, old, verdict.entries, destinations)
         file.entries, file.destinations = verdict.entries, destinations
-        yield from release(old)
+        yield from clear_in_slices(old)
 
     def _apply_drains(self, file: WatchedFile, verdict: ListVerdict) -> SlicedWork[None]:
-        return self._apply(file, verdict, file.known)
+        return self._apply(file, verdict, file.parsed_lines)
 
     def _report(self, verdict: ListVerdict) -> None:
         self._counters.add("lists", verdict.outcome.value)
-        self._rows.append(self._reporter.report(FILES, verdict))
+        self._verdict_rows.append(self._reporter.report(FILES, verdict))
 
     def _run(self, work: SlicedWork, data: bytes) -> Deferred:
         done = self._runner.run(work, len(data) >= LARGE_FILE_BYTES)
-        self._counters.most("lists", "longest_hold_us", self._runner.longest // 1000)
+        self._counters.most("lists", "longest_hold_us", self._runner.longest_block_ns // 1000)
         return done
 
     @inlineCallbacks
--- a/lynxscale/relay/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -20,13 +20,13 @@
 from lynxscale.relay.conf.networks import Nets
 from lynxscale.relay.exceptions import InvalidListError
 from lynxscale.relay.upstream.model import (
+    ENTRIES_PER_SLICE,
     MAX_DESTINATIONS,
     MAX_WEIGHT,
-    SLICE,
     CandidateList,
     Destination,
     Endpoint,
-    Shards,
+    ShardedDict,
     SlicedWork,
     line_number_of,
 )
@@ -36,17 +36,17 @@
 MAX_FILE_BYTES = 16 << 20  # bytes: guards against a device or a log named by mistake
 MAX_JSON_BYTES = 512 << 10  # its parser is one call, that blocks the loop for some ms
 MAX_LINE_CHARS = 4096
-PART_BYTES = 32 << 10  # parsed between two points at which the work may be interrupted
+CHUNK_BYTES = 32 << 10  # parsed between two points at which the work may be interrupted
 MAX_ENTRIES = 65_536
 MAX_FAULTS = 50
 MAX_ID_CHARS = 200
 MAX_GENERATION = 1 << 62
-CLOSED = re.compile(rb"(?:\A|\n)end [0-9]+(?: crc32c [0-9a-f]{8})?\r?\n\Z")
-CONTROL = re.compile(rb"[\x00-\x08\x0b-\x1f\x7f]")
+CLOSING_LINE = re.compile(rb"(?:\A|\n)end [0-9]+(?: crc32c [0-9a-f]{8})?\r?\n\Z")
+CONTROL_BYTE = re.compile(rb"[\x00-\x08\x0b-\x1f\x7f]")
 NUMBER = re.compile(r"[0-9]{1,19}")
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 LIFECYCLES = {"ready": Lifecycle.READY, "draining": Lifecycle.DRAINING}
-KEYS = ("destination", "zone", "kind", "weight", "since")
+ENDPOINT_KEYS = ("destination", "zone", "kind", "weight", "since")
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +61,13 @@
 
 
 @dataclass(slots=True)
-class Reading:
+class ParseResult:
     """A parsed file. ``candidate`` is None where there are faults, or no closing line."""
 
     candidate: CandidateList | None = None
     faults: list[Fault] = field(default_factory=list)
     complete: bool = True  # it has its closing line
-    known: Shards = field(default_factory=Shards)  # its lines and their entries, for the next version
+    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # its lines and their entries, for the next version
 
 
 def digest_of(data: bytes) -> str:
@@ -76,56 +76,56 @@
 
 
 def read(
-    data: bytes, unit: str, rules: Rules, known: Shards | None = None, digest: str | None = None
-) -> SlicedWork[Reading]:
-    """Parse a file's bytes; ``known`` has lines of the version before, which need not be parsed again."""
-    reading = Reading()
+    data: bytes, unit: str, rules: Rules, parsed_lines: ShardedDict | None = None, digest: str | None = None
+) -> SlicedWork[ParseResult]:
+    """Parse a file's bytes; ``parsed_lines`` has lines of the version before, which need not be parsed again."""
+    result = ParseResult()
     digest = digest or digest_of(data)
     if data[:1] == b"{":
-        yield from _json(data, unit, rules, digest, reading)
-        return reading
+        yield from _parse_json(data, unit, rules, digest, result)
+        return result
     if len(data) > MAX_FILE_BYTES:
-        reading.faults.append(Fault(unit, 0, "file", f"want at most {MAX_FILE_BYTES} bytes"))
-        return reading
-    if CLOSED.search(data, max(0, len(data) - 64)) is None:
-        reading.complete = False
-        return reading
+        result.faults.append(Fault(unit, 0, "file", f"want at most {MAX_FILE_BYTES} bytes"))
+        return result
+    if CLOSING_LINE.search(data, max(0, len(data) - 64)) is None:
+        result.complete = False
+        return result
     yield
-    yield from _LineParser(unit, rules, digest, reading, known or Shards()).read(data)
-    return reading
+    yield from _LineParser(unit, rules, digest, result, parsed_lines or ShardedDict()).read(data)
+    return result
 
 
-def _parts(data: bytes) -> Iterator[tuple[int, int]]:
+def _chunks(data: bytes) -> Iterator[tuple[int, int]]:
     """Where to split the bytes: at line feeds, into parts that are parsed soon."""
     at, size = 0, len(data)
     while at < size:
-        end = data.rfind(b"\n", at, at + PART_BYTES) + 1 or data.find(b"\n", at) + 1 or size
+        end = data.rfind(b"\n", at, at + CHUNK_BYTES) + 1 or data.find(b"\n", at) + 1 or size
         yield at, end
         at = end
 
 
-def _text(part: bytes, unit: str, first: int, reading: Reading) -> str | None:
+def _decode_chunk(chunk: bytes, unit: str, first: int, result: ParseResult) -> str | None:
     """A part as text, None where it has a fault; its first line has the number ``first``."""
-    if first == 1 and part.startswith(b"\xef\xbb\xbf"):
-        reading.faults.append(Fault(unit, 1, "byte-order mark", "want plain UTF-8"))
+    if first == 1 and chunk.startswith(b"\xef\xbb\xbf"):
+        result.faults.append(Fault(unit, 1, "byte-order mark", "want plain UTF-8"))
         return None
-    match = CONTROL.search(part)
+    match = CONTROL_BYTE.search(chunk)
     if match is not None:
         what = {0: "NUL", 13: "carriage return"}.get(match.group()[0], f"control byte {match.group()[0]:#04x}")
-        reading.faults.append(
+        result.faults.append(
             Fault(
                 unit,
-                first + part.count(b"\n", 0, match.start()),
+                first + chunk.count(b"\n", 0, match.start()),
                 what,
                 "want text, its lines ended by a line feed alone",
             )
         )
         return None
     try:
-        return part.decode()
+        return chunk.decode()
     except UnicodeDecodeError as error:
-        reading.faults.append(
-            Fault(unit, first + part.count(b"\n", 0, error.start), f"byte {part[error.start]:#04x}", "want UTF-8")
+        result.faults.append(
+            Fault(unit, first + chunk.count(b"\n", 0, error.start), f"byte {chunk[error.start]:#04x}", "want UTF-8")
         )
         return None
 
@@ -133,18 +133,18 @@
 class _EndpointCollector:
     """What both formats share: endpoints collected and checked against each other."""
 
-    def __init__(self, unit: str, rules: Rules, reading: Reading) -> None:
-        self.unit, self.rules, self.reading = unit, rules, reading
+    def __init__(self, unit: str, rules: Rules, result: ParseResult) -> None:
+        self.unit, self.rules, self.result = unit, rules, result
         self.entries: dict[str, Endpoint] = {}
         self.lines: list[int] = []
-        self.addresses = Shards()
+        self.addresses = ShardedDict()
         self.destinations: dict[int, Destination] = {}
         self.hosts: dict[str, None] = {}
 
     def fault(self, line: int, word: str, wanted: str) -> None:
         """Something wrong; beyond MAX_FAULTS it is not kept."""
-        if len(self.reading.faults) < MAX_FAULTS:
-            self.reading.faults.append(Fault(self.unit, line, word[:80], wanted))
+        if len(self.result.faults) < MAX_FAULTS:
+            self.result.faults.append(Fault(self.unit, line, word[:80], wanted))
 
     def add(self, line: int, entry: Endpoint) -> None:
         """Raises InvalidListError where its id or address is in the list already, or the list is too long."""
@@ -199,9 +199,9 @@
     return float(text)
 
 
-def _integer(name: str, text: str, most: int) -> int:
-    if not NUMBER.fullmatch(text) or int(text) >= most:
-        raise InvalidListError(f"{name} {text}", f"want a whole number below {most}")
+def _integer(name: str, text: str, limit: int) -> int:
+    if not NUMBER.fullmatch(text) or int(text) >= limit:
+        raise InvalidListError(f"{name} {text}", f"want a whole number below {limit}")
     return int(text)
 
 
@@ -214,9 +214,9 @@
 class _LineParser(_EndpointCollector):
     """The format in lines."""
 
-    def __init__(self, unit: str, rules: Rules, digest: str, reading: Reading, known: Shards) -> None:
-        super().__init__(unit, rules, reading)
-        self.digest, self.known = digest, known
+    def __init__(self, unit: str, rules: Rules, digest: str, result: ParseResult, parsed_lines: ShardedDict) -> None:
+        super().__init__(unit, rules, result)
+        self.digest, self.parsed_lines = digest, parsed_lines
         self.generation: int | None = None
         self.has_defaults = False  # what an endpoint's line means depends on its destination's line
         self.directives = {"list": self._list, "destination": self._destination, "endpoint": self._endpoint}
@@ -224,35 +224,35 @@
     def read(self, data: bytes) -> SlicedWork[None]:
         """Parse a complete file."""
         number, checksum, size = 0, 0, data.rindex(b"end ")
-        for at, end in _parts(data):
-            if end - at > PART_BYTES + 4 * MAX_LINE_CHARS:
+        for at, end in _chunks(data):
+            if end - at > CHUNK_BYTES + 4 * MAX_LINE_CHARS:
                 # Guards the loop against a line of megabytes, that would be searched and split in one go.
                 self.fault(number + 1, "line", f"want lines of at most {MAX_LINE_CHARS} characters")
                 return
-            part = data[at : min(end, size)]
-            text = _text(part, self.unit, number + 1, self.reading)
+            chunk = data[at : min(end, size)]
+            text = _decode_chunk(chunk, self.unit, number + 1, self.result)
             if text is None:
                 return
-            checksum = crc32c(part, checksum)
+            checksum = crc32c(chunk, checksum)
             for raw in text.split("\n")[:-1]:
                 number += 1
-                if not number % SLICE:
+                if not number % ENTRIES_PER_SLICE:
                     yield
                 try:
                     self._line(number, raw)
                 except InvalidListError as error:
                     self.fault(number, error.word, error.wanted)
             yield
-        if self.generation is None and not self.reading.faults:
+        if self.generation is None and not self.result.faults:
             self.fault(1, "list", f"want list {VERSION} generation NUMBER first")
         self._end(number + 1, data[size:], checksum)
-        if not self.reading.faults and self.generation is not None:
-            self.reading.candidate = self.candidate(self.generation, self.digest)
+        if not self.result.faults and self.generation is not None:
+            self.result.candidate = self.candidate(self.generation, self.digest)
 
     def _line(self, number: int, raw: str) -> None:
-        entry = self.known.get(raw)
+        entry = self.parsed_lines.get(raw)
         if entry is not None and self.generation is not None and not self.has_defaults:
-            self.reading.known.put(raw, entry)
+            self.result.parsed_lines.put(raw, entry)
             self.add(number, entry)
             return
         if len(raw) > MAX_LINE_CHARS:
@@ -324,7 +324,7 @@
                 "[weight CALLS] [since MS] ready|draining",
             )
         id_, address = _id(words[1]), self.address(words[2])
-        pairs = dict(self._pairs(words[3:-1], KEYS))
+        pairs = dict(self._pairs(words[3:-1], ENDPOINT_KEYS))
         if "destination" not in pairs:
             raise InvalidListError(id_, "want a destination")
         destination = _integer("destination", pairs["destination"], MAX_DESTINATIONS)
@@ -343,14 +343,14 @@
             _integer("since", pairs["since"], MAX_GENERATION) if "since" in pairs else 0,
         )
         if not self.has_defaults:
-            self.reading.known.put(raw, entry)
+            self.result.parsed_lines.put(raw, entry)
         self.add(number, entry)
 
     def _end(self, number: int, last: bytes, checksum: int) -> None:
         words = last.split()  # of the form by which the file is complete
         if b"\r" in last:
             self.fault(number, "carriage return", "want text, its lines ended by a line feed alone")
-        if self.reading.faults:
+        if self.result.faults:
             return  # the count would be off for those lines alone
         if int(words[1]) != len(self.entries):
             self.fault(number, f"end {int(words[1])}", f"want the number of endpoints, which is {len(self.entries)}")
@@ -365,37 +365,37 @@
             self.fault(number, "end", "want a checksum: end COUNT crc32c HEX")
 
 
-def _json(data: bytes, unit: str, rules: Rules, digest: str, reading: Reading) -> SlicedWork[None]:
+def _parse_json(data: bytes, unit: str, rules: Rules, digest: str, result: ParseResult) -> SlicedWork[None]:
     """Discovery's format, as a complete list: generation, reset, instances."""
-    found = _EndpointCollector(unit, rules, reading)
+    collector = _EndpointCollector(unit, rules, result)
     if len(data) > MAX_JSON_BYTES:
-        found.fault(0, "file", f"want at most {MAX_JSON_BYTES} bytes of JSON; the line format has no such bound")
+        collector.fault(0, "file", f"want at most {MAX_JSON_BYTES} bytes of JSON; the line format has no such bound")
         return
     try:
         table = orjson.loads(data)
     except ValueError:
-        reading.complete = False  # incomplete, or no JSON: in either case nothing can be said of what is in it
+        result.complete = False  # incomplete, or no JSON: in either case nothing can be said of what is in it
         return
     rows, version = table.get("instances"), table.get("generation")
     if not isinstance(rows, list):
-        found.fault(0, "instances", "want a list of instances")
+        collector.fault(0, "instances", "want a list of instances")
         return
     if isinstance(version, bool) or not isinstance(version, int) or not 0 <= version < MAX_GENERATION:
-        found.fault(0, "generation", "want a whole number")
+        collector.fault(0, "generation", "want a whole number")
     if table.get("reset") is not True:
-        found.fault(0, "reset", "want true: a file holds the whole list, not changes")
+        collector.fault(0, "reset", "want true: a file holds the whole list, not changes")
     for number, row in enumerate(rows, 1):
-        if not number % SLICE:
+        if not number % ENTRIES_PER_SLICE:
             yield
         try:
-            _row(found, number, row)
+            _add_json_row(collector, number, row)
         except InvalidListError as error:
-            found.fault(number, error.word, error.wanted)
-    if not reading.faults:
-        reading.candidate = found.candidate(version, digest)
+            collector.fault(number, error.word, error.wanted)
+    if not result.faults:
+        result.candidate = collector.candidate(version, digest)
 
 
-def _row(found: _EndpointCollector, number: int, row: object) -> None:
+def _add_json_row(collector: _EndpointCollector, number: int, row: object) -> None:
     if not isinstance(row, dict):
         raise InvalidListError(f"instances[{number - 1}]", "want an object")
     if row.get("lifecycle") == "gone":
@@ -419,22 +419,22 @@
         raise InvalidListError("zone" if not isinstance(zone, str) else "machineType", "want a text")
     entry = Endpoint(
         _id(id_),
-        found.address(str(row.get("hostPort"))),
+        collector.address(str(row.get("hostPort"))),
         destination,
-        found.named("zone", zone, found.rules.zones if zone else frozenset()),
-        found.named("kind", kind, found.rules.kinds if kind else frozenset()),
+        collector.named("zone", zone, collector.rules.zones if zone else frozenset()),
+        collector.named("kind", kind, collector.rules.kinds if kind else frozenset()),
         lifecycle,
         float(weight),
         since if isinstance(since, int) else 0,
     )
-    found.add(number, entry)
+    collector.add(number, entry)
 
 
 # Writing ---------------------------------------------------------------------------------------------
 
 
 def _quoted(text: str) -> str:
-    plain = text and not any(sign.isspace() or sign in "\"'#\\" for sign in text)
+    plain = text and not any(character.isspace() or character in "\"'#\\" for character in text)
     return text if plain else '"' + text.replace("\\", "\\\\").replace('"', '\\"') + '"'
 
 
--- a/lynxscale/relay/upstream/group.py
+++ b/lynxscale/relay/upstream/group.py
@@ -12,7 +12,7 @@
 
 from lynxscale.relay.deadlines import Deadlines
 from lynxscale.relay.upstream.endpoint_table import EndpointTable
-from lynxscale.relay.upstream.model import SLICE, Endpoint, SlicedWork
+from lynxscale.relay.upstream.model import ENTRIES_PER_SLICE, Endpoint, SlicedWork
 from lynxscale.relay.upstream.slow_start import SlowStart
 from lynxscale.scheduling.events import Lifecycle, Member, MembershipKind, MembershipUpdate
 from lynxscale.scheduling.settings import Settings
@@ -55,26 +55,26 @@
         self.table = EndpointTable(settings.kinds, settings.zones, self._slow_start)
         # As in the scheduler: a kind that the settings do not name counts as the first.
         self._per_call = dict(zip(settings.kinds, settings.per_call, strict=False))
-        self._per_call_else = settings.per_call[0] if settings.per_call else 1
-        self._apart = dict(zip(settings.kinds, settings.routes_apart, strict=False))
-        self._apart_else = any(settings.routes_apart[:1])
+        self._default_per_call = settings.per_call[0] if settings.per_call else 1
+        self._separate_routes = dict(zip(settings.kinds, settings.routes_apart, strict=False))
+        self._default_separate_routes = any(settings.routes_apart[:1])
         self._order = tuple(order)
         self._lists: dict[str, dict[str, Endpoint]] = {}
-        self._listed: dict[str, dict[int, int]] = {}  # by source: destinations and how many endpoints
+        self._endpoint_counts: dict[str, dict[int, int]] = {}  # by source: destinations and how many endpoints
         self._sources: dict[str, Source] = {}
         self.has_list = False  # some source has reported its list in this process
-        self._rising = False  # a timer for the next step is set
+        self._slow_start_scheduled = False  # a timer for the next step is set
 
     def add(self, name: str, source: Source) -> None:
         """A source, by one of the names in the order of precedence."""
         self._sources[name] = source
-        self._lists[name], self._listed[name] = {}, {}
+        self._lists[name], self._endpoint_counts[name] = {}, {}
 
     # Queries -----------------------------------------------------------------------------
 
-    def has_destination(self, cell: int) -> bool:
+    def has_destination(self, destination: int) -> bool:
         """Does a list name this destination, or did one until lately?"""
-        return self.table.has_destination(cell, self._deadlines.now())
+        return self.table.has_destination(destination, self._deadlines.now())
 
     def name_of(self, endpoint: int) -> tuple[str, str] | None:
         """Its id and address, while it is listed."""
@@ -89,12 +89,16 @@
     def per_call(self, endpoint: int) -> int:
         """Messages that one call to it may carry."""
         entry = self.table.entry(endpoint)
-        return self._per_call.get(entry.kind, self._per_call_else) if entry is not None else 1
+        return self._per_call.get(entry.kind, self._default_per_call) if entry is not None else 1
 
     def route_of(self, endpoint: int) -> str | None:
         """The id of an endpoint with a limit and waits of its own; None where its destination's bind it."""
         entry = self.table.entry(endpoint)
-        return entry.id if entry is not None and self._apart.get(entry.kind, self._apart_else) else None
+        return (
+            entry.id
+            if entry is not None and self._separate_routes.get(entry.kind, self._default_separate_routes)
+            else None
+        )
 
     def accepts_new(self, endpoint: int) -> bool:
         """May something new be written to it, by the list in force?"""
@@ -143,9 +147,9 @@
         if kind != MembershipKind.CACHED:
             self.has_list = True
         if kind != MembershipKind.DELTA:
-            named = {id_ for id_, _entry in changes}
-            changes += [(id_, None) for id_ in self._lists[name] if id_ not in named]
-        members = self._apply(self._effective(name, changes))
+            reported = {id_ for id_, _entry in changes}
+            changes += [(id_, None) for id_ in self._lists[name] if id_ not in reported]
+        members = self._apply(self._apply_to_source(name, changes))
         if kind != MembershipKind.DELTA and len(self._sources) == 1:
             self._put(MembershipUpdate(kind, version, self.table.members()))
             return
@@ -161,24 +165,24 @@
     ) -> SlicedWork[None]:
         """In slices: what was ``old`` of a source's list is ``new`` from now on; drains and removals go first."""
         self.has_list = True
-        late, early = [], []
+        other_changes, drains_and_removals = [], []
         for index, (id_, entry) in enumerate(new.items()):
-            if not index % SLICE:
+            if not index % ENTRIES_PER_SLICE:
                 yield
             before = old.get(id_)
             if before is entry or before == entry:
                 continue
-            (early if entry.lifecycle == Lifecycle.DRAINING else late).append((id_, entry))
+            (drains_and_removals if entry.lifecycle == Lifecycle.DRAINING else other_changes).append((id_, entry))
         for index, id_ in enumerate(old):
-            if not index % SLICE:
+            if not index % ENTRIES_PER_SLICE:
                 yield
             if id_ not in new:
-                early.append((id_, None))
-        for changes in (early, late):
+                drains_and_removals.append((id_, None))
+        for changes in (drains_and_removals, other_changes):
             while changes:
                 chunk = changes[-MAX_MEMBERS_PER_UPDATE:]
                 del changes[-MAX_MEMBERS_PER_UPDATE:]  # one by one, as freeing all of them at once would take long
-                members = self._apply(self._effective(name, chunk))
+                members = self._apply(self._apply_to_source(name, chunk))
                 if members:
                     self._put(MembershipUpdate(MembershipKind.DELTA, version, members))
                 yield
@@ -187,11 +191,11 @@
 
     def _owner(self, destination: int) -> str | None:
         for name in self._order:
-            if destination in self._listed.get(name, ()):
+            if destination in self._endpoint_counts.get(name, ()):
                 return name
         return None
 
-    def _of(self, id_: str) -> Endpoint | None:
+    def _entry_in_force(self, id_: str) -> Endpoint | None:
         """The entry in force under an id."""
         for name in self._order:
             entry = self._lists.get(name, {}).get(id_)
@@ -199,12 +203,14 @@
                 return entry
         return None
 
-    def _effective(self, name: str, changes: list[tuple[str, Endpoint | None]]) -> list[tuple[str, Endpoint | None]]:
+    def _apply_to_source(
+        self, name: str, changes: list[tuple[str, Endpoint | None]]
+    ) -> list[tuple[str, Endpoint | None]]:
         """Apply changes to a source's list; what they change in the list in force."""
-        entries, listed = self._lists[name], self._listed[name]
+        entries, counts = self._lists[name], self._endpoint_counts[name]
         if len(self._sources) == 1:
             for id_, entry in changes:
-                self._set(entries, listed, id_, entry)
+                self._set_entry(entries, counts, id_, entry)
             return changes
         touched = {id_: None for id_, _entry in changes}
         before = {}
@@ -213,38 +219,38 @@
                 if one is not None and one.destination not in before:
                     before[one.destination] = self._owner(one.destination)
         for id_, entry in changes:
-            self._set(entries, listed, id_, entry)
+            self._set_entry(entries, counts, id_, entry)
         reassigned = {number for number, owner in before.items() if self._owner(number) != owner}
         if reassigned:
             # A destination has another owner: all that any source lists there is evaluated again.
             for rows in self._lists.values():
                 touched.update((id_, None) for id_, entry in rows.items() if entry.destination in reassigned)
-        return [(id_, self._of(id_)) for id_ in touched]
+        return [(id_, self._entry_in_force(id_)) for id_ in touched]
 
     @staticmethod
-    def _set(entries: dict[str, Endpoint], listed: dict[int, int], id_: str, entry: Endpoint | None) -> None:
+    def _set_entry(entries: dict[str, Endpoint], counts: dict[int, int], id_: str, entry: Endpoint | None) -> None:
         before = entries.pop(id_, None)
         if before is not None:
-            listed[before.destination] -= 1
-            if not listed[before.destination]:
-                del listed[before.destination]
+            counts[before.destination] -= 1
+            if not counts[before.destination]:
+                del counts[before.destination]
         if entry is not None:
             entries[id_] = entry
-            listed[entry.destination] = listed.get(entry.destination, 0) + 1
+            counts[entry.destination] = counts.get(entry.destination, 0) + 1
 
     def _apply(self, changes: list[tuple[str, Endpoint | None]]) -> list[Member]:
         members, removed = self.table.apply(changes, self._deadlines.now())
         for number in removed:
             self._on_removed(number)
-        if len(self._slow_start) and not self._rising:
-            self._rising = True
-            self._deadlines.after(self._slow_start.step_interval, self._rise)
+        if len(self._slow_start) and not self._slow_start_scheduled:
+            self._slow_start_scheduled = True
+            self._deadlines.after(self._slow_start.step_interval, self._advance_slow_start)
         return members
 
-    def _rise(self) -> None:
+    def _advance_slow_start(self) -> None:
         members = self.table.advance_slow_start(self._deadlines.now())
         for at in range(0, len(members), MAX_MEMBERS_PER_UPDATE):
             self._put(MembershipUpdate(MembershipKind.DELTA, 0, members[at : at + MAX_MEMBERS_PER_UPDATE]))
-        self._rising = len(self._slow_start) > 0
-        if self._rising:
-            self._deadlines.after(self._slow_start.step_interval, self._rise)
+        self._slow_start_scheduled = len(self._slow_start) > 0
+        if self._slow_start_scheduled:
+            self._deadlines.after(self._slow_start.step_interval, self._advance_slow_start)
--- a/lynxscale/relay/upstream/list_store.py
+++ b/lynxscale/relay/upstream/list_store.py
@@ -22,7 +22,7 @@
 from lynxscale.relay.upstream.files import digest_of
 
 FOLDER = "lists"
-MAX_LOG_BYTES = 256 << 10  # bytes of one file of verdicts; there are two
+MAX_VERDICT_FILE_BYTES = 256 << 10  # bytes of one file of verdicts; there are two
 MAX_AWAITING = 16  # versions that await approval: guards the disk against a writer that makes a new one each second
 DIGEST = re.compile(r"[0-9a-f]{64}")
 
@@ -35,7 +35,7 @@
     data: bytes
 
 
-def _replace(path: Path, data: bytes) -> None:
+def _replace_file(path: Path, data: bytes) -> None:
     """Atomically, also if the machine stops."""
     path.parent.mkdir(parents=True, exist_ok=True)
     new = path.with_name(path.name + ".new")
@@ -56,18 +56,18 @@
         self.folder = state / FOLDER
         self.verdicts = self.folder / "verdicts.jsonl"
 
-    def _good(self, unit: str) -> Path:
+    def _good_path(self, unit: str) -> Path:
         plain = re.sub(r"[^A-Za-z0-9._-]", "_", Path(unit).name)[:80]
         return self.folder / "good" / f"{zlib.crc32(os.path.abspath(unit).encode()):08x}-{plain}"
 
     def save_good(self, unit: str, digest: str, data: bytes) -> None:
         """Store the last good version of a list."""
-        head = orjson.dumps({"good": 1, "unit": os.path.abspath(unit), "sha256": digest})
-        _replace(self._good(unit), head + b"\n" + data)
+        header = orjson.dumps({"good": 1, "unit": os.path.abspath(unit), "sha256": digest})
+        _replace_file(self._good_path(unit), header + b"\n" + data)
 
     def remove_good(self, unit: str) -> None:
         """Remove the last good version of a list that is no more."""
-        self._good(unit).unlink(missing_ok=True)
+        self._good_path(unit).unlink(missing_ok=True)
 
     def load_good(self) -> Iterator[StoredList | StoredListCorruptError]:
         """The last good version of every list; an error for each that is corrupt."""
@@ -75,8 +75,8 @@
             if path.suffix == ".new":
                 continue
             try:
-                head, _, data = path.read_bytes().partition(b"\n")
-                table = orjson.loads(head)
+                header, _, data = path.read_bytes().partition(b"\n")
+                table = orjson.loads(header)
                 if table["good"] != 1 or table["sha256"] != digest_of(data):
                     raise ValueError("its digest is another")
                 yield StoredList(str(table["unit"]), table["sha256"], data)
@@ -86,7 +86,7 @@
     def save_awaiting(self, digest: str, data: bytes) -> None:
         """Store a version that awaits approval; the oldest beyond MAX_AWAITING are removed."""
         folder = self.folder / "held"
-        _replace(folder / f"{digest}.list", data)
+        _replace_file(folder / f"{digest}.list", data)
         awaiting = sorted(folder.glob("*.list"), key=lambda path: path.stat().st_mtime_ns)
         for path in awaiting[:-MAX_AWAITING]:
             path.unlink(missing_ok=True)
@@ -97,7 +97,7 @@
 
     def approve(self, digest: str, by: str) -> None:
         """Store an operator's approval of a version."""
-        _replace(self.folder / "approved" / digest, orjson.dumps({"by": by}) + b"\n")
+        _replace_file(self.folder / "approved" / digest, orjson.dumps({"by": by}) + b"\n")
 
     def approved_digests(self) -> frozenset[str]:
         """The digests that operators have approved."""
@@ -117,7 +117,7 @@
         self.folder.mkdir(parents=True, exist_ok=True)
         with open(self.verdicts, "ab") as out:
             out.write(b"".join(orjson.dumps(row) + b"\n" for row in rows))
-            full = out.tell() > MAX_LOG_BYTES
+            full = out.tell() > MAX_VERDICT_FILE_BYTES
         if full:
             os.replace(self.verdicts, self.verdicts.with_name("verdicts.1.jsonl"))
 
--- a/lynxscale/relay/upstream/model.py
+++ b/lynxscale/relay/upstream/model.py
@@ -12,8 +12,8 @@
 
 MAX_WEIGHT = 1_000_000.0  # calls a second: what no peer can take is a typing error
 MAX_DESTINATIONS = 1 << 31
-SHARDS = 61  # of one large table
-SLICE = 64  # entries between two points at which long work may be interrupted
+SHARD_COUNT = 61  # of one large table
+ENTRIES_PER_SLICE = 64  # entries between two points at which long work may be interrupted
 
 T = TypeVar("T")
 SlicedWork = Generator[None, None, T]  # long work in slices; its result is what it returns
@@ -58,7 +58,7 @@
     return next((line for known, line in zip(entries, lines, strict=False) if known == id_), 0)
 
 
-class Shards:
+class ShardedDict:
     """A large table as many small ones.
 
     Guards the loop: one dictionary that grows past 43,690 keys is copied in one go, which takes some 2 ms, and several
@@ -68,33 +68,33 @@
     __slots__ = ("_shards",)
 
     def __init__(self) -> None:
-        self._shards: list[dict] = [{} for _ in range(SHARDS)]
+        self._shards: list[dict] = [{} for _ in range(SHARD_COUNT)]
 
     def __len__(self) -> int:
         return sum(map(len, self._shards))
 
     def get(self, key: object) -> Any:
         """The value of a key, else None."""
-        return self._shards[hash(key) % SHARDS].get(key)
+        return self._shards[hash(key) % SHARD_COUNT].get(key)
 
     def put(self, key: object, value: object) -> None:
         """Set the value of a key."""
-        self._shards[hash(key) % SHARDS][key] = value
+        self._shards[hash(key) % SHARD_COUNT][key] = value
 
-    def drop(self, key: object) -> None:
+    def discard(self, key: object) -> None:
         """Remove a key, if it is there."""
-        self._shards[hash(key) % SHARDS].pop(key, None)
+        self._shards[hash(key) % SHARD_COUNT].pop(key, None)
 
-    def release(self) -> SlicedWork[None]:
+    def clear_in_slices(self) -> SlicedWork[None]:
         """Empty it, in slices."""
         for shard in self._shards:
-            yield from release(shard)
+            yield from clear_in_slices(shard)
 
 
-def release(table: dict) -> SlicedWork[None]:
+def clear_in_slices(table: dict) -> SlicedWork[None]:
     """Empty a dictionary that is not needed any more, in slices: 50,000 entries take 5 ms to free."""
     while table:
-        for _ in range(min(len(table), 4 * SLICE)):
+        for _ in range(min(len(table), 4 * ENTRIES_PER_SLICE)):
             table.popitem()
         yield
 
--- a/lynxscale/relay/upstream/validation.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -13,13 +13,13 @@
 
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.relay.upstream.model import (
-    SLICE,
+    ENTRIES_PER_SLICE,
     CandidateList,
     Endpoint,
     ListChanges,
     ListOutcome,
     ListVerdict,
-    Shards,
+    ShardedDict,
     SlicedWork,
 )
 from lynxscale.scheduling.events import Lifecycle
@@ -31,9 +31,9 @@
 class Guards:
     """What is applied without an operator's approval. Shares are of what a destination has in force."""
 
-    most_removed: float = 1.0
-    last_endpoint: bool = True  # a destination may lose its last one
-    most_moved: float = 1.0  # of a destination's weight that changes its endpoint at once
+    max_removed_share: float = 1.0
+    may_remove_last_endpoint: bool = True  # a destination may lose its last one
+    max_moved_share: float = 1.0  # of a destination's weight that changes its endpoint at once
     ask_approval: bool = True  # else reject
 
 
@@ -46,15 +46,15 @@
     entries: Mapping[str, Endpoint]
 
 
-NOTHING = ActiveList(None, "", {})
+NO_ACTIVE_LIST = ActiveList(None, "", {})
 
 
 class OwnershipIndex:
     """Which list owns which ids, addresses and destinations."""
 
     def __init__(self) -> None:
-        self.ids = Shards()  # to the list
-        self.addresses = Shards()  # to the list and the id
+        self.ids = ShardedDict()  # to the list
+        self.addresses = ShardedDict()  # to the list and the id
         self.destinations: dict[int, str] = {}
 
     def replace(
@@ -62,13 +62,13 @@
     ) -> SlicedWork[None]:
         """A list has other endpoints from now on."""
         for index, (id_, entry) in enumerate(old.items()):
-            if not index % SLICE:
+            if not index % ENTRIES_PER_SLICE:
                 yield
             if new.get(id_) is not entry:
-                self.ids.drop(id_)
-                self.addresses.drop(entry.address)
+                self.ids.discard(id_)
+                self.addresses.discard(entry.address)
         for index, (id_, entry) in enumerate(new.items()):
-            if not index % SLICE:
+            if not index % ENTRIES_PER_SLICE:
                 yield
             if old.get(id_) is not entry:
                 self.ids.put(id_, unit)
@@ -81,28 +81,28 @@
 
 def compare(old: Mapping[str, Endpoint], new: Mapping[str, Endpoint]) -> SlicedWork[ListChanges]:
     """What ``new`` changes in ``old``."""
-    found = ListChanges()
+    changes = ListChanges()
     for index, (id_, entry) in enumerate(new.items()):
-        if not index % SLICE:
+        if not index % ENTRIES_PER_SLICE:
             yield
         before = old.get(id_)
         if before is entry or before == entry:
             continue
         if before is None:
-            found.added.append(id_)
+            changes.added.append(id_)
         elif not entry.same_endpoint(before):
-            found.moved.append(id_)
+            changes.moved.append(id_)
         else:
             if entry.lifecycle != before.lifecycle:
-                (found.drained if entry.lifecycle == Lifecycle.DRAINING else found.resumed).append(id_)
+                (changes.drained if entry.lifecycle == Lifecycle.DRAINING else changes.resumed).append(id_)
             if entry.weight != before.weight:
-                found.reweighted.append(id_)
+                changes.reweighted.append(id_)
     for index, id_ in enumerate(old):
-        if not index % SLICE:
+        if not index % ENTRIES_PER_SLICE:
             yield
         if id_ not in new:
-            found.gone.append(id_)
-    return found
+            changes.gone.append(id_)
+    return changes
 
 
 def ownership_conflicts(candidate: CandidateList, owners: OwnershipIndex) -> SlicedWork[list[Fault]]:
@@ -113,7 +113,7 @@
         if owner != unit:
             faults.append(Fault(unit, 0, f"destination {number}", f"want it in one file: {owner} has it"))
     for index, entry in enumerate(candidate.entries.values()):
-        if not index % SLICE:
+        if not index % ENTRIES_PER_SLICE:
             yield
         owner = owners.ids.get(entry.id) or unit
         if owner != unit:
@@ -131,34 +131,34 @@
 
     An endpoint that was draining may be removed without a question, as nothing is sent there any more.
     """
-    ready, weight = yield from _in_force(old.values())
-    left: Counter[int] = Counter()
+    ready, weight = yield from _ready_totals(old.values())
+    remaining: Counter[int] = Counter()
     for index, entry in enumerate(candidate.entries.values()):
-        if not index % SLICE:
+        if not index % ENTRIES_PER_SLICE:
             yield
-        left[entry.destination] += 1
-    removed, shifted = yield from _losses(old, candidate, changes)
+        remaining[entry.destination] += 1
+    removed, moved_weight = yield from _losses(old, candidate, changes)
     faults = []
     for number, count in removed.items():
-        if not guards.last_endpoint and not left.get(number):
+        if not guards.may_remove_last_endpoint and not remaining.get(number):
             faults.append(Fault(candidate.unit, 0, f"destination {number}", "its last endpoint would go"))
-        elif count > guards.most_removed * ready[number]:
-            text = f"{count} of {ready[number]} endpoints would go, most-removed is {guards.most_removed:g}"
+        elif count > guards.max_removed_share * ready[number]:
+            text = f"{count} of {ready[number]} endpoints would go, most-removed is {guards.max_removed_share:g}"
             faults.append(Fault(candidate.unit, 0, f"destination {number}", text))
-    for number, amount in shifted.items():
-        if weight[number] and amount > guards.most_moved * weight[number]:
+    for number, amount in moved_weight.items():
+        if weight[number] and amount > guards.max_moved_share * weight[number]:
             share = amount / weight[number]
-            text = f"{share:.2f} of its weight would move, most-moved is {guards.most_moved:g}"
+            text = f"{share:.2f} of its weight would move, most-moved is {guards.max_moved_share:g}"
             faults.append(Fault(candidate.unit, 0, f"destination {number}", text))
     return faults
 
 
-def _in_force(entries: Iterable[Endpoint]) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
+def _ready_totals(entries: Iterable[Endpoint]) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
     """By destination: how many endpoints are ready, and their weight."""
     ready: dict[int, int] = {}
     weight: dict[int, float] = {}
     for index, entry in enumerate(entries):
-        if not index % SLICE:
+        if not index % ENTRIES_PER_SLICE:
             yield
         if entry.lifecycle == Lifecycle.READY:
             ready[entry.destination] = ready.get(entry.destination, 0) + 1
@@ -171,9 +171,9 @@
 ) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
     """By destination: how many ready endpoints a version removes, and how much weight it shifts."""
     removed: dict[int, int] = {}
-    shifted: dict[int, float] = {}
+    moved_weight: dict[int, float] = {}
     for index, id_ in enumerate([*changes.gone, *changes.moved, *changes.reweighted]):
-        if not index % SLICE:
+        if not index % ENTRIES_PER_SLICE:
             yield
         before, after = old[id_], candidate.entries.get(id_)
         if before.lifecycle != Lifecycle.READY:
@@ -181,10 +181,10 @@
         number = before.destination
         if after is None or not after.same_endpoint(before):
             removed[number] = removed.get(number, 0) + 1
-            shifted[number] = shifted.get(number, 0.0) + before.weight
+            moved_weight[number] = moved_weight.get(number, 0.0) + before.weight
         else:
-            shifted[number] = shifted.get(number, 0.0) + abs(after.weight - before.weight)
-    return removed, shifted
+            moved_weight[number] = moved_weight.get(number, 0.0) + abs(after.weight - before.weight)
+    return removed, moved_weight
 
 
 def generation_faults(before: ActiveList, candidate: CandidateList) -> list[Fault]:
@@ -225,11 +225,15 @@
         )
     changes = yield from compare(before.entries, candidate.entries)
     if candidate.digest not in approved:
-        asked = yield from guard_faults(before.entries, candidate, changes, guards)
-        if asked:
+        guard_reasons = yield from guard_faults(before.entries, candidate, changes, guards)
+        if guard_reasons:
             outcome = ListOutcome.AWAITING_APPROVAL if guards.ask_approval else ListOutcome.REJECTED
             return ListVerdict(
-                candidate, outcome, _truncated(asked, candidate.unit), changes, with_drains(before.entries, changes)
+                candidate,
+                outcome,
+                _truncated(guard_reasons, candidate.unit),
+                changes,
+                with_drains(before.entries, changes),
             )
     return ListVerdict(candidate, ListOutcome.APPLIED, changes=changes, entries=candidate.entries)
 
--- a/lynxscale/relay/upstream/verdict_reporter.py
+++ b/lynxscale/relay/upstream/verdict_reporter.py
@@ -12,7 +12,7 @@
 
 log = structlog.get_logger()
 
-LINES_PER_S, LINES_BURST = 5, 50  # of the log: a token bucket
+MAX_LOG_LINES_PER_S, MAX_LOG_BURST_LINES = 5, 50  # of the log: a token bucket
 MAX_LOGGED_REASONS = 5  # of one verdict
 
 
@@ -38,7 +38,7 @@
 
     def __init__(self, now: Callable[[], int], trace: Callable[[], VerdictTrace | None]) -> None:
         self._now, self._trace = now, trace
-        self._tokens, self._refilled_at, self._suppressed = float(LINES_BURST), 0, 0
+        self._tokens, self._refilled_at, self._suppressed = float(MAX_LOG_BURST_LINES), 0, 0
 
     def report(self, source: str, verdict: ListVerdict) -> dict:
         """Log and trace a verdict; its row for the file of verdicts."""
@@ -65,7 +65,7 @@
         }
         fields |= {name: count for name, count in counts.items() if count}
         write = log.info if verdict.outcome == ListOutcome.APPLIED else log.warning
-        if self._may_write():
+        if self._take_log_token():
             more = {"reasons": " | ".join(reasons[:MAX_LOGGED_REASONS])} if reasons else {}
             write("list_verdict", **fields, **more)
         return fields | {
@@ -77,13 +77,13 @@
 
     def event(self, event: str, **fields: Any) -> None:
         """Log something about a list that is no verdict."""
-        if self._may_write():
+        if self._take_log_token():
             log.warning(event, **fields)
 
-    def _may_write(self) -> bool:
+    def _take_log_token(self) -> bool:
         """Guards the log against a list that flaps: so many lines a second, the rest is counted."""
         now = self._now()
-        self._tokens = min(LINES_BURST, self._tokens + (now - self._refilled_at) * LINES_PER_S / 1e6)
+        self._tokens = min(MAX_LOG_BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LOG_LINES_PER_S / 1e6)
         self._refilled_at = now
         if self._tokens < 1:
             self._suppressed += 1
--- a/tests/relay/journal/test_journal.py
+++ b/tests/relay/journal/test_journal.py
@@ -25,15 +25,15 @@
 BUDGET = 13 * 4 * 4096  # ten segments of 16 KiB: a cleaning every few dozen messages
 
 
-class Bench:
+class JournalHarness:
     """A journal on a stand-in disk, and what it has promised."""
 
     def __init__(self, disk: FakeDisk, seed: int = 1) -> None:
         self.disk, self.random, self.time = disk, random.Random(seed), 1_000_000
-        self.promised: dict[str, tuple] = {}  # open messages, by id, with tries that may have run and the final
-        self.ended: set[str] = set()
-        self.asked: set[str] = set()  # offered, and not known to be kept or not
-        self.owed: set[str] = set()  # ended, while there was no room to say so
+        self.expected: dict[str, tuple] = {}  # open messages, by id, with tries that may have run and the final
+        self.completed: set[str] = set()
+        self.uncertain: set[str] = set()  # offered, and not known to be kept or not
+        self.unwritten: set[str] = set()  # ended, while there was no room to say so
         self.numbers: dict[int, str] = {}
         self.next = 0
         self.journal: Journal | None = None
@@ -59,20 +59,22 @@
         """What was found is what was promised; of what was under way as the process died, either."""
         found = {entry.id: entry for entry in entries}
         assert len(found) == len(entries), "a message twice"
-        for id_, (tries, maybe, final) in self.promised.items():
-            if id_ in self.asked and id_ not in found:
+        for id_, (attempts, possibly_run, outcome) in self.expected.items():
+            if id_ in self.uncertain and id_ not in found:
                 continue  # its end was being written
             entry = found[id_]
-            assert (entry.attempts, entry.may_have_run, entry.outcome) == (tries, maybe, final) or id_ in self.asked, (
-                id_
-            )
+            assert (entry.attempts, entry.may_have_run, entry.outcome) == (
+                attempts,
+                possibly_run,
+                outcome,
+            ) or id_ in self.uncertain, id_
         for id_ in found:
-            assert id_ not in self.ended, f"{id_} came back after its end"
-            assert id_ in self.promised or id_ in self.asked or id_ in self.owed, f"{id_} was never taken"
-        self.ended |= self.owed - set(found)
-        self.owed.clear()
-        self.promised = {entry.id: (entry.attempts, list(entry.may_have_run), entry.outcome) for entry in entries}
-        self.asked.clear()
+            assert id_ not in self.completed, f"{id_} came back after its end"
+            assert id_ in self.expected or id_ in self.uncertain or id_ in self.unwritten, f"{id_} was never taken"
+        self.completed |= self.unwritten - set(found)
+        self.unwritten.clear()
+        self.expected = {entry.id: (entry.attempts, list(entry.may_have_run), entry.outcome) for entry in entries}
+        self.uncertain.clear()
 
     def step(self) -> None:
         """One thing that a relay does, drawn by the seed."""
@@ -81,38 +83,38 @@
             self.next += 1
             id_ = f"m{self.next}"
             entry = Entry(id_, "pago-premio", "acme", "k", 1, 99, bytes(self.random.randrange(50, 900)))
-            self.asked.add(id_)
+            self.uncertain.add(id_)
             try:
                 journal.accept(self.next, entry)
             except JournalFullError:
-                self.asked.discard(id_)
+                self.uncertain.discard(id_)
                 return
             self.numbers[self.next] = id_
-            self.promised[id_] = (0, [], None)
+            self.expected[id_] = (0, [], None)
         else:
             number = self.random.choice(list(self.numbers))
             id_ = self.numbers[number]
-            tries, maybe, final = self.promised[id_]
-            self.asked.add(id_)
+            attempts, possibly_run, outcome = self.expected[id_]
+            self.uncertain.add(id_)
             try:
                 if draw < 0.6:
                     journal.record_attempt(number, self.time)
-                    self.promised[id_] = (tries + 1, [*maybe, self.time], final)
+                    self.expected[id_] = (attempts + 1, [*possibly_run, self.time], outcome)
                 elif draw < 0.7:
-                    journal.record_not_executed(number, bool(maybe))
-                    self.promised[id_] = (tries if maybe else tries + 1, maybe[:-1], final)
-                elif draw < 0.75 and final is None:
+                    journal.record_not_executed(number, bool(possibly_run))
+                    self.expected[id_] = (attempts if possibly_run else attempts + 1, possibly_run[:-1], outcome)
+                elif draw < 0.75 and outcome is None:
                     journal.record_outcome(number, "deferred", 700)
-                    self.promised[id_] = (tries, maybe, ("deferred", 700))
+                    self.expected[id_] = (attempts, possibly_run, ("deferred", 700))
                 else:
                     journal.complete(number)
-                    del self.promised[id_], self.numbers[number]
-                    self.ended.add(id_)
+                    del self.expected[id_], self.numbers[number]
+                    self.completed.add(id_)
             except JournalFullError:
                 if draw >= 0.75:  # an end: written later, unless the process dies before
-                    self.owed.add(id_)
-                    del self.promised[id_], self.numbers[number]
-        self.asked.discard(id_)
+                    self.unwritten.add(id_)
+                    del self.expected[id_], self.numbers[number]
+        self.uncertain.discard(id_)
 
     def run(self, steps: int) -> None:
         for _ in range(steps):
@@ -120,18 +122,18 @@
             self.journal.maintain()
 
 
-def test_a_history_of_a_thousand_operations_stays_within_its_budget_and_is_found_again():
-    bench = Bench(FakeDisk())
-    bench.start()
-    bench.run(4000)
-    kinds = [what for what, _ in bench.disk.operations]
+def test_a_long_run_stays_within_the_budget_and_is_recovered():
+    harness = JournalHarness(FakeDisk())
+    harness.start()
+    harness.run(4000)
+    kinds = [what for what, _ in harness.disk.operations]
     assert kinds.count("unlink") > 20 and kinds.count("overwrite") > 20, "it was never cleaned"
-    assert bench.disk.peak <= BUDGET
-    assert len(bench.promised) > 10
+    assert harness.disk.peak <= BUDGET
+    assert len(harness.expected) > 10
     for _ in range(3):
-        bench.start()
-    bench.run(500)
-    bench.start()
+        harness.start()
+    harness.run(500)
+    harness.start()
 
 
 def newest(image: dict[str, bytes]) -> Manifest:
@@ -139,114 +141,122 @@
     return max(map(decode_manifest, slots), key=lambda one: one.generation)
 
 
-def history(seed: int, steps: int) -> Bench:
-    bench = Bench(FakeDisk(), seed)
-    bench.start()
-    bench.run(steps)
-    return bench
+def history(seed: int, steps: int) -> JournalHarness:
+    harness = JournalHarness(FakeDisk(), seed)
+    harness.start()
+    harness.run(steps)
+    return harness
 
 
 @pytest.mark.parametrize("seed", range(1, 1 + int(os.environ.get("JOURNAL_SEEDS", "1"))))
-def test_it_may_be_killed_at_every_operation_and_every_byte_and_once_more_as_it_recovers(seed):
+def test_a_crash_at_every_operation_and_byte_and_again_during_recovery_loses_nothing(seed):
     """From a state in which cleaning is under way: each operation that follows is the last one, in turn."""
     first = history(seed, 900)
     files, total = first.disk.image(), 0
-    known = dict(first.promised)
-    whole = Bench(FakeDisk(files), seed)
-    whole.promised, whole.next = dict(known), first.next
-    whole.start()
-    whole.run(120)
-    operations = whole.disk.operations
+    known = dict(first.expected)
+    complete_run = JournalHarness(FakeDisk(files), seed)
+    complete_run.expected, complete_run.next = dict(known), first.next
+    complete_run.start()
+    complete_run.run(120)
+    operations = complete_run.disk.operations
     assert {"create", "overwrite", "unlink", "write"} <= {what for what, _ in operations}
-    for at, (what, size) in enumerate(operations):
-        cuts = sorted({0, 1, size // 2, size - 1, size}) if what == "write" else (0, 1)
-        if what == "write" and at % 40 == 0:
-            cuts = range(size + 1)  # every byte
-        for torn in cuts:
-            bench = Bench(FakeDisk(files), seed)
-            bench.promised, bench.ended, bench.next = dict(known), set(first.ended), first.next
-            bench.disk.dies_at, bench.disk.torn = at, torn
+    for operation_index, (what, size) in enumerate(operations):
+        written_sizes = sorted({0, 1, size // 2, size - 1, size}) if what == "write" else (0, 1)
+        if what == "write" and operation_index % 40 == 0:
+            written_sizes = range(size + 1)  # every byte
+        for torn in written_sizes:
+            harness = JournalHarness(FakeDisk(files), seed)
+            harness.expected, harness.completed, harness.next = dict(known), set(first.completed), first.next
+            harness.disk.dies_at, harness.disk.torn = operation_index, torn
             with pytest.raises(ProcessKilled):
-                bench.start()
-                bench.run(120)
+                harness.start()
+                harness.run(120)
             total += 1
-            image = bench.disk.image()
+            image = harness.disk.image()
             again = FakeDisk(image)
-            bench.disk = again
-            promised, asked, ended = dict(bench.promised), set(bench.asked), set(bench.ended)
-            bench.start()
+            harness.disk = again
+            expected, uncertain, completed = dict(harness.expected), set(harness.uncertain), set(harness.completed)
+            harness.start()
             steps = len(again.operations)
             if total % 7 == 0:
                 for second in range(steps):  # and killed as it recovers
-                    bench.disk = FakeDisk(image)
-                    bench.disk.dies_at, bench.disk.torn = second, 1
-                    bench.promised, bench.asked, bench.ended = dict(promised), set(asked), set(ended)
+                    harness.disk = FakeDisk(image)
+                    harness.disk.dies_at, harness.disk.torn = second, 1
+                    harness.expected, harness.uncertain, harness.completed = (
+                        dict(expected),
+                        set(uncertain),
+                        set(completed),
+                    )
                     with pytest.raises(ProcessKilled):
-                        bench.start()
-                    bench.disk = FakeDisk(bench.disk.image())
-                    bench.promised, bench.asked, bench.ended = dict(promised), set(asked), set(ended)
-                    bench.start()
-            bench.run(10)
-            bench.start()
+                        harness.start()
+                    harness.disk = FakeDisk(harness.disk.image())
+                    harness.expected, harness.uncertain, harness.completed = (
+                        dict(expected),
+                        set(uncertain),
+                        set(completed),
+                    )
+                    harness.start()
+            harness.run(10)
+            harness.start()
     assert total > 300
 
 
-def test_a_full_disk_refuses_what_is_new_lets_ends_through_and_gives_room_back():
-    bench = Bench(FakeDisk(), 3)
-    bench.start()
-    bench.run(300)
-    bench.disk.most = bench.disk.blocks() + 3 * 4096
+def test_a_full_disk_rejects_new_messages_and_still_records_completions():
+    harness = JournalHarness(FakeDisk(), 3)
+    harness.start()
+    harness.run(300)
+    harness.disk.most = harness.disk.blocks() + 3 * 4096
     refused = 0
     for _ in range(400):
-        bench.next += 1
+        harness.next += 1
         try:
-            bench.journal.accept(bench.next, Entry(f"x{bench.next}", "c", "t", "", 1, 9, bytes(800)))
+            harness.journal.accept(harness.next, Entry(f"x{harness.next}", "c", "t", "", 1, 9, bytes(800)))
         except JournalFullError:
             refused += 1
         else:
-            bench.numbers[bench.next] = f"x{bench.next}"
-            bench.promised[f"x{bench.next}"] = (0, [], None)
-        bench.journal.maintain()
+            harness.numbers[harness.next] = f"x{harness.next}"
+            harness.expected[f"x{harness.next}"] = (0, [], None)
+        harness.journal.maintain()
     assert refused > 300
-    bench.start()  # a start needs no room
-    left = list(bench.numbers)
+    harness.start()  # a start needs no room
+    left = list(harness.numbers)
     for number in left[: len(left) * 3 // 4]:
-        id_ = bench.numbers.pop(number)
+        id_ = harness.numbers.pop(number)
         try:
-            bench.journal.complete(number)
-            bench.ended.add(id_)
+            harness.journal.complete(number)
+            harness.completed.add(id_)
         except JournalFullError:
-            bench.owed.add(id_)
-        del bench.promised[id_]
-        bench.journal.maintain()
+            harness.unwritten.add(id_)
+        del harness.expected[id_]
+        harness.journal.maintain()
     for _ in range(50):
-        bench.journal.maintain()
-    bench.disk.most = None
-    bench.journal.maintain()
-    bench.run(300)
-    bench.start()
+        harness.journal.maintain()
+    harness.disk.most = None
+    harness.journal.maintain()
+    harness.run(300)
+    harness.start()
 
 
-def test_a_short_write_and_a_failing_one_leave_nothing_behind():
-    bench = Bench(FakeDisk(), 4)
-    bench.start()
-    bench.run(50)
+def test_short_and_failed_writes_leave_no_partial_record():
+    harness = JournalHarness(FakeDisk(), 4)
+    harness.start()
+    harness.run(50)
     for kind in ("write", "truncate", "create", "overwrite", "rename", "unlink"):
 
         def fails(what, _number, kind=kind):
             if what == kind:
                 raise OSError(5, "Input/output error")
 
-        bench.disk.fails = fails
-        bench.run(40)
-        bench.disk.fails = lambda *_: None
-        bench.run(40)
-        bench.start()
-    bench.run(200)
-    bench.start()
+        harness.disk.fails = fails
+        harness.run(40)
+        harness.disk.fails = lambda *_: None
+        harness.run(40)
+        harness.start()
+    harness.run(200)
+    harness.start()
 
 
-def test_a_manifest_that_is_said_to_have_failed_and_is_there_closes_nothing_that_is_written_on():
+def test_nothing_is_appended_to_a_segment_that_a_failed_manifest_write_may_have_sealed():
     disk = FakeDisk()
     journal = Journal(disk, BUDGET, lambda: 1, lambda: 1)
     journal.open()
@@ -257,11 +267,11 @@
         number += 1
     disk.files["manifest.0"] = disk.files.get("manifest.0", bytearray(4096))  # both are there from some time on
     journal._manifest._slots.add("manifest.0")
-    overwrite, said = disk.overwrite, []
+    overwrite, failed_writes = disk.overwrite, []
 
     def failing(name, data):
         overwrite(name, data)
-        said.append(name)
+        failed_writes.append(name)
         raise OSError(5, "Input/output error")
 
     disk.overwrite = failing
@@ -272,21 +282,21 @@
     disk.overwrite = overwrite
     journal.record_attempt(0, 78)
     found = Journal(FakeDisk(disk.image()), BUDGET, lambda: 1, lambda: 1).open()
-    assert {entry.id: entry.may_have_run for entry in found}["last"] == [78] and len(said) == 2
+    assert {entry.id: entry.may_have_run for entry in found}["last"] == [78] and len(failed_writes) == 2
     assert len(found) == number
 
 
-def test_a_flipped_bit_is_told_and_what_it_hides_may_have_run():
-    bench = history(5, 700)
-    image = bench.disk.image()
+def test_a_flipped_bit_is_reported_and_hidden_attempts_count_as_possibly_executed():
+    harness = history(5, 700)
+    image = harness.disk.image()
     names = sorted(name for name in image if name.endswith(".seg"))
-    chance = random.Random(5)
-    told = 0
+    rng = random.Random(5)
+    reported = 0
     for name in names:
         for _ in range(12):
             data = bytearray(image[name])
-            place = chance.randrange(len(data))
-            data[place] ^= 1 << chance.randrange(8)
+            index = rng.randrange(len(data))
+            data[index] ^= 1 << rng.randrange(8)
             manifest = newest(image)
             segments = {
                 row.number: bytes(data) if segment_name(row.number) == name else image[segment_name(row.number)]
@@ -297,52 +307,54 @@
             last = name == names[-1] and not found.gaps
             if not last:
                 assert found.gaps, "damage that nobody told"
-                told += 1
-            for id_, (_tries, maybe, final) in bench.promised.items():
+                reported += 1
+            for id_, (_attempts, possibly_run, outcome) in harness.expected.items():
                 entry = open_.get(id_)
-                if entry is None or entry.outcome or final or (last and entry.may_have_run != maybe):
+                if entry is None or entry.outcome or outcome or (last and entry.may_have_run != possibly_run):
                     continue
                 # Every try that may have run is known, or the message counts as one that may have.
-                assert set(maybe) <= set(entry.may_have_run) or entry.accepted_at in entry.may_have_run, (
+                assert set(possibly_run) <= set(entry.may_have_run) or entry.accepted_at in entry.may_have_run, (
                     name,
-                    place,
+                    index,
                     id_,
                 )
-    assert told > 50
+    assert reported > 50
 
 
-def test_a_missing_segment_is_told_and_everything_older_is_in_doubt():
-    bench = history(6, 700)
-    image = bench.disk.image()
+def test_a_missing_segment_is_reported_and_older_messages_count_as_possibly_executed():
+    harness = history(6, 700)
+    image = harness.disk.image()
     gone = sorted(name for name in image if name.endswith(".seg"))[1]
     del image[gone]
-    bench.disk = FakeDisk(image)
-    journal = Journal(bench.disk, BUDGET, bench.now, lambda: 1)
+    harness.disk = FakeDisk(image)
+    journal = Journal(harness.disk, BUDGET, harness.now, lambda: 1)
     entries = journal.open()
     assert [gap.reason for gap in journal.gaps] == ["it is missing"]
     assert any(entry.accepted_at in entry.may_have_run for entry in entries)
-    again = Journal(FakeDisk(bench.disk.image()), BUDGET, bench.now, lambda: 1).open()  # doubts are kept, not doubled
+    again = Journal(
+        FakeDisk(harness.disk.image()), BUDGET, harness.now, lambda: 1
+    ).open()  # doubts are kept, not doubled
     assert {entry.id: entry.may_have_run for entry in again} == {entry.id: entry.may_have_run for entry in entries}
 
 
-def test_a_newer_version_and_a_spoilt_manifest_are_refused():
+def test_a_newer_version_and_a_damaged_manifest_are_rejected():
     image = history(7, 100).disk.image()
     slots = ("manifest.0", "manifest.1")
     newer = {slot: image[slot][:4] + b"\x09" + image[slot][5:] for slot in slots}
-    spoilt = {slot: image[slot][:30] + b"\xff" + image[slot][31:] for slot in slots}
-    for name, files in (("version 9 of the manifest", newer), ("manifest.0: the manifest's checksum", spoilt)):
+    damaged = {slot: image[slot][:30] + b"\xff" + image[slot][31:] for slot in slots}
+    for name, files in (("version 9 of the manifest", newer), ("manifest.0: the manifest's checksum", damaged)):
         with pytest.raises(JournalFormatError, match=name):
             Journal(FakeDisk(image | files), BUDGET, lambda: 1).open()
 
 
 def test_a_body_that_looks_like_records_is_never_read_as_one():
     """Its salt is unknown to who wrote the body."""
-    bench = Bench(FakeDisk(), 8)
-    bench.start()
+    harness = JournalHarness(FakeDisk(), 8)
+    harness.start()
     forged = b"".join(encode_record(COMPLETED, seq, encode_completed(seq), 0) for seq in range(1, 40))
     for number in range(3):
-        bench.journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, forged))
-    image = bench.disk.image()
+        harness.journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, forged))
+    image = harness.disk.image()
     name = next(name for name in image if name.endswith(".seg"))
     data = bytearray(image[name])
     data[SEGMENT_HEADER_SIZE + 40] ^= 1  # the first message's head: a reader looks for the next record in its body
@@ -351,20 +363,20 @@
     assert sorted(entry.id for entry in found.entries.values()) == ["m1", "m2"] and found.gaps
 
 
-def test_messages_of_an_older_form_are_taken_over_once():
+def test_messages_of_the_legacy_format_are_adopted_once():
     disk = FakeDisk()
-    older = [Entry(f"m{place}", "c", "t", "", 1, 9, b"x", attempts=2, may_have_run=[5]) for place in range(3)]
+    older = [Entry(f"m{index}", "c", "t", "", 1, 9, b"x", attempts=2, may_have_run=[5]) for index in range(3)]
     first = Journal(disk, BUDGET, lambda: 77, lambda: 1).open(older)
     again = Journal(FakeDisk(disk.image()), BUDGET, lambda: 78, lambda: 1).open(older)
     assert [(entry.id, entry.attempts, entry.may_have_run, entry.accepted_at) for entry in again] == [
-        (f"m{place}", 2, [5], 77) for place in range(3)
+        (f"m{index}", 2, [5], 77) for index in range(3)
     ] and len(first) == 3
 
 
 @pytest.mark.parametrize("name", ["before.bin", "before-torn.bin"])
-def test_the_file_of_the_journal_before_is_read(name):
-    entries, whole = read_legacy_journal((Path(__file__).parents[2] / "data" / "journal" / name).read_bytes())
-    assert whole == 732 and sorted(entries) == [0, 1, 2, 3, 5]
+def test_the_legacy_file_is_read(name):
+    entries, complete_bytes = read_legacy_journal((Path(__file__).parents[2] / "data" / "journal" / name).read_bytes())
+    assert complete_bytes == 732 and sorted(entries) == [0, 1, 2, 3, 5]
     assert [(one.id, one.class_name, one.attempts, one.may_have_run, one.outcome) for one in entries.values()] == [
         ("m0", "aviso-ronda", 2, [11], None),
         ("m1", "inscripcion", 2, [13], None),
@@ -375,26 +387,26 @@
     assert entries[5].body == bytes([0, 10, 255, 5]) and entries[5].expires == 1_800_000_000_000_005
 
 
-def test_a_record_longer_than_a_segment_has_one_of_its_own():
-    bench = Bench(FakeDisk(), 11)
-    bench.start()
+def test_a_record_longer_than_a_segment_gets_its_own_segment():
+    harness = JournalHarness(FakeDisk(), 11)
+    harness.start()
     big = Entry("big", "c", "t", "", 1, 9, bytes(40_000))
-    bench.journal.accept(900, big)
-    bench.promised["big"] = (0, [], None)
-    bench.run(600)
-    assert bench.disk.peak <= BUDGET
-    bench.start()
-    assert "big" in bench.promised
+    harness.journal.accept(900, big)
+    harness.expected["big"] = (0, [], None)
+    harness.run(600)
+    assert harness.disk.peak <= BUDGET
+    harness.start()
+    assert "big" in harness.expected
 
 
-def test_a_second_process_is_kept_out(tmp_path):
+def test_a_second_process_cannot_lock_the_folder(tmp_path):
     one, two = FolderStorage(tmp_path / "j"), FolderStorage(tmp_path / "j")
     one.lock()
     with pytest.raises(BlockingIOError, match="another process"):
         two.lock()
 
 
-def test_the_same_on_a_real_folder(tmp_path):
+def test_the_journal_on_a_real_folder(tmp_path):
     journal = Journal(FolderStorage(tmp_path / "j"), BUDGET, lambda: 5)
     journal.open()
     for number in range(500):
@@ -411,54 +423,54 @@
     assert all(len(entry.may_have_run) == 1 for entry in found)
 
 
-class Against(RuleBasedStateMachine):
+class JournalModel(RuleBasedStateMachine):
     """The journal against a dictionary, with starts at any moment."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.bench = Bench(FakeDisk(), 9)
-        self.bench.start()
+        self.harness = JournalHarness(FakeDisk(), 9)
+        self.harness.start()
 
     @rule(steps=st.integers(1, 60), seed=st.integers(0, 1 << 16))
     def work(self, steps, seed):
-        self.bench.random.seed(seed)
-        self.bench.run(steps)
+        self.harness.random.seed(seed)
+        self.harness.run(steps)
 
     @rule()
     def start(self):
-        self.bench.disk = FakeDisk(self.bench.disk.image())
-        self.bench.start()
+        self.harness.disk = FakeDisk(self.harness.disk.image())
+        self.harness.start()
 
     @rule(operations=st.integers(0, 12), torn=st.integers(0, 300), seed=st.integers(0, 1 << 16))
     def kill(self, operations, torn, seed):
-        disk = self.bench.disk
+        disk = self.harness.disk
         disk.dies_at, disk.torn = len(disk.operations) + operations, torn
-        self.bench.random.seed(seed)
+        self.harness.random.seed(seed)
         with pytest.raises(ProcessKilled):
-            self.bench.run(200)
-        self.bench.disk = FakeDisk(disk.image())
-        self.bench.start()
+            self.harness.run(200)
+        self.harness.disk = FakeDisk(disk.image())
+        self.harness.start()
 
     @invariant()
     def within_its_budget(self):
-        assert self.bench.disk.blocks() <= BUDGET
+        assert self.harness.disk.blocks() <= BUDGET
 
     @invariant()
     def the_account_is_that_of_a_new_reader(self):
         """What the plan counts as live is what a plan made anew from the files counts."""
-        journal = Journal(FakeDisk(self.bench.disk.image()), BUDGET, lambda: 1, lambda: 1)
+        journal = Journal(FakeDisk(self.harness.disk.image()), BUDGET, lambda: 1, lambda: 1)
         journal.open()
-        plan, mine = journal.plan, self.bench.journal.plan
+        plan, mine = journal.plan, self.harness.journal.plan
         assert {one.number: one.live for one in plan.segments.values()} == {
             one.number: one.live for one in mine.segments.values()
         }
 
 
-Against.TestCase.settings = settings(max_examples=40, stateful_step_count=15, deadline=None)
-TestAgainst = Against.TestCase
+JournalModel.TestCase.settings = settings(max_examples=40, stateful_step_count=15, deadline=None)
+TestJournalModel = JournalModel.TestCase
 
 
-def test_the_emptiest_is_cleaned_and_of_two_alike_the_older():
+def test_cleaning_picks_the_emptiest_segment_and_the_older_of_two_alike():
     plan = CleaningPlan(BUDGET)
     for number in range(1, plan.max_segments):
         plan.segment_opened(number, number * 100, SEGMENT_HEADER_SIZE)
@@ -480,7 +492,7 @@
     )
 
 
-def test_commands_tell_what_is_open_and_where_it_is_damaged(tmp_path):
+def test_commands_report_open_messages_and_damage(tmp_path):
     journal = Journal(FolderStorage(tmp_path / "segments"), BUDGET, lambda: 5_000_000)
     journal.open()
     for number in range(100):
@@ -508,7 +520,7 @@
     assert nowhere.returncode == 1 and "no such folder" in nowhere.stderr
 
 
-def test_messages_are_taken_out_brought_in_repaired_and_compacted(tmp_path):
+def test_messages_are_exported_imported_repaired_and_compacted(tmp_path):
     state, other, new = tmp_path / "state", tmp_path / "other", tmp_path / "new"
     for folder in (state, other):
         folder.mkdir()
@@ -525,8 +537,8 @@
     exported = command("export", str(state)).stdout
     assert len(exported.splitlines()) == 10
     (tmp_path / "open.jsonl").write_text(exported)
-    for told in ("10 of 10 messages", "0 of 10 messages"):
-        assert told in command("import", str(other), str(tmp_path / "open.jsonl")).stdout
+    for reported in ("10 of 10 messages", "0 of 10 messages"):
+        assert reported in command("import", str(other), str(tmp_path / "open.jsonl")).stdout
     assert command("export", str(other)).stdout == exported
     (tmp_path / "bad.jsonl").write_text(exported + '{"id": 7}\n')
     wrong = command("import", str(other), str(tmp_path / "bad.jsonl"))
--- a/tests/relay/journal/test_journal_live.py
+++ b/tests/relay/journal/test_journal_live.py
@@ -21,30 +21,31 @@
 KILLS = int(os.environ.get("JOURNAL_KILLS", "30"))
 SEED = int(os.environ.get("JOURNAL_SEED", "1"))
 BUDGET = 400_000  # so small that segments are cleaned every second or so
-BEFORE = Path(__file__).parents[2] / "data" / "journal" / "before.bin"
+LEGACY_JOURNAL = Path(__file__).parents[2] / "data" / "journal" / "before.bin"
 
 
 def test_kills_under_load_while_segments_are_cleaned_lose_nothing_and_do_nothing_twice(tmp_path):
     """A process is ended at random moments; partners count the effects of each message, clients what they heard."""
 
-    async def play():
+    async def scenario():
         print("seed", SEED)
-        chance = random.Random(SEED)
+        rng = random.Random(SEED)
         partner = Partner(SEED, mood=Mood(latency_ms=15, failing=0.03, refusing=0.05, dropping=0.03))
         conf = CONF.read_text().replace("    disk 64m\n", f"    disk {BUDGET}\n")
         relay = Own(tmp_path, conf)
-        for place in range(6):
-            await partner.open(f"s-{place:02}")
+        for index in range(6):
+            await partner.open(f"s-{index:02}")
         relay.put(entries_of(partner), 1)
         desk = Desk(relay.port, SEED, 3, 12, left=8.0)
-        most, cleaned, number = 0, 0, 0
+        max_bytes, cleaned, number = 0, 0, 0
         await relay.start()
         for _ in range(KILLS):
             load = asyncio.create_task(desk.run(range(number, number + 400), 350.0))
-            await asyncio.sleep(chance.uniform(0.15, 0.6))
+            await asyncio.sleep(rng.uniform(0.15, 0.6))
             names = [int(path.stem) for path in (tmp_path / "state" / "segments").glob("*.seg")]
-            most = max(
-                most, sum(allocated_size(path.stat().st_size) for path in (tmp_path / "state" / "segments").iterdir())
+            max_bytes = max(
+                max_bytes,
+                sum(allocated_size(path.stat().st_size) for path in (tmp_path / "state" / "segments").iterdir()),
             )
             cleaned = max(cleaned, min(names))
             await relay.stop(signal.SIGKILL)
@@ -61,14 +62,14 @@
                 break
             await asyncio.sleep(0.2)
         assert found.breaches == []
-        assert most <= BUDGET and cleaned > 5, (most, cleaned)
+        assert max_bytes <= BUDGET and cleaned > 5, (max_bytes, cleaned)
         assert await relay.stop() == 0
         taken = sum(row["taken"] for row in found.table.values())
         relay.close()
         partner.close_all()
         return taken, cleaned
 
-    taken, cleaned = asyncio.run(play())
+    taken, cleaned = asyncio.run(scenario())
     print(f"{KILLS} kills, {taken} messages taken, {cleaned} segments cleaned: none lost, none twice")
 
 
@@ -76,7 +77,7 @@
     def test_a_relay_that_is_upgraded_with_open_messages_keeps_them(self):
         """What may have run of a message that must not run twice ends; the others go."""
         self.act = lambda call: reply(200)
-        data, now = BEFORE.read_bytes(), time.time_ns() // 1000
+        data, now = LEGACY_JOURNAL.read_bytes(), time.time_ns() // 1000
         (self.state / FILE_NAME).write_bytes(data)
         entries = read_legacy_journal(data)[0]
         assert all(entry.expires > now for entry in entries.values())
@@ -106,7 +107,7 @@
         self.assertIn("another process has this journal", done.stderr)
         self.assertEqual(self.client().hand_in("m1")[0], 202)
 
-    def test_damage_is_told_and_what_it_hides_does_not_go_again(self):
+    def test_damage_is_reported_and_hidden_attempts_are_not_repeated(self):
         self.act = lambda call: b""
         self.start()
         self.client().hand_in("m1", "once")
@@ -116,8 +117,8 @@
         self.kill()
         path = min((self.state / "segments").glob("*.seg"))
         data = bytearray(path.read_bytes())
-        place = data.index(b"hello", data.index(b'"m1"')) + len(b"hello")
-        data[place + 12] ^= 1  # in the record behind m1's message: that of its try
+        index = data.index(b"hello", data.index(b'"m1"')) + len(b"hello")
+        data[index + 12] ^= 1  # in the record behind m1's message: that of its try
         path.write_bytes(data)
         self.act = lambda call: reply(200)
         calls = len(self.calls("m1"))
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -30,7 +30,7 @@
 ROUNDS = int(os.environ.get("UPGRADE_ROUNDS", "3"))
 
 
-def test_the_board_tells_waits_and_stages(tmp_path):
+def test_the_board_publishes_waits_and_stages(tmp_path):
     mine, theirs = Board(tmp_path).halves()
     again = Board(tmp_path).halves()[0]
     assert theirs.read() is None and again.read() is None
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    "heir,told,orders",
+    "is_successor,observed,actions",
     [
         (
             True,
@@ -70,10 +70,10 @@
         ),
     ],
 )
-def test_who_does_what(heir, told, orders):
-    one = Succession(heir)
-    assert [one.advance(*seen) for seen in told] == orders
-    assert one.advance(*told[-1]) == [] and not one.waiting
+def test_succession_actions(is_successor, observed, actions):
+    succession = Succession(is_successor)
+    assert [succession.advance(*state) for state in observed] == actions
+    assert succession.advance(*observed[-1]) == [] and not succession.waiting
     assert Succession(False).has_successor(Stage.READY, True) and not Succession(False).has_successor(
         Stage.STARTING, True
     )
@@ -91,7 +91,7 @@
     journal.close()
 
 
-def test_what_is_marked_is_left_out_and_a_cut_mark_is_none(tmp_path):
+def test_messages_marked_as_taken_are_skipped_and_a_truncated_mark_is_ignored(tmp_path):
     filled(tmp_path, 0, ["a", "b", "c"])
     inherited = InheritedJournal(tmp_path, 0)
     assert inherited.lock() and not InheritedJournal(tmp_path, 0).lock()
@@ -110,28 +110,33 @@
     assert journal_folders.generations(tmp_path) == []
 
 
-def test_who_may_start(tmp_path):
+def test_which_process_may_start(tmp_path):
     """One relay's second process, by its very socket; nobody else, and no third."""
     first = Claim(tmp_path, 41)
     first.wait(0)
     serving = FolderStorage(first.path)
     serving.lock()
     first.release_start_lock()
-    for stranger in (Claim(tmp_path, None), Claim(tmp_path, 42)):
+    for other_claim in (Claim(tmp_path, None), Claim(tmp_path, 42)):
         with pytest.raises(BlockingIOError):
-            stranger.wait(0.05)
-    heir = Claim(tmp_path, 41)
-    heir.wait(0)
-    assert (heir.is_successor, heir.generation, heir.earlier, heir.path.name) == (True, 1, [0], "segments.1")
+            other_claim.wait(0.05)
+    successor = Claim(tmp_path, 41)
+    successor.wait(0)
+    assert (successor.is_successor, successor.generation, successor.earlier, successor.path.name) == (
+        True,
+        1,
+        [0],
+        "segments.1",
+    )
     with pytest.raises(BlockingIOError):
         Claim(tmp_path, 41).wait(0.05)
-    its = FolderStorage(heir.path)
-    its.lock()
-    its.unlock()  # it dies before its yes
-    heir._start_lock.unlock()
+    successor_storage = FolderStorage(successor.path)
+    successor_storage.lock()
+    successor_storage.unlock()  # it dies before its yes
+    successor._start_lock.unlock()
     second = Claim(tmp_path, 41)
     second.wait(0)
-    assert (second.generation, second.earlier, second.half.index) == (2, [0, 1], heir.half.index)
+    assert (second.generation, second.earlier, second.half.index) == (2, [0, 1], successor.half.index)
     assert second.predecessor == 0  # the one that serves, and not the one that died in between
 
 
@@ -172,11 +177,11 @@
     return orjson.loads(orjson.dumps(export(old.scheduler))), old
 
 
-def test_what_was_learned_goes_along():
-    told, old = learned()
+def test_learned_state_is_passed_on():
+    exported, old = learned()
     new = Driver(members=[member(11), member(12, dest=2)])
     new.now = old.now
-    assert restore(new.scheduler, told, new.now) == 2
+    assert restore(new.scheduler, exported, new.now) == 2
     before, after = (one.scheduler.table.endpoints[11].route for one in (old, new))
     assert (after.window, after.restart_timeout_ms, after.median) == (
         before.window,
@@ -190,37 +195,37 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
-        lambda told: told.pop("rest"),
-        lambda told: told["lanes"][0].pop(),
-        lambda told: told.update(lanes=[[1]]),
-        lambda told: told["lanes"][0][3].__setitem__(0, "odd"),
-        lambda told: told.update(classes=[["x", 1]] * 4),
+        lambda exported: exported.pop("rest"),
+        lambda exported: exported["lanes"][0].pop(),
+        lambda exported: exported.update(lanes=[[1]]),
+        lambda exported: exported["lanes"][0][3].__setitem__(0, "odd"),
+        lambda exported: exported.update(classes=[["x", 1]] * 4),
     ],
 )
-def test_what_is_no_knowledge_is_told(spoil):
-    told, old = learned()
-    spoil(told)
+def test_malformed_learned_state_is_rejected(damage):
+    exported, old = learned()
+    damage(exported)
     with pytest.raises(ValueError):
-        restore(Driver().scheduler, told, old.now)
+        restore(Driver().scheduler, exported, old.now)
 
 
 @pytest.mark.parametrize(
-    "change,taken", [({}, True), ({"version": 2}, False), ({"unix": 0}, False), ({"now": 10**15}, False)]
+    "change,accepted", [({}, True), ({"version": 2}, False), ({"unix": 0}, False), ({"now": 10**15}, False)]
 )
-def test_knowledge_is_read_once_and_only_while_it_is_fresh(tmp_path, change, taken):
-    told, _old = learned()
+def test_the_learned_file_is_read_once_and_only_while_fresh(tmp_path, change, accepted):
+    exported, _old = learned()
     names = {11: ("a", "127.0.0.1:1"), 12: ("b", "127.0.0.1:2")}
-    learned_file.save(tmp_path, told, names.get, 5_000_000)
-    path = tmp_path / learned_file.NAME
+    learned_file.save(tmp_path, exported, names.get, 5_000_000)
+    path = tmp_path / learned_file.FILE_NAME
     path.write_bytes(orjson.dumps(orjson.loads(path.read_bytes()) | change))
     numbers = {"a": 31, "b": 32}
     again = learned_file.load(tmp_path, lambda id_, _address: numbers.get(id_), 5_100_000)
-    assert (again is not None) == taken
+    assert (again is not None) == accepted
     if again is not None:
         assert [row[0] for row in again["endpoints"]] == [31, 32]
-        assert again["lanes"][0][1] == [31] and again["lanes"][0][2:] == told["lanes"][0][2:]
+        assert again["lanes"][0][1] == [31] and again["lanes"][0][2:] == exported["lanes"][0][2:]
     assert not path.exists() and learned_file.load(tmp_path, lambda *_: None, 5_100_000) is None
 
 
@@ -235,7 +240,7 @@
         self.processes: list[subprocess.Popen] = []
         self.admins: list[int] = []
 
-    def process_(self, fd: int | None = None) -> subprocess.Popen:
+    def launch(self, fd: int | None = None) -> subprocess.Popen:
         self.admins.append(self.free_port())
         fd = self.listener.fileno() if fd is None else fd
         one = self.spawn(
@@ -245,53 +250,55 @@
         self.addCleanup(lambda: (one.kill(), one.wait(PATIENCE)))
         return one
 
-    def yes(self, place: int = -1) -> bool:
-        self.admin = self.admins[place]
+    def is_ready(self, index: int = -1) -> bool:
+        self.admin = self.admins[index]
         with suppress(OSError):
             return self.door("GET /admin/health")[0] == 200
         return False
 
     def begin(self) -> subprocess.Popen:
-        one = self.process_()
-        until(self.yes, "the yes")
+        one = self.launch()
+        until(self.is_ready, "the yes")
         return one
 
-    def test_the_heir_takes_over_what_is_open_and_each_message_ends_once(self):
-        ran: list[str] = []
-        held = threading.Event()
-        self.act = lambda call: reply(503) if not held.is_set() else ran.append(call[1]["req-id"]) or reply(200)
+    def test_the_successor_adopts_open_messages_and_each_ends_once(self):
+        executed: list[str] = []
+        peer_accepts = threading.Event()
+        self.act = (
+            lambda call: reply(503) if not peer_accepts.is_set() else executed.append(call[1]["req-id"]) or reply(200)
+        )
         old = self.begin()
-        kept = self.client()
+        connection = self.client()
         for number in range(8):
-            self.assertEqual(kept.hand_in(f"m{number}")[0], 202)
-        heir = self.begin()
-        self.assertEqual(kept.hand_in("still-old")[0], 202)
+            self.assertEqual(connection.hand_in(f"m{number}")[0], 202)
+        successor = self.begin()
+        self.assertEqual(connection.hand_in("still-old")[0], 202)
         old.send_signal(signal.SIGTERM)
         until(lambda: "event=lifecycle state=handing" in self.log.read_text(), "the handover")
-        status, headers, _ = kept.hand_in("late")
+        status, headers, _ = connection.hand_in("late")
         self.assertEqual((status, headers["connection"]), (202, "close"))
-        begun = time.monotonic()
+        started = time.monotonic()
         self.assertEqual(self.client().hand_in("new")[0], 202)  # the heir has it
-        self.assertLess(time.monotonic() - begun, 0.4)
+        self.assertLess(time.monotonic() - started, 0.4)
         old.wait(4.0)
-        held.set()
+        peer_accepts.set()
         names = [f"m{number}" for number in range(8)] + ["still-old", "late", "new"]
-        until(lambda: set(ran) | set(self.discovery.notices) >= set(names), "an end for each")
-        self.assertEqual(len(ran), len(set(ran)))
-        self.assertGreater(len(ran), 0)
+        until(lambda: set(executed) | set(self.discovery.notices) >= set(names), "an end for each")
+        self.assertEqual(len(executed), len(set(executed)))
+        self.assertGreater(len(executed), 0)
         until(lambda: "event=taken_over folder=segments\n" in self.log.read_text(), "the old folder's end")
         self.assertEqual(sorted(path.name for path in self.state.iterdir()), ["board", "clock", "heir", "segments.1"])
-        self.assertIsNone(heir.poll())
+        self.assertIsNone(successor.poll())
 
-    def test_what_waits_is_the_heirs_while_the_old_one_lives_and_is_known_at_both(self):
-        hung = threading.Event()
-        self.addCleanup(hung.set)
-        self.act = lambda call: None if call[1]["req-id"] == "hung" and hung.wait(2 * PATIENCE) else reply(503)
+    def test_waiting_messages_are_released_while_the_predecessor_runs_and_both_recognise_them(self):
+        unblock = threading.Event()
+        self.addCleanup(unblock.set)
+        self.act = lambda call: None if call[1]["req-id"] == "hung" and unblock.wait(2 * PATIENCE) else reply(503)
         old = self.begin()
-        kept_ = self.client()
-        self.assertEqual(kept_.hand_in("hung", cls="once")[0], 202)
+        connection = self.client()
+        self.assertEqual(connection.hand_in("hung", cls="once")[0], 202)
         until(lambda: self.calls("hung"), "the try that hangs")
-        self.assertEqual(kept_.hand_in("waits", cls="once")[0], 202)
+        self.assertEqual(connection.hand_in("waits", cls="once")[0], 202)
         until(lambda: self.calls("waits"), "the first refusal")
         self.begin()
         old.send_signal(signal.SIGTERM)
@@ -305,16 +312,16 @@
         self.assertEqual(self.client().hand_in("waits", cls="once")[0], 202)
         until(lambda: "event=taken_over folder=segments" in self.log.read_text(), "the end of the old one")
         until(lambda: "hung" in self.discovery.notices, "the end of what may have run")
-        hung.set()
+        unblock.set()
         self.assertEqual(len(self.calls("hung")), 1)
         self.assertIn("event=learned lanes=1", self.log.read_text())
 
-    def test_an_heir_that_dies_changes_nothing_and_another_may_come(self):
+    def test_a_successor_that_dies_changes_nothing_and_another_may_start(self):
         old = self.begin()
-        heir = self.begin()
+        successor = self.begin()
         until(lambda: "order=share generation=0" in self.log.read_text(), "the old one's notice of it")
-        heir.kill()
-        heir.wait(PATIENCE)
+        successor.kill()
+        successor.wait(PATIENCE)
         until(lambda: "order=alone" in self.log.read_text(), "the end of the heir")
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         third = self.begin()
@@ -326,30 +333,30 @@
         until(lambda: len(self.calls("m2")) == 1, "its delivery")
         self.assertIsNone(third.poll())
 
-    def test_a_successor_that_is_told_to_end_before_it_serves_changes_nothing(self):
+    def test_a_successor_terminated_before_it_serves_changes_nothing(self):
         """At several instants of its start, and once it waits to take the clients."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 0.300")
         old = self.begin()
         names = [f"m{number}" for number in range(8)]
         for name in names[:4]:
             self.assertEqual(self.client().hand_in(name, "once")[0], 202)
-        for place in range(6):
-            successor = self.process_()
-            if place == 5:
-                until(self.yes, "its yes")
+        for index in range(6):
+            successor = self.launch()
+            if index == 5:
+                until(self.is_ready, "its yes")
             else:
-                time.sleep(0.1 * place)
+                time.sleep(0.1 * index)
             successor.send_signal(signal.SIGTERM)
             self.assertIn(successor.wait(5.0), (0, -signal.SIGTERM))
         for name in names[4:]:
             self.assertEqual(self.client().hand_in(name, "once")[0], 202)
         self.assertIsNone(old.poll())
-        ran: list[str] = []
-        self.act = lambda call: ran.append(call[1]["req-id"]) or reply(200)
-        until(lambda: set(ran) >= set(names), "all are delivered")
-        self.assertEqual((sorted(ran), self.discovery.notices), (names, {}))
+        executed: list[str] = []
+        self.act = lambda call: executed.append(call[1]["req-id"]) or reply(200)
+        until(lambda: set(executed) >= set(names), "all are delivered")
+        self.assertEqual((sorted(executed), self.discovery.notices), (names, {}))
 
-    def test_a_start_takes_over_every_folder_that_it_finds(self):
+    def test_a_start_adopts_every_folder(self):
         """Three, of upgrades that were cut short one after the other: none is left for the start after this one."""
         ends = int((time.time() + 60) * 1e6)
         for generation in range(3):
@@ -364,7 +371,7 @@
         until(lambda: journal_folders.generations(self.state) == [2], "one folder")
         self.assertEqual(sorted(call[1]["req-id"] for call in self.calls()), ["m0", "m1", "m2"])
 
-    def test_a_folder_that_cannot_be_read_stays_and_bars_nobody(self):
+    def test_an_unreadable_folder_is_kept_and_blocks_no_upgrade(self):
         """The old process's manifest is spoilt and it dies: what is there stays, and the next upgrade goes its way."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 0.300")
         old = self.begin()
@@ -413,9 +420,9 @@
         old = self.begin()
         self.assertEqual(self.door("POST /admin/quiesce")[0], 200)
         until(lambda: self.door("GET /admin/health")[1]["state"] == "drained", "the drain")
-        heir = self.begin()
-        self.assertTrue(self.yes(1) and not self.yes(0))  # each for itself
-        for one in (old, heir):
+        successor = self.begin()
+        self.assertTrue(self.is_ready(1) and not self.is_ready(0))  # each for itself
+        for one in (old, successor):
             one.send_signal(signal.SIGHUP)
         until(lambda: self.log.read_text().count("reloaded") == 2, "both reloads")
         old.send_signal(signal.SIGTERM)
@@ -424,41 +431,41 @@
         until(lambda: self.calls("m1"), "its delivery")
         self.assertEqual(self.client().ask(b"GET /_health HTTP/1.1\r\n\r\n")[0], 200)
 
-    def test_a_told_wait_binds_both(self):
+    def test_a_requested_wait_binds_both_processes(self):
         self.act = lambda _call: reply(429, b"", "Retry-After: 3.000")
         old = self.begin()
         self.begin()
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         until(lambda: len(self.calls()) == 1, "the wait")
-        begun = time.monotonic()
+        started = time.monotonic()
         self.act = lambda _call: reply(200)
         old.send_signal(signal.SIGTERM)
         until(lambda: "order=accept" in self.log.read_text(), "the handover")
         self.assertEqual(self.client().hand_in("m2")[0], 202)
         until(lambda: self.calls("m2"), "its delivery")
-        self.assertGreater(time.monotonic() - begun, 2.0)
+        self.assertGreater(time.monotonic() - started, 2.0)
 
-    def test_sockets_of_no_use_are_named(self):
+    def test_unusable_listening_sockets_are_reported(self):
         with socket.socket() as other, open(os.devnull) as null:
             other.bind(("127.0.0.1", 0))
             for fd in (other.fileno(), null.fileno(), 999):
-                one = self.process_(fd) if fd != 999 else self.spawn(self.configure(), NODE_ACCEPT_FD="999")
+                one = self.launch(fd) if fd != 999 else self.spawn(self.configure(), NODE_ACCEPT_FD="999")
                 self.assertEqual(one.wait(PATIENCE), 2)
             other.listen()
-            self.assertEqual(self.process_(other.fileno()).wait(PATIENCE), 2)
+            self.assertEqual(self.launch(other.fileno()).wait(PATIENCE), 2)
         self.assertEqual(self.log.read_text().count("NODE_ACCEPT_FD"), 4)
 
     def test_a_kill_at_any_step_sends_nothing_twice_and_loses_nothing(self):
         """Upgrades one after the other, each process killed at a random moment; effects counted by the partner."""
         rng = random.Random(SEED)
         print("UPGRADE_SEED", SEED)
-        ran: dict[str, int] = {}
-        taken: list[str] = []
+        executed: dict[str, int] = {}
+        accepted: list[str] = []
 
         def act(call) -> bytes:
             if rng.random() < 0.5:
                 return reply(503)
-            ran[call[1]["req-id"]] = ran.get(call[1]["req-id"], 0) + 1
+            executed[call[1]["req-id"]] = executed.get(call[1]["req-id"], 0) + 1
             return reply(200)
 
         self.act = act
@@ -472,7 +479,7 @@
                     client = Client(self.port)
                     cls = ("once", "safe")[number % 2]
                     if client.hand_in(f"{cls}-{number}", cls=cls)[0] == 202:
-                        taken.append(f"{cls}-{number}")
+                        accepted.append(f"{cls}-{number}")
                     client.close()
                 time.sleep(0.01)
 
@@ -481,17 +488,20 @@
         feeder.start()
         try:
             for _ in range(ROUNDS):
-                heir = self.begin()
+                successor = self.begin()
                 current.send_signal(rng.choice([signal.SIGTERM, signal.SIGKILL]))
                 time.sleep(rng.random() * 1.5)  # any moment of the handover
-                heir.kill()
-                heir.wait(PATIENCE)
+                successor.kill()
+                successor.wait(PATIENCE)
                 current.kill()
                 current.wait(PATIENCE)
                 current = self.begin()
         finally:
             stop.set()
             feeder.join()
-        self.assertGreater(len(taken), 10 * ROUNDS)
-        until(lambda: all(name in ran or name in self.discovery.notices for name in taken), "an end for each message")
-        self.assertEqual({name: count for name, count in ran.items() if count > 1 and name.startswith("once")}, {})
+        self.assertGreater(len(accepted), 10 * ROUNDS)
+        until(
+            lambda: all(name in executed or name in self.discovery.notices for name in accepted),
+            "an end for each message",
+        )
+        self.assertEqual({name: count for name, count in executed.items() if count > 1 and name.startswith("once")}, {})
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -17,7 +17,7 @@
 from lynxscale.relay.upstream.list_store import ListStore
 from lynxscale.relay.upstream.model import CandidateList, Destination, Endpoint, ListOutcome, run_to_end
 from lynxscale.relay.upstream.slow_start import SlowStart
-from lynxscale.relay.upstream.validation import NOTHING, ActiveList, Guards, OwnershipIndex, evaluate
+from lynxscale.relay.upstream.validation import NO_ACTIVE_LIST, ActiveList, Guards, OwnershipIndex, evaluate
 from lynxscale.scheduling.events import Lifecycle, MembershipKind
 from tests.scheduling.driver import settings as module_settings
 
@@ -25,8 +25,12 @@
 READY, DRAINING = Lifecycle.READY, Lifecycle.DRAINING
 
 
-def entry(id_: str, port: int = 7000, dest: int = 1, life: Lifecycle = READY, weight: float = 5.0, **more) -> Endpoint:
-    return Endpoint(id_, (more.get("host", "10.1.0.1"), port), dest, more.get("zone", "a"), "club", life, weight)
+def entry(
+    id_: str, port: int = 7000, destination: int = 1, lifecycle: Lifecycle = READY, weight: float = 5.0, **more
+) -> Endpoint:
+    return Endpoint(
+        id_, (more.get("host", "10.1.0.1"), port), destination, more.get("zone", "a"), "club", lifecycle, weight
+    )
 
 
 def listing(*rows: Endpoint, version: int = 1, unit: str = "u") -> CandidateList:
@@ -44,7 +48,7 @@
 LINE = "endpoint s-1 10.1.0.1:7000 destination 1 zone a kind club weight 5 ready"
 
 
-def told(data: bytes, rules: files.Rules = RULES) -> list[str]:
+def faults_of(data: bytes, rules: files.Rules = RULES) -> list[str]:
     reading = run_to_end(files.read(data, "u", rules))
     assert reading.candidate is None and reading.complete
     return [str(fault) for fault in reading.faults]
@@ -107,33 +111,33 @@
         (b'{"generation": true, "reset": true, "instances": [7]}', "u: generation: want a whole number"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_line_and_nothing_of_the_file_is_taken(data, fault):
-    found = told(data)
+def test_each_fault_is_reported_with_its_line_and_rejects_the_file(data, fault):
+    found = faults_of(data)
     assert any(one.startswith(fault) for one in found), found
 
 
 def test_a_file_that_needs_a_checksum_is_rejected_without_one():
     rules = files.Rules(RULES.nets, needs_checksum=True)
-    assert told(body(LINE), rules) == ["u:3: end: want a checksum: end COUNT crc32c HEX"]
+    assert faults_of(body(LINE), rules) == ["u:3: end: want a checksum: end COUNT crc32c HEX"]
     assert run_to_end(files.read(files.write([entry("s-1")], 1), "u", rules)).candidate is not None
 
 
-def test_too_many_entries_and_too_many_faults_are_bounded():
+def test_entries_and_reported_faults_are_limited():
     rules = files.Rules(RULES.nets, max_entries=2)
-    rows = [entry(f"s-{place}", 7000 + place) for place in range(200)]
-    found = told(files.write(rows, 1), rules)
+    rows = [entry(f"s-{index}", 7000 + index) for index in range(200)]
+    found = faults_of(files.write(rows, 1), rules)
     assert found[0] == "u:4: s-2: want at most 2 endpoints" and len(found) == files.MAX_FAULTS
 
 
-def test_every_shorter_file_is_half_written_and_every_changed_byte_is_found():
-    data = files.write([entry("s-1"), entry("s 2", 7001, life=DRAINING)], 7)
+def test_every_truncation_is_incomplete_and_every_changed_byte_is_detected():
+    data = files.write([entry("s-1"), entry("s 2", 7001, lifecycle=DRAINING)], 7)
     for size in range(len(data)):
         reading = run_to_end(files.read(data[:size], "u", RULES))
         assert not reading.complete and reading.candidate is None, size
-    for place in range(len(data)):
+    for index in range(len(data)):
         for bit in (1, 16):
-            spoilt = data[:place] + bytes([data[place] ^ bit]) + data[place + 1 :]
-            assert run_to_end(files.read(spoilt, "u", RULES)).candidate is None, (place, bit)
+            corrupted = data[:index] + bytes([data[index] ^ bit]) + data[index + 1 :]
+            assert run_to_end(files.read(corrupted, "u", RULES)).candidate is None, (index, bit)
 
 
 names = st.text(st.characters(codec="utf-8", categories=("L", "N", "P", "S", "Zs")), min_size=1, max_size=12).filter(
@@ -154,28 +158,28 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(entries, max_size=20, unique_by=(lambda e: e.id, lambda e: e.address)), st.integers(0, 1 << 60))
-def test_what_is_written_is_read_again(rows, generation):
+def test_a_written_file_reads_back_unchanged(rows, generation):
     reading = run_to_end(files.read(files.write(rows, generation), "u", RULES))
     assert reading.candidate is not None, reading.faults
     assert list(reading.candidate.entries.values()) == rows and reading.candidate.version == generation
-    warm = run_to_end(files.read(files.write(rows, generation + 1), "u", RULES, reading.known))
+    warm = run_to_end(files.read(files.write(rows, generation + 1), "u", RULES, reading.parsed_lines))
     assert warm.candidate.entries == reading.candidate.entries
 
 
-def test_lines_known_from_before_do_not_outlive_the_destination_line_they_hang_on():
+def test_lines_are_parsed_again_when_their_destination_line_changes():
     line = "endpoint s-1 10.1.0.1:7000 destination 1 ready"
     first = run_to_end(files.read(body("destination 1 rate 9 kind club", line), "u", RULES))
     assert first.candidate.entries["s-1"][4:] == ("club", READY, 9.0, 0)
-    second = run_to_end(files.read(body("destination 1 rate 3 kind club", line), "u", RULES, first.known))
+    second = run_to_end(files.read(body("destination 1 rate 3 kind club", line), "u", RULES, first.parsed_lines))
     assert second.candidate.entries["s-1"].weight == 3.0
-    third = run_to_end(files.read(body(line), "u", RULES, second.known))
+    third = run_to_end(files.read(body(line), "u", RULES, second.parsed_lines))
     assert third.candidate.entries["s-1"].weight == 0.0
 
 
-def test_a_line_of_megabytes_is_refused_unread(monkeypatch):
-    monkeypatch.setattr(files, "CONTROL", None)  # what would search all of it
+def test_a_line_of_megabytes_is_rejected_without_being_searched(monkeypatch):
+    monkeypatch.setattr(files, "CONTROL_BYTE", None)  # what would search all of it
     data = b"list 1 generation 1 " + b"x" * 5_000_000 + b"\nend 0\n"
-    assert told(data) == ["u:1: line: want lines of at most 4096 characters"]
+    assert faults_of(data) == ["u:1: line: want lines of at most 4096 characters"]
 
 
 def test_json_is_read_in_slices():
@@ -187,8 +191,8 @@
     assert len(run_to_end(files.read(data, "u", RULES)).candidate.entries) == 3000
 
 
-def test_reading_is_interrupted_often_enough():
-    rows = [entry(f"s-{place}", place + 1) for place in range(5000)]
+def test_parsing_yields_at_least_every_64_lines():
+    rows = [entry(f"s-{index}", index + 1) for index in range(5000)]
     assert sum(1 for _ in files.read(files.write(rows, 1), "u", RULES)) >= 5000 // 64
 
 
@@ -206,7 +210,7 @@
     owners: OwnershipIndex | None = None,
     **more,
 ):
-    before = NOTHING if old is None else active_list(old)
+    before = NO_ACTIVE_LIST if old is None else active_list(old)
     return run_to_end(evaluate(before, new, owners or OwnershipIndex(), guards or Guards(), **more))
 
 
@@ -219,10 +223,10 @@
     assert verdict(old, listing(version=6)).outcome == ListOutcome.APPLIED
 
 
-def test_what_another_file_owns_is_refused_until_it_gives_it_up():
+def test_entries_owned_by_another_file_are_rejected_until_it_drops_them():
     owners, one = OwnershipIndex(), listing(entry("s-1"), unit="one")
     run_to_end(owners.replace("one", {}, one.entries, one.destinations))
-    two = listing(entry("s-1", 7009, dest=2), entry("s-2", 7001), entry("s-3", dest=2), unit="two")
+    two = listing(entry("s-1", 7009, destination=2), entry("s-2", 7001), entry("s-3", destination=2), unit="two")
     found = [str(fault) for fault in verdict(None, two, owners=owners).reasons]
     assert found == [
         "two: destination 1: want it in one file: one has it",
@@ -234,59 +238,59 @@
     assert verdict(None, two, owners=owners).outcome == ListOutcome.APPLIED
 
 
-FOUR = [entry(f"s-{place}", 7000 + place) for place in range(4)]
+FOUR = [entry(f"s-{index}", 7000 + index) for index in range(4)]
 
 
 @pytest.mark.parametrize(
-    "guards, rows, asks",
+    "guards, rows, expected_fault",
     [
-        (Guards(most_removed=0.5), FOUR[:2], ""),
-        (Guards(most_removed=0.5), FOUR[:1], "3 of 4 endpoints would go, most-removed is 0.5"),
-        (Guards(last_endpoint=False), [], "its last endpoint would go"),
-        (Guards(last_endpoint=False), FOUR[:1], ""),
-        (Guards(most_moved=0.4), [row._replace(weight=7.5) for row in FOUR], "0.50 of its weight would move"),
-        (Guards(most_moved=0.4), [row._replace(weight=6.5) for row in FOUR], ""),
+        (Guards(max_removed_share=0.5), FOUR[:2], ""),
+        (Guards(max_removed_share=0.5), FOUR[:1], "3 of 4 endpoints would go, most-removed is 0.5"),
+        (Guards(may_remove_last_endpoint=False), [], "its last endpoint would go"),
+        (Guards(may_remove_last_endpoint=False), FOUR[:1], ""),
+        (Guards(max_moved_share=0.4), [row._replace(weight=7.5) for row in FOUR], "0.50 of its weight would move"),
+        (Guards(max_moved_share=0.4), [row._replace(weight=6.5) for row in FOUR], ""),
         (
-            Guards(most_removed=0.3),
-            [row._replace(address=("10.1.0.2", 1 + place)) for place, row in enumerate(FOUR)],
+            Guards(max_removed_share=0.3),
+            [row._replace(address=("10.1.0.2", 1 + index)) for index, row in enumerate(FOUR)],
             "4 of 4 endpoints would go",
         ),
         (
-            Guards(most_removed=0.0, last_endpoint=False, most_moved=0.0),
+            Guards(max_removed_share=0.0, may_remove_last_endpoint=False, max_moved_share=0.0),
             [row._replace(lifecycle=DRAINING) for row in FOUR],
             "",
         ),
     ],
 )
-def test_guards_ask_or_pass(guards, rows, asks):
+def test_guards_require_approval_or_pass(guards, rows, expected_fault):
     found = verdict(listing(*FOUR), listing(*rows, version=2), guards)
-    assert (found.outcome == ListOutcome.AWAITING_APPROVAL) == bool(asks), found.reasons
-    assert asks in " ".join(map(str, found.reasons))
+    assert (found.outcome == ListOutcome.AWAITING_APPROVAL) == bool(expected_fault), found.reasons
+    assert expected_fault in " ".join(map(str, found.reasons))
 
 
-def test_a_held_version_drains_at_once_and_passes_once_it_is_approved():
+def test_a_version_awaiting_approval_drains_at_once_and_applies_once_approved():
     old = listing(*FOUR)
     new = listing(FOUR[0]._replace(lifecycle=DRAINING), FOUR[1]._replace(weight=9.0), version=2)
-    guards = Guards(most_removed=0.25)
+    guards = Guards(max_removed_share=0.25)
     found = verdict(old, new, guards)
     assert found.outcome == ListOutcome.AWAITING_APPROVAL
     assert [row.lifecycle for row in found.entries.values()] == [DRAINING, READY, READY, READY]
     assert found.entries["s-1"].weight == 5.0
-    assert verdict(old, new, Guards(most_removed=0.25, ask_approval=False)).outcome == ListOutcome.REJECTED
+    assert verdict(old, new, Guards(max_removed_share=0.25, ask_approval=False)).outcome == ListOutcome.REJECTED
     assert verdict(old, new, guards, approved={new.digest}).outcome == ListOutcome.APPLIED
 
 
-def test_a_file_that_goes_back_takes_the_drains_of_a_held_version_back():
+def test_restoring_a_file_reverts_the_drains_of_a_version_awaiting_approval():
     old = listing(*FOUR)
     new = listing(FOUR[0]._replace(lifecycle=DRAINING), version=2)
-    held = verdict(old, new, Guards(most_removed=0.25))
-    back = run_to_end(evaluate(ActiveList(old.version, old.digest, held.entries), old, OwnershipIndex(), Guards()))
+    awaiting = verdict(old, new, Guards(max_removed_share=0.25))
+    back = run_to_end(evaluate(ActiveList(old.version, old.digest, awaiting.entries), old, OwnershipIndex(), Guards()))
     assert (back.outcome, back.changes.resumed, back.entries) == (ListOutcome.APPLIED, ["s-0"], old.entries)
 
 
-def test_reasons_are_few():
-    rows = [entry(f"s-{place}", 1 + place, dest=place) for place in range(100)]
-    found = verdict(listing(*rows), listing(version=2), Guards(last_endpoint=False))
+def test_reported_reasons_are_limited():
+    rows = [entry(f"s-{index}", 1 + index, destination=index) for index in range(100)]
+    found = verdict(listing(*rows), listing(version=2), Guards(may_remove_last_endpoint=False))
     assert len(found.reasons) == validation.MAX_REASONS + 1 and "80 more" in str(found.reasons[-1])
 
 
@@ -299,10 +303,10 @@
     members, gone = table.apply([("s-1", entry("s-1", 7001))], 0)
     assert gone == [first[0].endpoint] and [one.lifecycle for one in members] == [Lifecycle.GONE, READY]
     assert members[1].endpoint != first[0].endpoint and table.entry(first[0].endpoint) is None
-    again, gone = table.apply([("s-1", entry("s-1", 7001, dest=2))], 0)
+    again, gone = table.apply([("s-1", entry("s-1", 7001, destination=2))], 0)
     assert gone == [members[1].endpoint] and (again[0].destination, again[1].destination) == (1, 2)
     # A new id at the old address is new too.
-    last, _ = table.apply([("s-1", None), ("s-2", entry("s-2", 7001, dest=2))], 0)
+    last, _ = table.apply([("s-1", None), ("s-2", entry("s-2", 7001, destination=2))], 0)
     assert last[0].endpoint == again[1].endpoint != last[1].endpoint
 
 
@@ -350,10 +354,10 @@
 
     def __init__(self) -> None:
         self.members: dict[int, object] = {}
-        self.told: list = []
+        self.events: list = []
 
     def put(self, event) -> None:
-        self.told.append(event)
+        self.events.append(event)
         if event.kind == MembershipKind.FULL:
             self.members.clear()
         for one in event.members:
@@ -363,7 +367,7 @@
                 self.members[one.endpoint] = one
 
 
-class Members(RuleBasedStateMachine):
+class GroupModel(RuleBasedStateMachine):
     """Files and discovery tell lists in any order; a plain model says what must be in force."""
 
     @initialize(files_first=st.booleans(), both=st.booleans())
@@ -386,7 +390,9 @@
 
     rows = st.lists(
         st.builds(
-            lambda n, port, dest, life, weight: entry(f"s-{n}", port, dest, life, float(weight)),
+            lambda n, port, destination, lifecycle, weight: entry(
+                f"s-{n}", port, destination, lifecycle, float(weight)
+            ),
             st.integers(0, 5),
             st.integers(1, 8),
             st.integers(0, 3),
@@ -403,23 +409,23 @@
         run_to_end(self.group.replace(FILES, 1, self.model[FILES], new))
         self.model[FILES] = new
 
-    @rule(rows=rows, whole=st.booleans(), gone=st.sets(st.integers(0, 5)))
-    def discovery(self, rows, whole, gone):
+    @rule(rows=rows, is_full=st.booleans(), gone=st.sets(st.integers(0, 5)))
+    def discovery(self, rows, is_full, gone):
         if DISCOVERY not in self.order:
             return
         changes = [(row.id, row) for row in rows] + [
             (f"s-{n}", None) for n in gone if f"s-{n}" not in {row.id for row in rows}
         ]
-        if whole:
+        if is_full:
             changes = [change for change in changes if change[1] is not None]
             self.model[DISCOVERY] = {}
-        self.group.update(DISCOVERY, MembershipKind.FULL if whole else MembershipKind.DELTA, 1, changes)
+        self.group.update(DISCOVERY, MembershipKind.FULL if is_full else MembershipKind.DELTA, 1, changes)
         for id_, row in changes:
             self.model[DISCOVERY].pop(id_, None)
             if row is not None:
                 self.model[DISCOVERY][id_] = row
 
-    def wanted(self):
+    def expected(self):
         owner = {}
         for name in reversed(self.order):
             owner |= {row.destination: name for row in self.model[name].values()}
@@ -434,8 +440,8 @@
     def the_module_has_what_the_lists_say(self):
         if not hasattr(self, "group"):
             return
-        wanted, table = self.wanted(), self.group.table
-        assert table.entries() == wanted
+        expected, table = self.expected(), self.group.table
+        assert table.entries() == expected
         seen = {}
         for number, one in self.module.members.items():
             row = table.entry(number)
@@ -443,13 +449,13 @@
             assert (one.lifecycle, one.destination, one.weight) == (row.lifecycle, row.destination, row.weight)
             before = self.numbers.setdefault(number, row)
             assert before.same_endpoint(row), "a number that stands for two endpoints"
-        assert seen == wanted
+        assert seen == expected
         assert all(table.entry(number) is None for number in self.gone)
-        assert {row.destination for row in wanted.values()} == set(table._listed)
+        assert {row.destination for row in expected.values()} == set(table._endpoint_counts)
 
 
-Members.TestCase.settings = settings(max_examples=80, stateful_step_count=25, deadline=None)
-TestLists = Members.TestCase
+GroupModel.TestCase.settings = settings(max_examples=80, stateful_step_count=25, deadline=None)
+TestLists = GroupModel.TestCase
 
 
 def test_many_changes_reach_the_module_in_bounded_events_drains_first():
@@ -458,18 +464,18 @@
     group.add(FILES, None)
     old = {f"s-{n}": entry(f"s-{n}", n + 1) for n in range(1000)}
     run_to_end(group.replace(FILES, 1, {}, old))
-    module.told.clear()
+    module.events.clear()
     new = {f"t-{n}": entry(f"t-{n}", n + 2000) for n in range(1000)} | {"s-7": old["s-7"]._replace(lifecycle=DRAINING)}
     run_to_end(group.replace(FILES, 2, old, new))
-    assert max(len(event.members) for event in module.told) <= 64 and len(module.members) == 1001
-    told = [one.lifecycle for event in module.told for one in event.members]
-    assert told.index(READY) > max(place for place, life in enumerate(told) if life != READY)
+    assert max(len(event.members) for event in module.events) <= 64 and len(module.members) == 1001
+    lifecycles = [one.lifecycle for event in module.events for one in event.members]
+    assert lifecycles.index(READY) > max(index for index, lifecycle in enumerate(lifecycles) if lifecycle != READY)
 
 
 # The state folder, and looking -------------------------------------------------------------------
 
 
-def test_last_good_lists_survive_and_a_spoilt_one_is_told(tmp_path):
+def test_last_good_lists_are_loaded_and_a_corrupt_one_is_reported(tmp_path):
     lists = ListStore(tmp_path)
     data = files.write([entry("s-1")], 3)
     lists.save_good("a.list", files.digest_of(data), data)
@@ -481,10 +487,10 @@
     assert sorted(isinstance(found, StoredListCorruptError) for found in lists.load_good()) == [False, True]
 
 
-def test_versions_that_wait_and_verdicts_are_bounded(tmp_path):
+def test_versions_awaiting_approval_and_verdicts_are_bounded(tmp_path):
     lists = ListStore(tmp_path)
-    for place in range(40):
-        lists.save_awaiting(f"{place:064x}", b"x")
+    for index in range(40):
+        lists.save_awaiting(f"{index:064x}", b"x")
     assert len(lists.load_awaiting()) == 16
     for _ in range(3000):
         lists.append_verdicts([{"reasons": ["x" * 300]}])
@@ -494,22 +500,22 @@
     assert all(row["reasons"] for row in lists.read_verdicts())
 
 
-def test_what_is_no_plain_file_is_never_opened(tmp_path, monkeypatch):
+def test_only_regular_files_are_opened(tmp_path, monkeypatch):
     os.mkfifo(tmp_path / "fifo")
     (tmp_path / "folder").mkdir()
-    assert "a FIFO" in file_scan.view_file(str(tmp_path / "fifo")).reason
-    assert "a folder" in file_scan.view_file(str(tmp_path / "folder")).reason
-    assert file_scan.view_file(os.devnull).what == file_scan.UNREADABLE
-    assert file_scan.view_file(str(tmp_path / "none")).what == file_scan.ABSENT
+    assert "a FIFO" in file_scan.read_if_changed(str(tmp_path / "fifo")).reason
+    assert "a folder" in file_scan.read_if_changed(str(tmp_path / "folder")).reason
+    assert file_scan.read_if_changed(os.devnull).status == file_scan.UNREADABLE
+    assert file_scan.read_if_changed(str(tmp_path / "none")).status == file_scan.ABSENT
     path = tmp_path / "a.list"
     path.write_bytes(b"x" * 100)
-    assert file_scan.view_file(str(path), max_bytes=99).reason == "want at most 99 bytes, not 100"
+    assert file_scan.read_if_changed(str(path), max_bytes=99).reason == "want at most 99 bytes, not 100"
 
     def refuse(*_):
         raise PermissionError(13, "Permission denied")
 
     monkeypatch.setattr(os, "open", refuse)
-    assert file_scan.view_file(str(path)).reason == "Permission denied"
+    assert file_scan.read_if_changed(str(path)).reason == "Permission denied"
 
 
 def test_a_file_that_changes_while_it_is_read_is_read_again(tmp_path, monkeypatch):
@@ -525,22 +531,22 @@
         return real(number)
 
     monkeypatch.setattr(os, "fstat", fstat)
-    assert file_scan.view_file(str(path)).what == file_scan.UNSTEADY
+    assert file_scan.read_if_changed(str(path)).status == file_scan.UNSTEADY
 
 
-def test_an_unchanged_file_is_not_read_and_a_young_one_is_read_again(tmp_path):
+def test_an_unchanged_file_is_not_read_and_a_recently_changed_one_is_read_again(tmp_path):
     path = tmp_path / "a.list"
     path.write_bytes(b"one")
-    assert file_scan.view_file(str(path)).stamp == ()  # so young that the next change may not show in its times
+    assert file_scan.read_if_changed(str(path)).stamp == ()  # so young that the next change may not show in its times
     os.utime(path, ns=(1, 1))
-    seen = file_scan.view_file(str(path))
-    while not (seen := file_scan.view_file(str(path))).stamp:
+    seen = file_scan.read_if_changed(str(path))
+    while not (seen := file_scan.read_if_changed(str(path))).stamp:
         pass
-    assert file_scan.view_file(str(path), seen.stamp).what == file_scan.SAME
+    assert file_scan.read_if_changed(str(path), seen.stamp).status == file_scan.SAME
     path.write_bytes(b"two")
-    assert file_scan.view_file(str(path), seen.stamp).data == b"two"
+    assert file_scan.read_if_changed(str(path), seen.stamp).data == b"two"
 
 
-def test_destinations_of_a_file_without_endpoints_are_its_own():
+def test_a_file_without_endpoints_owns_its_destinations():
     reading = run_to_end(files.read(body("destination 9 rate 2"), "u", RULES))
     assert reading.candidate.destinations == {9: Destination(9, 2.0, None)}
