--- a/lynxscale/relay/journal/__init__.py
+++ b/lynxscale/relay/journal/__init__.py
@@ -1,8 +1,8 @@
-"""The relay's write-ahead journal of open messages, attempts and outcomes; docs/design/journal.md.
+"""The relay's write-ahead journal of open messages, attempts and outcomes. See docs/design/journal.md.
 
-``records`` and ``layout`` encode and decode bytes, ``legacy_format`` reads the single file of older relays;
-``recovery`` and ``cleaning_plan`` decide, without I/O. ``storage`` has the file operations, ``manifest_store`` the
-manifest's two files, and ``journal`` the journal itself.
+``records`` and ``layout`` encode and decode bytes; ``legacy_format`` reads the single file that older relays wrote.
+``recovery`` and ``cleaning_plan`` make decisions without I/O. ``storage`` holds the file operations,
+``manifest_store`` reads and writes the two files of the manifest, and ``journal`` ties them together.
 """
 
 from lynxscale.relay.journal.journal import Journal
--- a/lynxscale/relay/journal/cleaning_plan.py
+++ b/lynxscale/relay/journal/cleaning_plan.py
@@ -1,12 +1,13 @@
-"""The account of the segments and the cleaning policy: pure, the same in service and in the model.
+"""Space accounting of the segments, and the cleaning policy. Pure: the relay and the model use the same code.
 
-Two things are counted of each segment. *Live* bytes are what recovery needs: of an open message the records since its
-last complete state, of a completed one its COMPLETED record, as long as another segment has a record of it. *Residue*
-is any record of a message, live or dead: it could bring a completed message back, were its COMPLETED record removed
-first.
+Two things are tracked per segment. *Live* bytes are those that recovery needs: for an open message, the records since
+its last complete state; for a completed one, its COMPLETED record, as long as another segment still has a record of
+the message. *Residue* is any record of a message, live or dead: if the COMPLETED record were removed first, the residue
+would make recovery reopen a completed message.
 
-A segment is emptied by carrying live records forward: a message's state as one record, which makes dead whatever was
-written of it before, and COMPLETED records as they are. It is then free, in any order.
+Cleaning copies the live records of a segment into the active one: the state of an open message as a single record,
+which makes all its earlier records dead, and COMPLETED records unchanged. The segment can then be removed; segments
+need not be removed in the order in which they were written.
 
 The log and its cleaning policy follow M. Rosenblum and J. Ousterhout, "The Design and Implementation of a
 Log-Structured File System" (1992).
@@ -20,25 +21,29 @@
 from lynxscale.relay.journal.layout import SEGMENT_HEADER_SIZE, ManifestRow
 from lynxscale.relay.journal.records import COMPLETED, MESSAGE, Record
 
-BLOCK_SIZE = 4096  # bytes: a file takes complete blocks
-MAX_LIVE_SHARE = 0.5  # of the budget for open messages: what cleaning needs besides grows without bound towards 1
-MAX_SHARE_WITH_ATTEMPTS = 0.75  # beyond it attempts are not recorded: COMPLETED records need the rest
-# Free segments that must remain when another is opened: for new messages, for records of open ones, for cleaning.
+BLOCK_SIZE = 4096  # bytes; files are allocated in blocks of this size
+MAX_LIVE_SHARE = 0.5  # of the budget, for open messages; the cost of cleaning grows without bound as this nears 1
+MAX_SHARE_WITH_ATTEMPTS = 0.75  # of the budget; above it attempts are not recorded: COMPLETED records need the rest
+# Free segments that must remain after another one is opened, by its purpose: new messages, records of open messages,
+# cleaning.
 RESERVE_NEW, RESERVE_OPEN, RESERVE_CLEANING = 2, 1, 0
-TARGET_SEGMENTS = 24  # that the budget is divided into
-MIN_SEGMENT_SIZE, MAX_SEGMENT_SIZE = 4 * BLOCK_SIZE, 64 << 20
-MIN_SEGMENTS = 4  # however small the budget
-MIN_FREE_SEGMENTS = 3  # at so few free segments or fewer, one is cleaned
+TARGET_SEGMENTS = 24  # the segment size is the budget divided by this
+MIN_SEGMENT_SIZE, MAX_SEGMENT_SIZE = 4 * BLOCK_SIZE, 64 << 20  # bytes
+MIN_SEGMENTS = 4  # even if the budget is smaller
+MIN_FREE_SEGMENTS = 3  # cleaning runs while there are this many free segments or fewer
 
 
 def allocated_size(size: int) -> int:
-    """Bytes that a file of ``size`` bytes takes."""
+    """Bytes of disk space that a file of ``size`` bytes takes."""
     return -(-size // BLOCK_SIZE) * BLOCK_SIZE
 
 
 @dataclass(slots=True)
 class Segment:
-    """A segment; sizes in bytes. ``live``: bytes that recovery needs; ``last_seq``: of its newest record."""
+    """What is known of one segment. ``size`` and ``live`` (what recovery needs) are in bytes.
+
+    ``first_seq`` and ``last_seq`` are the sequence numbers of its oldest and newest record.
+    """
 
     number: int
     first_seq: int
@@ -46,43 +51,50 @@
     live: int = 0
     last_seq: int = 0
     sealed: bool = False
-    messages: set[int] = field(default_factory=set)  # with any record here, by uid
+    messages: set[int] = field(default_factory=set)  # uids of the messages with any record here
 
 
 @dataclass(slots=True)
 class MessageRecords:
-    """Where a message's records are. The only live record of a completed one is its COMPLETED."""
+    """Which segments hold records of a message. Of a completed message, only the COMPLETED record can be live."""
 
-    live: dict[int, int] = field(default_factory=dict)  # segment: bytes
-    residue: set[int] = field(default_factory=set)  # segments
+    live: dict[int, int] = field(default_factory=dict)  # live bytes by segment number
+    residue: set[int] = field(default_factory=set)  # numbers of the segments with any record of the message
     completed: bool = False
 
 
 class CleaningPlan:
-    """The account of the segments. ``budget``: bytes that all files may take, in complete blocks."""
+    """Tracks the segments' live bytes and decides when and what to clean.
+
+    ``budget``: bytes that all files may take, counted in complete blocks.
+    """
 
     def __init__(self, budget: int) -> None:
         size = budget // TARGET_SEGMENTS // BLOCK_SIZE * BLOCK_SIZE
         self.segment_size = min(MAX_SEGMENT_SIZE, max(MIN_SEGMENT_SIZE, size))
-        # The manifest's two files, the one that replaces one of them and the lock take a part of the budget.
+        # Four blocks are left out: the two manifest files, the temporary file that replaces one, and the lock file.
         self._all_segments = max(MIN_SEGMENTS, (budget - 4 * BLOCK_SIZE) // self.segment_size - 1)
         self.max_segments = self.max_live = 0
         self.limit_to_share(1.0)
         self.segments: dict[int, Segment] = {}
         self.messages: dict[int, MessageRecords] = {}  # by uid
         self.live = 0  # bytes in all segments
-        self.used_segments = 0  # a segment that is longer than the others counts as several
+        self.used_segments = 0  # a segment longer than ``segment_size`` counts as several
         self.active: Segment | None = None
 
     def limit_to_share(self, share: float) -> None:
-        """Use only this share of the budget from now on: another journal has the rest."""
+        """Use only this share of the budget from now on, because another journal uses the rest."""
         self.max_segments = max(MIN_SEGMENTS, int(self._all_segments * share))
         self.max_live = int(MAX_LIVE_SHARE * self.max_segments * self.segment_size)
 
     def restore(
         self, rows: Iterable[ManifestRow], records: Iterable[tuple[int, Record]], sizes: Mapping[int, int]
     ) -> None:
-        """Account for what was recovered: rows by first record, records with their segment, sizes by segment."""
+        """Rebuild the accounting after recovery.
+
+        ``rows`` are sorted by first record, ``records`` are pairs of a segment number and a record, and ``sizes`` are
+        bytes by segment number.
+        """
         records_by_segment: dict[int, list[Record]] = {}
         for number, record in records:
             records_by_segment.setdefault(number, []).append(record)
@@ -94,10 +106,10 @@
             size = max(SEGMENT_HEADER_SIZE, sizes.get(row.number, row.sealed_size))
             self._set_size(self.segments[row.number], size)
 
-    # What was done -------------------------------------------------------------------------------
+    # Updates -------------------------------------------------------------------------------------
 
     def segment_opened(self, number: int, first_seq: int, size: int) -> None:
-        """A new segment is active; the one before is sealed."""
+        """Add a new segment and make it the active one; the previous one is sealed."""
         if self.active is not None:
             self.active.sealed = True
         self.active = self.segments[number] = Segment(number, first_seq, size, last_seq=first_seq - 1)
@@ -111,7 +123,7 @@
     def record_written(
         self, uid: int, seq: int, size: int, *, is_state: bool = False, is_completion: bool = False
     ) -> None:
-        """A record of a message is in the active segment; ``is_state``: it replaces the records before."""
+        """Account for a message's record in the active segment. ``is_state``: it supersedes all earlier records."""
         segment = self.active
         assert segment is not None
         self._set_size(segment, segment.size + size)
@@ -140,22 +152,22 @@
         message.live.clear()
 
     def _drop_unneeded_completion(self, message: MessageRecords) -> None:
-        """A COMPLETED record is not needed once no other segment has a record of its message."""
+        """Mark a COMPLETED record as dead once no other segment has a record of its message."""
         if message.completed and message.residue <= set(message.live):
             self._mark_dead(message)
 
     def discard_orphans(self, open_messages: Container[int]) -> None:
-        """Mark as dead the records of messages that cannot be recovered, as their first record is lost."""
+        """Mark as dead the records of messages that cannot be recovered because their first record is lost."""
         for uid, message in self.messages.items():
             if not message.completed and uid not in open_messages:
                 message.completed = True
                 self._mark_dead(message)
 
     def segment_removed(self, number: int) -> None:
-        """An empty segment is no longer in the manifest."""
+        """Drop a segment without live records that is no longer in the manifest."""
         segment = self.segments.pop(number)
         self.used_segments -= self._segments_for(segment.size)
-        assert segment.live == 0 and segment is not self.active, "a segment that is needed"
+        assert segment.live == 0 and segment is not self.active, "the segment is still in use"
         for uid in segment.messages:
             message = self.messages[uid]
             message.residue.discard(number)
@@ -164,26 +176,27 @@
             else:
                 self._drop_unneeded_completion(message)
 
-    # What to do ----------------------------------------------------------------------------------
+    # Decisions -----------------------------------------------------------------------------------
 
     def has_room_for(self, size: int) -> bool:
-        """May a new message of ``size`` bytes be accepted?"""
+        """Whether a new message of ``size`` bytes may be accepted."""
         return self.live + size <= self.max_live
 
     def only_completions_fit(self) -> bool:
-        """Is the remaining space reserved for COMPLETED records?"""
+        """Whether the remaining space is reserved for COMPLETED records."""
         return self.live > MAX_SHARE_WITH_ATTEMPTS / MAX_LIVE_SHARE * self.max_live
 
     def needs_new_segment(self, size: int) -> bool:
-        """Is the active segment too full for a record of ``size`` bytes?"""
+        """Whether the active segment is too full for a record of ``size`` bytes."""
         assert self.active is not None
         return self.active.size + size > self.segment_size
 
     def can_open_segment(self, reserve: int, size: int = 0) -> bool:
-        """May another segment be opened? ``reserve``: one of the RESERVE constants.
+        """Whether another segment may be opened for a record of ``size`` bytes. ``reserve``: a RESERVE constant.
 
-        The last free one is for cleaning alone, which gives back more; the one before is for messages that are open
-        already. A record of ``size`` bytes that is longer than a segment has one of its own, in the space of several.
+        The last free segment is reserved for cleaning, which frees more than it takes; the one before it is reserved
+        for records of messages that are already open. A record longer than a segment gets a segment of its own, which
+        takes the space of several.
         """
         return self.free_segments() - self._segments_for(size) + 1 > reserve
 
@@ -191,7 +204,7 @@
         return max(1, -(-size // self.segment_size))
 
     def free_segments(self) -> int:
-        """Segments that still fit in the budget."""
+        """How many more segments fit in the budget."""
         return self.max_segments - self.used_segments
 
     def empty_segments(self) -> list[int]:
@@ -201,11 +214,11 @@
         ]
 
     def choose_victim(self, seq: int) -> int | None:
-        """The segment to clean next, if it is time: by benefit over cost; None if none is worth it.
+        """Choose the segment to clean next by benefit over cost; None if cleaning is not due or frees nothing.
 
-        ``seq``: the next sequence number, from which a segment's age is counted. Rosenblum and Ousterhout 1992,
-        section 3.5: with u the utilization of a segment, reading and rewriting cost 1 + u and free 1 - u; that is
-        weighted by age, as an older one has had its time to empty by itself.
+        ``seq`` is the next sequence number, from which a segment's age is counted. Rosenblum and Ousterhout 1992,
+        section 3.5: with u the utilization of a segment, reading and rewriting it costs 1 + u and frees 1 - u. This
+        ratio is weighted by age, because an older segment is less likely to empty further without cleaning.
         """
         if self.free_segments() > MIN_FREE_SEGMENTS:
             return None
@@ -220,7 +233,7 @@
         return victim
 
     def live_messages(self, number: int) -> list[tuple[int, bool]]:
-        """Messages with live records in a segment, by uid, and whether each is completed."""
+        """The messages with live records in a segment: each one's uid and whether it is completed."""
         return [
             (uid, self.messages[uid].completed)
             for uid in sorted(self.segments[number].messages)
@@ -228,7 +241,7 @@
         ]
 
     def cleaning_quota(self, written: int) -> int:
-        """Bytes to carry forward after ``written`` bytes, so that cleaning stays ahead of the writers."""
+        """Bytes to copy after ``written`` bytes were appended, so that cleaning keeps ahead of the writers."""
         free = self.free_segments()
         if free > MIN_FREE_SEGMENTS:
             return 0
--- a/lynxscale/relay/journal/journal.py
+++ b/lynxscale/relay/journal/journal.py
@@ -1,7 +1,7 @@
-"""The journal: a log of records in segments, which are cleaned a slice at a time.
+"""The journal: a log of records in segments, which are cleaned incrementally.
 
-What ``accept``, ``record_attempt`` and the other writing methods have returned from outlasts the process. Each raises
-JournalFullError where its record could not be stored; nothing of it is in the files then.
+Once ``accept``, ``record_attempt`` or another writing method has returned, its record survives a crash of the process.
+Each of them raises JournalFullError if its record could not be stored; no part of it is in the files in that case.
 """
 
 from __future__ import annotations
@@ -54,27 +54,27 @@
 
 
 class Journal:
-    """The open messages of one process, on disk.
+    """The durable copy of one process's open messages.
 
-    A caller names a message by its number in this process; the files name it by its uid.
+    Callers identify a message by its number in this process; the files identify it by its uid.
 
     Parameters
     ----------
     storage
-        The folder's file operations.
+        File operations in the journal's folder.
     budget
-        Bytes that the folder may take.
+        Maximum size of the folder in bytes.
     now
-        Unix time in µs.
+        Returns the Unix time in µs.
     salt
-        Draws a number below 2**32.
+        Returns a random number below 2**32.
 
     Attributes
     ----------
     gaps
-        What could not be read at the start.
+        The ranges of records that could not be read when the journal was opened.
     cleaning_paused
-        True once another process reads these segments: none is cleaned any more.
+        True once another process reads these segments; cleaning has stopped for good then.
     """
 
     def __init__(
@@ -89,27 +89,27 @@
         self.gaps: list[Gap] = []
         self.cleaning_paused = False
         self._manifest = ManifestStore(storage)
-        self._entries: dict[int, Entry] = {}  # open ones, by uid
-        self._uids: dict[int, int] = {}  # by their number in this process
+        self._entries: dict[int, Entry] = {}  # open messages by uid
+        self._uids: dict[int, int] = {}  # uids by the message's number in this process
         self._next_seq = self._next_segment = 1
         self._handle = -1  # of the active segment
         self._salt = 0  # of the active segment
-        self._last_record_size = 0  # of the last record, in bytes
-        self._recovered_outcomes: set[int] = set()  # messages whose outcome was in the files at the start
-        self._unwritten_completions: list[int] = []  # messages whose COMPLETED could not be written yet
+        self._last_record_size = 0  # bytes
+        self._recovered_outcomes: set[int] = set()  # uids of messages whose outcome was already in the files
+        self._unwritten_completions: list[int] = []  # uids of messages whose COMPLETED could not be written yet
         self._cleaning: Iterator[int] | None = None
-        self._bytes_since_cleaning = 0  # bytes since the last slice of cleaning
-        self._empty_check_due = True  # a segment was begun since empty ones were last removed
+        self._bytes_since_cleaning = 0
+        self._empty_check_due = True  # a segment was begun since empty segments were last removed
 
-    # Start ---------------------------------------------------------------------------------------
+    # Opening -------------------------------------------------------------------------------------
 
     def open(self, legacy_entries: list[Entry] | None = None) -> list[Entry]:
         """Lock the folder, recover the open messages of earlier processes, and return them.
 
         ``legacy_entries`` are messages from a file of the legacy format; those that are not yet here are recorded.
 
-        Raises OSError where the folder cannot be read or another process has locked it, JournalFormatError where no
-        manifest can be read or a newer version wrote the files.
+        Raises OSError if the folder cannot be read or another process has locked it, and JournalFormatError if there
+        are manifests and none is valid, or if a newer version wrote the files.
         """
         self._storage.lock()
         names = self._storage.names()
@@ -133,17 +133,17 @@
         self.plan.restore(rows, recovered.records, recovered.sizes)
         self.plan.discard_orphans(self._entries)
         if rows and not rows[-1].sealed_size and rows[-1].number in recovered.sizes:
-            # The active segment is written on: a start needs no space. A torn tail is cut off first.
+            # Append to the active segment, so that opening the journal needs no space. A torn tail is truncated first.
             active = rows[-1].number
             with suppress(OSError):
                 self._handle = self._storage.append_to(segment_name(active), self.plan.segments[active].size)
                 self._salt = recovered.salts[active]
         for uid in recovered.doubtful:
-            with suppress(JournalFullError):  # it is in doubt again at the next start then
+            with suppress(JournalFullError):  # if it is not stored, the next start marks the message again
                 self._append(MESSAGE, uid, encode_message(uid, self._entries[uid]), RESERVE_OPEN)
 
     def _remove_unlisted(self, names: list[str]) -> None:
-        """Remove files of segments that were about to be removed, or were never begun."""
+        """Remove segment files that are not in the manifest: a crash interrupted their creation or their removal."""
         listed = set(map(segment_name, self.plan.segments))
         for name in names:
             if name.endswith(SEGMENT_SUFFIX) and name not in listed:
@@ -155,7 +155,10 @@
         return list(self._entries.values())
 
     def assign_numbers(self, entries: dict[int, Entry]) -> None:
-        """Register what ``open`` returned by numbers in this process. Outcomes set meanwhile are recorded."""
+        """Assign numbers in this process to the entries that ``open`` returned.
+
+        Outcomes that were set since then are recorded.
+        """
         uids = {id(entry): uid for uid, entry in self._entries.items()}
         for number, entry in entries.items():
             self._uids[number] = uid = uids[id(entry)]
@@ -164,18 +167,21 @@
                     self._append(OUTCOME, uid, encode_outcome(uid, *entry.outcome), RESERVE_OPEN)
 
     def adopt(self, number: int, entry: Entry) -> None:
-        """Record a message that another process had accepted, with its state. Raises JournalFullError."""
+        """Record a message that another process accepted, with its state. Raises JournalFullError."""
         self._uids[number] = uid = self._append_message(entry, RESERVE_OPEN)
         if entry.outcome is not None:
             self._recovered_outcomes.add(uid)
 
     def discard_adopted(self, number: int) -> None:
-        """Undo ``adopt``, if it was done; nothing was sent of the message."""
+        """Undo ``adopt`` if it succeeded; the message must not have been sent since."""
         if number in self._uids:
             self.complete(number)
 
     def release(self, number: int) -> int:
-        """Leave a message to another process and return its uid. It stays open here, and cleaning is paused."""
+        """Leave a message to another process and return its uid.
+
+        The message stays open in these files, and cleaning is paused because the other process reads them.
+        """
         self.cleaning_paused = True
         return self._uids.pop(number)
 
@@ -197,16 +203,16 @@
         return uid
 
     def record_attempt(self, number: int, unix: int) -> None:
-        """Record an attempt that is about to be sent. ``unix``: the time now, in µs."""
+        """Record an attempt that is about to be sent. ``unix``: the current Unix time in µs."""
         uid = self._uids[number]
         if self.plan.only_completions_fit():
-            raise JournalFullError("the folder has room for ends alone")
+            raise JournalFullError("the remaining space is reserved for completions")
         self._append(ATTEMPT, uid, encode_attempt(uid, unix), RESERVE_OPEN)
         self._entries[uid].attempts += 1
         self._entries[uid].may_have_run.append(unix)
 
     def record_not_executed(self, number: int, was_recorded: bool) -> None:
-        """Record that an attempt was never executed: the last recorded one, or one that was not recorded."""
+        """Record that an attempt was not executed: the last recorded one, or one that had not been recorded."""
         uid = self._uids[number]
         entry = self._entries[uid]
         self._append(NOT_EXECUTED, uid, encode_not_executed(uid, was_recorded), RESERVE_OPEN)
@@ -216,18 +222,18 @@
             entry.attempts += 1
 
     def record_outcome(self, number: int, status: str, again_ms: int) -> None:
-        """Record the outcome of a message, whose notice is pending."""
+        """Record the outcome of a message; the notice about it is still to be delivered."""
         uid = self._uids[number]
         self._entries[uid].outcome = (status, again_ms)
         self._append(OUTCOME, uid, encode_outcome(uid, status, again_ms), RESERVE_OPEN)
 
     def complete(self, number: int) -> None:
-        """Record that nothing is pending of a message."""
+        """Record that a message is completed: no attempt and no notice is pending."""
         uid = self._uids.pop(number)
         try:
             self._append(COMPLETED, uid, encode_completed(uid), RESERVE_OPEN)
         except JournalFullError:
-            # Written as soon as there is space; until then a new process would recover the message.
+            # ``maintain`` writes it as soon as there is space; until then a new process would recover the message.
             self._unwritten_completions.append(uid)
             raise
         del self._entries[uid]
@@ -239,8 +245,8 @@
         if self._handle < 0 or self.plan.needs_new_segment(size):
             self._begin_segment(reserve, size)
         if not self._manifest.is_current:
-            # Guards against a manifest whose write failed and which is there all the same: it may have sealed this very
-            # segment.
+            # A manifest write that reported an error may have reached the disk and sealed the active segment. Records
+            # appended behind its sealed size would be ignored, so the manifest is written again first.
             try:
                 self._write_manifest()
             except OSError as error:
@@ -262,11 +268,11 @@
         if written == len(data):
             return
         try:
-            # Guards against half a record in the middle: a reader would have to search for the next one after it.
+            # Otherwise a partial record would stay in the middle, and a reader would have to search for the next one.
             self._storage.truncate(self._handle, active.size)
         except OSError:
-            self._close_segment()  # nothing more is written after it
-        raise JournalFullError("the folder took only part of a record")
+            self._close_segment()  # nothing may be appended after the partial record
+        raise JournalFullError("only part of a record could be written")
 
     def _close_segment(self) -> None:
         with suppress(OSError):
@@ -278,12 +284,12 @@
     def _begin_segment(self, reserve: int, size: int) -> None:
         """Begin another segment, for a record of ``size`` bytes.
 
-        First its file, then the manifest that lists it; only then may it hold what is promised.
+        Its file is created first, then the manifest that lists it; only then may records be appended to it.
         """
         if not self.plan.can_open_segment(reserve, size + SEGMENT_HEADER_SIZE):
             self._clean_until_open(reserve, size + SEGMENT_HEADER_SIZE)
             if self._handle >= 0 and not self.plan.needs_new_segment(size):
-                return  # cleaning has begun one, and it has room
+                return  # cleaning has begun a segment that has room for the record
         number, salt = self._next_segment, self._draw_salt()
         self._next_segment += 1
         header = encode_segment_header(number, self._next_seq, salt)
@@ -291,13 +297,13 @@
         try:
             handle = self._storage.create(segment_name(number))
             if self._storage.write(handle, header) != len(header):
-                raise OSError(errno.ENOSPC, "no space for a segment's head")
+                raise OSError(errno.ENOSPC, "no space for a segment's header")
             self._write_manifest(ManifestRow(number, self._next_seq, 0))
         except OSError as error:
             if handle >= 0:
                 with suppress(OSError):
                     self._storage.close(handle)
-            if self._manifest.is_current:  # else the manifest on disk may list it
+            if self._manifest.is_current:  # otherwise the manifest on disk may list the file
                 with suppress(OSError):
                     self._storage.unlink(segment_name(number))
             raise JournalFullError(str(error)) from error
@@ -308,7 +314,10 @@
         self._empty_check_due = True
 
     def _write_manifest(self, new: ManifestRow | None = None, without: frozenset[int] = frozenset()) -> None:
-        """Write the manifest of the plan's segments ``without`` some; ``new``: one that is active instead. OSError."""
+        """Write the manifest of the plan's segments. Raises OSError.
+
+        ``new`` is added as the active segment, which seals the present one; segments in ``without`` are left out.
+        """
         unsealed = self.plan.active if new is None else None
         rows = [
             ManifestRow(segment.number, segment.first_seq, 0 if segment is unsealed else segment.size)
@@ -322,7 +331,7 @@
     # Cleaning ------------------------------------------------------------------------------------
 
     def maintain(self) -> None:
-        """At the end of each turn of the event loop: clean a slice, if it is due, and remove empty segments."""
+        """Clean incrementally if it is due, and remove empty segments. Called at the end of each event loop turn."""
         if self._unwritten_completions:
             self._write_completions()
         if self.cleaning_paused:
@@ -346,7 +355,7 @@
                     quota -= size
             self._remove_empty()
         except JournalFullError:
-            self._cleaning = None  # no space even for that: later, as messages complete
+            self._cleaning = None  # no space even for cleaning; it is tried again as messages complete
 
     def _write_completions(self) -> None:
         while self._unwritten_completions:
@@ -359,11 +368,11 @@
             del self._entries[uid]
 
     def _copy_live_records(self, number: int) -> Iterator[int]:
-        """Write what is live in a segment anew, message by message; yields the bytes of each."""
+        """Copy a segment's live records to the active one, message by message; yields the bytes written for each."""
         for uid, completed in self.plan.live_messages(number):
             message = self.plan.messages.get(uid)
             if message is None or number not in message.live:
-                continue  # it has completed or was carried forward meanwhile
+                continue  # the message has completed or was copied meanwhile
             if completed or message.completed:
                 self._append(COMPLETED, uid, encode_completed(uid), RESERVE_CLEANING)
             else:
@@ -375,7 +384,7 @@
             pass
 
     def _clean_until_open(self, reserve: int, size: int) -> None:
-        """The writers have outrun the slices: clean complete segments, one after the other, until one may be opened."""
+        """Clean complete segments until another may be opened, when writers have outpaced incremental cleaning."""
         self._remove_empty()
         for _ in range(2 * len(self.plan.segments)):
             if self.plan.can_open_segment(reserve, size):
@@ -389,7 +398,10 @@
             raise JournalFullError("the folder is full")
 
     def _remove_empty(self) -> None:
-        """Take empty segments out of the manifest, then remove them; a crash between leaves files that are unlisted."""
+        """Remove empty segments: first from the manifest, then their files.
+
+        A crash in between leaves unlisted files, which the next ``open`` removes.
+        """
         empty = self.plan.empty_segments()
         if not empty:
             return
@@ -403,14 +415,14 @@
                 self._storage.unlink(segment_name(number))
 
     def compact(self) -> None:
-        """Carry all that is live into new segments, and remove the others; for a journal without a relay."""
+        """Copy all live records into new segments and remove the old ones. For tools, while no relay is running."""
         for number in list(self.plan.segments):
             if number in self.plan.segments and self.plan.segments[number] is not self.plan.active:
                 self._copy_all_live_records(number)
                 self._remove_empty()
 
     def close(self) -> None:
-        """Write no more, and let another process have the folder."""
+        """Close the active segment and unlock the folder."""
         if self._handle >= 0:
             self._close_segment()
         self._storage.unlock()
--- a/lynxscale/relay/journal/layout.py
+++ b/lynxscale/relay/journal/layout.py
@@ -1,4 +1,4 @@
-"""The journal's folder: names and headers of segments, and the manifest; docs/design/journal.md, "The files"."""
+"""File names, segment headers and the manifest of a journal folder. See docs/design/journal.md, "The files"."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 
 class ManifestRow(NamedTuple):
-    """A segment in the manifest."""
+    """A segment as the manifest lists it."""
 
     number: int
-    first_seq: int  # the sequence number of its first record
-    sealed_size: int  # its size in bytes; 0 while it is active
+    first_seq: int  # sequence number of its first record
+    sealed_size: int  # bytes; 0 while the segment is active
 
 
 class Manifest(NamedTuple):
-    """Which segments make up the journal. Of two manifests the one with the higher generation is in force."""
+    """The list of segments that make up the journal. Of two manifests the one with the higher generation is valid."""
 
     generation: int
     rows: tuple[ManifestRow, ...]
@@ -52,17 +52,17 @@
 
 
 def decode_segment_header(data: bytes) -> tuple[int, int, int]:
-    """Number, first sequence number and salt of a segment.
+    """Return number, first sequence number and salt of a segment.
 
-    Raises JournalFormatError, or JournalVersionError for a newer version's.
+    Raises JournalFormatError, or JournalVersionError if a newer version wrote it.
     """
     if len(data) < SEGMENT_HEADER_SIZE or data[:4] != SEGMENT_MAGIC:
-        raise JournalFormatError("no segment of a journal")
+        raise JournalFormatError("not a journal segment")
     _magic, version, number, first_seq, salt = SEGMENT_HEADER.unpack_from(data)
     if version > VERSION:
-        raise JournalVersionError(f"version {version} of the segment, this one reads {VERSION}")
+        raise JournalVersionError(f"version {version} of the segment is newer than {VERSION}, which this relay reads")
     if CHECKSUM.unpack_from(data, SEGMENT_HEADER.size)[0] != crc32c(data[: SEGMENT_HEADER.size]):
-        raise JournalFormatError("the segment's head is damaged")
+        raise JournalFormatError("the segment's header is damaged")
     return number, first_seq, salt
 
 
@@ -74,17 +74,17 @@
 
 
 def decode_manifest(data: bytes) -> Manifest:
-    """The manifest that these bytes begin with; padding may follow.
+    """Decode the manifest at the start of ``data``; padding may follow it.
 
-    Raises JournalFormatError, or JournalVersionError for a newer version's.
+    Raises JournalFormatError, or JournalVersionError if a newer version wrote it.
     """
     if len(data) < MANIFEST_HEADER.size + CHECKSUM.size or data[:4] != MANIFEST_MAGIC:
-        raise JournalFormatError("no manifest of a journal")
+        raise JournalFormatError("not a journal manifest")
     _magic, version, generation, count = MANIFEST_HEADER.unpack_from(data)
     if version > VERSION:
-        raise JournalVersionError(f"version {version} of the manifest, this one reads {VERSION}")
+        raise JournalVersionError(f"version {version} of the manifest is newer than {VERSION}, which this relay reads")
     size = MANIFEST_HEADER.size + count * MANIFEST_ROW.size
     if len(data) < size + CHECKSUM.size or CHECKSUM.unpack_from(data, size)[0] != crc32c(data[:size]):
-        raise JournalFormatError("the manifest's checksum does not fit")
+        raise JournalFormatError("the manifest's checksum does not match")
     rows = tuple(ManifestRow(*row) for row in MANIFEST_ROW.iter_unpack(data[MANIFEST_HEADER.size : size]))
     return Manifest(generation, rows)
--- a/lynxscale/relay/journal/legacy_format.py
+++ b/lynxscale/relay/journal/legacy_format.py
@@ -1,6 +1,6 @@
-"""Reader of the journal's previous format: one file, whose records have no sequence numbers.
+"""Reader of the journal's previous format: a single file, whose records have no sequence numbers.
 
-Kept so that a relay that is upgraded with open messages keeps them.
+It lets a relay that is upgraded from an older version keep its open messages.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 
 
 def read_legacy_journal(data: bytes) -> tuple[dict[int, Entry], int]:
-    """The open messages of a file by their numbers, and how many of its bytes are complete records."""
+    """Return a file's open messages by number, and how many of its bytes are complete records."""
     entries: dict[int, Entry] = {}
     offset = 0
     while offset + RECORD_HEADER.size <= len(data):
         checksum, size, kind = RECORD_HEADER.unpack_from(data, offset)
         payload = data[offset + RECORD_HEADER.size : offset + RECORD_HEADER.size + size]
-        # Guards against a write cut short by the end of the process: all before it still counts.
+        # A crash can cut the last write short; everything before it is still valid.
         if size > MAX_PAYLOAD_SIZE or len(payload) < size or zlib.crc32(payload, kind) != checksum:
             break
         _apply_record(entries, kind, payload)
--- a/lynxscale/relay/journal/manifest_store.py
+++ b/lynxscale/relay/journal/manifest_store.py
@@ -1,4 +1,4 @@
-"""The manifest's two files, written in turn, so that a crash while one is written leaves the other."""
+"""The manifest's two files. They are written alternately, so that a crash during a write leaves the other intact."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from lynxscale.relay.journal.storage import Storage
 
 SLOTS = ("manifest.0", "manifest.1")
-NEW_SLOT = "manifest.new"  # a slot while it is written for the first time
-SLOT_SIZE_STEP = 4096  # bytes
+NEW_SLOT = "manifest.new"  # temporary name of a slot while its file is created
+SLOT_SIZE_STEP = 4096  # bytes; slot files are padded to a multiple of this
 
 
 def load_manifest(storage: Storage, names: list[str]) -> Manifest | None:
-    """The newer one of the valid manifests; None before the first. ``names``: the files that are there.
+    """Return the newest valid manifest, or None if there is none yet. ``names``: the files in the folder.
 
-    Raises JournalFormatError where there are manifests and none is valid, JournalVersionError where a newer
-    version wrote one.
+    Raises JournalFormatError if there are manifests and none is valid, and JournalVersionError if a newer version
+    wrote one.
     """
     manifests, faults = [], []
     for slot in SLOTS:
@@ -36,7 +36,7 @@
 
 
 def read_segments(storage: Storage, manifest: Manifest, names: list[str]) -> dict[int, bytes]:
-    """The bytes of a manifest's segments, by number; without those that are not among ``names``. Raises OSError."""
+    """Return the bytes of a manifest's segments by number, except those missing from ``names``. Raises OSError."""
     return {
         row.number: storage.read(segment_name(row.number)) for row in manifest.rows if segment_name(row.number) in names
     }
@@ -48,7 +48,7 @@
     Attributes
     ----------
     is_current
-        False after a write that failed: the manifest on disk may be either the one before or the one that was written.
+        False after a failed write: the manifest on disk may be the previous one or the one whose write failed.
     """
 
     def __init__(self, storage: Storage) -> None:
@@ -59,7 +59,7 @@
         self.is_current = True
 
     def load(self, names: list[str]) -> Manifest | None:
-        """The manifest in force, as ``load_manifest`` reads it; leftovers of a first write are removed."""
+        """Load the manifest as ``load_manifest`` does, and remove the leftover of an interrupted slot creation."""
         with suppress(OSError):
             if NEW_SLOT in names:
                 self._storage.unlink(NEW_SLOT)
@@ -70,9 +70,10 @@
         return manifest
 
     def write(self, rows: tuple[ManifestRow, ...]) -> None:
-        """Write the next generation over the last but one: whichever a crash leaves, one is valid. Raises OSError.
+        """Write the next generation over the last but one, so that a crash leaves one valid manifest. Raises OSError.
 
-        In place and not by a rename, as some file systems write a file that replaces another out at once.
+        The file is overwritten in place, because some file systems flush a file at once when it is renamed over
+        another.
         """
         generation = self._generation + 1
         data = encode_manifest(Manifest(generation, rows))
@@ -86,7 +87,7 @@
         self._generation = generation
 
     def _create_slot(self, slot: str, data: bytes) -> None:
-        """A slot's first write, or one that needs more space: atomic, and with space for many more rows."""
+        """Create or enlarge a slot's file atomically, padded so that later manifests fit in place."""
         self._slot_size = max(self._slot_size, -(-len(data) // SLOT_SIZE_STEP) * SLOT_SIZE_STEP)
         handle = self._storage.create(NEW_SLOT)
         try:
--- a/lynxscale/relay/journal/records.py
+++ b/lynxscale/relay/journal/records.py
@@ -1,7 +1,7 @@
-"""Records of a segment: encoding, decoding, and their effect on the open messages; docs/design/journal.md, "The files".
+"""Encoding and decoding of a segment's records, and their effect on the open messages.
 
-A message is known in the journal by its ``uid``: the sequence number of the first record written of it. The kinds of
-records are plain ints, as they are packed and compared for each record.
+The format is described in docs/design/journal.md, "The files". The journal identifies a message by its ``uid``, the
+sequence number of its first record. Record kinds are plain ints because they are packed and compared for each record.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 ATTEMPT_PAYLOAD = struct.Struct("<Qq")  # uid, Unix time in µs
 MESSAGE_PREFIX = struct.Struct("<QI")  # uid, size of the metadata; the metadata as JSON and the body follow
 MESSAGE, ATTEMPT, NOT_EXECUTED, OUTCOME, COMPLETED = KINDS = (1, 2, 3, 4, 5)
-MAX_PAYLOAD_SIZE = 1 << 20  # guards against a flipped length by which a reader would take all memory
+MAX_PAYLOAD_SIZE = 1 << 20  # bytes; a reader that trusted a corrupt length could exhaust the memory
 
 
 @dataclass(slots=True)
 class Entry:
-    """An open message as the journal has it. Times are Unix time in µs."""
+    """An open message as the journal stores it. Times are Unix time in µs."""
 
     id: str
     class_name: str
@@ -38,12 +38,12 @@
     body: bytes
     attempts: int = 0
     may_have_run: list[int] = field(default_factory=list)  # times of attempts that may have been executed
-    outcome: tuple[str, int] | None = None  # a notice is pending: its status and again_ms
+    outcome: tuple[str, int] | None = None  # status and again_ms of the pending notice, if there is one
     accepted_at: int = 0
 
 
 class Record(NamedTuple):
-    """One record of a segment. ``size``: with its header, in bytes."""
+    """One record of a segment. ``size`` is in bytes and includes the header."""
 
     kind: int
     seq: int
@@ -52,7 +52,7 @@
 
     @property
     def uid(self) -> int:
-        """The message that it belongs to."""
+        """The uid of the message that the record belongs to."""
         return UID.unpack_from(self.payload)[0]
 
 
@@ -60,17 +60,17 @@
 
 
 def encode_record(kind: int, seq: int, payload: bytes, salt: int) -> bytes:
-    """A record's bytes.
+    """Encode a record.
 
-    Its checksum begins from its segment's salt. Guards against a body that a client made to look like a record, should
-    a reader begin to look for one in the middle of it.
+    The checksum is seeded with the segment's salt. A client could otherwise send a body that contains a valid record,
+    and a reader that searches for the next record after damage would accept it.
     """
     checksummed = RECORD_HEADER.pack(0, len(payload), kind, seq)[CHECKSUM.size :] + payload
     return CHECKSUM.pack(crc32c(checksummed, salt)) + checksummed
 
 
 def encode_message(uid: int, entry: Entry) -> bytes:
-    """Payload of MESSAGE: a message's complete state, which replaces all earlier records of it."""
+    """Payload of MESSAGE: a message's complete state, which supersedes all its earlier records."""
     metadata = orjson.dumps(
         [
             entry.accepted_at,
@@ -94,7 +94,7 @@
 
 
 def encode_not_executed(uid: int, recorded: bool) -> bytes:
-    """Payload of NOT_EXECUTED: an attempt was never executed, the last recorded one or one that was not recorded."""
+    """Payload of NOT_EXECUTED: an attempt was not executed, the last recorded one or one that was not recorded."""
     return UID.pack(uid) + bytes([recorded])
 
 
@@ -104,7 +104,7 @@
 
 
 def encode_completed(uid: int) -> bytes:
-    """Payload of COMPLETED: nothing is pending of the message."""
+    """Payload of COMPLETED: no attempt and no notice of the message is pending."""
     return UID.pack(uid)
 
 
@@ -112,7 +112,10 @@
 
 
 def read_records(data: bytes, offset: int, salt: int) -> Iterator[Record]:
-    """The complete records from an offset on, up to the first invalid one; a caller adds up their sizes."""
+    """Yield the records from ``offset`` on, up to the first invalid one.
+
+    Records are contiguous: the offset of the invalid one is ``offset`` plus the sizes of those that were yielded.
+    """
     size = len(data)
     while offset + RECORD_HEADER.size <= size:
         checksum, length, kind, seq = RECORD_HEADER.unpack_from(data, offset)
@@ -124,9 +127,10 @@
 
 
 def find_next_record(data: bytes, offset: int, above: int, salt: int) -> int | None:
-    """After damage: the offset of the next complete record with a sequence number above ``above``; None without one.
+    """Search for the next valid record after damage and return its offset, or None.
 
-    A record is recognised by its checksum, which needs the segment's salt, and by a plausible sequence number.
+    A record is valid if its checksum, seeded with the segment's salt, matches and its sequence number is plausible:
+    higher than ``above`` by no more than the data's length.
     """
     for candidate in range(offset, len(data) - RECORD_HEADER.size + 1):
         _checksum, length, kind, seq = RECORD_HEADER.unpack_from(data, candidate)
@@ -139,7 +143,7 @@
 
 
 def decode_message(payload: bytes) -> Entry:
-    """The message of a MESSAGE record's payload."""
+    """Decode the payload of a MESSAGE record."""
     _uid, size = MESSAGE_PREFIX.unpack_from(payload)
     metadata, body = payload[MESSAGE_PREFIX.size : MESSAGE_PREFIX.size + size], payload[MESSAGE_PREFIX.size + size :]
     accepted_at, id_, class_name, tenant, key, dest, expires, attempts, may_have_run, outcome = orjson.loads(metadata)
@@ -166,7 +170,7 @@
     elif kind == COMPLETED:
         entries.pop(uid, None)
     elif kind not in KINDS:
-        raise JournalVersionError(f"record {record.seq}: kind {kind}, which a newer version wrote")
+        raise JournalVersionError(f"record {record.seq}: unknown kind {kind}, written by a newer version")
     elif (entry := entries.get(uid)) is not None:
         apply_change(entry, kind, record.payload)
 
@@ -177,7 +181,7 @@
         entry.attempts += 1
         entry.may_have_run.append(ATTEMPT_PAYLOAD.unpack(payload)[1])
     elif kind == NOT_EXECUTED:
-        # Of the last recorded attempt, or of one that ended before it was recorded.
+        # It refers to the last recorded attempt, or to one that ended before it was recorded.
         if payload[UID.size :] == b"\1" and entry.may_have_run:
             entry.may_have_run.pop()
         else:
--- a/lynxscale/relay/journal/recovery.py
+++ b/lynxscale/relay/journal/recovery.py
@@ -1,9 +1,9 @@
-"""From the bytes of the segments to the open messages: pure, and the same in service, in the tools and in the model.
+"""Recovers the open messages from the bytes of the segments. Pure: the relay, the tools and the model share this code.
 
-Records are applied in the order of their sequence numbers. A gap is a range of records that were written and cannot be
-read. What follows a gap is read all the same; but a message whose complete state was last written before the gap's end
-may have lost the record of an attempt, so it counts as possibly executed since it was accepted: what must not take
-effect twice is not sent again.
+Records are applied in the order of their sequence numbers. A gap is a range of records that were written but cannot be
+read. Records after a gap are still read. However, a message whose complete state was last written before the end of
+the gap may have lost the record of an attempt. Such a message is marked as possibly executed since it was accepted, so
+that a message that must not take effect twice is not sent again.
 """
 
 from __future__ import annotations
@@ -26,7 +26,11 @@
 
 
 class Gap(NamedTuple):
-    """Records that cannot be read: after ``after`` and before ``before`` (None: to the segment's end), and why."""
+    """A range of records that cannot be read, and why.
+
+    ``after`` and ``before`` are the sequence numbers just outside the range; ``before`` is None if it reaches to the
+    segment's end.
+    """
 
     segment: int
     after: int
@@ -40,20 +44,27 @@
 
 @dataclass(slots=True)
 class RecoveryResult:
-    """What the segments hold. Messages are keyed by uid, sizes (in bytes, of complete records) and salts by segment."""
+    """The contents of the segments.
+
+    Messages are keyed by uid. ``sizes`` (bytes up to the end of the last valid record) and ``salts`` are keyed by
+    segment number.
+    """
 
     entries: dict[int, Entry] = field(default_factory=dict)
     gaps: list[Gap] = field(default_factory=list)
-    doubtful: list[int] = field(default_factory=list)  # messages that a gap may have hidden an attempt of
+    doubtful: list[int] = field(default_factory=list)  # uids of messages of which a gap may hide an attempt
     sizes: dict[int, int] = field(default_factory=dict)
     salts: dict[int, int] = field(default_factory=dict)
-    records: list[tuple[int, Record]] = field(default_factory=list)  # with their segment; payloads are cut to the uid
+    records: list[tuple[int, Record]] = field(default_factory=list)  # segment number and record, its payload only a uid
     next_seq: int = 1
     next_number: int = 1
 
 
 def recover(manifest: Manifest, segments: Mapping[int, bytes]) -> RecoveryResult:
-    """``segments``: bytes by number, of those that could be read. Raises JournalVersionError."""
+    """Recover the open messages. ``segments``: the bytes of each readable segment by number.
+
+    Raises JournalVersionError if a newer version wrote a segment.
+    """
     result = RecoveryResult()
     state_seqs: dict[int, int] = {}  # message: sequence number of its last complete state
     newest = max((row.first_seq for row in manifest.rows), default=0)
@@ -66,7 +77,7 @@
             result.next_seq = max(result.next_seq, record.seq + 1)
             result.records.append((row.number, record._replace(payload=record.payload[: UID.size])))
             if record.seq <= last_applied:
-                continue  # a copy of a segment, left by a crash between two renames
+                continue  # already applied: a crash between two renames can leave a second copy of a segment
             last_applied = record.seq
             apply_record(result.entries, record)
             if record.kind == MESSAGE:
@@ -76,20 +87,20 @@
 
 
 def _segment_records(row: ManifestRow, data: bytes | None, is_active: bool, result: RecoveryResult) -> Iterator[Record]:
-    """A segment's records; adds its gaps, its salt and its size to the result."""
+    """Yield a segment's records; add its gaps, its salt and its size to ``result``."""
     salt = _salt(row, data, is_active, result)
     if data is None or salt is None:
         return
     if row.sealed_size:
-        data = data[: row.sealed_size]  # what follows was torn when its process died
+        data = data[: row.sealed_size]  # anything after it is a torn write of a process that died
     result.salts[row.number] = salt
     offset, expected = SEGMENT_HEADER_SIZE, row.first_seq
     while True:
         for record in read_records(data, offset, salt):
             if record.seq < expected:
-                break  # not a record of this segment's sequence
+                break  # a stale record: sequence numbers only rise within a segment
             if record.seq > expected:
-                result.gaps.append(Gap(row.number, expected - 1, record.seq, "their numbers are passed over"))
+                result.gaps.append(Gap(row.number, expected - 1, record.seq, "their sequence numbers are skipped"))
             yield record
             expected = record.seq + 1
             offset += record.size
@@ -97,7 +108,7 @@
             break
         next_offset = find_next_record(data, offset + 1, expected - 1, salt) if offset < len(data) else None
         if next_offset is None:
-            if row.sealed_size or not is_active:  # else a torn tail, where the process died
+            if row.sealed_size or not is_active:  # in the active segment it is a torn write, which is expected
                 result.gaps.append(Gap(row.number, expected - 1, None, _end_reason(row, offset)))
             break
         next_record = next(read_records(data, next_offset, salt))
@@ -107,14 +118,17 @@
 
 
 def _end_reason(row: ManifestRow, offset: int) -> str:
-    """Why a segment cannot be read from ``offset`` on."""
+    """Describe why a segment cannot be read from ``offset`` on."""
     if row.sealed_size:
         return f"damaged at byte {offset} of {row.sealed_size}"
     return f"it ends at byte {offset} without having been closed"
 
 
 def _salt(row: ManifestRow, data: bytes | None, is_active: bool, result: RecoveryResult) -> int | None:
-    """A segment's salt, from its header; None where it cannot be read, which adds a gap if records may be lost."""
+    """Read a segment's salt from its header.
+
+    Returns None if the header cannot be read, and adds a gap if records may be lost.
+    """
     if data is None or (not data and not is_active):
         result.gaps.append(Gap(row.number, row.first_seq - 1, None, "it is missing"))
         return None
@@ -127,14 +141,14 @@
     else:
         if (number, first_seq) == (row.number, row.first_seq):
             return salt
-        reason = f"it is segment {number} from record {first_seq} on, the manifest says {row.first_seq}"
-    if not (is_active and len(data) < SEGMENT_HEADER_SIZE):  # a header that was cut short: it has no records yet
+        reason = f"its header names segment {number} from record {first_seq} on, the manifest says {row.first_seq}"
+    if not (is_active and len(data) < SEGMENT_HEADER_SIZE):  # a truncated header: the segment has no records yet
         result.gaps.append(Gap(row.number, row.first_seq - 1, None, reason))
     return None
 
 
 def _mark_doubtful(result: RecoveryResult, state_seqs: Mapping[int, int]) -> None:
-    """Guards against a second effect: the record of an attempt may be among what was lost."""
+    """Mark messages of which a gap may hide an attempt as possibly executed, so that they take effect only once."""
     for gap in result.gaps:
         before = gap.before if gap.before is not None else _first_seq_after(gap, result)
         for uid, entry in result.entries.items():
@@ -145,5 +159,5 @@
 
 
 def _first_seq_after(gap: Gap, result: RecoveryResult) -> int:
-    """The first record that can be read after a gap that reaches to its segment's end."""
+    """Sequence number of the first readable record after a gap that reaches to its segment's end."""
     return min((record.seq for _segment, record in result.records if record.seq > gap.after), default=result.next_seq)
--- a/lynxscale/relay/upgrade/__init__.py
+++ b/lynxscale/relay/upgrade/__init__.py
@@ -1,6 +1,6 @@
-"""Upgrades: two processes of one relay, the one that serves and its successor; ``docs/design/operation.md``.
+"""Upgrades: handover from the serving process of a relay to its successor. See docs/design/operation.md.
 
-``succession`` decides who accepts clients and who owns which messages, without I/O; ``handover`` carries it out.
-``board`` is the shared memory of the two, ``journal_folders`` says whose folder is whose, ``journal_follower`` reads
-the other's journal, ``learned_file`` passes on what the scheduler has learned.
+``succession`` decides, without I/O, which process accepts clients and owns which messages; ``handover`` carries the
+decisions out. ``board`` is the processes' shared memory, ``journal_folders`` assigns journal folders to processes,
+``journal_follower`` reads the other process's journal, and ``learned_file`` passes on the scheduler's learned state.
 """
--- a/lynxscale/relay/upgrade/board.py
+++ b/lynxscale/relay/upgrade/board.py
@@ -1,9 +1,11 @@
-"""Shared memory of two processes of one relay while both run: a small mapped file, of which each writes its own half.
+"""Shared memory of the two processes of a relay during an upgrade: a small mapped file with one half per process.
 
-Little endian. A half: magic, version, stage, generation, inode of the listening socket, attempts in flight, how often
-waits were published, number of waits; then the waits, a key and until when each, in µs of the monotonic clock, which
-all processes of a machine share. Only its owner writes a half; a reader that meets one in the middle of a change sees
-a wait that is over or not yet published, and the complete one a moment later.
+The format is little endian. A half consists of magic, version, stage, generation, inode of the listening socket, number
+of attempts in flight, number of times that waits were published, and number of waits. The waits follow, each a key and
+the time until which to wait, in µs of the monotonic clock, which all processes of a machine share.
+
+Only the owner writes to a half. A reader that reads during a change may see an expired wait or miss a new one; the next
+read sees the complete change.
 """
 
 from __future__ import annotations
@@ -17,8 +19,8 @@
 
 MAGIC, VERSION = b"LXUP", 1
 HALF_HEADER = struct.Struct("<4sHHQQIII")
-WAIT_ENTRY = struct.Struct("<qQ")  # key and time
-HALF_SIZE = 4096
+WAIT_ENTRY = struct.Struct("<qQ")  # key and end time in µs
+HALF_SIZE = 4096  # bytes
 MAX_WAITS = (HALF_SIZE - HALF_HEADER.size) // WAIT_ENTRY.size
 BOARD_SIZE = 2 * HALF_SIZE
 FILE_NAME = "board"
@@ -27,13 +29,13 @@
 
 
 class Stage(IntEnum):
-    """Where a process stands. The values stand in the file."""
+    """A process's stage in a handover. The values are stored in the file."""
 
     NONE = 0
     STARTING = 1
-    READY = 2  # it could accept clients
+    READY = 2  # able to accept clients
     SERVING = 3
-    HANDED_OVER = 4  # it accepts no more from the listening socket
+    HANDED_OVER = 4  # no longer accepts connections from the listening socket
 
 
 class BoardHalf:
@@ -42,25 +44,25 @@
     def __init__(self, data: mmap.mmap, index: int) -> None:
         self._data, self._offset, self.index = data, index * HALF_SIZE, index
         self._waits: dict[int, int] = {}
-        self._last_publish_count = -1  # how often waits had been published when they were read last
+        self._last_publish_count = -1  # the publish count when the waits were last read
 
-    # The owner's side ----------------------------------------------------------------------------
+    # Methods for the owner -----------------------------------------------------------------------
 
     def begin(self, generation: int, inode: int) -> None:
-        """This process owns it from now on."""
+        """Reset the half and take ownership of it."""
         self._data[self._offset : self._offset + HALF_SIZE] = bytes(HALF_SIZE)
         HALF_HEADER.pack_into(self._data, self._offset, MAGIC, VERSION, Stage.STARTING, generation, inode, 0, 0, 0)
 
     def set_stage(self, stage: Stage) -> None:
-        """Publish its stage."""
+        """Publish this process's stage."""
         struct.pack_into("<H", self._data, self._offset + 6, stage)
 
     def set_in_flight(self, count: int) -> None:
-        """Publish how many attempts are in flight."""
+        """Publish the number of attempts in flight."""
         COUNT.pack_into(self._data, self._offset + IN_FLIGHT_OFFSET, count)
 
     def publish_wait(self, key: int, until: int, now: int) -> None:
-        """A peer asked this process to wait."""
+        """Publish that a peer asked this process to wait until ``until``; expired waits make room for new ones."""
         waits = self._waits
         if waits.get(key, 0) >= until:
             return
@@ -75,10 +77,10 @@
             "<II", self._data, self._offset + PUBLISH_COUNT_OFFSET, (published + 1) & 0xFFFFFFFF, len(waits)
         )
 
-    # The other's side ----------------------------------------------------------------------------
+    # Methods for the other process ---------------------------------------------------------------
 
     def read(self) -> tuple[Stage, int, int, int] | None:
-        """Stage, generation, inode and attempts in flight; None where no process of this version wrote it."""
+        """Return stage, generation, inode and attempts in flight; None if no process of this version wrote the half."""
         magic, version, stage, generation, inode, in_flight, _published, _count = HALF_HEADER.unpack_from(
             self._data, self._offset
         )
@@ -87,7 +89,7 @@
         return Stage(stage), generation, inode, in_flight
 
     def wait_until(self, key: int) -> int:
-        """Until when its process was asked to wait; 0 where it was not."""
+        """Return the time until which the owner was asked to wait for ``key``, or 0."""
         published, count = struct.unpack_from("<II", self._data, self._offset + PUBLISH_COUNT_OFFSET)
         if published != self._last_publish_count:
             rows = self._data[
@@ -100,13 +102,13 @@
 
 
 class Board:
-    """The file, created where it is missing. Raises OSError."""
+    """The mapped file, which is created if it is missing. Raises OSError."""
 
     def __init__(self, folder: Path) -> None:
         handle = os.open(folder / FILE_NAME, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             if os.fstat(handle).st_size != BOARD_SIZE:
-                # Written and not only extended: a hole that cannot be filled would kill the process at its first use.
+                # Zeros are written because a sparse file on a full disk would raise SIGBUS at the first access.
                 if os.pwrite(handle, bytes(BOARD_SIZE), 0) != BOARD_SIZE:
                     raise OSError(errno.ENOSPC, "no space for the board")
                 os.ftruncate(handle, BOARD_SIZE)
@@ -115,5 +117,5 @@
             os.close(handle)
 
     def halves(self) -> tuple[BoardHalf, BoardHalf]:
-        """Both halves, of which the caller owns one at most."""
+        """Return both halves; the caller may own at most one of them."""
         return BoardHalf(self._data, 0), BoardHalf(self._data, 1)
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -1,4 +1,4 @@
-"""Drives an upgrade: looks at the other process, takes clients when it lets go, and takes over what it left."""
+"""Carries out an upgrade: watches the other process, accepts clients once it stops, and adopts its open messages."""
 
 from __future__ import annotations
 
@@ -27,15 +27,19 @@
 
 log = structlog.get_logger()
 
-# µs between two looks at the other process, while there is one and else:
+# Time between two checks of the other process, while there is one and otherwise.
 CHECK_INTERVAL_US, IDLE_CHECK_INTERVAL_US = 10_000, 100_000
-MAX_ADOPTED_PER_TURN = 32  # messages adopted in one turn
-MAX_RELEASED_PER_CHECK = 128  # the same of released ones: they wait for their first attempt
-RETRY_INTERVAL_US = 200_000  # µs, where there was no space
+MAX_ADOPTED_PER_TURN = 32  # messages that an ended process left, adopted in one turn of the event loop
+MAX_RELEASED_PER_CHECK = 128  # released messages adopted in one turn; more, as they wait for an attempt
+RETRY_INTERVAL_US = 200_000  # before adopting again after there was no space in the journal
 
 
 class Handover:
-    """Carries out the succession. ``accept``: accept clients; ``limit_sockets``: keep to a share of the descriptors."""
+    """Carries out the decisions of ``Succession``.
+
+    ``accept`` starts accepting clients, and ``limit_sockets`` limits this process to a share of the file descriptors.
+    ``name_of`` gives an endpoint's id and address by its number, ``number_of`` the reverse.
+    """
 
     def __init__(
         self,
@@ -56,27 +60,27 @@
         self._slots = relay.settings.slots
         self._other: tuple[Stage, bool] = (Stage.NONE, False)
         self._follower: JournalFollower | None = None  # of the other process's journal
-        self._inherited: InheritedJournal | None = None  # of the predecessor, while it lives
+        self._inherited: InheritedJournal | None = None  # of the predecessor, while it runs
         self._released_at, self._successor = 0, -1
         if claim.half is not None:
             relay.attach_board(self)
 
     @property
     def waiting(self) -> bool:
-        """Another process still accepts the clients."""
+        """Whether another process still accepts the clients."""
         return self._succession.waiting
 
     def begin(self) -> None:
-        """The process is ready to accept clients, or accepts them."""
+        """Start the checks, once this process is ready to accept clients or accepts them."""
         claim = self._claim
-        for generation in list(claim.earlier):  # what is adopted at once is removed from the list
+        for generation in list(claim.earlier):  # a copy: a folder that is adopted at once is removed from the list
             if generation != self._predecessor:
                 self._adopt(generation)
         if not claim.is_successor:
             if not claim.earlier:
                 claim.release_start_lock()
         else:
-            # Before it says that it is ready: reading all of it may take a while.
+            # Done before publishing READY, because reading the complete journal may take a while.
             self._follower = JournalFollower(folder_of(claim.state, self._predecessor))
             self._follower.poll()
         if claim.half is not None:
@@ -84,7 +88,7 @@
             self._check()
 
     def stopped_accepting(self) -> None:
-        """This process accepts no more clients."""
+        """Publish that this process no longer accepts clients, and store the learned state for its successor."""
         if self._claim.half is None:
             return
         if self._other[1]:
@@ -93,40 +97,43 @@
         self._claim.half.set_stage(Stage.HANDED_OVER)
 
     def has_successor(self) -> bool:
-        """Is another process ready to accept the clients?"""
+        """Whether another process is ready to accept the clients."""
         if self._claim.half is None:
             return False
         self._read_board()
         return self._succession.has_successor(*self._other)
 
     def release(self) -> None:
-        """Release waiting messages to the successor; where the folder has no space for it, at this process's end."""
+        """Release waiting messages to the successor.
+
+        If the folder has no space to record that, the successor adopts them when this process ends.
+        """
         numbers = self._relay.recovery.release()
         if numbers:
             try:
                 append_released(self._claim.path, numbers)
             except OSError as error:
-                log.warning("not_released", left=len(numbers), error=str(error))  # adopted at this process's end
+                log.warning("not_released", left=len(numbers), error=str(error))
             self._counters.add("handover", "released", len(numbers))
 
-    # The board, for the core ---------------------------------------------------------------------
+    # BoardPort, for the core ---------------------------------------------------------------------
 
     def publish_wait(self, key: int, until: int, now: int) -> None:
-        """Part of BoardPort."""
+        """Publish that a peer asked this process to wait."""
         self._claim.half.publish_wait(key, until, now)
 
     def wait_until(self, key: int) -> int:
-        """Part of BoardPort."""
+        """Return the time until which the other process was asked to wait for ``key``, or 0."""
         return self._claim.other.wait_until(key) if self._other[0] is not Stage.NONE else 0
 
     def owns(self, id_: str) -> bool:
-        """Part of BoardPort."""
+        """Whether the message is open in the other process's journal."""
         return self._follower is not None and self._follower.contains(id_)
 
     # Checks ---------------------------------------------------------------------------------------
 
     def _read_board(self) -> int:
-        """Read the other's half; how many attempts it has in flight."""
+        """Read the other process's half; returns how many attempts it has in flight."""
         claim = self._claim
         published = claim.other.read()
         stage, generation, _inode, in_flight = published if published is not None else (Stage.NONE, -1, 0, 0)
@@ -145,7 +152,7 @@
         in_flight = self._read_board()
         claim = self._claim
         claim.half.set_in_flight(self._relay.in_flight)
-        # Both together fill the slots; the other's number is as old as a check at most.
+        # Both processes share the slots; the other's count is at most one check interval old.
         self._relay.settings.slots = max(1, self._slots - in_flight)
         for action in self._succession.advance(*self._other):
             log.info("handover", order=action.value, generation=claim.generation, other=self._other[0].name.lower())
@@ -162,7 +169,7 @@
         self._deadlines.after(CHECK_INTERVAL_US if self._succession.shared else IDLE_CHECK_INTERVAL_US, self._check)
 
     def _adopt_released(self) -> None:
-        """The predecessor still runs, and has released some."""
+        """Adopt messages that the predecessor has released while it still runs."""
         path = folder_of(self._claim.state, self._predecessor)
         numbers, at = read_released(path, self._released_at)
         if not numbers or self._follower is None or not self._follower.poll():
@@ -172,7 +179,7 @@
         entries = self._follower.entries
         left = [(number, entries[number]) for number in numbers if number in entries]
         if self._adopt_entries(self._inherited, left[:MAX_RELEASED_PER_CHECK]):
-            # The rest at the next check: a turn must stay short.
+            # The rest is adopted at the next check, to keep the turn short.
             done = (
                 len(numbers) if len(left) <= MAX_RELEASED_PER_CHECK else numbers.index(left[MAX_RELEASED_PER_CHECK][0])
             )
@@ -188,7 +195,7 @@
         try:
             entries = inherited.read()
         except (OSError, JournalFormatError) as error:
-            # It stays as it is, for the operators' tools: what cannot be read must not be removed.
+            # The folder is kept for the operators' tools, because its unreadable messages must not be lost.
             log.error("not_taken_over", folder=inherited.path.name, error=str(error))
             self._counters.add("handover", "unreadable")
             inherited.abandon()
@@ -212,7 +219,7 @@
         self._finished(generation)
 
     def _finished(self, generation: int) -> None:
-        """That generation is adopted: with the last of them the next successor may start."""
+        """Note that a generation is done with; after the last one the next successor may start."""
         self._claim.earlier.remove(generation)
         if generation == self._predecessor:
             self._predecessor = -1
@@ -223,7 +230,7 @@
             self._claim.release_start_lock()
 
     def _adopt_entries(self, inherited: InheritedJournal, chunk: list) -> bool:
-        """These are this process's from now on; False where there is no space for them."""
+        """Adopt messages into this process's journal; returns False if that failed, usually for lack of space."""
         try:
             new = self._relay.recovery.adopt(
                 [entry for _uid, entry in chunk], lambda: inherited.mark_taken([uid for uid, _ in chunk])
@@ -234,15 +241,15 @@
         self._counters.add("handover", "taken_over", new)
         return True
 
-    # What was learned ----------------------------------------------------------------------------
+    # Learned state -------------------------------------------------------------------------------
 
     def save_learned(self) -> None:
-        """Store what the scheduler has learned, for the successor."""
+        """Store the scheduler's learned state for the successor."""
         save(self._claim.state, export(self._relay.scheduler), self._name_of, self._relay.loop.now())
 
     def _load_learned(self) -> None:
         if self._relay.trace is not None and self._relay.trace.decisions:
-            return  # a replay begins from a scheduler that has learned nothing
+            return  # a replay of the trace starts from a scheduler without learned state
         learned = load(self._claim.state, self._number_of, self._relay.loop.now())
         if learned is None:
             return
--- a/lynxscale/relay/upgrade/journal_folders.py
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -1,4 +1,4 @@
-"""The journal folders of one relay: which process owns which, which may start, and what an ended one left behind."""
+"""The journal folders of a relay: which process owns which, which process may start, and what an ended one left."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from lynxscale.relay.upgrade.board import Board, BoardHalf
 
 FIRST_FOLDER = "segments"
-REMOVED_SUFFIX = ".gone"  # of a folder that is about to be removed
-TAKEN_FILE = "taken"  # numbers of messages that another process has taken over
-RELEASED_FILE = "released"  # numbers of messages that its process has released while it runs
-START_LOCK = "heir"  # held by a process from its start until it is alone
-RELEASED_SIZE = UID.size  # bytes of one number
+REMOVED_SUFFIX = ".gone"  # marks a folder that is being removed
+TAKEN_FILE = "taken"  # uids of the folder's messages that another process has adopted
+RELEASED_FILE = "released"  # uids of messages that the folder's owner has released while it runs
+START_LOCK = "heir"  # lock file, held by a process from its start until no other process is left
+RELEASED_SIZE = UID.size  # bytes per released message
 RETRY_INTERVAL_S = 0.02
 
 
 def generation_of(name: str) -> int | None:
-    """The generation of a folder's name; None for others."""
+    """The generation in a journal folder's name; None for any other name."""
     if name == FIRST_FOLDER:
         return 0
     stem, dot, digits = name.partition(".")
@@ -38,48 +38,53 @@
 
 
 def generations(state: Path) -> list[int]:
-    """The generations whose folder exists, the oldest first."""
+    """The generations whose folder exists, oldest first."""
     return sorted(
         number for path in state.iterdir() if path.is_dir() and (number := generation_of(path.name)) is not None
     )
 
 
 class Claim:
-    """A process's claim to one folder, and those of earlier processes that it must take over.
+    """A process's claim to its own folder, and the folders of earlier processes that it must adopt.
 
-    ``half``: its own half of the board, ``other``: that of its predecessor or successor; None without a board.
+    ``half`` is its half of the board, ``other`` that of its predecessor or successor; both are None without a board.
+    ``inode`` identifies the listening socket; it is None if the process was not given one, and there is no board then.
     """
 
     def __init__(self, state: Path, inode: int | None) -> None:
         self.state, self._inode = state, inode
         self.generation, self.is_successor = 0, False
         self.earlier: list[int] = []
-        self.predecessor = -1  # of a successor: the generation that serves; other earlier ones have ended
+        self.predecessor = -1  # for a successor, the serving generation; the processes of all other earlier ones ended
         self.half: BoardHalf | None = None
         self.other: BoardHalf | None = None
         self._start_lock = FolderStorage(state, START_LOCK)
 
     @property
     def path(self) -> Path:
-        """Its folder."""
+        """The folder that this process owns."""
         return folder_of(self.state, self.generation)
 
     def wait(self, seconds: float) -> None:
-        """Raises BlockingIOError where another process holds the folder for longer, and this is no successor."""
+        """Wait until this process may start.
+
+        Raises BlockingIOError if another process still holds the folder after ``seconds`` and this process cannot be
+        its successor.
+        """
         end = time.monotonic() + seconds
         board = Board(self.state) if self._inode is not None else None
         while not self._try_claim(board):
-            # One that was asked to stop may still be stopping: the platform starts the next at once.
+            # The previous process may still be stopping, because the platform starts the next one at once.
             if time.monotonic() > end:
                 raise BlockingIOError(errno.EAGAIN, "another process has this journal", str(self.state))
             time.sleep(RETRY_INTERVAL_S)
 
     def _try_claim(self, board: Board | None) -> bool:
-        """One try; with True this process holds the start lock, until ``release_start_lock``."""
+        """Try to claim a folder. On success this process holds the start lock until ``release_start_lock``."""
         try:
             self._start_lock.lock()
         except BlockingIOError:
-            return False  # there are two processes already
+            return False  # another process is starting, or there are already two
         existing = generations(self.state)
         live = [number for number in existing if not _is_free(folder_of(self.state, number))]
         halves = board.halves() if board is not None else None
@@ -99,7 +104,7 @@
         return True
 
     def _half_of(self, halves: tuple[BoardHalf, BoardHalf], generation: int) -> int | None:
-        """The half of the process that serves, if it has this very listening socket."""
+        """Index of the serving process's half, if that process has the same listening socket; otherwise None."""
         for half in halves:
             published = half.read()
             if published is not None and published[1] == generation and published[2] == self._inode:
@@ -107,7 +112,7 @@
         return None
 
     def release_start_lock(self) -> None:
-        """No other process is left: the next successor may start."""
+        """Let the next successor start, as no earlier process is left."""
         self.is_successor = False
         self._start_lock.unlock()
 
@@ -123,13 +128,16 @@
 
 
 def alive(state: Path, generation: int) -> bool:
-    """Does a process hold the folder of this generation?"""
+    """Whether a running process holds the folder of this generation."""
     path = folder_of(state, generation)
     return path.is_dir() and not _is_free(path)
 
 
 class InheritedJournal:
-    """What an ended process left in its folder. Messages marked as taken there belong to another process for good."""
+    """The journal of another process, whose messages this process adopts.
+
+    A message that is marked as taken belongs to the process that adopted it for good.
+    """
 
     def __init__(self, state: Path, generation: int) -> None:
         self.path, self._storage = folder_of(state, generation), FolderStorage(folder_of(state, generation))
@@ -137,7 +145,7 @@
         self._taken_handle = -1
 
     def lock(self) -> bool:
-        """Keep others out; False while its process runs."""
+        """Lock the folder; returns False while its own process still runs."""
         try:
             self._storage.lock()
         except BlockingIOError:
@@ -145,7 +153,7 @@
         return True
 
     def read(self) -> dict[int, Entry]:
-        """The open messages that are not taken, by their number there. Raises OSError or Refused."""
+        """Return the open messages that are not taken, by uid. Raises OSError or JournalFormatError."""
         names = self._storage.names()
         manifest = load_manifest(self._storage, names)
         if manifest is None:
@@ -153,12 +161,13 @@
         recovered = recover(manifest, read_segments(self._storage, manifest, names))
         self.gaps = recovered.gaps
         data = self._storage.read(TAKEN_FILE) if TAKEN_FILE in names else b""
-        # A truncated number is of a message that the successor has and never sent: it knows it by its id.
+        # A truncated uid belongs to a message that the adopting process has recorded and not yet sent; adopting it
+        # again is harmless, because that process recognises it by its id.
         taken = {number for (number,) in UID.iter_unpack(data[: len(data) // UID.size * UID.size])}
         return {uid: entry for uid, entry in recovered.entries.items() if uid not in taken}
 
     def mark_taken(self, numbers: list[int]) -> None:
-        """Another process has these in its journal from now on. Raises OSError: then they must not be sent."""
+        """Mark messages as adopted by another process. If this raises OSError, that process must not send them."""
         if self._taken_handle < 0:
             path = self.path / TAKEN_FILE
             size = path.stat().st_size if path.exists() else 0
@@ -168,22 +177,22 @@
         data = b"".join(UID.pack(number) for number in numbers)
         before = os.fstat(self._taken_handle).st_size
         if os.write(self._taken_handle, data) != len(data):
-            os.ftruncate(self._taken_handle, before)  # none of them: the caller takes over none
-            raise OSError(errno.ENOSPC, "no space for numbers of messages")
+            os.ftruncate(self._taken_handle, before)  # mark none of them, because the caller adopts none
+            raise OSError(errno.ENOSPC, "no space to mark messages as taken")
 
     def close(self) -> None:
-        """Mark no more."""
+        """Close the file of taken messages."""
         if self._taken_handle >= 0:
             os.close(self._taken_handle)
             self._taken_handle = -1
 
     def abandon(self) -> None:
-        """Leave it as it is, unlocked. Guards against a lock that looks like a running process."""
+        """Unlock the folder and leave it as it is; a lock that stayed would look like a running process."""
         self.close()
         self._storage.unlock()
 
     def remove(self) -> None:
-        """All messages are taken: remove the folder, atomically."""
+        """Remove the folder, once all its messages are taken. It is renamed first, so that the removal is atomic."""
         self.close()
         removed = self.path.with_name(self.path.name + REMOVED_SUFFIX)
         with suppress(OSError):
@@ -193,7 +202,7 @@
 
 
 def append_released(path: Path, numbers: list[int]) -> None:
-    """Release messages to the successor. Raises OSError: it then gets them once this process ends."""
+    """Release messages to the successor. If this raises OSError, the successor adopts them when this process ends."""
     handle = os.open(path / RELEASED_FILE, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     try:
         os.write(handle, b"".join(UID.pack(number) for number in numbers))
@@ -202,7 +211,7 @@
 
 
 def read_released(path: Path, offset: int) -> tuple[list[int], int]:
-    """What was released from byte ``offset`` on, and where to read on."""
+    """Return the uids of messages that were released after byte ``offset``, and the offset for the next call."""
     with suppress(OSError), open(path / RELEASED_FILE, "rb") as file:
         file.seek(offset)
         data = file.read()
@@ -212,7 +221,7 @@
 
 
 def remove_leftovers(state: Path) -> None:
-    """Remove what an earlier process was about to remove."""
+    """Remove folders whose removal an earlier process did not finish."""
     for path in state.iterdir():
         if path.name.endswith(REMOVED_SUFFIX) and generation_of(path.name.removesuffix(REMOVED_SUFFIX)) is not None:
             shutil.rmtree(path, ignore_errors=True)
--- a/lynxscale/relay/upgrade/journal_follower.py
+++ b/lynxscale/relay/upgrade/journal_follower.py
@@ -1,4 +1,4 @@
-"""Another process's journal, read while it is written: which messages are open there, and their state."""
+"""Reads another process's journal while it is written, to know which messages are open there and their state."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from lynxscale.relay.journal.recovery import recover
 from lynxscale.relay.journal.storage import FolderStorage
 
-MAX_READ_BYTES = 256 << 10  # in one poll, so that no turn takes long
+MAX_READ_BYTES = 256 << 10  # per read
 
 
 class JournalFollower:
-    """``entries``: the open messages by their number there, as of the last poll."""
+    """Follows a journal. ``entries``: its open messages by uid, as of the last poll."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
@@ -30,19 +30,19 @@
         self._last_seq = 0  # of the last record
 
     def close(self) -> None:
-        """Close the segment that is read."""
+        """Close the current segment."""
         if self._handle >= 0:
             os.close(self._handle)
             self._handle = -1
 
     def contains(self, id_: str) -> bool:
-        """Is this message open in the other process, as far as it has written by now?"""
+        """Whether this message is open in the journal, according to all that has been written so far."""
         if not self.poll():
             return False
         return self._ids.get(id_) in self.entries
 
     def poll(self) -> bool:
-        """Read what is new; False where the journal cannot be read just now."""
+        """Read new records; returns False if the journal cannot be read at present."""
         try:
             if self._segment_number < 0:
                 self._begin()
@@ -50,12 +50,12 @@
                 pass
         except (OSError, JournalFormatError):
             self.close()
-            self._segment_number = -1  # from the start at the next poll
+            self._segment_number = -1  # the next poll reads the journal from its start
             return False
         return True
 
     def _begin(self) -> None:
-        """Everything so far. Raises OSError where a segment was removed meanwhile."""
+        """Read the complete journal. Raises OSError if a segment was removed meanwhile."""
         storage = FolderStorage(self._path)
         manifest = load_manifest(storage, storage.names())
         if manifest is None or not manifest.rows:
@@ -64,14 +64,14 @@
         recovered = recover(manifest, {row.number: storage.read(segment_name(row.number)) for row in rows})
         last = rows[-1].number
         if last not in recovered.salts:
-            return  # its head is not written yet
+            return  # its header is not written yet
         self._handle = os.open(self._path / segment_name(last), os.O_RDONLY | os.O_CLOEXEC)
         self._segment_number, self._offset, self._salt = last, recovered.sizes[last], recovered.salts[last]
         self.entries, self._last_seq = recovered.entries, recovered.next_seq - 1
         self._ids = {entry.id: uid for uid, entry in self.entries.items()}
 
     def _read(self) -> bool:
-        """More of the segment; False at its end."""
+        """Read more of the current segment; returns False at its end."""
         if self._handle < 0:
             return False
         data = os.pread(self._handle, MAX_READ_BYTES, self._offset)
@@ -90,7 +90,7 @@
         return self._offset > start
 
     def _next_segment(self) -> bool:
-        """On to the next segment, if there is one."""
+        """Switch to the next segment; returns False if there is none yet."""
         if self._handle < 0:
             return False
         with suppress(FileNotFoundError):
@@ -99,7 +99,7 @@
                 _segment_number, _first, salt = decode_segment_header(os.pread(handle, SEGMENT_HEADER_SIZE, 0))
             except JournalFormatError:
                 os.close(handle)
-                return False  # its head is not complete yet
+                return False  # its header is not complete yet
             self.close()
             self._handle, self._segment_number, self._offset, self._salt = (
                 handle,
--- a/lynxscale/relay/upgrade/learned_file.py
+++ b/lynxscale/relay/upgrade/learned_file.py
@@ -1,4 +1,4 @@
-"""What the scheduler has learned, in a file for the next process: endpoints by name in place of their numbers."""
+"""Stores the scheduler's learned state for the next process, with endpoints by name in place of their numbers."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 log = structlog.get_logger()
 
 FILE_NAME, VERSION = "knowledge", 1
-MAX_BYTES = 64 << 10  # beyond it nothing is stored, as the folder is small
-MAX_AGE_US = 15_000_000  # µs: what is older is outdated
+MAX_BYTES = 64 << 10  # a larger state is not stored, because the folder is small
+MAX_AGE_US = 15_000_000  # an older state is outdated and not loaded
 
 
 def save(state: Path, learned: dict[str, Any], name_of: Callable[[int], tuple[str, str] | None], now: int) -> None:
-    """Write it atomically; a folder without space costs the next process no more than what was learned.
+    """Write the learned state atomically. A failure is only logged: the next process then starts without it.
 
-    ``learned``: as the scheduler exports it; ``name_of`` gives an endpoint's id and address; ``now``: µs of the
+    ``learned`` is the scheduler's export, ``name_of`` gives an endpoint's id and address, and ``now`` is in µs of the
     monotonic clock.
     """
     rows = [[name, *row[1:]] for row in learned["endpoints"] if (name := name_of(row[0])) is not None]
@@ -46,9 +46,9 @@
 
 
 def load(state: Path, number_of: Callable[[str, str], int | None], now: int) -> dict[str, Any] | None:
-    """Read it, once; None where there is none, or it is old, of another boot or of another version.
+    """Read and remove the file. Returns None if it is missing, outdated, or of another boot or another version.
 
-    ``number_of``: of an id at an address, None where that is not listed.
+    ``number_of`` gives the number of an id at an address, None if that is not listed.
     """
     try:
         learned = orjson.loads((state / FILE_NAME).read_bytes())
--- a/lynxscale/relay/upgrade/succession.py
+++ b/lynxscale/relay/upgrade/succession.py
@@ -1,4 +1,4 @@
-"""Which of two processes of one relay accepts clients and owns which messages: decisions without I/O."""
+"""Decides, without I/O, which of a relay's two processes accepts clients and owns which messages."""
 
 from __future__ import annotations
 
@@ -8,24 +8,27 @@
 
 
 class SuccessionAction(Enum):
-    """What the handover must do. The values stand in the log."""
+    """What the handover must do. The values appear in the log."""
 
-    SHARE = "share"  # the descriptors with the other process
-    ALONE = "alone"  # all descriptors are this process's again
-    ACCEPT = "accept"  # clients
-    ADOPT = "adopt"  # what the other process, which has ended, left
+    SHARE = "share"  # share the file descriptors with the other process
+    ALONE = "alone"  # use all file descriptors again
+    ACCEPT = "accept"  # accept clients
+    ADOPT = "adopt"  # adopt the messages that the ended predecessor left
 
 
 class Succession:
-    """One process's view. ``is_successor``: another process was serving when this one started."""
+    """One process's view of a handover. ``is_successor``: another process was serving when this one started."""
 
     def __init__(self, is_successor: bool) -> None:
-        self.waiting = is_successor  # it does not accept clients yet
+        self.waiting = is_successor  # this process does not accept clients yet
         self.has_predecessor = is_successor  # the other process still owns its messages
         self.shared = False  # both processes run
 
     def advance(self, other: Stage, alive: bool) -> list[SuccessionAction]:
-        """What is due. ``other``: the stage of the other process on the board; ``alive``: it holds its folder."""
+        """Return the actions that are due.
+
+        ``other``: the other process's stage on the board; ``alive``: whether it still holds its folder.
+        """
         actions = []
         other_runs = alive and other is not Stage.NONE
         if other_runs != self.shared:
@@ -40,5 +43,5 @@
         return actions
 
     def has_successor(self, other: Stage, alive: bool) -> bool:
-        """Could another process accept the clients that come?"""
+        """Whether another process could accept new clients."""
         return alive and not self.has_predecessor and other in (Stage.READY, Stage.SERVING)
--- a/lynxscale/relay/upstream/__init__.py
+++ b/lynxscale/relay/upstream/__init__.py
@@ -1,7 +1,7 @@
-"""The upstream group: endpoint lists from files and from discovery, and the one list that is in force.
+"""The upstream group: endpoint lists from files and from discovery, and the effective list that results from them.
 
-``model`` has the values, ``files`` parses and writes a list, ``validation`` decides what a new version means,
-``endpoint_table`` is the list in force and ``group`` its interface, ``slow_start`` raises weights in steps.
-``file_scan``, ``file_watch`` and ``list_store`` do the I/O, ``background`` runs what takes long, ``verdict_reporter``
-logs what became of each version.
+``model`` defines the data types, ``files`` parses and writes lists, ``validation`` decides whether a new version is
+applied, ``endpoint_table`` holds the list in force and ``group`` is its interface. ``slow_start`` raises weights in
+steps. ``file_scan``, ``file_watch`` and ``list_store`` do the I/O, ``background`` runs long work without blocking the
+event loop, and ``verdict_reporter`` logs the verdict on each version.
 """
--- a/lynxscale/relay/upstream/background.py
+++ b/lynxscale/relay/upstream/background.py
@@ -1,4 +1,4 @@
-"""Work that takes long: in the loop, a bounded time a turn; and calls that may block, in a thread."""
+"""Long work in the event loop, in slices of bounded time, and calls that may block, in a thread."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
 from lynxscale.relay.deadlines import Deadlines
 from lynxscale.relay.upstream.model import SlicedWork
 
-MAX_BLOCKING_NS = 1_500_000  # of the loop at a time; the scheduler's step on what was applied meanwhile adds to it
+MAX_BLOCKING_NS = 1_500_000  # per slice; the scheduler's step on the changes that a slice applied comes on top
 
 
 class SlicedRunner:
-    """Runs work in slices; ``longest_block_ns`` is the longest that it has blocked the loop so far, in ns."""
+    """Runs work in slices. ``longest_block_ns``: the longest time that one slice has blocked the event loop."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self._deadlines = deadlines
         self.longest_block_ns = 0
 
     def run(self, work: SlicedWork, large: bool) -> Deferred:
-        """Fires with the result, or the failure. ``large``: it creates very many objects that stay."""
+        """Run ``work``; the Deferred fires with its result or failure.
+
+        ``large``: the work creates very many long-lived objects, so garbage collection is suspended meanwhile.
+        """
         done: Deferred = Deferred()
         if large:
-            # Guards the loop: the collector would walk all entries again and again while they are created, 50 ms each
-            # time with 50,000. They have no reference cycles; afterwards they are frozen.
+            # The collector would traverse all entries repeatedly while they are created, which blocks the event loop
+            # for 50 ms each time with 50,000 entries. They have no reference cycles and are frozen afterwards.
             gc.disable()
         self._continue(work, large, done)
         return done
@@ -45,7 +48,7 @@
                     break
         except StopIteration as end:
             result, ended = end.value, True
-        except Exception:  # whatever the work raises is its Deferred's failure
+        except Exception:  # any exception of the work becomes the Deferred's failure
             self._finish(large)
             done.errback()
             return
@@ -66,7 +69,7 @@
 
 
 class Worker:
-    """One thread for calls that may block. It is not joined: a disk that hangs must not keep the process."""
+    """A thread for calls that may block. It is a daemon, so that a hanging disk cannot prevent the process's exit."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -74,7 +77,7 @@
         self._thread: threading.Thread | None = None
 
     def call(self, work: Callable, *args: Any) -> Deferred:
-        """``work(*args)`` in the thread, one after the other; its result or failure in the loop."""
+        """Call ``work(*args)`` in the thread, in order of submission; the Deferred fires in the event loop."""
         if self._thread is None:
             self._thread = threading.Thread(target=self._run, name="lists", daemon=True)
             self._thread.start()
@@ -87,7 +90,7 @@
             done, work, args = self._work.get()
             try:
                 result: Any = work(*args)
-            except Exception:  # whatever the call raises is its Deferred's failure
+            except Exception:  # any exception of the call becomes the Deferred's failure
                 result = Failure()
             self._reactor.callFromThread(done.callback, result)
-            del done, result, args  # guards the memory: the last bytes read would stay until the next call
+            del done, result, args  # these references would keep the last bytes read in memory until the next call
--- a/lynxscale/relay/upstream/component.py
+++ b/lynxscale/relay/upstream/component.py
@@ -1,4 +1,4 @@
-"""Watched endpoint lists as a component of a relay."""
+"""The relay component that watches endpoint list files."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
         context.group.add(FILES, self._watch)
 
     def start(self) -> None:
-        """Restore the last good lists and begin to watch."""
+        """Restore the last good lists and begin watching the files."""
         self._watch.start()
 
     def stop(self) -> None:
-        """Watch no more."""
+        """Stop watching the files."""
         self._watch.stop()
 
     def reload(self, conf: Config, product: Conf) -> Collection[str]:
-        """Scan the files at once."""
+        """Scan the files soon, without waiting for the poll interval."""
         self._watch.rescan()
         return ()
--- a/lynxscale/relay/upstream/endpoint_table.py
+++ b/lynxscale/relay/upstream/endpoint_table.py
@@ -1,9 +1,9 @@
-"""The list in force: every endpoint's number in the scheduler, name, address and weight.
+"""The list in force: the scheduler's number of every endpoint, and its id, address and weight.
 
-A number stands for one endpoint, that is an id at an address for a destination. Another address under the same id, or
-another id at the same address, gets a new number, so that no health, wait, window or connection carries over. What has
-left is forgotten, and gets a new number should it come again: guards against tables that grow with every endpoint that
-ever was.
+A number identifies one endpoint: an id at an address for a destination. A new address under the same id, or a new id at
+the same address, gets a new number, so that no health state, wait, window or connection carries over. A removed
+endpoint is forgotten and gets a new number if it is listed again; otherwise the tables would grow with every endpoint
+that was ever listed.
 """
 
 from __future__ import annotations
@@ -15,11 +15,14 @@
 from lynxscale.relay.upstream.slow_start import SlowStart
 from lynxscale.scheduling.events import Lifecycle, Member
 
-DESTINATION_RETENTION_MS = 60_000  # a destination whose last endpoint left so long ago is one that no list knows
+DESTINATION_RETENTION_MS = 60_000  # how long a destination stays known after its last endpoint was removed
 
 
 class EndpointTable:
-    """``kinds`` and ``zones`` as the settings name them; what they do not name counts as the first."""
+    """The endpoints in force, by number and by id.
+
+    ``kinds`` and ``zones`` are the names from the settings; an endpoint with any other name counts as the first one.
+    """
 
     def __init__(self, kinds: list[str], zones: list[str], slow_start: SlowStart) -> None:
         self._kinds = {name: index for index, name in enumerate(kinds)}
@@ -27,15 +30,15 @@
         self.slow_start = slow_start
         self._numbers: dict[str, int] = {}
         self._by_number: dict[int, Endpoint] = {}
-        self._endpoint_counts: dict[int, int] = {}  # destinations and how many endpoints each has
-        self._emptied_at: dict[int, int] = {}  # destinations without an endpoint, and since when
+        self._endpoint_counts: dict[int, int] = {}  # listed endpoints by destination
+        self._emptied_at: dict[int, int] = {}  # time in µs at which a destination lost its last endpoint
         self._next_number = count(1).__next__
 
     def __len__(self) -> int:
         return len(self._by_number)
 
     def has_destination(self, destination: int, now: int) -> bool:
-        """Does the list have this destination, or did it until lately?"""
+        """Whether the list has this destination, or had it until at most DESTINATION_RETENTION_MS ago."""
         if destination in self._endpoint_counts:
             return True
         if destination in self._emptied_at and now - self._emptied_at[destination] > DESTINATION_RETENTION_MS * 1000:
@@ -51,13 +54,13 @@
         return self._numbers.get(id_)
 
     def entries(self) -> dict[str, Endpoint]:
-        """All of it, by id."""
+        """All endpoints by id."""
         return {entry.id: entry for entry in self._by_number.values()}
 
     def apply(self, changes: Iterable[tuple[str, Endpoint | None]], now: int) -> tuple[list[Member], list[int]]:
-        """Apply changes, each an id and its endpoint, None where it is removed.
+        """Apply changes, each an id and its endpoint, or None if it is removed.
 
-        Returns the scheduler's members, drains and removals first, and the numbers that were removed.
+        Returns the changed members for the scheduler, drains and removals first, and the numbers that were removed.
         """
         drains_and_removals: list[Member] = []
         other_members: list[Member] = []
@@ -83,11 +86,11 @@
         return drains_and_removals + other_members, removed
 
     def members(self) -> list[Member]:
-        """All of it."""
+        """All endpoints as the scheduler's members."""
         return [self._member(number, entry, entry.lifecycle) for number, entry in self._by_number.items()]
 
     def advance_slow_start(self, now: int) -> list[Member]:
-        """The members whose weight has risen a step towards the list's."""
+        """Advance slow start; returns the members whose weight has changed."""
         return [
             self._member(number, entry, entry.lifecycle)
             for number, entry in ((number, self._by_number[number]) for number in self.slow_start.step(now))
--- a/lynxscale/relay/upstream/file_scan.py
+++ b/lynxscale/relay/upstream/file_scan.py
@@ -1,4 +1,4 @@
-"""Reading watched files where they have changed: blocking calls, for a thread of its own. It decides nothing."""
+"""Reads watched files that have changed. The calls block, so they run in a worker thread; they make no decisions."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from lynxscale.relay.upstream.files import MAX_FILE_BYTES, digest_of
 
 SUFFIXES = (".list", ".json")
-MAX_FILES_PER_FOLDER = 256  # files of a folder
-MAX_SCAN_BYTES = 32 << 20  # bytes read in one look: guards the memory against many large files that change at once
-RACY_WINDOW_NS = 50_000_000  # ns: a file changed so lately may be changed again without its times showing it
+MAX_FILES_PER_FOLDER = 256
+MAX_SCAN_BYTES = 32 << 20  # read per scan; bounds the memory when many large files change at once
+RACY_WINDOW_NS = 50_000_000  # a file changed this recently may be changed again without a new timestamp
 SAME, BYTES, ABSENT, UNREADABLE, UNSTEADY, LATER = "same", "bytes", "absent", "unreadable", "unsteady", "later"
 
-FileStamp = tuple[int, ...]  # device, inode, size and times, which tell an unchanged file
+FileStamp = tuple[int, ...]  # device, inode, size and times; if it is the same, the file is unchanged
 
 
 class FileReadResult(NamedTuple):
-    """What a look at one file found. ``what`` is one of the constants above.
+    """The result of reading one file. ``status`` is one of the constants above.
 
-    ``stamp`` is () where the file must be read again. ``data`` and ``digest`` are those of BYTES, ``reason`` says why
-    there are none.
+    ``stamp`` is () if the file must be read again by the next scan. ``data`` and ``digest`` are set with status BYTES;
+    otherwise ``reason`` may say why the file was not read.
     """
 
     path: str
@@ -35,9 +35,10 @@
 
 
 class Scan(NamedTuple):
-    """One look at all watched files.
+    """The results of one scan of all watched files.
 
-    ``folders``: what to watch, by device and inode; ``faults``: of the configured paths; ``approved``: digests.
+    ``folders`` are the folders to watch, each with its device and inode. ``faults`` say what is wrong with the
+    configured paths. ``approved`` are the digests of versions that an operator has approved.
     """
 
     results: list[FileReadResult]
@@ -47,7 +48,7 @@
 
 
 def find_files(paths: Iterable[str]) -> tuple[list[str], dict[str, tuple[int, int]], list[str]]:
-    """The files behind the configured paths, the folders to watch, and what is wrong with the paths."""
+    """Return the files behind the configured paths, the folders to watch, and what is wrong with the paths."""
     found: list[str] = []
     folders: dict[str, tuple[int, int]] = {}
     faults: list[str] = []
@@ -76,9 +77,9 @@
 
 
 def read_if_changed(path: str, stamp: FileStamp = (), max_bytes: int = MAX_FILE_BYTES) -> FileReadResult:
-    """One file, read unless it has that stamp."""
+    """Read a file unless it still has this stamp."""
     try:
-        # Before it is opened: opening a device may have effects, and a FIFO or folder is no list.
+        # Checked before opening: opening a device may have side effects, and a FIFO or folder is not a list.
         kind = os.stat(path).st_mode
         if not stat.S_ISREG(kind):
             what = "a folder" if stat.S_ISDIR(kind) else "a FIFO" if stat.S_ISFIFO(kind) else "something else"
@@ -103,7 +104,7 @@
         after = _stamp_of(os.fstat(descriptor))
         if after != _stamp_of(before) or len(data) != before.st_size:
             return FileReadResult(path, UNSTEADY, reason="it changes while it is read")
-        # Guards against a second change within the file system's clock tick, that leaves size and times as they are.
+        # A second change within the file system's clock tick can leave size and times as they are.
         racy = time.time_ns() - before.st_ctime_ns < RACY_WINDOW_NS
         return FileReadResult(path, BYTES, () if racy else after, data, digest_of(data))
 
@@ -113,7 +114,10 @@
 
 
 def scan_files(paths: tuple[str, ...], stamps: Mapping[str, FileStamp], approved: Callable[[], frozenset[str]]) -> Scan:
-    """Look at all files once, also those of ``stamps`` that are gone; what is beyond MAX_SCAN_BYTES is ``LATER``."""
+    """Scan all files once, including those of ``stamps`` that are gone.
+
+    Once MAX_SCAN_BYTES have been read, the remaining files get status LATER.
+    """
     found, folders, faults = find_files(paths)
     results, bytes_left = [], MAX_SCAN_BYTES
     for path in [*found, *(path for path in stamps if path not in found)]:
--- a/lynxscale/relay/upstream/file_watch.py
+++ b/lynxscale/relay/upstream/file_watch.py
@@ -1,8 +1,9 @@
-"""Watched files as a source of lists: when to scan them, and what becomes of a new version.
+"""Watched files as a source of lists: decides when to scan them and processes new versions.
 
-A scan is due at once when inotify reports anything in a watched folder, and every ``poll`` in any case, as inotify
-reports nothing of a queue that overflowed, a folder that was replaced or a link's target. Scanning blocks and is done
-in a thread; parsing, validating and applying a new version are done in the loop, in slices.
+A scan is scheduled when inotify reports anything in a watched folder. Files are also polled every ``poll`` µs, because
+inotify does not report changes after its queue has overflowed, a replaced folder, or a change of a link's target.
+Scanning blocks and is done in a thread; parsing, validating and applying a new version are done in the event loop, in
+slices.
 """
 
 from __future__ import annotations
@@ -44,40 +45,42 @@
 
 log = structlog.get_logger()
 
-# µs:
-MIN_SCAN_DELAY_US = 100_000  # between the end of a scan and the next one: bounds the work that a flapping file makes
-UNSTEADY_SCAN_DELAY_US = 10_000  # where a file changed while it was read
-INCOMPLETE_REPORT_DELAY_US = 5_000_000  # an incomplete file that stays one so long is reported
-SLOW_SCAN_US = 1_000_000  # a scan that takes so long is reported: nothing new can be known meanwhile
-MAX_WATCHED_FILES = 1024  # that have, or had, a list in force: guards against a writer of ever new names
-LARGE_FILE_BYTES = 64 << 10  # of a file from which on its objects are very many
-INCOMPLETE_REPORTED = 1 << 62  # in place of the time since which a file is incomplete, once that was reported
+MIN_SCAN_DELAY_US = 100_000  # from the end of a scan to the next; bounds the work that a rapidly changing file causes
+UNSTEADY_SCAN_DELAY_US = 10_000  # the same, if a file changed while it was read
+INCOMPLETE_REPORT_DELAY_US = 5_000_000  # a file that stays incomplete for this long is reported
+SLOW_SCAN_US = 1_000_000  # a scan that takes this long is reported: changes go unnoticed meanwhile
+MAX_WATCHED_FILES = 1024  # files with state; bounds the memory if a writer keeps using new file names
+LARGE_FILE_BYTES = 64 << 10  # parsing such a file or a larger one creates very many objects
+INCOMPLETE_REPORTED = 1 << 62  # replaces ``incomplete_since`` once the incomplete file was reported
 
 
 @dataclass(slots=True)
 class WatchedFile:
-    """One watched file, the version of it that is in force, and one that awaits approval or another file."""
+    """One watched file, its version in force, and a pending version that awaits approval or a change of another file.
+
+    ``version``, ``digest``, ``entries`` and ``destinations`` are those in force.
+    """
 
     path: str
-    version: int | None = None  # in force
-    digest: str = ""  # in force
-    entries: dict[str, Endpoint] = field(default_factory=dict)  # in force
-    destinations: dict[int, Destination] = field(default_factory=dict)  # in force
-    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # its lines, for the next version
+    version: int | None = None
+    digest: str = ""
+    entries: dict[str, Endpoint] = field(default_factory=dict)
+    destinations: dict[int, Destination] = field(default_factory=dict)
+    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # of the version in force, reused for the next one
     stamp: file_scan.FileStamp = ()
-    last_digest: str = ""  # of what was read last
-    pending: ListVerdict | None = None  # awaits approval, or that another file gives up what this one wants
+    last_digest: str = ""  # of the bytes that were read last
+    pending: ListVerdict | None = None  # not applied: needs approval, or conflicts with another file
     pending_data: bytes = b""
-    incomplete_since: int | None = None
-    stale_reason: str = ""  # why the file cannot be read
+    incomplete_since: int | None = None  # µs of the event loop's clock
+    stale_reason: str = ""  # why the file cannot be read at present
 
     def active_list(self) -> ActiveList:
-        """What is in force of it."""
+        """The version in force."""
         return ActiveList(self.version, self.digest, self.entries)
 
 
 class FileWatch:
-    """Watched files as a Source: ``start`` it once; ``rescan`` makes it scan soon."""
+    """A Source that reads watched files. Call ``start`` once; ``rescan`` makes it scan soon."""
 
     def __init__(
         self,
@@ -99,23 +102,23 @@
         self._inotify: Any = None
         self._folders: dict[str, tuple[int, int]] = {}
         self._path_faults: list[str] = []
-        self._timer: Deadline | None = None  # of the next scan
+        self._timer: Deadline | None = None  # starts the next scan
         self._scanning = self._scan_again = self._stopped = False
-        self._excess_reported = False  # that there are more files than MAX_WATCHED_FILES
+        self._excess_reported = False  # whether an excess over MAX_WATCHED_FILES was reported
         self._verdict_rows: list[dict] = []
         self._version = 0
 
     # Source --------------------------------------------------------------------------------------
 
     def watch(self, active: bool) -> None:
-        """Part of Source. Files are watched always."""
+        """Do nothing: files are always watched."""
 
     def fetch(self) -> None:
-        """Part of Source."""
+        """Scan the files soon."""
         self.rescan()
 
     def start(self) -> None:
-        """Restore the last good lists, and begin to scan. Blocks, before anything is served."""
+        """Restore the last good lists and start scanning. Blocks, so it must be called before the relay serves."""
         reported = self._lists.reported_digests()
         for stored in self._lists.load_good():
             if isinstance(stored, StoredListCorruptError):
@@ -126,7 +129,7 @@
         self._scan()
 
     def _configured(self, unit: str) -> str | None:
-        """The path of a stored list as the configuration has it; None where it is not configured any more."""
+        """The path of a stored list as the configuration writes it; None if it is no longer configured."""
         for path in self._conf.files:
             absolute = os.path.abspath(path)
             if absolute == unit:
@@ -148,12 +151,13 @@
         run_to_end(self._apply(file, verdict, reading.parsed_lines))
         log.info("list_restored", unit=path, version=file.version, digest=digest[:16], endpoints=len(file.entries))
         if not reported:
-            # Guards its verdict against the end of a process that had stored it and not reported it yet: nothing about
-            # it is new from here on. Where the file of verdicts was rotated since, it is reported once more.
+            # The previous process may have ended after storing the list and before reporting its verdict. The version
+            # is not new to this process, so it is reported here. If the verdict files were rotated since, the verdict
+            # is reported a second time.
             self._report(verdict)
 
     def stop(self) -> None:
-        """Scan no more."""
+        """Stop scanning."""
         self._stopped = True
         self._deadlines.cancel(self._timer)
         if self._inotify is not None:
@@ -179,7 +183,7 @@
             log.warning("list_watch_by_poll", error=str(error), poll_ms=self._conf.poll // 1000)
 
     def _watch_folders(self, folders: dict[str, tuple[int, int]]) -> None:
-        """Watch these folders; one that was replaced is watched anew."""
+        """Watch exactly these folders; the watch of a replaced folder is renewed."""
         if self._inotify is None or folders == self._folders:
             return
         for folder in [one for one in self._folders if folders.get(one) != self._folders[one]]:
@@ -218,7 +222,7 @@
         self._counters.add("lists", "slow_looks")
 
     def _failed(self, failure: Failure) -> None:
-        """Guards the watch against a fault of our own in one scan: it is logged, and the next one follows."""
+        """Log an unexpected error in a scan, so that a defect does not stop the scanning."""
         log.error("list_scan_failed", error=failure.getTraceback())
 
     def _scan_finished(self, unsteady: bool | None, slow_timer: Deadline) -> None:
@@ -231,11 +235,11 @@
             self._schedule(UNSTEADY_SCAN_DELAY_US)
         self._schedule(MIN_SCAN_DELAY_US if self._scan_again else self._conf.poll)
 
-    # What a scan found -------------------------------------------------------------------------------
+    # Results of a scan -------------------------------------------------------------------------------
 
     @inlineCallbacks
     def _scanned(self, scan: Scan, slow_timer: Deadline) -> Generator[Deferred, Any, bool]:
-        """Process what a scan found; whether some file was unsteady."""
+        """Process the results of a scan; returns whether a file must be read again soon."""
         self._deadlines.cancel(slow_timer)
         if self._stopped:
             return False
@@ -266,7 +270,7 @@
         return unsteady
 
     def _file_of(self, path: str) -> WatchedFile | None:
-        """A file's state; None for a new one beyond MAX_WATCHED_FILES."""
+        """The state of a file; None for a new file beyond MAX_WATCHED_FILES."""
         file = self._files.get(path)
         if file is None:
             if len(self._files) >= MAX_WATCHED_FILES:
@@ -288,7 +292,7 @@
 
     @inlineCallbacks
     def _forget(self, file: WatchedFile) -> Generator[Deferred, Any, None]:
-        """Guards against tables that grow with every file that ever was: one without a list has left its folder."""
+        """Drop the state of a file without entries that has left its folder, so that the tables do not grow forever."""
         yield self._discard_pending(file)
         del self._files[file.path]
         self._excess_reported = False
@@ -307,12 +311,12 @@
 
     @inlineCallbacks
     def _process(self, file: WatchedFile, result: FileReadResult) -> Generator[Deferred, Any, bool]:
-        """Parse and validate a file that was read; whether it was applied."""
+        """Parse and validate a file that was read; returns whether it was applied."""
         if file.stale_reason:
             file.stale_reason = ""
             self._reporter.event("list_back", unit=file.path)
         if result.digest == file.last_digest:
-            return False  # touched, or read before its times were certain
+            return False  # only touched, or read again because of a recent timestamp
         file.last_digest = result.digest
         reading = yield self._run(
             files.read(result.data, file.path, self._rules, file.parsed_lines, result.digest), result.data
@@ -331,7 +335,7 @@
 
     @inlineCallbacks
     def _discard_pending(self, file: WatchedFile) -> Generator[Deferred, Any, None]:
-        """Another version supersedes the one that awaited approval."""
+        """Drop the pending version, which another one supersedes."""
         pending, file.pending, file.pending_data = file.pending, None, b""
         if pending is not None and pending.outcome == ListOutcome.AWAITING_APPROVAL:
             yield self._write(self._lists.remove_awaiting, pending.candidate.digest)
@@ -345,7 +349,10 @@
         data: bytes,
         approved: frozenset[str],
     ) -> Generator[Deferred, Any, bool]:
-        """Validate a version and do what its verdict says; whether it was applied. ``approved``: digests."""
+        """Validate a version and carry out the verdict; returns whether it was applied.
+
+        ``approved``: digests that an operator has approved.
+        """
         verdict = yield self._run(evaluate(file.active_list(), candidate, self._owners, self._guards, approved), data)
         if verdict.outcome == ListOutcome.SAME:
             return False
@@ -368,7 +375,7 @@
 
     @inlineCallbacks
     def _retry_pending(self, approved: frozenset[str], applied: bool) -> Generator[Deferred, Any, None]:
-        """Validate pending versions again: one was approved, or another file has given up what they want."""
+        """Validate pending versions again if they were approved or if another file's list was ``applied``."""
         while True:
             for file in list(self._files.values()):
                 pending = file.pending
@@ -411,7 +418,7 @@
 
     @inlineCallbacks
     def _write(self, work: Callable, *args: Any) -> Generator[Deferred, Any, None]:
-        """In the thread; what cannot be written is reported, and delays nothing."""
+        """Call a writing method in the worker thread. Failures are reported and otherwise ignored."""
         try:
             yield self._worker.call(work, *args)
         except OSError as error:
--- a/lynxscale/relay/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -1,7 +1,7 @@
-"""The file of a list: its bytes to a validated list, in slices; docs/design/membership.md, "The file".
+"""Parses and writes the files of endpoint lists, in slices. See docs/design/membership.md, "The file".
 
-A file without its closing line is incomplete, and nothing is reported of what is in it. Everything else that is wrong
-is reported at once, each fault with its line.
+A file without its closing line is incomplete, and no fault in it is reported. In a complete file, every fault is
+reported with its line.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 from lynxscale.scheduling.events import Lifecycle
 
 VERSION = 1
-MAX_FILE_BYTES = 16 << 20  # bytes: guards against a device or a log named by mistake
-MAX_JSON_BYTES = 512 << 10  # its parser is one call, that blocks the loop for some ms
+MAX_FILE_BYTES = 16 << 20  # a larger file is likely a device or a log that was named by mistake
+MAX_JSON_BYTES = 512 << 10  # the JSON parser is a single call, which blocks the event loop for some ms
 MAX_LINE_CHARS = 4096
-CHUNK_BYTES = 32 << 10  # parsed between two points at which the work may be interrupted
+CHUNK_BYTES = 32 << 10  # the work can be interrupted between chunks
 MAX_ENTRIES = 65_536
 MAX_FAULTS = 50
 MAX_ID_CHARS = 200
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """What a list may say. Empty ``kinds`` and ``zones`` allow any name."""
+    """Rules for the contents of a list. Empty ``kinds`` and ``zones`` allow any name."""
 
     nets: Nets
     kinds: frozenset[str] = frozenset()
@@ -62,23 +62,23 @@
 
 @dataclass(slots=True)
 class ParseResult:
-    """A parsed file. ``candidate`` is None where there are faults, or no closing line."""
+    """The result of parsing a file. ``candidate`` is None if there are faults or no closing line."""
 
     candidate: CandidateList | None = None
     faults: list[Fault] = field(default_factory=list)
     complete: bool = True  # it has its closing line
-    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # its lines and their entries, for the next version
+    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # entries by line, reused for the next version
 
 
 def digest_of(data: bytes) -> str:
-    """The SHA-256 of a file's bytes in hex, by which versions are named."""
+    """The SHA-256 of a file's bytes in hex, which identifies a version."""
     return hashlib.sha256(data).hexdigest()
 
 
 def read(
     data: bytes, unit: str, rules: Rules, parsed_lines: ShardedDict | None = None, digest: str | None = None
 ) -> SlicedWork[ParseResult]:
-    """Parse a file's bytes; ``parsed_lines`` has lines of the version before, which need not be parsed again."""
+    """Parse a file's bytes. ``parsed_lines``: lines of the previous version, which need not be parsed again."""
     result = ParseResult()
     digest = digest or digest_of(data)
     if data[:1] == b"{":
@@ -96,7 +96,7 @@
 
 
 def _chunks(data: bytes) -> Iterator[tuple[int, int]]:
-    """Where to split the bytes: at line feeds, into parts that are parsed soon."""
+    """Yield start and end of chunks of about CHUNK_BYTES that end at line feeds."""
     at, size = 0, len(data)
     while at < size:
         end = data.rfind(b"\n", at, at + CHUNK_BYTES) + 1 or data.find(b"\n", at) + 1 or size
@@ -105,7 +105,7 @@
 
 
 def _decode_chunk(chunk: bytes, unit: str, first: int, result: ParseResult) -> str | None:
-    """A part as text, None where it has a fault; its first line has the number ``first``."""
+    """Decode a chunk whose first line has the number ``first``; None if it has a fault, which is reported."""
     if first == 1 and chunk.startswith(b"\xef\xbb\xbf"):
         result.faults.append(Fault(unit, 1, "byte-order mark", "want plain UTF-8"))
         return None
@@ -131,7 +131,7 @@
 
 
 class _EndpointCollector:
-    """What both formats share: endpoints collected and checked against each other."""
+    """Collects endpoints and checks them against each other; shared by both formats."""
 
     def __init__(self, unit: str, rules: Rules, result: ParseResult) -> None:
         self.unit, self.rules, self.result = unit, rules, result
@@ -142,12 +142,15 @@
         self.hosts: dict[str, None] = {}
 
     def fault(self, line: int, word: str, wanted: str) -> None:
-        """Something wrong; beyond MAX_FAULTS it is not kept."""
+        """Report a fault, unless there are already MAX_FAULTS."""
         if len(self.result.faults) < MAX_FAULTS:
             self.result.faults.append(Fault(self.unit, line, word[:80], wanted))
 
     def add(self, line: int, entry: Endpoint) -> None:
-        """Raises InvalidListError where its id or address is in the list already, or the list is too long."""
+        """Add an endpoint.
+
+        Raises InvalidListError if its id or address is already in the list, or if the list is too long.
+        """
         before = self.entries.get(entry.id)
         if before is not None:
             how = " with the same weight" if before.weight == entry.weight else " with another weight"
@@ -168,7 +171,7 @@
             self.destinations[entry.destination] = Destination(entry.destination)
 
     def address(self, text: str) -> tuple[str, int]:
-        """Host and port. Raises InvalidListError where it is none, or outside the allowed networks."""
+        """Parse a host and port. Raises InvalidListError if it is malformed or outside the allowed networks."""
         host, colon, port = text.rpartition(":")
         if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
             raise InvalidListError(text, "want ADDRESS:PORT")
@@ -183,13 +186,13 @@
         return host, int(port)
 
     def named(self, what: str, text: str, among: frozenset[str]) -> str:
-        """A zone or kind. Raises InvalidListError where the settings do not name it."""
+        """Check a zone or kind. Raises InvalidListError if it is not one of the names in the settings."""
         if among and text not in among:
             raise InvalidListError(text, f"want a {what} of the settings: {', '.join(sorted(among))}")
         return text
 
     def candidate(self, generation: int, digest: str) -> CandidateList:
-        """The list of what was collected."""
+        """Return the collected endpoints as a candidate list."""
         return CandidateList(self.unit, generation, digest, self.entries, self.destinations, self.lines)
 
 
@@ -212,13 +215,14 @@
 
 
 class _LineParser(_EndpointCollector):
-    """The format in lines."""
+    """Parser of the line-based format."""
 
     def __init__(self, unit: str, rules: Rules, digest: str, result: ParseResult, parsed_lines: ShardedDict) -> None:
         super().__init__(unit, rules, result)
         self.digest, self.parsed_lines = digest, parsed_lines
         self.generation: int | None = None
-        self.has_defaults = False  # what an endpoint's line means depends on its destination's line
+        # Set by a destination's line: an endpoint's line then depends on it, so parsed lines are not reused.
+        self.has_defaults = False
         self.directives = {"list": self._list, "destination": self._destination, "endpoint": self._endpoint}
 
     def read(self, data: bytes) -> SlicedWork[None]:
@@ -226,7 +230,7 @@
         number, checksum, size = 0, 0, data.rindex(b"end ")
         for at, end in _chunks(data):
             if end - at > CHUNK_BYTES + 4 * MAX_LINE_CHARS:
-                # Guards the loop against a line of megabytes, that would be searched and split in one go.
+                # A line of megabytes would be searched and split at once, which would block the event loop.
                 self.fault(number + 1, "line", f"want lines of at most {MAX_LINE_CHARS} characters")
                 return
             chunk = data[at : min(end, size)]
@@ -281,7 +285,7 @@
             raise InvalidListError("list", "want it once, as the first line")
         if len(words) != 4 or words[2] != "generation":
             raise InvalidListError("list", f"want list {VERSION} generation NUMBER")
-        self.generation = 0  # so that the lines below are judged too
+        self.generation = 0  # so that the following lines are checked even if this one has a fault
         if words[1] != str(VERSION):
             raise InvalidListError(
                 f"list {words[1]}", f"want a format version of {VERSION}, which is all that this one reads"
@@ -347,11 +351,11 @@
         self.add(number, entry)
 
     def _end(self, number: int, last: bytes, checksum: int) -> None:
-        words = last.split()  # of the form by which the file is complete
+        words = last.split()  # matches CLOSING_LINE
         if b"\r" in last:
             self.fault(number, "carriage return", "want text, its lines ended by a line feed alone")
         if self.result.faults:
-            return  # the count would be off for those lines alone
+            return  # the lines with faults are not counted, so the count would not match either
         if int(words[1]) != len(self.entries):
             self.fault(number, f"end {int(words[1])}", f"want the number of endpoints, which is {len(self.entries)}")
         if len(words) == 4:
@@ -366,7 +370,7 @@
 
 
 def _parse_json(data: bytes, unit: str, rules: Rules, digest: str, result: ParseResult) -> SlicedWork[None]:
-    """Discovery's format, as a complete list: generation, reset, instances."""
+    """Parse the JSON format of discovery, as a complete list: generation, reset, instances."""
     collector = _EndpointCollector(unit, rules, result)
     if len(data) > MAX_JSON_BYTES:
         collector.fault(0, "file", f"want at most {MAX_JSON_BYTES} bytes of JSON; the line format has no such bound")
@@ -374,7 +378,7 @@
     try:
         table = orjson.loads(data)
     except ValueError:
-        result.complete = False  # incomplete, or no JSON: in either case nothing can be said of what is in it
+        result.complete = False  # truncated or not JSON; these cannot be told apart
         return
     rows, version = table.get("instances"), table.get("generation")
     if not isinstance(rows, list):
@@ -439,7 +443,7 @@
 
 
 def line_of(entry: Endpoint) -> str:
-    """An endpoint's line."""
+    """Format the line of an endpoint."""
     words = ["endpoint", _quoted(entry.id), "{}:{}".format(*entry.address), "destination", str(entry.destination)]
     for name, text in (("zone", entry.zone), ("kind", entry.kind)):
         if text:
@@ -452,7 +456,7 @@
 
 
 def write(entries: Iterable[Endpoint], generation: int, destinations: Iterable[Destination] = ()) -> bytes:
-    """The bytes of a file with these endpoints, with its checksum."""
+    """Return the bytes of a list file with these endpoints and a checksum."""
     lines = [f"list {VERSION} generation {generation}"]
     for one in destinations:
         lines.append(
--- a/lynxscale/relay/upstream/group.py
+++ b/lynxscale/relay/upstream/group.py
@@ -1,8 +1,8 @@
-"""The upstream group of a running relay: one endpoint list in force, from one or two sources.
+"""The upstream group of a running relay: merges the lists of one or two sources into the list in force.
 
-Each destination has one owner: the first source, in the order of precedence, that lists it. An endpoint of another
-source for the same destination, or under an id that the owner's list has, is ignored: two generations of one peer
-never mix.
+Each destination is owned by the first source, in the order of precedence, that lists it. Endpoints that another source
+lists for the same destination, or under an id that the owner's list has, are ignored, so that two generations of a peer
+are never mixed.
 """
 
 from __future__ import annotations
@@ -19,26 +19,24 @@
 
 FILES, DISCOVERY = "files", "discovery"
 SOURCES = (FILES, DISCOVERY)
-MAX_MEMBERS_PER_UPDATE = (
-    64  # told to the module in one event: guards the loop against a step that is as long as the list
-)
+MAX_MEMBERS_PER_UPDATE = 64  # in one scheduler event; bounds how long the scheduler's step blocks the event loop
 
 
 class Source(Protocol):
-    """Where lists come from. It hands its list to ``Group.update`` (changes) or ``Group.replace`` (all of it)."""
+    """A source of lists. It passes changes to ``Group.update`` and complete lists to ``Group.replace``."""
 
     def watch(self, active: bool) -> None:
-        """Report changes from now on, or no more."""
+        """Start or stop reporting changes."""
 
     def fetch(self) -> None:
         """Report the complete list once."""
 
 
 class Group:
-    """The list in force, for the core, the peers and the clients.
+    """The list in force, as used by the core, the peers and the clients.
 
-    ``put`` hands events to the scheduler, ``on_removed`` is called with the number of each endpoint that leaves,
-    ``order`` names the sources by precedence, ``slow_start`` is the duration of a rise of weight in µs.
+    ``put`` passes events to the scheduler, and ``on_removed`` is called with the number of each removed endpoint.
+    ``order`` lists the sources by precedence. ``slow_start`` is the time in µs over which a weight is raised.
     """
 
     def __init__(
@@ -53,31 +51,31 @@
         self._deadlines, self._put, self._on_removed = deadlines, put, on_removed
         self._slow_start = SlowStart(slow_start)
         self.table = EndpointTable(settings.kinds, settings.zones, self._slow_start)
-        # As in the scheduler: a kind that the settings do not name counts as the first.
+        # As in the scheduler, a kind that is not in the settings counts as the first one.
         self._per_call = dict(zip(settings.kinds, settings.per_call, strict=False))
         self._default_per_call = settings.per_call[0] if settings.per_call else 1
         self._separate_routes = dict(zip(settings.kinds, settings.routes_apart, strict=False))
         self._default_separate_routes = any(settings.routes_apart[:1])
         self._order = tuple(order)
         self._lists: dict[str, dict[str, Endpoint]] = {}
-        self._endpoint_counts: dict[str, dict[int, int]] = {}  # by source: destinations and how many endpoints
+        self._endpoint_counts: dict[str, dict[int, int]] = {}  # by source and destination
         self._sources: dict[str, Source] = {}
-        self.has_list = False  # some source has reported its list in this process
+        self.has_list = False  # True once any source has reported its list
         self._slow_start_scheduled = False  # a timer for the next step is set
 
     def add(self, name: str, source: Source) -> None:
-        """A source, by one of the names in the order of precedence."""
+        """Add a source; ``name`` is one of those in the order of precedence."""
         self._sources[name] = source
         self._lists[name], self._endpoint_counts[name] = {}, {}
 
     # Queries -----------------------------------------------------------------------------
 
     def has_destination(self, destination: int) -> bool:
-        """Does a list name this destination, or did one until lately?"""
+        """Whether the list in force has this destination, or had it until recently."""
         return self.table.has_destination(destination, self._deadlines.now())
 
     def name_of(self, endpoint: int) -> tuple[str, str] | None:
-        """Its id and address, while it is listed."""
+        """The id and address of an endpoint, while it is listed."""
         entry = self.table.entry(endpoint)
         return (entry.id, "{}:{}".format(*entry.address)) if entry is not None else None
 
@@ -87,12 +85,12 @@
         return number if number is not None and self.name_of(number) == (id_, address) else None
 
     def per_call(self, endpoint: int) -> int:
-        """Messages that one call to it may carry."""
+        """How many messages one call to an endpoint may carry."""
         entry = self.table.entry(endpoint)
         return self._per_call.get(entry.kind, self._default_per_call) if entry is not None else 1
 
     def route_of(self, endpoint: int) -> str | None:
-        """The id of an endpoint with a limit and waits of its own; None where its destination's bind it."""
+        """The id of an endpoint that has its own limit and waits; None if those of its destination apply."""
         entry = self.table.entry(endpoint)
         return (
             entry.id
@@ -101,33 +99,33 @@
         )
 
     def accepts_new(self, endpoint: int) -> bool:
-        """May something new be written to it, by the list in force?"""
+        """Whether new requests may be sent to an endpoint: it is listed and not draining."""
         entry = self.table.entry(endpoint)
         return entry is not None and entry.lifecycle == Lifecycle.READY
 
     def address_of(self, endpoint: int) -> tuple[str, int] | None:
-        """Its address, while it is listed."""
+        """The address of an endpoint, while it is listed."""
         entry = self.table.entry(endpoint)
         return entry.address if entry is not None else None
 
     def watch(self, active: bool) -> None:
-        """Let all sources report changes from now on, or no more."""
+        """Start or stop the reporting of changes by all sources."""
         for source in self._sources.values():
             source.watch(active)
 
     def fetch(self) -> None:
-        """Let all sources report their complete list once."""
+        """Make all sources report their complete list once."""
         for source in self._sources.values():
             source.fetch()
 
-    # What sources report ---------------------------------------------------------------------------
+    # Reports of the sources ------------------------------------------------------------------------
 
     def list_of(self, name: str) -> Mapping[str, Endpoint]:
         """The list of a source."""
         return self._lists[name]
 
     def failed(self, version: int) -> None:
-        """A source could not be asked: the scheduler asks again."""
+        """Report that a source could not be queried; the scheduler requests the list again."""
         self._put(MembershipUpdate(MembershipKind.FAILED, version, []))
 
     def update(
@@ -138,10 +136,10 @@
         changes: Iterable[tuple[str, Endpoint | None]],
         always: bool = False,
     ) -> None:
-        """Changes of a source's list, each an id and its endpoint, None where it is removed.
+        """Apply changes to a source's list, each an id and its endpoint, or None if it is removed.
 
-        A list of kind FULL or CACHED holds all that the source has. ``always``: the scheduler waits for an answer,
-        and gets one even where nothing is new.
+        With kind FULL or CACHED, ``changes`` is the source's complete list. ``always``: the scheduler waits for an
+        update and gets one even if nothing has changed.
         """
         changes = list(changes)
         if kind != MembershipKind.CACHED:
@@ -154,7 +152,7 @@
             self._put(MembershipUpdate(kind, version, self.table.members()))
             return
         if kind == MembershipKind.FULL:
-            kind = MembershipKind.DELTA  # the other source's endpoints are not in it
+            kind = MembershipKind.DELTA  # it does not contain the other source's endpoints
         for at in range(0, len(members), MAX_MEMBERS_PER_UPDATE):
             self._put(MembershipUpdate(kind, version, members[at : at + MAX_MEMBERS_PER_UPDATE]))
         if not members and (always or kind == MembershipKind.CACHED):
@@ -163,7 +161,7 @@
     def replace(
         self, name: str, version: int, old: Mapping[str, Endpoint], new: Mapping[str, Endpoint]
     ) -> SlicedWork[None]:
-        """In slices: what was ``old`` of a source's list is ``new`` from now on; drains and removals go first."""
+        """Replace the entries ``old`` of a source's list by ``new``, in slices; drains and removals go first."""
         self.has_list = True
         other_changes, drains_and_removals = [], []
         for index, (id_, entry) in enumerate(new.items()):
@@ -181,7 +179,7 @@
         for changes in (drains_and_removals, other_changes):
             while changes:
                 chunk = changes[-MAX_MEMBERS_PER_UPDATE:]
-                del changes[-MAX_MEMBERS_PER_UPDATE:]  # one by one, as freeing all of them at once would take long
+                del changes[-MAX_MEMBERS_PER_UPDATE:]  # in chunks, because freeing the complete list takes long
                 members = self._apply(self._apply_to_source(name, chunk))
                 if members:
                     self._put(MembershipUpdate(MembershipKind.DELTA, version, members))
@@ -196,7 +194,7 @@
         return None
 
     def _entry_in_force(self, id_: str) -> Endpoint | None:
-        """The entry in force under an id."""
+        """The entry in force for an id."""
         for name in self._order:
             entry = self._lists.get(name, {}).get(id_)
             if entry is not None and self._owner(entry.destination) == name:
@@ -206,7 +204,7 @@
     def _apply_to_source(
         self, name: str, changes: list[tuple[str, Endpoint | None]]
     ) -> list[tuple[str, Endpoint | None]]:
-        """Apply changes to a source's list; what they change in the list in force."""
+        """Apply changes to a source's list, and return the resulting changes of the list in force."""
         entries, counts = self._lists[name], self._endpoint_counts[name]
         if len(self._sources) == 1:
             for id_, entry in changes:
@@ -222,7 +220,7 @@
             self._set_entry(entries, counts, id_, entry)
         reassigned = {number for number, owner in before.items() if self._owner(number) != owner}
         if reassigned:
-            # A destination has another owner: all that any source lists there is evaluated again.
+            # The owner of a destination has changed: evaluate again every entry that any source lists for it.
             for rows in self._lists.values():
                 touched.update((id_, None) for id_, entry in rows.items() if entry.destination in reassigned)
         return [(id_, self._entry_in_force(id_)) for id_ in touched]
--- a/lynxscale/relay/upstream/list_store.py
+++ b/lynxscale/relay/upstream/list_store.py
@@ -1,9 +1,9 @@
 """Endpoint lists in the state folder: last good versions, versions that await approval, approvals, verdicts.
 
-lists/good/NAME.list     the last version of a list that was applied, behind a line with its digest and path
-lists/held/DIGEST.list   one that awaits `lynxscale list approve`
-lists/approved/DIGEST    an operator's approval, and whose it is
-lists/verdicts.jsonl     every verdict, a JSON object a line; verdicts.1.jsonl is the file before it
+lists/good/NAME.list     the version of a list that was applied last, after a header line with its digest and path
+lists/held/DIGEST.list   a version that awaits `lynxscale list approve`
+lists/approved/DIGEST    an operator's approval, with the operator's name
+lists/verdicts.jsonl     all verdicts, one JSON object per line; verdicts.1.jsonl is the previous, rotated file
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 from lynxscale.relay.upstream.files import digest_of
 
 FOLDER = "lists"
-MAX_VERDICT_FILE_BYTES = 256 << 10  # bytes of one file of verdicts; there are two
-MAX_AWAITING = 16  # versions that await approval: guards the disk against a writer that makes a new one each second
+MAX_VERDICT_FILE_BYTES = 256 << 10  # the file is rotated beyond this size; there are two
+MAX_AWAITING = 16  # stored versions that await approval; bounds the disk use of a writer that makes one each second
 DIGEST = re.compile(r"[0-9a-f]{64}")
 
 
 class StoredList(NamedTuple):
-    """A last good version: the path of its file, its digest and bytes."""
+    """A last good version: the absolute path of its file, its digest and its bytes."""
 
     unit: str
     digest: str
@@ -36,7 +36,7 @@
 
 
 def _replace_file(path: Path, data: bytes) -> None:
-    """Atomically, also if the machine stops."""
+    """Write a file atomically and durably, even if the machine crashes."""
     path.parent.mkdir(parents=True, exist_ok=True)
     new = path.with_name(path.name + ".new")
     with open(new, "wb") as out:
@@ -47,9 +47,9 @@
 
 
 class ListStore:
-    """The folder. Every method may block and is called from a thread; a file that cannot be written raises OSError.
+    """The ``lists`` folder in the state folder. ``unit`` is the path of a list's file.
 
-    ``unit`` is the path of a list's file.
+    Every method may block, so a running relay calls them from a worker thread. Failed writes raise OSError.
     """
 
     def __init__(self, state: Path) -> None:
@@ -66,11 +66,11 @@
         _replace_file(self._good_path(unit), header + b"\n" + data)
 
     def remove_good(self, unit: str) -> None:
-        """Remove the last good version of a list that is no more."""
+        """Remove the last good version of a list that does not exist any more."""
         self._good_path(unit).unlink(missing_ok=True)
 
     def load_good(self) -> Iterator[StoredList | StoredListCorruptError]:
-        """The last good version of every list; an error for each that is corrupt."""
+        """Yield the last good version of every list, or an error for each one that is corrupt."""
         for path in sorted((self.folder / "good").glob("*")):
             if path.suffix == ".new":
                 continue
@@ -78,13 +78,13 @@
                 header, _, data = path.read_bytes().partition(b"\n")
                 table = orjson.loads(header)
                 if table["good"] != 1 or table["sha256"] != digest_of(data):
-                    raise ValueError("its digest is another")
+                    raise ValueError("its digest does not match")
                 yield StoredList(str(table["unit"]), table["sha256"], data)
             except (OSError, ValueError, KeyError, TypeError) as error:
                 yield StoredListCorruptError(f"{path}: {error}")
 
     def save_awaiting(self, digest: str, data: bytes) -> None:
-        """Store a version that awaits approval; the oldest beyond MAX_AWAITING are removed."""
+        """Store a version that awaits approval, and remove the oldest ones beyond MAX_AWAITING."""
         folder = self.folder / "held"
         _replace_file(folder / f"{digest}.list", data)
         awaiting = sorted(folder.glob("*.list"), key=lambda path: path.stat().st_mtime_ns)
@@ -92,7 +92,7 @@
             path.unlink(missing_ok=True)
 
     def load_awaiting(self) -> dict[str, bytes]:
-        """The versions that await approval, by digest."""
+        """Return the versions that await approval, by digest."""
         return {path.stem: path.read_bytes() for path in sorted((self.folder / "held").glob("*.list"))}
 
     def approve(self, digest: str, by: str) -> None:
@@ -107,13 +107,13 @@
             return frozenset()
 
     def remove_awaiting(self, digest: str) -> None:
-        """A version awaits approval no more: remove its bytes and the approval."""
+        """Remove a version that no longer awaits approval, and its approval."""
         for path in (self.folder / "held" / f"{digest}.list", self.folder / "approved" / digest):
             with contextlib.suppress(OSError):
                 path.unlink()
 
     def append_verdicts(self, rows: list[dict]) -> None:
-        """Append verdicts; the file is rotated when it is full, and the one before it removed."""
+        """Append verdicts. A full file is rotated, which replaces the previously rotated one."""
         self.folder.mkdir(parents=True, exist_ok=True)
         with open(self.verdicts, "ab") as out:
             out.write(b"".join(orjson.dumps(row) + b"\n" for row in rows))
@@ -122,7 +122,7 @@
             os.replace(self.verdicts, self.verdicts.with_name("verdicts.1.jsonl"))
 
     def read_verdicts(self) -> Iterator[dict]:
-        """The verdicts, oldest first; a truncated line is skipped."""
+        """Yield the verdicts, oldest first; truncated lines are skipped."""
         for path in (self.verdicts.with_name("verdicts.1.jsonl"), self.verdicts):
             with contextlib.suppress(FileNotFoundError):
                 for line in path.read_bytes().splitlines():
@@ -130,7 +130,7 @@
                         yield orjson.loads(line)
 
     def reported_digests(self) -> frozenset[str] | None:
-        """The digests of versions whose verdict is in the file; None where that cannot be read."""
+        """Return the digests of all versions whose verdict is in the files; None if they cannot be read."""
         try:
             return frozenset(
                 str(row["digest"]) for row in self.read_verdicts() if isinstance(row, dict) and "digest" in row
--- a/lynxscale/relay/upstream/model.py
+++ b/lynxscale/relay/upstream/model.py
@@ -1,4 +1,4 @@
-"""The values of endpoint lists: endpoints, versions, changes and verdicts; and long work in slices."""
+"""Data types of endpoint lists: endpoints, versions, changes and verdicts. Also the type of long work in slices."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.scheduling.events import Lifecycle
 
-MAX_WEIGHT = 1_000_000.0  # calls a second: what no peer can take is a typing error
+MAX_WEIGHT = 1_000_000.0  # calls per second; no peer can take more, so a higher value is a typing error
 MAX_DESTINATIONS = 1 << 31
-SHARD_COUNT = 61  # of one large table
-ENTRIES_PER_SLICE = 64  # entries between two points at which long work may be interrupted
+SHARD_COUNT = 61  # dictionaries per ShardedDict
+ENTRIES_PER_SLICE = 64  # long work can be interrupted after this many entries
 
 T = TypeVar("T")
-SlicedWork = Generator[None, None, T]  # long work in slices; its result is what it returns
+SlicedWork = Generator[None, None, T]  # long work that yields between slices and returns its result
 
 
 def run_to_end(work: SlicedWork[T]) -> T:
-    """Do all of it at once; its result."""
+    """Run all slices at once and return the result."""
     while True:
         try:
             next(work)
@@ -37,32 +37,32 @@
     zone: str
     kind: str
     lifecycle: Lifecycle  # READY or DRAINING; a removed endpoint is not in a list
-    weight: float  # calls a second
-    since: int = 0  # Unix time in ms at which it began to serve; 0 where the list does not say
+    weight: float  # calls per second
+    since: int = 0  # Unix time in ms at which it began to serve; 0 if the list does not say
 
     def same_endpoint(self, other: Endpoint) -> bool:
-        """Are they one endpoint? Another address, destination, zone or kind makes another one, whatever its id."""
+        """Whether both are the same endpoint: id, address, destination, zone and kind are equal."""
         return self[:5] == other[:5]
 
 
 class Destination(NamedTuple):
-    """What a list says of a destination besides its endpoints."""
+    """What a list says about a destination besides its endpoints."""
 
     number: int
-    rate: float | None = None  # calls a second that the peer takes
+    rate: float | None = None  # calls per second that the peer accepts
     kind: str | None = None
 
 
 def line_number_of(id_: str, entries: dict[str, Endpoint], lines: list[int]) -> int:
-    """The line of an endpoint; 0 where it is not listed. Looked for only when something is wrong with it."""
+    """The line of an endpoint, 0 if it is not listed. The search is linear and used only to report faults."""
     return next((line for known, line in zip(entries, lines, strict=False) if known == id_), 0)
 
 
 class ShardedDict:
-    """A large table as many small ones.
+    """A large table split into many small dictionaries.
 
-    Guards the loop: one dictionary that grows past 43,690 keys is copied in one go, which takes some 2 ms, and several
-    do so at the same entry.
+    A single dictionary that grows past 43,690 keys is copied at once, which blocks the event loop for some 2 ms, and
+    several tables of the same size do so at the same entry.
     """
 
     __slots__ = ("_shards",)
@@ -74,7 +74,7 @@
         return sum(map(len, self._shards))
 
     def get(self, key: object) -> Any:
-        """The value of a key, else None."""
+        """The value of a key, or None."""
         return self._shards[hash(key) % SHARD_COUNT].get(key)
 
     def put(self, key: object, value: object) -> None:
@@ -86,13 +86,13 @@
         self._shards[hash(key) % SHARD_COUNT].pop(key, None)
 
     def clear_in_slices(self) -> SlicedWork[None]:
-        """Empty it, in slices."""
+        """Remove all keys, in slices."""
         for shard in self._shards:
             yield from clear_in_slices(shard)
 
 
 def clear_in_slices(table: dict) -> SlicedWork[None]:
-    """Empty a dictionary that is not needed any more, in slices: 50,000 entries take 5 ms to free."""
+    """Empty a dictionary that is no longer needed, in slices, because freeing 50,000 entries at once takes 5 ms."""
     while table:
         for _ in range(min(len(table), 4 * ENTRIES_PER_SLICE)):
             table.popitem()
@@ -101,42 +101,42 @@
 
 @dataclass(slots=True)
 class CandidateList:
-    """A version of a list, valid by itself and not yet compared with anything."""
+    """A parsed version of a list, not yet validated against the list in force or other lists."""
 
-    unit: str  # what it comes from: a file's path, or the source's name
+    unit: str  # its origin: a file's path or the source's name
     version: int
     digest: str  # of its bytes
     entries: dict[str, Endpoint]
-    destinations: dict[int, Destination]  # all that it owns
-    lines: list[int] = field(default_factory=list)  # the line of each entry, in their order
+    destinations: dict[int, Destination]  # the destinations that it claims
+    lines: list[int] = field(default_factory=list)  # the line number of each entry, in the same order
 
     def fault(self, id_: str, wanted: str) -> Fault:
-        """Something wrong with an endpoint, at its line."""
+        """A fault of an endpoint, with its line."""
         return Fault(self.unit, line_number_of(id_, self.entries, self.lines), id_, wanted)
 
 
 class ListOutcome(Enum):
-    """What became of a version. The values stand in the log, in traces and in the file of verdicts."""
+    """The outcome of validating a version. The values appear in the log, in traces and in the verdict files."""
 
     APPLIED = "applied"
-    AWAITING_APPROVAL = "held"  # a guard asks for an operator's approval
+    AWAITING_APPROVAL = "held"  # a guard requires an operator's approval
     REJECTED = "rejected"
-    SAME = "same"  # it is in force already: no verdict
+    SAME = "same"  # the version is already in force; no verdict is reported
 
 
 @dataclass(slots=True)
 class ListChanges:
-    """What a version changes: ids by what happens to them."""
+    """The ids that a version changes, by the kind of change."""
 
     added: list[str] = field(default_factory=list)
     gone: list[str] = field(default_factory=list)
     drained: list[str] = field(default_factory=list)
     resumed: list[str] = field(default_factory=list)
     reweighted: list[str] = field(default_factory=list)
-    moved: list[str] = field(default_factory=list)  # the same id, another endpoint
+    moved: list[str] = field(default_factory=list)  # the id now names another endpoint
 
     def counts(self) -> dict[str, int]:
-        """How many of each."""
+        """The number of ids of each kind of change."""
         return {name: len(getattr(self, name)) for name in self.__dataclass_fields__}
 
     def __bool__(self) -> bool:
@@ -151,4 +151,4 @@
     outcome: ListOutcome
     reasons: list[Fault] = field(default_factory=list)
     changes: ListChanges = field(default_factory=ListChanges)
-    entries: dict[str, Endpoint] = field(default_factory=dict)  # of this list, in force from now on
+    entries: dict[str, Endpoint] = field(default_factory=dict)  # entries of this list to put in force
--- a/lynxscale/relay/upstream/slow_start.py
+++ b/lynxscale/relay/upstream/slow_start.py
@@ -1,6 +1,6 @@
-"""Slow start: a higher weight is reached in steps, so that a peer is not flooded when its weight triples.
+"""Slow start: a weight is raised in steps, so that a peer is not flooded when its weight triples.
 
-A lower one is in force at once. Times are whole µs, given by the caller.
+A lower weight takes effect at once. Times are integers in µs, passed in by the caller.
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-STEP_COUNT = 20  # from the old weight to the new one
-MIN_STEP_US = 100_000  # µs
+STEP_COUNT = 20  # steps from the old weight to the new one
+MIN_STEP_US = 100_000  # shortest time between two steps
 
 
 @dataclass(slots=True)
 class _WeightRamp:
-    """One endpoint's weight on its way; ``started`` in µs."""
+    """One endpoint's weight while it rises; ``started`` is in µs."""
 
     initial: float
     target: float
@@ -23,7 +23,7 @@
 
 
 class SlowStart:
-    """The weights that are rising. ``duration``: µs from the old to the new one; 0 means at once."""
+    """Tracks the weights that are rising. ``duration``: µs from the old to the new weight; 0 disables slow start."""
 
     def __init__(self, duration: int) -> None:
         self._duration = duration
@@ -34,12 +34,12 @@
         return len(self._ramps)
 
     def weight(self, endpoint: int, listed: float) -> float:
-        """The weight to use now, where the list says ``listed``."""
+        """The weight to use now; ``listed`` is the one in the list."""
         ramp = self._ramps.get(endpoint)
         return listed if ramp is None else ramp.current
 
     def set_target(self, endpoint: int, now: int, before: float, target: float) -> None:
-        """The list says ``target`` from now on, where it said ``before``."""
+        """Set the listed weight to ``target``; it was ``before``."""
         current = self.weight(endpoint, before)
         if not self._duration or target <= current:
             self._ramps.pop(endpoint, None)
@@ -47,11 +47,11 @@
             self._ramps[endpoint] = _WeightRamp(current, target, now, current)
 
     def forget(self, endpoint: int) -> None:
-        """It has left the list."""
+        """Drop the state of an endpoint that was removed from the list."""
         self._ramps.pop(endpoint, None)
 
     def step(self, now: int) -> Iterator[int]:
-        """The endpoints whose weight has changed; one that has reached its target rises no more."""
+        """Advance all weights to time ``now`` and yield the endpoints that changed."""
         for endpoint, ramp in list(self._ramps.items()):
             progress = min(1.0, (now - ramp.started) / self._duration)
             ramp.current = ramp.initial + (ramp.target - ramp.initial) * progress
--- a/lynxscale/relay/upstream/validation.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -1,8 +1,8 @@
-"""Validation of a new version of a list: pure decisions, in slices, as a list may have tens of thousands of endpoints.
+"""Validates a new version of a list. Pure; it runs in slices because a list may have tens of thousands of endpoints.
 
-A version is checked for its generation and against what other lists own, then against the guards. A check that fails
-rejects the complete version, as nothing in it can be trusted. A guard that asks for approval leaves the list in force
-as it is but for drains, which can only take work away and are applied at once.
+The version's generation is checked first, then whether another list owns what it lists, then the guards. A failed check
+rejects the complete version, because nothing in it can be trusted. If a guard requires approval, the list in force
+stays as it is, except that drains are applied at once: they can only take work away from an endpoint.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 )
 from lynxscale.scheduling.events import Lifecycle
 
-MAX_REASONS = 20  # reported of one version; the rest is counted
+MAX_REASONS = 20  # reported per version; the rest is counted
 
 
 @dataclass(frozen=True, slots=True)
 class Guards:
-    """What is applied without an operator's approval. Shares are of what a destination has in force."""
+    """Limits for changes that need no operator's approval. Shares refer to a destination's entries in force."""
 
-    max_removed_share: float = 1.0
-    may_remove_last_endpoint: bool = True  # a destination may lose its last one
-    max_moved_share: float = 1.0  # of a destination's weight that changes its endpoint at once
-    ask_approval: bool = True  # else reject
+    max_removed_share: float = 1.0  # of a destination's ready endpoints
+    may_remove_last_endpoint: bool = True
+    max_moved_share: float = 1.0  # of a destination's weight, moved between endpoints by one version
+    ask_approval: bool = True  # False: reject the version instead
 
 
 @dataclass(frozen=True, slots=True)
 class ActiveList:
-    """The version of a list that is in force; None before the first."""
+    """The version of a list that is in force; ``version`` is None before the first."""
 
     version: int | None
     digest: str
@@ -53,14 +53,14 @@
     """Which list owns which ids, addresses and destinations."""
 
     def __init__(self) -> None:
-        self.ids = ShardedDict()  # to the list
-        self.addresses = ShardedDict()  # to the list and the id
-        self.destinations: dict[int, str] = {}
+        self.ids = ShardedDict()  # owning list by id
+        self.addresses = ShardedDict()  # owning list and id by address
+        self.destinations: dict[int, str] = {}  # owning list by number
 
     def replace(
         self, unit: str, old: Mapping[str, Endpoint], new: Mapping[str, Endpoint], destinations: Collection[int]
     ) -> SlicedWork[None]:
-        """A list has other endpoints from now on."""
+        """Replace the endpoints and destinations that a list owns."""
         for index, (id_, entry) in enumerate(old.items()):
             if not index % ENTRIES_PER_SLICE:
                 yield
@@ -80,7 +80,7 @@
 
 
 def compare(old: Mapping[str, Endpoint], new: Mapping[str, Endpoint]) -> SlicedWork[ListChanges]:
-    """What ``new`` changes in ``old``."""
+    """Return the changes from ``old`` to ``new``."""
     changes = ListChanges()
     for index, (id_, entry) in enumerate(new.items()):
         if not index % ENTRIES_PER_SLICE:
@@ -106,7 +106,7 @@
 
 
 def ownership_conflicts(candidate: CandidateList, owners: OwnershipIndex) -> SlicedWork[list[Fault]]:
-    """What other lists own already."""
+    """Return a fault for each destination, id and address of a version that another list owns."""
     faults, unit = [], candidate.unit
     for number in candidate.destinations:
         owner = owners.destinations.get(number, unit)
@@ -127,9 +127,9 @@
 def guard_faults(
     old: Mapping[str, Endpoint], candidate: CandidateList, changes: ListChanges, guards: Guards
 ) -> SlicedWork[list[Fault]]:
-    """What a guard asks about. Drains never count as a removal: they are applied at once.
+    """Return the changes that need approval. Drains do not count as removals: they are applied at once.
 
-    An endpoint that was draining may be removed without a question, as nothing is sent there any more.
+    A draining endpoint may be removed without approval, because nothing is sent to it any more.
     """
     ready, weight = yield from _ready_totals(old.values())
     remaining: Counter[int] = Counter()
@@ -154,7 +154,7 @@
 
 
 def _ready_totals(entries: Iterable[Endpoint]) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
-    """By destination: how many endpoints are ready, and their weight."""
+    """The number of ready endpoints and their total weight, each by destination."""
     ready: dict[int, int] = {}
     weight: dict[int, float] = {}
     for index, entry in enumerate(entries):
@@ -169,7 +169,7 @@
 def _losses(
     old: Mapping[str, Endpoint], candidate: CandidateList, changes: ListChanges
 ) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
-    """By destination: how many ready endpoints a version removes, and how much weight it shifts."""
+    """How many ready endpoints a version removes and how much weight it moves, each by destination."""
     removed: dict[int, int] = {}
     moved_weight: dict[int, float] = {}
     for index, id_ in enumerate([*changes.gone, *changes.moved, *changes.reweighted]):
@@ -188,7 +188,7 @@
 
 
 def generation_faults(before: ActiveList, candidate: CandidateList) -> list[Fault]:
-    """What is wrong with the generation of a version."""
+    """Return what is wrong with the generation of a version."""
     if before.version is None or candidate.version > before.version:
         return []
     if candidate.version < before.version:
@@ -208,9 +208,9 @@
 def evaluate(
     before: ActiveList, candidate: CandidateList, owners: OwnershipIndex, guards: Guards, approved: Collection[str] = ()
 ) -> SlicedWork[ListVerdict]:
-    """The verdict on a version. ``approved``: digests that an operator has approved."""
+    """Return the verdict on a version. ``approved``: digests that an operator has approved."""
     if candidate.digest == before.digest:
-        # Drains of a version that awaited approval are in force besides: they are reverted with it.
+        # The file went back to the version in force. Drains of a version that awaited approval are reverted.
         changes = yield from compare(before.entries, candidate.entries)
         return ListVerdict(
             candidate,
@@ -239,7 +239,7 @@
 
 
 def with_drains(old: Mapping[str, Endpoint], changes: ListChanges) -> dict[str, Endpoint]:
-    """The list in force with the drains of a version alone."""
+    """The list in force with only the drains of a version applied."""
     entries = dict(old)
     for id_ in changes.drained:
         entries[id_] = entries[id_]._replace(lifecycle=Lifecycle.DRAINING)
--- a/lynxscale/relay/upstream/verdict_reporter.py
+++ b/lynxscale/relay/upstream/verdict_reporter.py
@@ -1,4 +1,4 @@
-"""Reports verdicts on lists: log events, trace records, and rows for the file of verdicts. The log is rate-limited."""
+"""Reports verdicts on lists: rate-limited log events, trace records, and rows for the verdict file."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 log = structlog.get_logger()
 
-MAX_LOG_LINES_PER_S, MAX_LOG_BURST_LINES = 5, 50  # of the log: a token bucket
-MAX_LOGGED_REASONS = 5  # of one verdict
+MAX_LOG_LINES_PER_S, MAX_LOG_BURST_LINES = 5, 50  # fill rate and size of a token bucket
+MAX_LOGGED_REASONS = 5  # per verdict
 
 
 class VerdictTrace(Protocol):
-    """Records verdicts; ``lynxscale.trace.recorder``."""
+    """Where verdicts are traced; implemented by ``lynxscale.trace.recorder``."""
 
     def verdict(
         self,
@@ -30,18 +30,21 @@
         counts: dict[str, int],
         reasons: str,
     ) -> None:
-        """What became of a version of a list; ``counts`` of its changes."""
+        """Record the verdict on a version; ``counts``: how many changes of each kind it makes."""
 
 
 class VerdictReporter:
-    """``now``: the loop's clock in µs; ``trace``: the relay's trace at present, if it has one."""
+    """Reports verdicts on lists.
+
+    ``now`` returns the event loop's time in µs; ``trace`` returns the relay's current trace, or None.
+    """
 
     def __init__(self, now: Callable[[], int], trace: Callable[[], VerdictTrace | None]) -> None:
         self._now, self._trace = now, trace
         self._tokens, self._refilled_at, self._suppressed = float(MAX_LOG_BURST_LINES), 0, 0
 
     def report(self, source: str, verdict: ListVerdict) -> dict:
-        """Log and trace a verdict; its row for the file of verdicts."""
+        """Log and trace a verdict, and return its row for the verdict file."""
         candidate, counts = verdict.candidate, verdict.changes.counts()
         reasons = [str(fault) for fault in verdict.reasons]
         trace = self._trace()
@@ -76,12 +79,15 @@
         }
 
     def event(self, event: str, **fields: Any) -> None:
-        """Log something about a list that is no verdict."""
+        """Log an event about a list other than a verdict."""
         if self._take_log_token():
             log.warning(event, **fields)
 
     def _take_log_token(self) -> bool:
-        """Guards the log against a list that flaps: so many lines a second, the rest is counted."""
+        """Take a token for one log line; False if none is left. Suppressed lines are counted and reported later.
+
+        Without this limit a list that changes rapidly would flood the log.
+        """
         now = self._now()
         self._tokens = min(MAX_LOG_BURST_LINES, self._tokens + (now - self._refilled_at) * MAX_LOG_LINES_PER_S / 1e6)
         self._refilled_at = now
--- a/tests/relay/journal/test_journal.py
+++ b/tests/relay/journal/test_journal.py
@@ -1,4 +1,4 @@
-"""The journal of segments: crashed at every operation and byte, cleaned, filled, damaged."""
+"""The segmented journal: crashes at every operation and byte, cleaning, a full disk, and damage."""
 
 import json
 import os
@@ -22,18 +22,30 @@
 from lynxscale.relay.journal.recovery import recover
 from lynxscale.relay.journal.storage import FolderStorage
 
-BUDGET = 13 * 4 * 4096  # ten segments of 16 KiB: a cleaning every few dozen messages
+BUDGET = 13 * 4 * 4096  # bytes; ten segments of 16 KiB, so that cleaning runs every few dozen messages
 
 
 class JournalHarness:
-    """A journal on a stand-in disk, and what it has promised."""
+    """A journal on a simulated disk, and the state that must be recovered after a crash.
+
+    Attributes
+    ----------
+    expected
+        Attempts, times of possibly executed attempts, and outcome of each open message, by id.
+    completed
+        Ids of messages that must not be recovered.
+    uncertain
+        Ids of messages with an operation in progress: its record may or may not be on the disk.
+    unwritten
+        Ids of messages whose completion could not be recorded for lack of space.
+    """
 
     def __init__(self, disk: FakeDisk, seed: int = 1) -> None:
         self.disk, self.random, self.time = disk, random.Random(seed), 1_000_000
-        self.expected: dict[str, tuple] = {}  # open messages, by id, with tries that may have run and the final
+        self.expected: dict[str, tuple] = {}
         self.completed: set[str] = set()
-        self.uncertain: set[str] = set()  # offered, and not known to be kept or not
-        self.unwritten: set[str] = set()  # ended, while there was no room to say so
+        self.uncertain: set[str] = set()
+        self.unwritten: set[str] = set()
         self.numbers: dict[int, str] = {}
         self.next = 0
         self.journal: Journal | None = None
@@ -56,12 +68,12 @@
         self.check(entries)
 
     def check(self, entries: list[Entry]) -> None:
-        """What was found is what was promised; of what was under way as the process died, either."""
+        """The recovered entries equal the expected ones; an operation in progress at the crash may be lost or not."""
         found = {entry.id: entry for entry in entries}
         assert len(found) == len(entries), "a message twice"
         for id_, (attempts, possibly_run, outcome) in self.expected.items():
             if id_ in self.uncertain and id_ not in found:
-                continue  # its end was being written
+                continue  # its completion was being written
             entry = found[id_]
             assert (entry.attempts, entry.may_have_run, entry.outcome) == (
                 attempts,
@@ -69,15 +81,15 @@
                 outcome,
             ) or id_ in self.uncertain, id_
         for id_ in found:
-            assert id_ not in self.completed, f"{id_} came back after its end"
-            assert id_ in self.expected or id_ in self.uncertain or id_ in self.unwritten, f"{id_} was never taken"
+            assert id_ not in self.completed, f"{id_} was recovered after its completion"
+            assert id_ in self.expected or id_ in self.uncertain or id_ in self.unwritten, f"{id_} was never accepted"
         self.completed |= self.unwritten - set(found)
         self.unwritten.clear()
         self.expected = {entry.id: (entry.attempts, list(entry.may_have_run), entry.outcome) for entry in entries}
         self.uncertain.clear()
 
     def step(self) -> None:
-        """One thing that a relay does, drawn by the seed."""
+        """Perform one random operation of a relay."""
         journal, draw = self.journal, self.random.random()
         if draw < 0.35 or not self.numbers:
             self.next += 1
@@ -111,7 +123,7 @@
                     del self.expected[id_], self.numbers[number]
                     self.completed.add(id_)
             except JournalFullError:
-                if draw >= 0.75:  # an end: written later, unless the process dies before
+                if draw >= 0.75:  # a completion: the journal writes it later, unless the process dies before
                     self.unwritten.add(id_)
                     del self.expected[id_], self.numbers[number]
         self.uncertain.discard(id_)
@@ -150,7 +162,10 @@
 
 @pytest.mark.parametrize("seed", range(1, 1 + int(os.environ.get("JOURNAL_SEEDS", "1"))))
 def test_a_crash_at_every_operation_and_byte_and_again_during_recovery_loses_nothing(seed):
-    """From a state in which cleaning is under way: each operation that follows is the last one, in turn."""
+    """From a state with cleaning in progress, the process is killed at each of the following operations in turn.
+
+    Every seventh case is killed a second time, at each operation of its recovery.
+    """
     first = history(seed, 900)
     files, total = first.disk.image(), 0
     known = dict(first.expected)
@@ -179,7 +194,7 @@
             harness.start()
             steps = len(again.operations)
             if total % 7 == 0:
-                for second in range(steps):  # and killed as it recovers
+                for second in range(steps):  # killed again during recovery
                     harness.disk = FakeDisk(image)
                     harness.disk.dies_at, harness.disk.torn = second, 1
                     harness.expected, harness.uncertain, harness.completed = (
@@ -218,7 +233,7 @@
             harness.expected[f"x{harness.next}"] = (0, [], None)
         harness.journal.maintain()
     assert refused > 300
-    harness.start()  # a start needs no room
+    harness.start()  # opening the journal needs no space
     left = list(harness.numbers)
     for number in left[: len(left) * 3 // 4]:
         id_ = harness.numbers.pop(number)
@@ -265,7 +280,7 @@
     while not journal.plan.needs_new_segment(600):
         journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, bytes(300)))
         number += 1
-    disk.files["manifest.0"] = disk.files.get("manifest.0", bytearray(4096))  # both are there from some time on
+    disk.files["manifest.0"] = disk.files.get("manifest.0", bytearray(4096))  # from here on both slots exist
     journal._manifest._slots.add("manifest.0")
     overwrite, failed_writes = disk.overwrite, []
 
@@ -275,9 +290,11 @@
         raise OSError(5, "Input/output error")
 
     disk.overwrite = failing
-    with pytest.raises(JournalFullError):  # another segment is needed: its manifest is said to have failed
+    with pytest.raises(
+        JournalFullError
+    ):  # the message needs another segment, and writing its manifest reports an error
         journal.accept(900, Entry("big", "c", "t", "", 1, 9, bytes(600)))
-    with pytest.raises(JournalFullError):  # it may be there: nothing is promised behind what it closes
+    with pytest.raises(JournalFullError):  # the manifest on disk may have sealed the segment: nothing is appended to it
         journal.record_attempt(0, 77)
     disk.overwrite = overwrite
     journal.record_attempt(0, 78)
@@ -306,13 +323,13 @@
             open_ = {entry.id: entry for entry in found.entries.values()}
             last = name == names[-1] and not found.gaps
             if not last:
-                assert found.gaps, "damage that nobody told"
+                assert found.gaps, "damage that was not reported"
                 reported += 1
             for id_, (_attempts, possibly_run, outcome) in harness.expected.items():
                 entry = open_.get(id_)
                 if entry is None or entry.outcome or outcome or (last and entry.may_have_run != possibly_run):
                     continue
-                # Every try that may have run is known, or the message counts as one that may have.
+                # Every possibly executed attempt is known, or the message is marked as possibly executed.
                 assert set(possibly_run) <= set(entry.may_have_run) or entry.accepted_at in entry.may_have_run, (
                     name,
                     index,
@@ -331,9 +348,8 @@
     entries = journal.open()
     assert [gap.reason for gap in journal.gaps] == ["it is missing"]
     assert any(entry.accepted_at in entry.may_have_run for entry in entries)
-    again = Journal(
-        FakeDisk(harness.disk.image()), BUDGET, harness.now, lambda: 1
-    ).open()  # doubts are kept, not doubled
+    # Another start keeps the marks and adds none.
+    again = Journal(FakeDisk(harness.disk.image()), BUDGET, harness.now, lambda: 1).open()
     assert {entry.id: entry.may_have_run for entry in again} == {entry.id: entry.may_have_run for entry in entries}
 
 
@@ -348,7 +364,7 @@
 
 
 def test_a_body_that_looks_like_records_is_never_read_as_one():
-    """Its salt is unknown to who wrote the body."""
+    """The author of a body does not know the segment's salt, so a forged record in it has a wrong checksum."""
     harness = JournalHarness(FakeDisk(), 8)
     harness.start()
     forged = b"".join(encode_record(COMPLETED, seq, encode_completed(seq), 0) for seq in range(1, 40))
@@ -357,7 +373,7 @@
     image = harness.disk.image()
     name = next(name for name in image if name.endswith(".seg"))
     data = bytearray(image[name])
-    data[SEGMENT_HEADER_SIZE + 40] ^= 1  # the first message's head: a reader looks for the next record in its body
+    data[SEGMENT_HEADER_SIZE + 40] ^= 1  # damages the first record, so that the reader searches its body for the next
     manifest = newest(image)
     found = recover(manifest, {manifest.rows[0].number: bytes(data)})
     assert sorted(entry.id for entry in found.entries.values()) == ["m1", "m2"] and found.gaps
@@ -424,7 +440,7 @@
 
 
 class JournalModel(RuleBasedStateMachine):
-    """The journal against a dictionary, with starts at any moment."""
+    """Compares the journal with a dictionary, with restarts and crashes at random moments."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -457,7 +473,7 @@
 
     @invariant()
     def the_account_is_that_of_a_new_reader(self):
-        """What the plan counts as live is what a plan made anew from the files counts."""
+        """The plan's live bytes equal those that a plan rebuilt from the files counts."""
         journal = Journal(FakeDisk(self.harness.disk.image()), BUDGET, lambda: 1, lambda: 1)
         journal.open()
         plan, mine = journal.plan, self.harness.journal.plan
--- a/tests/relay/journal/test_journal_live.py
+++ b/tests/relay/journal/test_journal_live.py
@@ -1,4 +1,4 @@
-"""The journal under a real relay: kills under load while it cleans, an upgrade, two processes, damage."""
+"""The journal in a running relay: kills under load during cleaning, a legacy file, two processes, and damage."""
 
 import asyncio
 import os
@@ -20,12 +20,12 @@
 
 KILLS = int(os.environ.get("JOURNAL_KILLS", "30"))
 SEED = int(os.environ.get("JOURNAL_SEED", "1"))
-BUDGET = 400_000  # so small that segments are cleaned every second or so
+BUDGET = 400_000  # bytes; so small that segments are cleaned about every second
 LEGACY_JOURNAL = Path(__file__).parents[2] / "data" / "journal" / "before.bin"
 
 
 def test_kills_under_load_while_segments_are_cleaned_lose_nothing_and_do_nothing_twice(tmp_path):
-    """A process is ended at random moments; partners count the effects of each message, clients what they heard."""
+    """The relay is killed at random moments; partners count each message's effects, clients record the responses."""
 
     async def scenario():
         print("seed", SEED)
@@ -53,7 +53,7 @@
             await asyncio.gather(load, return_exceptions=True)
             number += 400
             await relay.start()
-        await asyncio.sleep(8.5)  # every message's time is over
+        await asyncio.sleep(8.5)  # until every message has expired
         await relay.settled(0)
         end = time.monotonic() + 20
         while time.monotonic() < end:
@@ -75,19 +75,19 @@
 
 class Upgrade(NodeCase):
     def test_a_relay_that_is_upgraded_with_open_messages_keeps_them(self):
-        """What may have run of a message that must not run twice ends; the others go."""
+        """The messages of a legacy journal file are recovered, and each ends with a notice."""
         self.act = lambda call: reply(200)
         data, now = LEGACY_JOURNAL.read_bytes(), time.time_ns() // 1000
         (self.state / FILE_NAME).write_bytes(data)
         entries = read_legacy_journal(data)[0]
         assert all(entry.expires > now for entry in entries.values())
         self.start()
-        # Its classes are not of these settings: all end as undeliverable, but for what had an end already.
+        # The settings do not define their classes, so all end as undeliverable, except the one with an outcome.
         self.assertEqual(self.notice("m3"), {"id": "m3", "status": "deferred", "again_ms": 700})
         for id in ("m0", "m1", "m2", "m5"):
             self.assertEqual(self.notice(id)["status"], "undeliverable")
         self.assertFalse((self.state / FILE_NAME).exists())
-        until(lambda: self.counters().get("notices", {}).get("delivered") == 5, "all ends")
+        until(lambda: self.counters().get("notices", {}).get("delivered") == 5, "all notices")
         self.kill()
         self.start()
         self.assertNotIn("taken", self.counters())
@@ -118,7 +118,7 @@
         path = min((self.state / "segments").glob("*.seg"))
         data = bytearray(path.read_bytes())
         index = data.index(b"hello", data.index(b'"m1"')) + len(b"hello")
-        data[index + 12] ^= 1  # in the record behind m1's message: that of its try
+        data[index + 12] ^= 1  # in the record after m1's message, which is that of its attempt
         path.write_bytes(data)
         self.act = lambda call: reply(200)
         calls = len(self.calls("m1"))
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -1,4 +1,4 @@
-"""Two processes of one relay side by side: the board, who takes clients, and what the first one leaves."""
+"""Upgrades with two processes of one relay: the board, which process accepts clients, and adoption of messages."""
 
 import os
 import random
@@ -39,7 +39,7 @@
     mine.set_in_flight(3)
     assert again.read() == (Stage.HANDED_OVER, 4, 99, 3)
     mine.publish_wait(7, 5_000, 1_000)
-    mine.publish_wait(7, 4_000, 1_000)  # shorter: the longer one binds
+    mine.publish_wait(7, 4_000, 1_000)  # shorter: the longer wait stays in force
     assert (again.wait_until(7), again.wait_until(8)) == (5_000, 0)
     for dest in range(1000, 1000 + MAX_WAITS + 5):
         mine.publish_wait(dest, 10_000 + dest, 6_000)
@@ -47,7 +47,7 @@
     mine.begin(6, 99)
     assert again.wait_until(1000 + MAX_WAITS + 4) == 0 and again.read()[0] is Stage.STARTING
     (tmp_path / "board").write_bytes(b"LXUP\x02\0" + bytes(100))
-    assert Board(tmp_path).halves()[0].read() is None  # another version, or none
+    assert Board(tmp_path).halves()[0].read() is None  # written by another version
 
 
 @pytest.mark.parametrize(
@@ -111,7 +111,7 @@
 
 
 def test_which_process_may_start(tmp_path):
-    """One relay's second process, by its very socket; nobody else, and no third."""
+    """A second process may start if it has the same listening socket; no other process and no third one may."""
     first = Claim(tmp_path, 41)
     first.wait(0)
     serving = FolderStorage(first.path)
@@ -132,12 +132,12 @@
         Claim(tmp_path, 41).wait(0.05)
     successor_storage = FolderStorage(successor.path)
     successor_storage.lock()
-    successor_storage.unlock()  # it dies before its yes
+    successor_storage.unlock()  # the successor dies before it is ready
     successor._start_lock.unlock()
     second = Claim(tmp_path, 41)
     second.wait(0)
     assert (second.generation, second.earlier, second.half.index) == (2, [0, 1], successor.half.index)
-    assert second.predecessor == 0  # the one that serves, and not the one that died in between
+    assert second.predecessor == 0  # the serving process, not the successor that died
 
 
 def test_a_journal_is_followed_while_it_is_written_and_cleaned(tmp_path):
@@ -189,7 +189,7 @@
         before.median,
     )
     number = new.message(dest=2)
-    assert not new.is_in_flight(number)  # the told wait holds on
+    assert not new.is_in_flight(number)  # the requested wait is still in force
     new.advance(5000.0)
     assert new.is_in_flight(number)
 
@@ -258,7 +258,7 @@
 
     def begin(self) -> subprocess.Popen:
         one = self.launch()
-        until(self.is_ready, "the yes")
+        until(self.is_ready, "readiness")
         return one
 
     def test_the_successor_adopts_open_messages_and_each_ends_once(self):
@@ -278,15 +278,15 @@
         status, headers, _ = connection.hand_in("late")
         self.assertEqual((status, headers["connection"]), (202, "close"))
         started = time.monotonic()
-        self.assertEqual(self.client().hand_in("new")[0], 202)  # the heir has it
+        self.assertEqual(self.client().hand_in("new")[0], 202)  # accepted by the successor
         self.assertLess(time.monotonic() - started, 0.4)
         old.wait(4.0)
         peer_accepts.set()
         names = [f"m{number}" for number in range(8)] + ["still-old", "late", "new"]
-        until(lambda: set(executed) | set(self.discovery.notices) >= set(names), "an end for each")
+        until(lambda: set(executed) | set(self.discovery.notices) >= set(names), "an outcome of each message")
         self.assertEqual(len(executed), len(set(executed)))
         self.assertGreater(len(executed), 0)
-        until(lambda: "event=taken_over folder=segments\n" in self.log.read_text(), "the old folder's end")
+        until(lambda: "event=taken_over folder=segments\n" in self.log.read_text(), "the removal of the old folder")
         self.assertEqual(sorted(path.name for path in self.state.iterdir()), ["board", "clock", "heir", "segments.1"])
         self.assertIsNone(successor.poll())
 
@@ -297,21 +297,25 @@
         old = self.begin()
         connection = self.client()
         self.assertEqual(connection.hand_in("hung", cls="once")[0], 202)
-        until(lambda: self.calls("hung"), "the try that hangs")
+        until(lambda: self.calls("hung"), "the attempt that hangs")
         self.assertEqual(connection.hand_in("waits", cls="once")[0], 202)
         until(lambda: self.calls("waits"), "the first refusal")
         self.begin()
         old.send_signal(signal.SIGTERM)
         until(lambda: "order=accept" in self.log.read_text(), "the handover")
-        self.assertEqual(self.client().hand_in("hung", cls="once")[0], 202)  # again, at the heir
-        # Refused until the successor has it: one try more at the old process, let through, and nothing would be given.
-        until(lambda: "event=replayed" in self.log.read_text(), "what the successor was given")
-        self.assertNotIn("order=alone", self.log.read_text())  # by the old one's word, not by its end
+        self.assertEqual(self.client().hand_in("hung", cls="once")[0], 202)  # a duplicate, at the successor
+        # The peer refuses "waits" until the successor has adopted it; if the old process could deliver it first, no
+        # message would be released.
+        until(lambda: "event=replayed" in self.log.read_text(), "adoption of the released messages")
+        self.assertNotIn("order=alone", self.log.read_text())  # released while the old process still runs
         self.assertIsNone(old.poll())
         self.act = lambda _call: reply(200)
         self.assertEqual(self.client().hand_in("waits", cls="once")[0], 202)
-        until(lambda: "event=taken_over folder=segments" in self.log.read_text(), "the end of the old one")
-        until(lambda: "hung" in self.discovery.notices, "the end of what may have run")
+        until(
+            lambda: "event=taken_over folder=segments" in self.log.read_text(),
+            "adoption after the old process has ended",
+        )
+        until(lambda: "hung" in self.discovery.notices, "the notice of the possibly executed message")
         unblock.set()
         self.assertEqual(len(self.calls("hung")), 1)
         self.assertIn("event=learned lanes=1", self.log.read_text())
@@ -319,22 +323,22 @@
     def test_a_successor_that_dies_changes_nothing_and_another_may_start(self):
         old = self.begin()
         successor = self.begin()
-        until(lambda: "order=share generation=0" in self.log.read_text(), "the old one's notice of it")
+        until(lambda: "order=share generation=0" in self.log.read_text(), "detection of the successor")
         successor.kill()
         successor.wait(PATIENCE)
-        until(lambda: "order=alone" in self.log.read_text(), "the end of the heir")
+        until(lambda: "order=alone" in self.log.read_text(), "detection of the successor's end")
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         third = self.begin()
         self.assertEqual(self.client().hand_in("m0")[0], 202)
-        self.assertNotIn("order=accept", self.log.read_text())  # the old one alone takes clients
-        old.kill()  # and this one dies before any SIGTERM
+        self.assertNotIn("order=accept", self.log.read_text())  # only the old process accepts clients
+        old.kill()  # it dies without a SIGTERM
         old.wait(PATIENCE)
         self.assertEqual(self.client().hand_in("m2")[0], 202)
         until(lambda: len(self.calls("m2")) == 1, "its delivery")
         self.assertIsNone(third.poll())
 
     def test_a_successor_terminated_before_it_serves_changes_nothing(self):
-        """At several instants of its start, and once it waits to take the clients."""
+        """Terminated at several moments of its start, and once it is ready to accept clients."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 0.300")
         old = self.begin()
         names = [f"m{number}" for number in range(8)]
@@ -343,7 +347,7 @@
         for index in range(6):
             successor = self.launch()
             if index == 5:
-                until(self.is_ready, "its yes")
+                until(self.is_ready, "its readiness")
             else:
                 time.sleep(0.1 * index)
             successor.send_signal(signal.SIGTERM)
@@ -357,7 +361,7 @@
         self.assertEqual((sorted(executed), self.discovery.notices), (names, {}))
 
     def test_a_start_adopts_every_folder(self):
-        """Three, of upgrades that were cut short one after the other: none is left for the start after this one."""
+        """Three interrupted upgrades leave three folders; a single start adopts all of them."""
         ends = int((time.time() + 60) * 1e6)
         for generation in range(3):
             journal = Journal(
@@ -372,7 +376,7 @@
         self.assertEqual(sorted(call[1]["req-id"] for call in self.calls()), ["m0", "m1", "m2"])
 
     def test_an_unreadable_folder_is_kept_and_blocks_no_upgrade(self):
-        """The old process's manifest is spoilt and it dies: what is there stays, and the next upgrade goes its way."""
+        """The old process dies with damaged manifests: its folder is kept, and the next upgrade succeeds."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 0.300")
         old = self.begin()
         self.assertEqual(self.client().hand_in("m1")[0], 202)
@@ -384,7 +388,7 @@
             (self.state / "segments" / name).write_bytes(b"nothing of use")
         old.kill()
         old.wait(PATIENCE)
-        until(lambda: "event=not_taken_over folder=segments" in self.log.read_text(), "what it says of the folder")
+        until(lambda: "event=not_taken_over folder=segments" in self.log.read_text(), "the error about the folder")
         self.act = lambda _call: reply(200)
         self.assertEqual(self.client().hand_in("m2")[0], 202)
         third = self.begin()
@@ -396,7 +400,7 @@
         self.assertEqual(sorted(path.name for path in (self.state / "segments").iterdir()), before)
 
     def test_one_upgrade_right_after_another(self):
-        """The third process waits until the second has all that the first one left."""
+        """The third process waits until the second has adopted everything that the first one left."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 0.200")
         first = self.begin()
         self.assertEqual(self.client().hand_in("m1")[0], 202)
@@ -411,7 +415,7 @@
         until(
             lambda: {"m1", "m2"}
             <= {call[1]["req-id"] for _, call in list(self.peer.calls)} | set(self.discovery.notices),
-            "their ends",
+            "an outcome of both messages",
         )
         self.assertIsNone(third.poll())
         until(lambda: journal_folders.generations(self.state) == [2], "one folder")
@@ -421,7 +425,7 @@
         self.assertEqual(self.door("POST /admin/quiesce")[0], 200)
         until(lambda: self.door("GET /admin/health")[1]["state"] == "drained", "the drain")
         successor = self.begin()
-        self.assertTrue(self.is_ready(1) and not self.is_ready(0))  # each for itself
+        self.assertTrue(self.is_ready(1) and not self.is_ready(0))  # each process reports its own readiness
         for one in (old, successor):
             one.send_signal(signal.SIGHUP)
         until(lambda: self.log.read_text().count("reloaded") == 2, "both reloads")
@@ -456,7 +460,7 @@
         self.assertEqual(self.log.read_text().count("NODE_ACCEPT_FD"), 4)
 
     def test_a_kill_at_any_step_sends_nothing_twice_and_loses_nothing(self):
-        """Upgrades one after the other, each process killed at a random moment; effects counted by the partner."""
+        """Successive upgrades with every process killed at a random moment; the peer counts each message's effects."""
         rng = random.Random(SEED)
         print("UPGRADE_SEED", SEED)
         executed: dict[str, int] = {}
