--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -1,4 +1,4 @@
-"""Lists: the file's form, what a version means, the list in force. No sockets, no clock."""
+"""Endpoint lists: the file format, validation of versions, and the list in force. No sockets, no clock."""
 
 import json
 import os
@@ -54,7 +54,7 @@
     return [str(fault) for fault in reading.faults]
 
 
-# The file ----------------------------------------------------------------------------------------
+# The file format ---------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -177,7 +177,7 @@
 
 
 def test_a_line_of_megabytes_is_rejected_without_being_searched(monkeypatch):
-    monkeypatch.setattr(files, "CONTROL_BYTE", None)  # what would search all of it
+    monkeypatch.setattr(files, "CONTROL_BYTE", None)  # fails if the chunk is searched
     data = b"list 1 generation 1 " + b"x" * 5_000_000 + b"\nend 0\n"
     assert faults_of(data) == ["u:1: line: want lines of at most 4096 characters"]
 
@@ -305,7 +305,7 @@
     assert members[1].endpoint != first[0].endpoint and table.entry(first[0].endpoint) is None
     again, gone = table.apply([("s-1", entry("s-1", 7001, destination=2))], 0)
     assert gone == [members[1].endpoint] and (again[0].destination, again[1].destination) == (1, 2)
-    # A new id at the old address is new too.
+    # A new id at the old address is a new endpoint, too.
     last, _ = table.apply([("s-1", None), ("s-2", entry("s-2", 7001, destination=2))], 0)
     assert last[0].endpoint == again[1].endpoint != last[1].endpoint
 
@@ -327,10 +327,10 @@
     def weight(value: float, now: int) -> float:
         return table.apply([("s-1", entry("s-1", weight=value))], now)[0][0].weight
 
-    assert weight(10.0, 0) == 10.0  # a new one: at once
+    assert weight(10.0, 0) == 10.0  # a new endpoint has its full weight at once
     assert weight(30.0, 0) == 10.0
     assert [table.advance_slow_start(now)[0].weight for now in (2_500_000, 5_000_000)] == [15.0, 20.0]
-    assert weight(60.0, 5_000_000) == 20.0  # a new way, from where it is
+    assert weight(60.0, 5_000_000) == 20.0  # a new ramp starts from the current weight
     assert table.advance_slow_start(10_000_000)[0].weight == 40.0
     assert weight(5.0, 10_000_000) == 5.0 and table.advance_slow_start(11_000_000) == []
     assert weight(25.0, 11_000_000) == 5.0
@@ -350,7 +350,7 @@
 
 
 class Module:
-    """The decision module's view: what it was told, held to what the group says."""
+    """Stands in for the scheduler: records events and keeps the members that result from them."""
 
     def __init__(self) -> None:
         self.members: dict[int, object] = {}
@@ -362,13 +362,13 @@
             self.members.clear()
         for one in event.members:
             if one.lifecycle == Lifecycle.GONE:
-                assert self.members.pop(one.endpoint, None) is not None, "an endpoint that it did not know"
+                assert self.members.pop(one.endpoint, None) is not None, "removal of an unknown endpoint"
             else:
                 self.members[one.endpoint] = one
 
 
 class GroupModel(RuleBasedStateMachine):
-    """Files and discovery tell lists in any order; a plain model says what must be in force."""
+    """Files and discovery report lists in any order; a simple model computes the expected list in force."""
 
     @initialize(files_first=st.booleans(), both=st.booleans())
     def begin(self, files_first, both):
@@ -448,7 +448,7 @@
             seen[row.id] = row
             assert (one.lifecycle, one.destination, one.weight) == (row.lifecycle, row.destination, row.weight)
             before = self.numbers.setdefault(number, row)
-            assert before.same_endpoint(row), "a number that stands for two endpoints"
+            assert before.same_endpoint(row), "a number was used for two endpoints"
         assert seen == expected
         assert all(table.entry(number) is None for number in self.gone)
         assert {row.destination for row in expected.values()} == set(table._endpoint_counts)
@@ -472,7 +472,7 @@
     assert lifecycles.index(READY) > max(index for index, lifecycle in enumerate(lifecycles) if lifecycle != READY)
 
 
-# The state folder, and looking -------------------------------------------------------------------
+# The state folder and file scans -----------------------------------------------------------------
 
 
 def test_last_good_lists_are_loaded_and_a_corrupt_one_is_reported(tmp_path):
@@ -537,7 +537,7 @@
 def test_an_unchanged_file_is_not_read_and_a_recently_changed_one_is_read_again(tmp_path):
     path = tmp_path / "a.list"
     path.write_bytes(b"one")
-    assert file_scan.read_if_changed(str(path)).stamp == ()  # so young that the next change may not show in its times
+    assert file_scan.read_if_changed(str(path)).stamp == ()  # so recent that another change may keep its timestamps
     os.utime(path, ns=(1, 1))
     seen = file_scan.read_if_changed(str(path))
     while not (seen := file_scan.read_if_changed(str(path))).stamp:
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -1,4 +1,4 @@
-"""Watched files on a real relay: rewrites, swaps, drains under load, ends in the middle of an update."""
+"""Watched list files with a running relay: rewrites, replaced files, drains under load, restarts during an update."""
 
 import asyncio
 import itertools
@@ -44,7 +44,7 @@
 
 
 class ListScenario:
-    """A partner with some endpoints, and a relay from the deployed file, as the test changes it."""
+    """A partner with some endpoints, and a relay with the deployed configuration or a variant of it."""
 
     def __init__(self, folder: Path, conf: str = CONF.read_text(), endpoints: int = 4, latency: float = 5.0) -> None:
         self.partner = Partner(SEED, mood=Mood(latency_ms=latency))
@@ -69,7 +69,7 @@
         return self.relay.log.read_text()
 
     async def verdict(self, data: bytes) -> dict:
-        """What became of the version with these bytes."""
+        """Wait for the verdict on the version with these bytes."""
         digest = files.digest_of(data)
         return (await until(lambda: [one for one in self.verdicts() if one["digest"] == digest], "a verdict"))[-1]
 
@@ -77,7 +77,7 @@
         await until(lambda: self.log().count(text) >= times, text)
 
     async def served_by(self, messages: int = 30) -> set[str]:
-        """Which endpoints are called for some messages to destination 0."""
+        """Send messages to destination 0 and return the endpoints that are called for them."""
         self.runs += 1
         before, desk = len(self.partner.calls), Desk(self.relay.port, SEED * 1000 + self.runs, 1, 4, 10.0)
         await desk.run(range(messages), 200.0)
@@ -96,7 +96,7 @@
 
 
 def conf_with(**members: str) -> str:
-    """The deployed file with other directives in its section members."""
+    """The deployed configuration with other directives in its section ``members``."""
     lines = CONF.read_text().splitlines()
     begin = lines.index("begin members")
     unchanged = [line for line in lines[begin + 1 : -1] if line.split()[:1] and line.split()[0] not in members]
@@ -109,7 +109,7 @@
 
 
 def corrupt(data: bytes, rng: random.Random) -> tuple[bytes, str]:
-    """Some other bytes, and what must become of them: half (no verdict) or rejected."""
+    """Return corrupted bytes and the expected outcome: ``half`` (incomplete, no verdict) or ``rejected``."""
     kind = rng.choice(["cut", "twice", "address", "weight", "network", "count", "nul", "crlf", "mark", "tail"])
     lines = data.splitlines(keepends=True)
     if kind == "cut":
@@ -189,13 +189,11 @@
 
 
 def check(verdicts: list[dict], expected: dict) -> None:
-    """The oracle: each verdict by what its bytes were made to be, and by the version then in force."""
+    """Check each verdict against the expected outcome of its bytes and the version in force at that time."""
     number, digest, names = None, "", frozenset()
     for one in verdicts:
         expected_outcome = expected.get(one["digest"])
-        assert expected_outcome is not None and expected_outcome != "half", (
-            f"a verdict on bytes that were never whole: {one}"
-        )
+        assert expected_outcome is not None and expected_outcome != "half", f"a verdict on an incomplete file: {one}"
         if expected_outcome == "rejected" or (number is not None and expected_outcome[0] <= number):
             assert one["outcome"] == "rejected" and one["reasons"], (one, expected_outcome, number)
             continue
@@ -215,7 +213,7 @@
             await relay.start()
             await scenario.verdict(path.read_bytes())
             good = path.read_bytes()
-            # Gone, a FIFO, a folder: the last good list holds, and it is said once each.
+            # While the file is missing, a FIFO or a folder, the last good list stays in force; each case is logged.
             path.unlink()
             await scenario.wait_for_log('reason="no such file" kept=1 endpoints=2')
             os.mkfifo(path)
@@ -225,11 +223,11 @@
             await scenario.wait_for_log('reason="want a plain file, not a folder" kept=1')
             path.rmdir()
             assert await scenario.served_by() == {"s-00", "s-01"}
-            # Back again and touched: the same bytes are no new version.
+            # The file is restored and touched: the same bytes are not a new version.
             path.write_bytes(good)
             await scenario.wait_for_log("event=list_back")
             os.utime(path)
-            # A link into a folder of versions, swapped; its far end lies where no watch is.
+            # A link to a versioned folder is switched; no watch covers the link's target.
             versions = relay.folder / "versions"
             for number, names in ((2, ("s-02",)), (3, ("s-03", "s-00"))):
                 (versions / str(number)).mkdir(parents=True)
@@ -260,7 +258,7 @@
             relay, path = scenario.relay, scenario.relay.lists / "a.list"
             relay.put(scenario.entries("s-02"), 1, "a.list")
             await relay.start()
-            await until(lambda: list(scenario.lists.load_good()), "the good list to be kept")
+            await until(lambda: list(scenario.lists.load_good()), "the good list to be saved")
             await relay.stop(signal.SIGKILL)
             path.write_bytes(b"list 1 generation 2\nendpoint\nend 1\n")
             await relay.start()
@@ -283,7 +281,7 @@
             async def drain():
                 await asyncio.sleep(1.0)
                 if unseen:
-                    # The kernel's queue overflows while the relay stands still: what comes after is told to nobody.
+                    # The inotify queue overflows while the relay is stopped, so the next change is not reported.
                     relay.process.send_signal(signal.SIGSTOP)
                     junk = relay.lists / "junk"
                     for _ in range(7000):
@@ -359,7 +357,7 @@
                 lambda: [
                     one for one in scenario.verdicts() if one["unit"] == "lists/a.list" and one["outcome"] == "applied"
                 ],
-                "a.list to be taken after all",
+                "a.list to be applied",
             )
             assert await scenario.served_by() == {"s-00", "s-01"}
 
@@ -373,7 +371,7 @@
             relay.put(scenario.entries("s-00"), 1, "a.list")
             (relay.lists / "half.list").write_text("list 1 generation 1\n")
             await relay.start()
-            await until(lambda: len(list(scenario.lists.load_good())) == 1, "the list to be kept")
+            await until(lambda: len(list(scenario.lists.load_good())) == 1, "the list to be saved")
             relay.put([], 2, "a.list")
             await scenario.verdict((relay.lists / "a.list").read_bytes())
             (relay.lists / "a.list").unlink()
@@ -381,7 +379,7 @@
             await until(lambda: not list(scenario.lists.load_good()), "the empty list to be forgotten")
             relay.put(scenario.entries("s-01"), 1, "b.list")
             assert (await scenario.verdict((relay.lists / "b.list").read_bytes()))["outcome"] == "applied"
-            relay.put(scenario.entries("s-02")[:0], 1, "a.list")  # forgotten, its generations too
+            relay.put(scenario.entries("s-02")[:0], 1, "a.list")  # its generations were forgotten as well
             assert (await scenario.verdict((relay.lists / "a.list").read_bytes()))["outcome"] == "applied"
             assert await scenario.served_by() == {"s-01"}
 
@@ -400,7 +398,7 @@
                 await asyncio.sleep(max(0.0, started + (number - 1) * 0.01 - time.monotonic()))
             spent = time.monotonic() - started
             await scenario.verdict((relay.lists / "a.list").read_bytes())
-            assert len(scenario.verdicts()) <= spent * 10 + 5  # a look each 100 ms at most
+            assert len(scenario.verdicts()) <= spent * 10 + 5  # at most one scan per 100 ms
             assert scenario.log().count("event=list_verdict") <= 50 + 5 * (spent + 1)
             assert number % 2 and await scenario.served_by() == {"s-00", "s-01"}
 
@@ -408,7 +406,7 @@
 
 
 def test_files_and_discovery_that_contradict_each_other(tmp_path):
-    """The file owns its destination; discovery's endpoints there come in once the file lists none."""
+    """The file owns its destination; discovery's endpoints for it are used once the file lists none."""
     discovery = Discovery()
 
     async def run():
@@ -433,7 +431,7 @@
 
 
 def test_an_id_at_another_address_and_an_id_at_an_old_one_are_new_endpoints(tmp_path):
-    """No connection carries over, and the outage of what was there before is not held against what is there now."""
+    """Neither connections nor failures carry over from the previous endpoint to the new one."""
 
     async def run():
         async with ListScenario(tmp_path, UNGUARDED_CONF) as scenario:
@@ -447,7 +445,7 @@
             await scenario.verdict((relay.lists / "a.list").read_bytes())
             await until(lambda: not scenario.partner.connections("s-00"), "the old connections to be closed")
             assert await scenario.served_by() == {"s-01"}
-            # Another id at that address, which fails every call for a while: it rests. A new id there is tried at once.
+            # Every call to that address fails for a while, so the endpoint backs off. A new id there is tried at once.
             scenario.partner.moods["s-01"] = Mood(latency_ms=1, failing=1.0)
             desk = Desk(relay.port, 99, 1, 4, 3.0)
             await desk.run(range(20), 100.0)
@@ -524,7 +522,7 @@
 
 
 def test_a_version_saved_just_before_a_crash_has_its_verdict(tmp_path):
-    """Killed with the version on disk as the last good one, and nothing said of it so far."""
+    """The process is killed after it has stored a version as the last good one and before it reports the verdict."""
 
     async def run():
         async with ListScenario(tmp_path, UNGUARDED_CONF) as scenario:
@@ -581,5 +579,5 @@
             timers.clear()
             act()
     assert counters.table() == {"lists": {"slow_looks": 1}} and not group.has_list
-    one.rescan()  # while it looks: no second look is begun
+    one.rescan()  # during a scan: no second scan is started
     one.stop()
