--- a/lynxscale/relay/journal/recovery.py
+++ b/lynxscale/relay/journal/recovery.py
@@ -38,8 +38,8 @@
     reason: str
 
     def __str__(self) -> str:
-        until = f"before {self.before}" if self.before is not None else "to its end"
-        return f"segment {self.segment}: records after {self.after}, {until}, cannot be read: {self.reason}"
+        end = f"before {self.before}" if self.before is not None else "to its end"
+        return f"segment {self.segment}: records after {self.after}, {end}, cannot be read: {self.reason}"
 
 
 @dataclass(slots=True)
@@ -67,12 +67,12 @@
     """
     result = RecoveryResult()
     state_seqs: dict[int, int] = {}  # message: sequence number of its last complete state
-    newest = max((row.first_seq for row in manifest.rows), default=0)
+    newest_first_seq = max((row.first_seq for row in manifest.rows), default=0)
     last_applied = 0
     for row in sorted(manifest.rows, key=lambda row: row.first_seq):
         result.next_number = max(result.next_number, row.number + 1)
         result.next_seq = max(result.next_seq, row.first_seq)
-        is_active = row.first_seq == newest and not row.sealed_size
+        is_active = row.first_seq == newest_first_seq and not row.sealed_size
         for record in _segment_records(row, segments.get(row.number), is_active, result):
             result.next_seq = max(result.next_seq, record.seq + 1)
             result.records.append((row.number, record._replace(payload=record.payload[: UID.size])))
@@ -88,7 +88,7 @@
 
 def _segment_records(row: ManifestRow, data: bytes | None, is_active: bool, result: RecoveryResult) -> Iterator[Record]:
     """Yield a segment's records; add its gaps, its salt and its size to ``result``."""
-    salt = _salt(row, data, is_active, result)
+    salt = _read_salt(row, data, is_active, result)
     if data is None or salt is None:
         return
     if row.sealed_size:
@@ -124,7 +124,7 @@
     return f"it ends at byte {offset} without having been closed"
 
 
-def _salt(row: ManifestRow, data: bytes | None, is_active: bool, result: RecoveryResult) -> int | None:
+def _read_salt(row: ManifestRow, data: bytes | None, is_active: bool, result: RecoveryResult) -> int | None:
     """Read a segment's salt from its header.
 
     Returns None if the header cannot be read, and adds a gap if records may be lost.
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -171,17 +171,19 @@
     def _adopt_released(self) -> None:
         """Adopt messages that the predecessor has released while it still runs."""
         path = folder_of(self._claim.state, self._predecessor)
-        numbers, at = read_released(path, self._released_at)
+        numbers, next_offset = read_released(path, self._released_at)
         if not numbers or self._follower is None or not self._follower.poll():
             return
         if self._inherited is None:
             self._inherited = InheritedJournal(self._claim.state, self._predecessor)
         entries = self._follower.entries
-        left = [(number, entries[number]) for number in numbers if number in entries]
-        if self._adopt_entries(self._inherited, left[:MAX_RELEASED_PER_CHECK]):
+        remaining = [(number, entries[number]) for number in numbers if number in entries]
+        if self._adopt_entries(self._inherited, remaining[:MAX_RELEASED_PER_CHECK]):
             # The rest is adopted at the next check, to keep the turn short.
             done = (
-                len(numbers) if len(left) <= MAX_RELEASED_PER_CHECK else numbers.index(left[MAX_RELEASED_PER_CHECK][0])
+                len(numbers)
+                if len(remaining) <= MAX_RELEASED_PER_CHECK
+                else numbers.index(remaining[MAX_RELEASED_PER_CHECK][0])
             )
             self._released_at += done * RELEASED_SIZE
 
@@ -206,13 +208,13 @@
         log.info("taking_over", folder=inherited.path.name, open=len(entries))
         self._adopt_slice(inherited, generation, list(entries.items()))
 
-    def _adopt_slice(self, inherited: InheritedJournal, generation: int, left: list) -> None:
-        chunk = left[:MAX_ADOPTED_PER_TURN]
+    def _adopt_slice(self, inherited: InheritedJournal, generation: int, remaining: list) -> None:
+        chunk = remaining[:MAX_ADOPTED_PER_TURN]
         if chunk and not self._adopt_entries(inherited, chunk):
-            self._deadlines.after(RETRY_INTERVAL_US, self._adopt_slice, inherited, generation, left)
+            self._deadlines.after(RETRY_INTERVAL_US, self._adopt_slice, inherited, generation, remaining)
             return
-        if len(left) > MAX_ADOPTED_PER_TURN:
-            self._deadlines.after(0, self._adopt_slice, inherited, generation, left[MAX_ADOPTED_PER_TURN:])
+        if len(remaining) > MAX_ADOPTED_PER_TURN:
+            self._deadlines.after(0, self._adopt_slice, inherited, generation, remaining[MAX_ADOPTED_PER_TURN:])
             return
         inherited.remove()
         log.info("taken_over", folder=inherited.path.name)
--- a/lynxscale/relay/upgrade/journal_follower.py
+++ b/lynxscale/relay/upgrade/journal_follower.py
@@ -23,7 +23,7 @@
     def __init__(self, path: Path) -> None:
         self._path = path
         self.entries: dict[int, Entry] = {}
-        self._ids: dict[str, int] = {}
+        self._uids_by_id: dict[str, int] = {}
         self._segment_number = -1  # the segment that is read
         self._handle = -1
         self._offset = self._salt = 0
@@ -39,14 +39,14 @@
         """Whether this message is open in the journal, according to all that has been written so far."""
         if not self.poll():
             return False
-        return self._ids.get(id_) in self.entries
+        return self._uids_by_id.get(id_) in self.entries
 
     def poll(self) -> bool:
         """Read new records; returns False if the journal cannot be read at present."""
         try:
             if self._segment_number < 0:
-                self._begin()
-            while self._read() or self._next_segment():
+                self._read_all()
+            while self._read_more() or self._next_segment():
                 pass
         except (OSError, JournalFormatError):
             self.close()
@@ -54,7 +54,7 @@
             return False
         return True
 
-    def _begin(self) -> None:
+    def _read_all(self) -> None:
         """Read the complete journal. Raises OSError if a segment was removed meanwhile."""
         storage = FolderStorage(self._path)
         manifest = load_manifest(storage, storage.names())
@@ -68,9 +68,9 @@
         self._handle = os.open(self._path / segment_name(last), os.O_RDONLY | os.O_CLOEXEC)
         self._segment_number, self._offset, self._salt = last, recovered.sizes[last], recovered.salts[last]
         self.entries, self._last_seq = recovered.entries, recovered.next_seq - 1
-        self._ids = {entry.id: uid for uid, entry in self.entries.items()}
+        self._uids_by_id = {entry.id: uid for uid, entry in self.entries.items()}
 
-    def _read(self) -> bool:
+    def _read_more(self) -> bool:
         """Read more of the current segment; returns False at its end."""
         if self._handle < 0:
             return False
@@ -84,9 +84,9 @@
             ended = self.entries.get(record.uid) if record.kind == COMPLETED else None
             apply_record(self.entries, record)
             if ended is not None:
-                self._ids.pop(ended.id, None)
+                self._uids_by_id.pop(ended.id, None)
             elif record.kind == MESSAGE:
-                self._ids[self.entries[record.uid].id] = record.uid
+                self._uids_by_id[self.entries[record.uid].id] = record.uid
         return self._offset > start
 
     def _next_segment(self) -> bool:
--- a/lynxscale/relay/upstream/file_watch.py
+++ b/lynxscale/relay/upstream/file_watch.py
@@ -213,15 +213,15 @@
         any_pending = any(file.pending is not None for file in self._files.values())
         approved: Callable = self._lists.approved_digests if any_pending else frozenset
         done = self._worker.call(file_scan.scan_files, self._conf.files, stamps, approved)
-        done.addCallback(self._scanned, slow_timer)
-        done.addErrback(self._failed)
+        done.addCallback(self._process_scan, slow_timer)
+        done.addErrback(self._log_scan_error)
         done.addCallback(self._scan_finished, slow_timer)
 
     def _report_slow(self) -> None:
         self._reporter.event("list_scan_slow", seconds=SLOW_SCAN_US / 1e6)
         self._counters.add("lists", "slow_looks")
 
-    def _failed(self, failure: Failure) -> None:
+    def _log_scan_error(self, failure: Failure) -> None:
         """Log an unexpected error in a scan, so that a defect does not stop the scanning."""
         log.error("list_scan_failed", error=failure.getTraceback())
 
@@ -238,7 +238,7 @@
     # Results of a scan -------------------------------------------------------------------------------
 
     @inlineCallbacks
-    def _scanned(self, scan: Scan, slow_timer: Deadline) -> Generator[Deferred, Any, bool]:
+    def _process_scan(self, scan: Scan, slow_timer: Deadline) -> Generator[Deferred, Any, bool]:
         """Process the results of a scan; returns whether a file must be read again soon."""
         self._deadlines.cancel(slow_timer)
         if self._stopped:
--- a/lynxscale/relay/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -97,11 +97,11 @@
 
 def _chunks(data: bytes) -> Iterator[tuple[int, int]]:
     """Yield start and end of chunks of about CHUNK_BYTES that end at line feeds."""
-    at, size = 0, len(data)
-    while at < size:
-        end = data.rfind(b"\n", at, at + CHUNK_BYTES) + 1 or data.find(b"\n", at) + 1 or size
-        yield at, end
-        at = end
+    start, size = 0, len(data)
+    while start < size:
+        end = data.rfind(b"\n", start, start + CHUNK_BYTES) + 1 or data.find(b"\n", start) + 1 or size
+        yield start, end
+        start = end
 
 
 def _decode_chunk(chunk: bytes, unit: str, first: int, result: ParseResult) -> str | None:
@@ -139,7 +139,7 @@
         self.lines: list[int] = []
         self.addresses = ShardedDict()
         self.destinations: dict[int, Destination] = {}
-        self.hosts: dict[str, None] = {}
+        self.checked_hosts: dict[str, None] = {}
 
     def fault(self, line: int, word: str, wanted: str) -> None:
         """Report a fault, unless there are already MAX_FAULTS."""
@@ -170,25 +170,25 @@
         if entry.destination not in self.destinations:
             self.destinations[entry.destination] = Destination(entry.destination)
 
-    def address(self, text: str) -> tuple[str, int]:
+    def parse_address(self, text: str) -> tuple[str, int]:
         """Parse a host and port. Raises InvalidListError if it is malformed or outside the allowed networks."""
         host, colon, port = text.rpartition(":")
         if not (colon and port.isascii() and port.isdigit() and len(port) < 6 and 0 < int(port) < 65536):
             raise InvalidListError(text, "want ADDRESS:PORT")
-        if host not in self.hosts:
+        if host not in self.checked_hosts:
             try:
                 packed = int.from_bytes(socket.inet_pton(socket.AF_INET, host), "big")
             except (OSError, ValueError):
                 raise InvalidListError(text, "want an IPv4 address and a port, as no name is looked up") from None
             if packed not in self.rules.nets:
                 raise InvalidListError(text, "want an address in the allowed networks")
-            self.hosts[host] = None
+            self.checked_hosts[host] = None
         return host, int(port)
 
-    def named(self, what: str, text: str, among: frozenset[str]) -> str:
+    def check_name(self, what: str, text: str, allowed: frozenset[str]) -> str:
         """Check a zone or kind. Raises InvalidListError if it is not one of the names in the settings."""
-        if among and text not in among:
-            raise InvalidListError(text, f"want a {what} of the settings: {', '.join(sorted(among))}")
+        if allowed and text not in allowed:
+            raise InvalidListError(text, f"want a {what} of the settings: {', '.join(sorted(allowed))}")
         return text
 
     def candidate(self, generation: int, digest: str) -> CandidateList:
@@ -196,19 +196,19 @@
         return CandidateList(self.unit, generation, digest, self.entries, self.destinations, self.lines)
 
 
-def _weight(text: str) -> float:
+def _parse_weight(text: str) -> float:
     if not DECIMAL.fullmatch(text) or not float(text) <= MAX_WEIGHT:
         raise InvalidListError(f"weight {text}", f"want calls a second, 0 to {MAX_WEIGHT:g}, as a plain decimal number")
     return float(text)
 
 
-def _integer(name: str, text: str, limit: int) -> int:
+def _parse_integer(name: str, text: str, limit: int) -> int:
     if not NUMBER.fullmatch(text) or int(text) >= limit:
         raise InvalidListError(f"{name} {text}", f"want a whole number below {limit}")
     return int(text)
 
 
-def _id(text: str) -> str:
+def _parse_id(text: str) -> str:
     if not text or len(text) > MAX_ID_CHARS or not text.isprintable():
         raise InvalidListError(text, f"want an id of at most {MAX_ID_CHARS} printable characters")
     return text
@@ -223,17 +223,21 @@
         self.generation: int | None = None
         # Set by a destination's line: an endpoint's line then depends on it, so parsed lines are not reused.
         self.has_defaults = False
-        self.directives = {"list": self._list, "destination": self._destination, "endpoint": self._endpoint}
+        self.directives = {
+            "list": self._parse_list_line,
+            "destination": self._parse_destination_line,
+            "endpoint": self._parse_endpoint_line,
+        }
 
     def read(self, data: bytes) -> SlicedWork[None]:
         """Parse a complete file."""
         number, checksum, size = 0, 0, data.rindex(b"end ")
-        for at, end in _chunks(data):
-            if end - at > CHUNK_BYTES + 4 * MAX_LINE_CHARS:
+        for start, end in _chunks(data):
+            if end - start > CHUNK_BYTES + 4 * MAX_LINE_CHARS:
                 # A line of megabytes would be searched and split at once, which would block the event loop.
                 self.fault(number + 1, "line", f"want lines of at most {MAX_LINE_CHARS} characters")
                 return
-            chunk = data[at : min(end, size)]
+            chunk = data[start : min(end, size)]
             text = _decode_chunk(chunk, self.unit, number + 1, self.result)
             if text is None:
                 return
@@ -243,17 +247,17 @@
                 if not number % ENTRIES_PER_SLICE:
                     yield
                 try:
-                    self._line(number, raw)
+                    self._parse_line(number, raw)
                 except InvalidListError as error:
                     self.fault(number, error.word, error.wanted)
             yield
         if self.generation is None and not self.result.faults:
             self.fault(1, "list", f"want list {VERSION} generation NUMBER first")
-        self._end(number + 1, data[size:], checksum)
+        self._check_end_line(number + 1, data[size:], checksum)
         if not self.result.faults and self.generation is not None:
             self.result.candidate = self.candidate(self.generation, self.digest)
 
-    def _line(self, number: int, raw: str) -> None:
+    def _parse_line(self, number: int, raw: str) -> None:
         entry = self.parsed_lines.get(raw)
         if entry is not None and self.generation is not None and not self.has_defaults:
             self.result.parsed_lines.put(raw, entry)
@@ -280,7 +284,7 @@
             raise InvalidListError(words[0], f"want list {VERSION} generation NUMBER first")
         parse(number, words, raw)
 
-    def _list(self, _number: int, words: list[str], _raw: str) -> None:
+    def _parse_list_line(self, _number: int, words: list[str], _raw: str) -> None:
         if self.generation is not None:
             raise InvalidListError("list", "want it once, as the first line")
         if len(words) != 4 or words[2] != "generation":
@@ -288,11 +292,11 @@
         self.generation = 0  # so that the following lines are checked even if this one has a fault
         if words[1] != str(VERSION):
             raise InvalidListError(
-                f"list {words[1]}", f"want a format version of {VERSION}, which is all that this one reads"
+                f"list {words[1]}", f"want a format version of {VERSION}, the only one that is supported"
             )
-        self.generation = _integer("generation", words[3], MAX_GENERATION)
+        self.generation = _parse_integer("generation", words[3], MAX_GENERATION)
 
-    def _pairs(self, words: list[str], allowed: tuple[str, ...]) -> Iterator[tuple[str, str]]:
+    def _name_value_pairs(self, words: list[str], allowed: tuple[str, ...]) -> Iterator[tuple[str, str]]:
         if len(words) % 2:
             raise InvalidListError(words[-1], f"want pairs of a name and a value, names: {', '.join(allowed)}")
         seen = set()
@@ -304,22 +308,22 @@
             seen.add(name)
             yield name, value
 
-    def _destination(self, _number: int, words: list[str], _raw: str) -> None:
+    def _parse_destination_line(self, _number: int, words: list[str], _raw: str) -> None:
         if len(words) < 2:
             raise InvalidListError("destination", "want destination NUMBER [rate CALLS] [kind KIND]")
-        number = _integer("destination", words[1], MAX_DESTINATIONS)
+        number = _parse_integer("destination", words[1], MAX_DESTINATIONS)
         if number in self.destinations:
             raise InvalidListError(f"destination {number}", "want it once, before its endpoints")
         rate, kind = None, None
-        for name, value in self._pairs(words[2:], ("rate", "kind")):
+        for name, value in self._name_value_pairs(words[2:], ("rate", "kind")):
             if name == "rate":
-                rate = _weight(value)
+                rate = _parse_weight(value)
             else:
-                kind = self.named("kind", value, self.rules.kinds)
+                kind = self.check_name("kind", value, self.rules.kinds)
         self.has_defaults = True
         self.destinations[number] = Destination(number, rate, kind)
 
-    def _endpoint(self, number: int, words: list[str], raw: str) -> None:
+    def _parse_endpoint_line(self, number: int, words: list[str], raw: str) -> None:
         lifecycle = LIFECYCLES.get(words[-1])
         if len(words) < 4 or lifecycle is None:
             raise InvalidListError(
@@ -327,30 +331,30 @@
                 "want endpoint ID ADDRESS:PORT destination NUMBER [zone ZONE] [kind KIND] "
                 "[weight CALLS] [since MS] ready|draining",
             )
-        id_, address = _id(words[1]), self.address(words[2])
-        pairs = dict(self._pairs(words[3:-1], ENDPOINT_KEYS))
+        id_, address = _parse_id(words[1]), self.parse_address(words[2])
+        pairs = dict(self._name_value_pairs(words[3:-1], ENDPOINT_KEYS))
         if "destination" not in pairs:
             raise InvalidListError(id_, "want a destination")
-        destination = _integer("destination", pairs["destination"], MAX_DESTINATIONS)
+        destination = _parse_integer("destination", pairs["destination"], MAX_DESTINATIONS)
         defaults = self.destinations.get(destination, Destination(destination))
         kind, weight = pairs.get("kind"), pairs.get("weight")
-        kind = self.named("kind", kind, self.rules.kinds) if kind is not None else defaults.kind or ""
-        calls = _weight(weight) if weight is not None else defaults.rate or 0.0
+        kind = self.check_name("kind", kind, self.rules.kinds) if kind is not None else defaults.kind or ""
+        calls = _parse_weight(weight) if weight is not None else defaults.rate or 0.0
         entry = Endpoint(
             id_,
             address,
             destination,
-            self.named("zone", pairs["zone"], self.rules.zones) if "zone" in pairs else "",
+            self.check_name("zone", pairs["zone"], self.rules.zones) if "zone" in pairs else "",
             kind,
             lifecycle,
             calls if defaults.rate is None else min(calls, defaults.rate),
-            _integer("since", pairs["since"], MAX_GENERATION) if "since" in pairs else 0,
+            _parse_integer("since", pairs["since"], MAX_GENERATION) if "since" in pairs else 0,
         )
         if not self.has_defaults:
             self.result.parsed_lines.put(raw, entry)
         self.add(number, entry)
 
-    def _end(self, number: int, last: bytes, checksum: int) -> None:
+    def _check_end_line(self, number: int, last: bytes, checksum: int) -> None:
         words = last.split()  # matches CLOSING_LINE
         if b"\r" in last:
             self.fault(number, "carriage return", "want text, its lines ended by a line feed alone")
@@ -422,11 +426,11 @@
     if not isinstance(zone, str) or not isinstance(kind, str):
         raise InvalidListError("zone" if not isinstance(zone, str) else "machineType", "want a text")
     entry = Endpoint(
-        _id(id_),
-        collector.address(str(row.get("hostPort"))),
+        _parse_id(id_),
+        collector.parse_address(str(row.get("hostPort"))),
         destination,
-        collector.named("zone", zone, collector.rules.zones if zone else frozenset()),
-        collector.named("kind", kind, collector.rules.kinds if kind else frozenset()),
+        collector.check_name("zone", zone, collector.rules.zones if zone else frozenset()),
+        collector.check_name("kind", kind, collector.rules.kinds if kind else frozenset()),
         lifecycle,
         float(weight),
         since if isinstance(since, int) else 0,
--- a/lynxscale/relay/upstream/slow_start.py
+++ b/lynxscale/relay/upstream/slow_start.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class _WeightRamp:
+class _WeightIncrease:
     """One endpoint's weight while it rises; ``started`` is in µs."""
 
     initial: float
@@ -28,33 +28,33 @@
     def __init__(self, duration: int) -> None:
         self._duration = duration
         self.step_interval = max(MIN_STEP_US, duration // STEP_COUNT)
-        self._ramps: dict[int, _WeightRamp] = {}  # by endpoint
+        self._increases: dict[int, _WeightIncrease] = {}  # by endpoint
 
     def __len__(self) -> int:
-        return len(self._ramps)
+        return len(self._increases)
 
     def weight(self, endpoint: int, listed: float) -> float:
         """The weight to use now; ``listed`` is the one in the list."""
-        ramp = self._ramps.get(endpoint)
-        return listed if ramp is None else ramp.current
+        increase = self._increases.get(endpoint)
+        return listed if increase is None else increase.current
 
     def set_target(self, endpoint: int, now: int, before: float, target: float) -> None:
         """Set the listed weight to ``target``; it was ``before``."""
         current = self.weight(endpoint, before)
         if not self._duration or target <= current:
-            self._ramps.pop(endpoint, None)
-        elif endpoint not in self._ramps or self._ramps[endpoint].target != target:
-            self._ramps[endpoint] = _WeightRamp(current, target, now, current)
+            self._increases.pop(endpoint, None)
+        elif endpoint not in self._increases or self._increases[endpoint].target != target:
+            self._increases[endpoint] = _WeightIncrease(current, target, now, current)
 
     def forget(self, endpoint: int) -> None:
         """Drop the state of an endpoint that was removed from the list."""
-        self._ramps.pop(endpoint, None)
+        self._increases.pop(endpoint, None)
 
     def step(self, now: int) -> Iterator[int]:
         """Advance all weights to time ``now`` and yield the endpoints that changed."""
-        for endpoint, ramp in list(self._ramps.items()):
-            progress = min(1.0, (now - ramp.started) / self._duration)
-            ramp.current = ramp.initial + (ramp.target - ramp.initial) * progress
+        for endpoint, increase in list(self._increases.items()):
+            progress = min(1.0, (now - increase.started) / self._duration)
+            increase.current = increase.initial + (increase.target - increase.initial) * progress
             if progress == 1.0:
-                del self._ramps[endpoint]
+                del self._increases[endpoint]
             yield endpoint
--- a/lynxscale/relay/upstream/validation.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -137,7 +137,7 @@
         if not index % ENTRIES_PER_SLICE:
             yield
         remaining[entry.destination] += 1
-    removed, moved_weight = yield from _losses(old, candidate, changes)
+    removed, moved_weight = yield from _removed_and_moved(old, candidate, changes)
     faults = []
     for number, count in removed.items():
         if not guards.may_remove_last_endpoint and not remaining.get(number):
@@ -166,7 +166,7 @@
     return ready, weight
 
 
-def _losses(
+def _removed_and_moved(
     old: Mapping[str, Endpoint], candidate: CandidateList, changes: ListChanges
 ) -> SlicedWork[tuple[dict[int, int], dict[int, float]]]:
     """How many ready endpoints a version removes and how much weight it moves, each by destination."""
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -330,7 +330,7 @@
     assert weight(10.0, 0) == 10.0  # a new endpoint has its full weight at once
     assert weight(30.0, 0) == 10.0
     assert [table.advance_slow_start(now)[0].weight for now in (2_500_000, 5_000_000)] == [15.0, 20.0]
-    assert weight(60.0, 5_000_000) == 20.0  # a new ramp starts from the current weight
+    assert weight(60.0, 5_000_000) == 20.0  # slow start begins again from the current weight
     assert table.advance_slow_start(10_000_000)[0].weight == 40.0
     assert weight(5.0, 10_000_000) == 5.0 and table.advance_slow_start(11_000_000) == []
     assert weight(25.0, 11_000_000) == 5.0
