--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from lynxscale.relay.conf.settings import Conf
-    from lynxscale.relay.upstream.files import Reading, Rules
+    from lynxscale.relay.upstream.files import ParseResult, Rules
     from lynxscale.relay.upstream.list_store import ListStore
     from lynxscale.relay.upstream.model import CandidateList, Endpoint
 
@@ -38,12 +38,12 @@
         raise InvalidUsageError("\n" + str(error)) from error
 
 
-def _read(path: str, conf: Conf) -> Reading:
+def _read(path: str, conf: Conf) -> ParseResult:
     from lynxscale.relay.upstream import file_scan, files
     from lynxscale.relay.upstream.model import run_to_end
 
-    seen = file_scan.view_file(path)
-    if seen.what != file_scan.BYTES:
+    seen = file_scan.read_if_changed(path)
+    if seen.status != file_scan.BYTES:
         raise CommandFailedError(f"{path}: {seen.reason}")
     return run_to_end(files.read(seen.data, path, _rules(conf), digest=seen.digest))
 
--- a/lynxscale/relay/ports.py
+++ b/lynxscale/relay/ports.py
@@ -41,7 +41,7 @@
 
     has_list: bool  # some source has sent its list in this process
 
-    def has_destination(self, cell: int) -> bool:
+    def has_destination(self, destination: int) -> bool:
         """Does a list name this destination, or did one until lately?"""
 
     def watch(self, active: bool) -> None:
--- a/tests/golden_relay.py
+++ b/tests/golden_relay.py
@@ -98,7 +98,7 @@
     inherited = journal_folders.InheritedJournal(state, 2)
     inherited.mark_taken(MARKED)
     inherited.close()
-    journal_folders.release(folder, RELEASED)
+    journal_folders.append_released(folder, RELEASED)
 
 
 if __name__ == "__main__":
--- a/tests/test_golden_relay.py
+++ b/tests/test_golden_relay.py
@@ -56,7 +56,7 @@
 
 def test_marks_and_released_numbers_are_read(state):
     assert journal_folders.generations(state) == [2]
-    assert journal_folders.released(journal_folders.folder_of(state, 2), 0) == (relay.RELEASED, 16)
+    assert journal_folders.read_released(journal_folders.folder_of(state, 2), 0) == (relay.RELEASED, 16)
 
 
 def test_what_was_learned_is_taken_over(state, monkeypatch):
