--- a/lynxscale/relay/cluster/__init__.py
+++ b/lynxscale/relay/cluster/__init__.py
@@ -1,16 +1,16 @@
-"""Many relays as one cluster: who is there, who has failed, and who may act; ``docs/design/cluster.md``.
+"""A cluster of relays: membership, failure detection and leases; see ``docs/design/cluster.md``.
 
-Every relay is a node. Two state machines have no I/O and no clock and return ``instructions``:
+Every relay is a node. It runs two state machines, which have no I/O and no clock and return ``instructions``:
 
 - failure detection (SWIM): ``failure_detector`` on top of ``probing`` and ``detector_state``; ``suspicion`` and
-  ``dissemination`` are one rule each. Its result, the ``membership_table``, is quick and may be wrong: it only makes a
-  node more careful.
+  ``dissemination`` hold one rule each. Its result, the ``membership_table``, is fast and may be wrong: it only makes a
+  node act more cautiously.
 - view agreement (Paxos with leases): ``view_change`` on top of ``proposer``, ``acceptor``, ``leases`` and
-  ``agreement_state``; ``proposal`` and ``flapping`` are parts of their state. What a node may do on behalf of others
-  follows from the agreed view and a lease.
+  ``agreement_state``; ``proposal`` and ``flapping`` are parts of their state. Only the agreed view and a lease allow a
+  node to act on behalf of others.
 
-``core`` joins the two, ``messages`` and ``frame`` have what they send, ``timing`` their intervals. ``driver`` has the
-sockets and carries instructions out, ``durable_state`` the files that must outlast a crash, ``settings`` what all files
-have to agree on; ``component`` makes a relay component of them. Off, and not imported, where the platform runs the
-relay.
+``core`` joins the two. ``messages`` and ``frame`` define what they send, ``timing`` their intervals. ``driver`` owns
+the sockets and executes instructions, ``durable_state`` writes the files that survive a crash, ``settings`` lists what
+the configuration files of all nodes have to agree on, and ``component`` makes a relay component of these modules. The
+cluster is off, and its modules are not imported, if the platform runs the relay.
 """
--- a/lynxscale/relay/cluster/acceptor.py
+++ b/lynxscale/relay/cluster/acceptor.py
@@ -1,4 +1,4 @@
-"""The acceptor of Paxos (Lamport 1998), which also honours the leases that it has granted. No I/O, no clock."""
+"""The Paxos acceptor (Lamport 1998); it also honours the leases that it has granted. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     Prepare,
     Promise,
     Reject,
-    removed,
+    removed_members,
 )
 
 
 class Acceptor(LeaseManager):
-    """Answers ``Prepare`` and ``Accept``; a promise or acceptance is on disk before it is sent."""
+    """Answers ``Prepare`` and ``Accept``. A promise or an acceptance is written to disk before it is sent."""
 
     def _on_prepare(self, now: int, sender: str, identity: Identity, message: Prepare) -> None:
         ballot, durable = Ballot(message.round, sender, identity.boot), self.durable
@@ -31,14 +31,12 @@
             self._reject(sender, message.number, ballot, "alive")
             return
         if sender != self.me.name:
-            # Guards a proposer that waits for leases to run out, or for the slower disks of others, against those whose
-            # turn would come meanwhile.
+            # Keeps this node from proposing while the sender waits for leases to expire or for slow disks.
             self._backoff_until = max(self._backoff_until, now + wait + self.timing.backoff)
         promise = SendViewMessage(sender, Promise(message.number, ballot, durable.ballot, durable.accepted, wait))
         if ballot == durable.promised:
-            self._instructions.append(
-                PersistState(durable, (promise,))
-            )  # said once more; behind what may still be on its way to disk
+            # Repeats the promise. PersistState orders it after a write of it that may still be in flight.
+            self._instructions.append(PersistState(durable, (promise,)))
         else:
             self._persist(durable._replace(promised=ballot), promise)
 
@@ -47,8 +45,8 @@
         if not self._check_ballot(now, sender, ballot, message):
             return
         if sender != self.me.name:
-            # Guards a proposer that waits for a slow disk, here or elsewhere: it asks again until it has its answer,
-            # and a proposal of ours meanwhile would have it begin anew.
+            # Keeps this node from proposing while the sender waits for a slow disk, here or elsewhere: a competing
+            # proposal would force the sender to start again.
             self._backoff_until = max(self._backoff_until, now + self.timing.backoff)
         accepted = SendViewMessage(sender, Accepted(message.number, ballot))
         if ballot == durable.ballot:
@@ -63,7 +61,7 @@
             self._persist(durable._replace(promised=ballot, ballot=ballot, accepted=message.change), accepted)
 
     def _check_ballot(self, now: int, sender: str, ballot: Ballot, message: Prepare | Accept) -> bool:
-        """Can it be voted on here? If not, the proposer is sent the reason."""
+        """Return whether this node can vote on the message; if not, send the proposer a ``Reject`` with the reason."""
         view, reason = self.durable.view, ""
         if message.number > self.number + 1:
             self._fetch_view(now, sender)
@@ -81,12 +79,13 @@
         return not reason
 
     def _lease_wait(self, now: int, message: Prepare | Accept) -> int | None:
-        """µs for which granted leases forbid accepting this; None: a process to be removed answers this node.
+        """Time (µs) until the leases granted here allow accepting the change; None if a process that the change
+        removes is reachable from this node.
 
-        Processes to be removed get no more leases: else theirs would be renewed for ever.
+        The processes to be removed get no further leases: otherwise they would renew them without end.
         """
         wait = 0
-        for member in removed(self.durable.view, message.change):
+        for member in removed_members(self.durable.view, message.change):
             if (
                 not message.previously_accepted
                 and member.name not in self.declared_gone
--- a/lynxscale/relay/cluster/agreement_state.py
+++ b/lynxscale/relay/cluster/agreement_state.py
@@ -1,4 +1,4 @@
-"""What the roles of view agreement share: durable state, the view, leases, the proposal in flight. No I/O, no clock."""
+"""State that the roles of view agreement share: durable state, view, leases, proposal in flight. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from lynxscale.relay.cluster.proposal import Proposal
 from lynxscale.relay.cluster.timing import ViewTiming
 
-PERSIST_COUNTS_AFTER = 5_000_000  # µs until peers' write counts are written without a vote
+PERSIST_COUNTS_DELAY_US = 5_000_000  # after which peers' write counts are persisted even without a vote
 
 
 class ViewStatus(Enum):
-    """Whether a node is in the view, and whether it may act; the module ``view_change`` has the table."""
+    """Whether a node is in the view, and whether it may act. The module ``view_change`` describes each status."""
 
     FORMING = "forming"
     JOINING = "joining"
@@ -41,8 +41,8 @@
 class AgreementState:
     """State of one node's view agreement, and how it learns and installs views.
 
-    ``membership`` is the failure detector's table, read and never changed; ``last_answered``: when (µs) a node last
-    answered a probe of ours; ``peer_views``: the view numbers that peers report.
+    ``membership`` is the failure detector's table and only read here. ``last_answered`` maps a node to the time (µs)
+    at which it last answered a probe of this node; ``peer_views`` maps a peer to the view number that it reports.
     """
 
     def __init__(
@@ -60,49 +60,50 @@
         self.durable = durable or DurableState()
         self.status = ViewStatus.FORMING
         self.peer_views: dict[str, int] = {}
-        self.write_counts: dict[str, int] = dict(self.durable.peer_write_counts)  # the highest seen of each peer
+        self.write_counts: dict[str, int] = dict(self.durable.peer_write_counts)  # the highest seen from each peer
         self.exchanged_with: set[str] = set()  # peers that have reported our write count
         self.declared_gone: set[str] = set()  # names that an operator has declared gone
-        self.conflict = ""  # text: a view that contradicts ours; empty: none
+        self.conflict = ""  # describes a view that contradicts ours; empty if there is none
         self.leaving = False
         self._membership, self._last_answered = membership, last_answered
         self._random = random.Random(f"{seed} {me.name} views")
-        # Nothing is accepted that removes a node until then: what this or an earlier process has granted, or nodes
-        # that have not heard of this view were granted in the one before, may hold until then.
+        # No change that removes a node is accepted before this time. Until then, leases may still be valid that this
+        # process or an earlier one granted, or that were granted in the previous view to nodes that have not yet
+        # received this one.
         self._no_removal_until = now + self._grant_duration(self.timing.lease)
-        self._granted_until: dict[Identity, int] = {}  # until when, by our clock
-        self._denied_until: dict[Identity, int] = {}  # who gets no more, until when
-        self._request_times: dict[int, int] = {}  # token, when
-        self._grant_times: dict[str, int] = {}  # who, and when we had asked
+        self._granted_until: dict[Identity, int] = {}  # end of each lease granted, by our clock
+        self._denied_until: dict[Identity, int] = {}  # end of the time in which a process gets no lease
+        self._request_times: dict[int, int] = {}  # by token of the lease request
+        self._grant_times: dict[str, int] = {}  # by grantor: when the granted lease was requested
         self._token = self._random.randrange(1 << 30)
         self._next_request_at = now
         self._fast_requests_until = 0
-        self._wanted_change: tuple[MembershipChange, int] | None = None  # and since when
+        self._wanted_change: tuple[MembershipChange, int] | None = None  # with the time since which it is wanted
         self._proposal: Proposal | None = None
         self._highest_round = 0
         self._backoff_until = now
         self._failures = 0
         self._flapping = FlapBackoff(self.timing)
-        self._next_look_at = self._next_check_at = now
+        self._next_consider_at = self._next_check_at = now
         self._persist_counts_at = 0  # deadline for writing peers' write counts; 0: they are on disk
         self._next_fetch_at: dict[str, int] = {}
         self._instructions: list[ViewInstruction] = []
 
     @property
     def view(self) -> View | None:
-        """The latest view that this node knows; None before the first."""
+        """The latest known view; None before the first."""
         return self.durable.view
 
     @property
     def number(self) -> int:
-        """The number of that view; 0 before the first."""
+        """The number of the latest known view; 0 before the first."""
         return self.durable.view.number if self.durable.view is not None else 0
 
     def _send(self, to: str, message: ViewMessage) -> None:
         self._instructions.append(SendViewMessage(to, message))
 
     def _persist(self, durable: DurableState, *then: SendViewMessage) -> None:
-        """Write the state; ``then`` is sent once it is on disk."""
+        """Write the state to disk; the messages in ``then`` are sent once it is there."""
         self._persist_counts_at = 0
         self.durable = durable._replace(
             write_count=durable.write_count + bool(then), peer_write_counts=tuple(sorted(self.write_counts.items()))
@@ -112,19 +113,19 @@
     def _observe_write_count(self, now: int, name: str, write_count: int) -> None:
         if write_count > self.write_counts.get(name, 0):
             self.write_counts[name] = write_count
-            # Known after a restart of ours too: with our next vote, or soon without one. Not at once, as each vote of
-            # each node would cost all others a write.
-            self._persist_counts_at = self._persist_counts_at or now + PERSIST_COUNTS_AFTER
+            # The count has to survive a restart of this node: it is persisted with the next vote, or after a delay
+            # without one. Persisting at once would cost every other node a write for each vote.
+            self._persist_counts_at = self._persist_counts_at or now + PERSIST_COUNTS_DELAY_US
 
     def _state_rolled_back(self, write_count: int) -> None:
-        """Peers have seen a later state of this node than it has: its disk was rolled back."""
+        """Stop voting: peers have seen a later state of this node than it has, so its disk was rolled back."""
         if self.durable.votes:
             self._instructions.append(LogEvent("forgot", {"mark": self.durable.write_count, "heard": write_count}))
         self._persist(self.durable._replace(write_count=write_count, votes=False))
         self._proposal = None
 
     def votes(self, now: int) -> bool:
-        """Does it remember all that it has promised, as far as others can tell?"""
+        """Return whether this node may vote: enough peers have confirmed that its durable state is not out of date."""
         if not self.durable.votes or self.conflict:
             return False
         view = self.durable.view
@@ -135,30 +136,32 @@
         return self.me in view.members or quorum(view, frozenset(view.names))(self.exchanged_with | {self.me.name})
 
     def _learn_view(self, now: int, view: View, sender: str) -> None:
-        """A view that was decided, from somebody who has it."""
+        """Install a decided view that a peer sent if it is newer, or record that it contradicts ours."""
         ours = self.durable.view
         if ours is not None and view.lineage != ours.lineage:
             self._record_conflict(
-                f"{sender} is in a cluster that began apart: lineage {view.lineage:x}, ours {ours.lineage:x}"
+                f"{sender} is in a cluster that formed separately: lineage {view.lineage:x}, ours {ours.lineage:x}"
             )
         elif view.number == self.number and ours is not None and view.digest != ours.digest:
-            self._record_conflict(f"{sender} has another view {view.number}: {view.digest:x}, ours {ours.digest:x}")
+            self._record_conflict(
+                f"{sender} has a different view {view.number}: digest {view.digest:x}, ours {ours.digest:x}"
+            )
         elif view.number > self.number:
             self._install(now, view)
 
-    def _record_conflict(self, what: str) -> None:
+    def _record_conflict(self, description: str) -> None:
         if not self.conflict:
-            self.conflict = what
-            self._instructions.append(LogEvent("split", {"what": what}))
+            self.conflict = description
+            self._instructions.append(LogEvent("split", {"what": description}))
 
     def _install(self, now: int, view: View) -> None:
         ours = self.durable.view
-        # A node without a view may have forgotten one: it votes once a view has this very generation.
+        # A node without a view may have lost its state: it votes only once a view contains its current generation.
         votes = self.me in view.members or (self.durable.votes and ours is not None)
         if ours is not None:
-            there = set(view.members)
+            current = set(view.members)
             for member in ours.members:
-                if member not in there and member.name not in view.names:
+                if member not in current and member.name not in view.names:
                     self._flapping.removed(member.name, now)
         self._persist(DurableState(view, write_count=self.durable.write_count, votes=votes))
         self._grant_times.clear()
@@ -168,7 +171,7 @@
         self._no_removal_until = now + self._grant_duration(self.timing.lease)
         self._proposal = self._wanted_change = None
         self._failures = 0
-        self._next_request_at = self._next_look_at = now
+        self._next_request_at = self._next_consider_at = now
         self._fast_requests_until = now + 2 * self.timing.lease
         self.declared_gone &= set(view.names)
         before = set(ours.members) if ours is not None else set()
@@ -190,13 +193,13 @@
         )
 
     def _fetch_view(self, now: int, sender: str) -> None:
-        """A peer has a later view: fetch it, again and again until it is here."""
+        """Fetch the later view of a peer; repeated at intervals until the view is installed."""
         if now >= self._next_fetch_at.get(sender, now):
             self._next_fetch_at[sender] = now + self.timing.stable_for
             self._instructions.append(FetchView(sender))
 
     def _grant_duration(self, lease: int) -> int:
-        """µs for which a granter honours a lease."""
+        """Time (µs) for which a grantor honours a lease: its duration and a margin for clock drift."""
         return int(lease * (1 + self.timing.clock_drift))
 
     def _acceptors(self) -> frozenset[str]:
@@ -204,14 +207,15 @@
         return self.names if view is None else frozenset(view.names)
 
     def _is_quorum(self, names: Iterable[str]) -> bool:
-        """The first view needs all: who has no memory cannot know what it has forgotten."""
+        """Return whether these names are a quorum. View 1 needs all nodes, as a node without durable state cannot know
+        whether it has lost any."""
         view = self.durable.view
         if view is None:
             return self.names <= set(names)
         return quorum(view, committee_of(view, self.timing.committee_size))(names)
 
     def _current_identity(self, name: str) -> Identity | None:
-        """The process of a node that is alive; None where it is not."""
+        """The process of a node that is alive; None if the node is not alive."""
         if name == self.me.name:
             return self.me
         record = self._membership.get(name)
@@ -224,7 +228,8 @@
         )
 
     def _is_reachable(self, identity: Identity, now: int) -> bool:
-        """Does this very process answer this node? Guards it against proposers whose own link to it is bad."""
+        """Return whether exactly this process answers this node. Protects a healthy process from removal by a proposer
+        that has a bad link to it."""
         record = self._membership.get(identity.name)
         return (
             record is not None
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -1,4 +1,4 @@
-"""The cluster as a relay component: durable state, state machines, sockets, the log, and the operators' status page."""
+"""The cluster as a relay component: joins durable state, state machines, sockets, log and the operators' status."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from lynxscale.relay.cluster.agreement_state import ViewStatus
 from lynxscale.relay.cluster.core import Core
 from lynxscale.relay.cluster.detector_state import REACHABLE_STATES, SLOW_DISK, slow_reasons
-from lynxscale.relay.cluster.driver import INBOUND_MOST, OUTBOUND_MOST, Clock, Driver
+from lynxscale.relay.cluster.driver import MAX_INBOUND_EXCHANGES, MAX_OUTBOUND_EXCHANGES, Clock, Driver
 from lynxscale.relay.cluster.durable_state import FOLDER, StateStore, WriteQueue
 from lynxscale.relay.cluster.exceptions import ForeignStateError
 from lynxscale.relay.cluster.instructions import LogEvent, RemovedFromView, StartGeneration
@@ -31,57 +31,57 @@
 
 log = structlog.get_logger()
 
-STATUS = "status.json"
-STATUS_EVERY = 1_000_000  # µs
-DISK_SLOW_S = 0.5  # a write that takes longer is announced to the others
+STATUS_FILE = "status.json"
+STATUS_INTERVAL_US = 1_000_000
+SLOW_WRITE_S = 0.5  # after a longer write, this node announces itself as slow
 STATUS_PATH, FORGET_PATH = "/admin/cluster", "/admin/cluster/forget"
 WARNINGS = ("differs", "not_understood", "stranger", "paused", "doubts_itself", "proposal_failed")
 ERRORS = ("split", "forgot")
 
 
 def addresses_of(conf: ClusterConf) -> dict[str, Address]:
-    """Where each node is reached, by its name."""
+    """The address of each configured node, by name."""
     return {row["name"]: platform.address(row["at"], "member") for row in conf.member}
 
 
 class StateWriter:
     """Writes durable state to disk in a thread, one write at a time, as ``WriteQueue`` orders them."""
 
-    def __init__(self, store: StateStore, failed: Callable[[str], None], slow: Callable[[], None]) -> None:
-        self._store, self._failed, self._slow = store, failed, slow
+    def __init__(self, store: StateStore, on_failure: Callable[[str], None], on_slow: Callable[[], None]) -> None:
+        self._store, self._on_failure, self._on_slow = store, on_failure, on_slow
         self._queue = WriteQueue()
-        self.since = 0.0  # when the write in flight began, by time.monotonic; 0: there is none
+        self.writing_since = 0.0  # start of the write in flight, by time.monotonic; 0 if there is none
 
-    def put(self, generation: int, durable: DurableState, then: Callable[[], None]) -> None:
-        """``then`` is called in the loop once it is on disk, never where it could not be written."""
-        self._write(self._queue.put((generation, durable), then))
+    def put(self, generation: int, durable: DurableState, callback: Callable[[], None]) -> None:
+        """Write this state; ``callback`` runs in the event loop once it is on disk, and never if the write fails."""
+        self._write(self._queue.put((generation, durable), callback))
 
-    def _write(self, what: tuple[int, DurableState] | None) -> None:
-        if what is None:
+    def _write(self, state: tuple[int, DurableState] | None) -> None:
+        if state is None:
             return
-        self.since = time.monotonic()
+        self.writing_since = time.monotonic()
 
         def done(result: object) -> None:
-            if time.monotonic() - self.since > DISK_SLOW_S:
-                self._slow()
-            self.since = 0.0
+            if time.monotonic() - self.writing_since > SLOW_WRITE_S:
+                self._on_slow()
+            self.writing_since = 0.0
             if isinstance(result, Failure):
-                self._failed(str(result.value))
-            after = self._queue.done(not isinstance(result, Failure))
+                self._on_failure(str(result.value))
+            callbacks = self._queue.done(not isinstance(result, Failure))
             self._write(self._queue.begin())
-            for then in after:
-                then()
+            for callback in callbacks:
+                callback()
 
-        deferToThread(self._store.save, *what).addBoth(done)
+        deferToThread(self._store.save, *state).addBoth(done)
 
 
 class ClusterComponent(Component):
     """Makes this relay a node of its cluster.
 
-    Raises PlatformError where the state folder is another node's, OSError where it cannot be written.
+    Raises PlatformError if the state folder belongs to another node, OSError if it cannot be written.
     """
 
-    sockets = INBOUND_MOST + OUTBOUND_MOST + 4
+    sockets = MAX_INBOUND_EXCHANGES + MAX_OUTBOUND_EXCHANGES + 4
 
     def __init__(self, context: ComponentContext) -> None:
         conf = self._conf = context.product.cluster
@@ -101,7 +101,7 @@
         me = Identity(name, self._generation, int.from_bytes(os.urandom(8)) >> 1)
         addresses, seed = addresses_of(conf), str(context.conf.seed)
         self._clock = Clock(context.deadlines)
-        now = self._clock.turn()
+        now = self._clock.turn_time()
         self._core = Core(
             me,
             addresses,
@@ -113,7 +113,7 @@
             settings.digests(context.product),
         )
         self._detector, self._agreement = self._core.detector, self._core.agreement
-        self._writer = StateWriter(self._store, self._not_saved, lambda: self._driver.slow(SLOW_DISK))
+        self._writer = StateWriter(self._store, self._save_failed, lambda: self._driver.announce_slow(SLOW_DISK))
         self._driver = Driver(
             context.reactor,
             context.deadlines,
@@ -125,17 +125,17 @@
             self._core,
             conf.probe,
             self._on_event,
-            lambda durable, then: self._writer.put(self._generation, durable, then),
+            lambda durable, callback: self._writer.put(self._generation, durable, callback),
         )
-        self._renewing = self._stopped = self._writing = False
-        self._begun = now
+        self._renewing = self._stopped = self._writing_status = False
+        self._started_at = now
         context.calls[STATUS_PATH] = "GET", lambda _query: (200, self.status())
         context.calls[FORGET_PATH] = "POST", self._forget
 
     def start(self) -> None:
-        """Open the sockets and begin to probe."""
+        """Open the sockets and start probing."""
         self._driver.start()
-        # Before the loop closes its sockets, which it does before any part is stopped.
+        # The node has to announce that it leaves before the loop closes its sockets, and thus before ``stop``.
         self._reactor.addSystemEventTrigger("before", "shutdown", self._leave)
         me = self._detector.me
         log.info(
@@ -147,10 +147,10 @@
             nodes=len(self._detector.membership.names),
             can_lose=(len(self._detector.membership.names) - 1) // 2,
         )
-        self._write_status()
+        self._refresh_status_file()
 
     def reload(self, conf: Config, product: Conf) -> Collection[str]:
-        """Nodes that come, go or are at another address hold at once; all else needs a restart."""
+        """Apply added and removed nodes and changed addresses at once; any other change needs a restart."""
         self._core.settings = settings.digests(product)
         new, old = product.cluster, self._conf
         if new == old or (new.name, new.listen, new.probe) != (old.name, old.listen, old.probe):
@@ -172,8 +172,8 @@
         self._driver.stop()
 
     def stop(self) -> None:
-        """Write the status file a last time."""
-        self._save_status()
+        """Write the status file one last time."""
+        self._save_status_file()
 
     def counters(self) -> dict[str, dict[str, int]]:
         """The group ``cluster`` of the relay's counters."""
@@ -189,27 +189,27 @@
         }
 
     def may_act(self) -> bool:
-        """Is this node in the view by a lease of a majority, at this very moment? To be asked right before an act."""
-        return self._agreement.may_act(self._clock.fresh())
+        """Return whether this node is in the view and holds a lease of a majority now. Call right before acting."""
+        return self._agreement.may_act(self._clock.current_time())
 
-    # What detector and views tell ----------------------------------------------------------------
+    # Events of detector and view agreement -------------------------------------------------------
 
     def _on_event(self, event: LogEvent | StartGeneration | RemovedFromView) -> None:
         if isinstance(event, StartGeneration):
-            self._renew(event.generation, "others knew a later life")
+            self._renew(event.generation, "others knew a later generation")
         elif isinstance(event, RemovedFromView):
-            self._renew(self._generation, f"view {event.view} is without this life")
+            self._renew(self._generation, f"view {event.view} does not contain this generation")
         else:
             level = "error" if event.event in ERRORS else "warning" if event.event in WARNINGS else "info"
             getattr(log, level)(f"cluster_{event.event}", **event.fields)
 
-    def _renew(self, above: int, reason: str) -> None:
-        """Begin a later generation than any that is known."""
+    def _renew(self, known_generation: int, reason: str) -> None:
+        """Start a generation later than any known one, once that is on disk."""
         before = self._detector.me.generation
-        if self._renewing or self._stopped or above < before:
+        if self._renewing or self._stopped or known_generation < before:
             return
         self._renewing = True
-        self._generation = max(self._generation, above + 1)
+        self._generation = max(self._generation, known_generation + 1)
 
         def saved() -> None:
             self._renewing = False
@@ -218,18 +218,18 @@
 
         self._writer.put(self._generation, self._agreement.durable, saved)
 
-    def _not_saved(self, error: str) -> None:
-        self._driver.slow(SLOW_DISK)
+    def _save_failed(self, error: str) -> None:
+        self._driver.announce_slow(SLOW_DISK)
         log.error("cluster_not_saved", error=error)
-        if self._renewing:  # votes are asked for again by whoever proposes; this is ours to do
+        if self._renewing:  # a lost vote is requested again by its proposer; a renewal has to be retried here
             self._renewing = False
-            self._deadlines.after(STATUS_EVERY, self._renew, self._detector.me.generation, "a write that failed")
+            self._deadlines.after(STATUS_INTERVAL_US, self._renew, self._detector.me.generation, "a write failed")
 
     # For operators -------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """What this node knows; ages in ms."""
-        detector, agreement, now = self._detector, self._agreement, self._clock.fresh()
+        """This node's view of the cluster for operators; durations in ms."""
+        detector, agreement, now = self._detector, self._agreement, self._clock.current_time()
         view = agreement.view
         return {
             "cluster": self._conf.name,
@@ -238,7 +238,7 @@
             "boot": f"{detector.me.boot:x}",
             "pid": os.getpid(),
             "ts": round(time.time(), 3),
-            "up_ms": (now - self._begun) // 1000,
+            "up_ms": (now - self._started_at) // 1000,
             "settled": detector.contacted,
             "doubt": detector.health_score,
             "living": sum(record.update.state in REACHABLE_STATES for record in detector.membership),
@@ -254,7 +254,7 @@
         }
 
     def _node_status(self, row: Mapping[str, str], view: View | None, now: int) -> dict[str, Any]:
-        """One configured node; ``row``: its ``member`` line."""
+        """Status of one configured node; ``row`` is its ``member`` line in the configuration."""
         detector, name = self._detector, row["name"]
         record, answered = detector.membership.get(name), detector.last_answered.get(name)
         update = record.update if record is not None else None
@@ -273,14 +273,14 @@
             "slow": slow_reasons(self._slow_of(name)),
             "differs": self._core.differing_settings.get(name, ()),
             "seen_as": {
-                far: {"state": states[name], "ms": (now - at) // 1000}
-                for far, (at, states) in self._core.states_seen_by.items()
+                peer: {"state": states[name], "ms": (now - at) // 1000}
+                for peer, (at, states) in self._core.states_seen_by.items()
                 if name in states
             },
         }
 
     def _view_status(self, view: View) -> dict[str, Any]:
-        """The view that this node knows."""
+        """Status of the latest known view."""
         return {
             "number": view.number,
             "lineage": f"{view.lineage:x}",
@@ -294,39 +294,39 @@
 
     def _forget(self, query: str) -> tuple[int, dict[str, str]]:
         name = query.removeprefix("name=")
-        reason = self._agreement.forget(self._clock.turn(), name)
+        reason = self._agreement.forget(self._clock.turn_time(), name)
         if reason:
             return 409, {"said": reason}
         log.warning("cluster_forget", node=name)
-        return 200, {"said": f"{name} goes with the next view, if a majority agrees"}
+        return 200, {"said": f"{name} is removed by the next view if a majority agrees"}
 
     def _slow_of(self, name: str) -> int:
         detector = self._detector
         return detector.slow if name == detector.me.name else detector.peer_slowness.get(name, 0)
 
-    def _write_status(self) -> None:
+    def _refresh_status_file(self) -> None:
         if self._stopped:
             return
-        self._deadlines.after(STATUS_EVERY, self._write_status)
-        if self._writer.since and time.monotonic() - self._writer.since > DISK_SLOW_S:
-            self._driver.slow(SLOW_DISK)
-        if self._writing:  # guards against a stalled disk: one write waits there, no more
-            self._driver.slow(SLOW_DISK)
+        self._deadlines.after(STATUS_INTERVAL_US, self._refresh_status_file)
+        if self._writer.writing_since and time.monotonic() - self._writer.writing_since > SLOW_WRITE_S:
+            self._driver.announce_slow(SLOW_DISK)
+        if self._writing_status:  # a stalled disk: at most one write of the file is in flight
+            self._driver.announce_slow(SLOW_DISK)
         else:
-            self._writing = True
-            deferToThread(self._put_status, orjson.dumps(self.status())).addBoth(self._wrote)
+            self._writing_status = True
+            deferToThread(self._replace_status_file, orjson.dumps(self.status())).addBoth(self._status_written)
 
-    def _wrote(self, _result: object) -> None:
-        self._writing = False
+    def _status_written(self, _result: object) -> None:
+        self._writing_status = False
 
-    def _save_status(self) -> None:
+    def _save_status_file(self) -> None:
         try:
-            self._put_status(orjson.dumps(self.status()))
+            self._replace_status_file(orjson.dumps(self.status()))
         except OSError as error:
             log.warning("cluster_status", error=str(error))
 
-    def _put_status(self, data: bytes) -> None:
-        path = self._state / FOLDER / STATUS
+    def _replace_status_file(self, data: bytes) -> None:
+        path = self._state / FOLDER / STATUS_FILE
         new = path.with_suffix(".new")
         new.write_bytes(data)
         new.rename(path)
--- a/lynxscale/relay/cluster/core.py
+++ b/lynxscale/relay/cluster/core.py
@@ -1,8 +1,8 @@
-"""One node without sockets, disk and clock: failure detector and view agreement; frames in, instructions out.
+"""One node without sockets, disk or clock: failure detector and view agreement; frames in, instructions out.
 
-It runs in service behind ``driver`` and in the laboratory's simulation alike. Its caller carries the instructions out
-in their order, hands a ``SendViewMessage`` addressed to the node itself back to ``receive_own``, and calls
-``state_persisted`` once a ``PersistState`` is on disk, before its messages are sent.
+The same code runs in production behind ``driver`` and in the simulation of ``lab/cluster``. The caller executes the
+instructions in order, passes a ``SendViewMessage`` addressed to the node itself back to ``receive_own``, and calls
+``state_persisted`` once the state of a ``PersistState`` is on disk, before it sends the messages that depend on it.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from lynxscale.relay.cluster.timing import DetectorTiming, ViewTiming
 from lynxscale.relay.cluster.view_change import ViewAgreement
 
-BOOTS_KEPT = 4  # processes of one node with a replay window each: its last generations, or twins under one name
+MAX_REPLAY_WINDOWS = 4  # for each node; one for each of its recent processes, or of processes that share its name
 
 
 class Core:
-    """``dropped`` counts frames that had no effect, by reason."""
+    """One node's state machines. ``dropped_frames`` counts the frames that had no effect, by reason."""
 
     def __init__(
         self,
@@ -42,13 +42,12 @@
             me, names, seed, now, durable, self.detector.membership, self.detector.last_answered, view_timing
         )
         self.dropped_frames: Counter[str] = Counter()
-        self.settings = dict(settings or {})  # digests of what all have to agree on
-        self.differing_settings: dict[str, tuple[str, ...]] = {}  # by node: groups that differ from ours
-        self.states_seen_by: dict[
-            str, tuple[int, dict[str, str]]
-        ] = {}  # by node: time of its last exchange, and the states it reported
-        self._write_count = self.agreement.durable.write_count  # of what is on disk
-        self._installed_view: View | None = None  # the view whose members the detector knows
+        self.settings = dict(settings or {})  # digests of the settings on which all nodes have to agree, by group
+        self.differing_settings: dict[str, tuple[str, ...]] = {}  # by node: groups of settings that differ from ours
+        # By node: time of its last exchange, and the states of the nodes that it reported.
+        self.states_seen_by: dict[str, tuple[int, dict[str, str]]] = {}
+        self._write_count = self.agreement.durable.write_count  # of the state on disk
+        self._installed_view: View | None = None  # the last view passed to the detector
         self._number = 0
         self._replay_windows: dict[str, dict[int, ReplayWindow]] = {}
 
@@ -58,11 +57,11 @@
         return self.detector.me
 
     def next_deadline(self) -> int:
-        """Time (µs) at which ``tick`` has to be called, at the latest."""
+        """Latest time (µs) at which ``tick`` has to be called."""
         return min(self.detector.next_deadline(), self.agreement.next_deadline())
 
     def tick(self, now: int) -> list[DetectorInstruction | ViewInstruction]:
-        """Run whatever is due."""
+        """Run everything that is due."""
         instructions: list[DetectorInstruction | ViewInstruction] = []
         if now >= self.detector.next_deadline():
             instructions += self._forward_changes(now, self.detector.tick(now))
@@ -71,16 +70,16 @@
         return instructions + self._install_view(now)
 
     def _install_view(self, now: int) -> list[DetectorInstruction | ViewInstruction]:
-        """Pass a new view's members to the detector: a process of a lower generation must not pass for a member
-        once every node that knew the later one has restarted."""
+        """Pass a new view's members to the detector. Otherwise, once all nodes that knew a member have restarted, a
+        process of a lower generation could be taken for it."""
         view = self.agreement.view
         if view is None or view is self._installed_view:
             return []
         self._installed_view = view
         return [*self.detector.view_installed(now, view.members)]
 
-    def receive(self, now: int, message: Message, reached: bool) -> list[DetectorInstruction | ViewInstruction]:
-        """A decoded frame. ``reached``: it came to this node's address, not as an answer on our connection."""
+    def receive(self, now: int, message: Message, inbound: bool) -> list[DetectorInstruction | ViewInstruction]:
+        """Process a decoded frame. ``inbound``: sent to this node's address, not as an answer on our connection."""
         name, detector, agreement = message.sender, self.detector, self.agreement
         if name not in detector.membership.names or name == self.me.name:
             self.dropped_frames["own_name" if name == self.me.name else "unknown"] += 1
@@ -88,10 +87,10 @@
         if not self._is_new_frame(name, message.boot, message.number):
             self.dropped_frames["replayed"] += 1
             return []
-        instructions = self._forward_changes(now, detector.receive(now, message, reached))
+        instructions = self._forward_changes(now, detector.receive(now, message, inbound))
         record, identity = detector.membership.get(name), Identity(name, message.generation, message.boot)
         if record is None or record.update.identity != identity:
-            # Guards against a process that speaks in a node's name and does not answer at its address.
+            # A process that sends under a node's name but does not answer at the node's address has no effect.
             self.dropped_frames["unreached"] += 1
             return instructions
         instructions += agreement.peer_view_seen(now, name, message.view, message.write_count)
@@ -108,7 +107,7 @@
         return instructions + self._install_view(now)
 
     def _compare_settings(self, name: str, theirs: Mapping[str, int]) -> list[DetectorInstruction | ViewInstruction]:
-        """Log a change once. A node whose settings differ is not rejected, as files are changed one after the other."""
+        """Log each difference once. It is no error for a while, as files are edited one after the other."""
         groups = tuple(
             sorted(group for group in set(theirs) | set(self.settings) if theirs.get(group) != self.settings.get(group))
         )
@@ -118,31 +117,31 @@
         return [LogEvent("differs", {"node": name, "settings": " ".join(groups) or "none"})]
 
     def _forward_changes(
-        self, now: int, actions: list[DetectorInstruction]
+        self, now: int, instructions: list[DetectorInstruction]
     ) -> list[DetectorInstruction | ViewInstruction]:
-        """What the detector asks for; what it has come to believe concerns the views."""
-        if any(isinstance(action, LogEvent) and action.event == "node" for action in actions):
+        """Return the detector's instructions; tell view agreement if a node's state has changed."""
+        if any(isinstance(one, LogEvent) and one.event == "node" for one in instructions):
             self.agreement.membership_changed(now)
-        return [*actions]
+        return [*instructions]
 
     def _is_new_frame(self, name: str, boot: int, number: int) -> bool:
         windows = self._replay_windows.setdefault(name, {})
         if boot not in windows:
-            if len(windows) >= BOOTS_KEPT:
+            if len(windows) >= MAX_REPLAY_WINDOWS:
                 del windows[next(iter(windows))]
             windows[boot] = ReplayWindow()
-        return windows[boot].fresh(number)
+        return windows[boot].accept(number)
 
     def receive_own(self, now: int, message: ViewMessage) -> list[ViewInstruction]:
-        """A message of this node to itself."""
+        """Process a message of this node to itself."""
         return self.agreement.receive(now, self.me.name, self.me, message)
 
     def state_persisted(self, durable: DurableState) -> None:
-        """This state would outlast the process."""
+        """This state is on disk and survives a restart."""
         self._write_count = max(self._write_count, durable.write_count)
 
     def message(self, body: frame.Body, updates: Iterable[MemberUpdate] = ()) -> Message:
-        """What is sent, each time under a number of its own."""
+        """Build a message to send; each one has its own frame number, against replays."""
         detector = self.detector
         self._number += 1
         return Message(
@@ -157,7 +156,7 @@
         )
 
     def full_state(self, answer: bool) -> Message:
-        """The exchange message: view, write counts, settings and the whole membership table."""
+        """The exchange message: view, write counts, settings and the full membership table."""
         write_counts = self.agreement.write_counts | {self.me.name: self._write_count}
         return self.message(
             Exchange(answer, self.agreement.view, write_counts, self.settings), self.detector.full_state()
@@ -168,11 +167,11 @@
         return [*self.detector.exchange_finished(now, failed)]
 
     def renew(self, now: int, generation: int) -> list[DetectorInstruction | ViewInstruction]:
-        """A later generation of this process is on disk and begins."""
+        """Start a later generation of this process, which is on disk."""
         return [*self.detector.renew(now, generation), *self.agreement.renew(now, self.detector.me)]
 
     def reconfigure(self, now: int, names: Iterable[str]) -> list[DetectorInstruction | ViewInstruction]:
-        """The configuration has changed: these are the nodes."""
+        """Apply a changed configuration; ``names`` are its nodes."""
         names = set(names)
         for table in (self._replay_windows, self.differing_settings, self.states_seen_by):
             for name in set(table) - names:
@@ -180,5 +179,5 @@
         return [*self.detector.reconfigure(now, names), *self.agreement.reconfigure(now, names)]
 
     def leave(self, now: int) -> list[DetectorInstruction | ViewInstruction]:
-        """Graceful shutdown: leave the membership and give up leases."""
+        """Graceful shutdown: leave the membership and release leases."""
         return [*self.agreement.leave(now), *self.detector.leave(now)]
--- a/lynxscale/relay/cluster/detector_state.py
+++ b/lynxscale/relay/cluster/detector_state.py
@@ -1,4 +1,4 @@
-"""What probing, suspicion and exchanges share: the membership table, updates to spread, the node's own health."""
+"""State that probing, suspicion and exchanges share: membership table, queued updates, the node's own health."""
 
 from __future__ import annotations
 
@@ -26,29 +26,28 @@
 from lynxscale.relay.cluster.timing import DetectorTiming
 
 REACHABLE_STATES = (State.ALIVE, State.SUSPECT)
-MAX_HEADER_SIZE = 260  # bytes of a datagram without its updates, at most
+MAX_HEADER_BYTES = 260  # of a datagram without its updates
 
-
-# Why a node says that it is slow, as bits of a frame's head.
+# Reasons for which a node announces itself as slow, as bits of the frame field ``slow``.
 SLOW_TURN, SLOW_DISK = 1, 2
 SLOW_REASONS = {SLOW_TURN: "turns", SLOW_DISK: "disk"}
 
 
 def slow_reasons(bits: int) -> str:
-    """The reasons as text for logs and status."""
+    """Text of the reasons, for logs and status."""
     return " ".join(reason for bit, reason in SLOW_REASONS.items() if bits & bit)
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of this node in flight. Times in µs."""
+    """This node's probe in flight. Times in µs."""
 
     target: str
     number: int
     deadline: int
-    retry_at: int  # when it goes again
-    asked: set[str] = field(default_factory=set)
-    answered: set[str] = field(default_factory=set)  # helpers that have said anything
+    retry_at: int  # when the ping is sent again, also through helpers
+    asked: set[str] = field(default_factory=set)  # helpers that were sent a PingRequest
+    answered: set[str] = field(default_factory=set)  # helpers that have sent an Ack or a Nack
 
 
 @dataclass(slots=True)
@@ -56,14 +55,14 @@
     """An indirect probe on behalf of another node. Times in µs."""
 
     origin: str
-    number: int  # the origin's
+    number: int  # of the origin's probe
     target: str
     nack_at: int
     deadline: int
 
 
 class DetectorState:
-    """State of one node's failure detector. ``contacted``: some node has answered it in this generation."""
+    """State of one node's failure detector. ``contacted``: some node has answered this process."""
 
     def __init__(
         self, me: Identity, names: Iterable[str], seed: str, now: int, timing: DetectorTiming | None = None
@@ -71,20 +70,20 @@
         self.me, self.incarnation, self.slow = me, 0, 0
         self.membership = MembershipTable(set(names) | {me.name})
         self.timing = timing or DetectorTiming()
-        self.health_score = 0  # of itself: 0 is healthy
+        self.health_score = 0  # this node's own: 0 is healthy
         self.contacted = self.leaving = False
-        self.last_answered: dict[str, int] = {}  # when each last answered a probe of ours, directly
-        self.peer_slowness: dict[str, int] = {}  # what others say of themselves, as bits of SLOW
+        self.last_answered: dict[str, int] = {}  # by node: when it last answered a probe of ours directly
+        self.peer_slowness: dict[str, int] = {}  # by node: the reasons that it announces, as bits of SLOW_REASONS
         self._random = random.Random(f"{seed} {me.name} cluster")
         self._number = self._random.randrange(1 << 16)
         self._probe_order: list[str] = []
         self._probe: Probe | None = None
         self._relayed_probes: dict[int, RelayedProbe] = {}
-        self._identity_pings: dict[int, tuple[str, int]] = {}  # pings that only ask who is there, until when
+        self._identity_pings: dict[int, tuple[str, int]] = {}  # by ping number: node and expiry
         self._identity_ping_at: dict[str, int] = {}
         self._updates = UpdateQueue(self.timing.retransmit_multiplier)
-        self._suspect_ping_at: dict[str, int] = {}  # suspects, and when each is pinged again
-        self._unconfirmed: dict[str, Identity] = {}  # whose frames come, but who does not answer at the address
+        self._suspect_ping_at: dict[str, int] = {}  # by suspected node: when it is pinged again
+        self._unconfirmed: dict[str, Identity] = {}  # senders that have not answered at the node's address
         self._last_gossip_at = now - self.timing.gossip_interval
         self._next_probe_at = now + self._random.randrange(1, self.timing.probe_period)
         self._next_unreachable_ping_at = now
@@ -119,12 +118,12 @@
             self._instructions.append(LogEvent("doubts_itself", {"doubt": self.health_score, "before": before}))
 
     def _raise_incarnation(self, incarnation: int, now: int) -> None:
-        """Raise this node's incarnation and spread it."""
+        """Raise this node's incarnation and disseminate it."""
         self.incarnation = incarnation
         self._merge(self._own_update(), now)
         self._updates.put(self._own_update())
 
-    def _receive_update(self, update: MemberUpdate, now: int, reached: bool) -> None:
+    def _receive_update(self, update: MemberUpdate, now: int, inbound: bool) -> None:
         if update.name != self.me.name:
             self._merge(update, now)
         elif update.identity == self.me:
@@ -136,22 +135,22 @@
                 self._adjust_health_score(1)
                 self._instructions.append(LogEvent("refuted", {"state": update.state.name.lower(), "by": update.by}))
                 self._raise_incarnation(update.incarnation + 1, now)
-        elif update.identity[1:] > self.me[1:] and reached:
-            # Only the process at our address is reached: another one under our name must not answer with a higher
-            # generation of its own, or the two would outbid each other for ever.
+        elif update.identity[1:] > self.me[1:] and inbound:
+            # Only the process at the configured address gets inbound frames. A second process under the same name
+            # must not react with a higher generation, or the two would outbid each other without end.
             self._instructions.append(StartGeneration(update.generation))
 
     def _merge(self, update: MemberUpdate, now: int) -> None:
         record = self.membership.get(update.name)
-        suspected_by = len(record.suspected_by) if record is not None else 0
+        suspecters = len(record.suspected_by) if record is not None else 0
         change = self.membership.merge(update, now)
         if change is None:
             if (
                 record is not None
-                and len(record.suspected_by) > suspected_by
+                and len(record.suspected_by) > suspecters
                 and len(record.suspected_by) <= self.timing.suspicion_confirmations + 1
             ):
-                self._updates.put(update)  # one more who suspects it, of its own accord
+                self._updates.put(update)  # an independent confirmation of the suspicion
             return
         self._updates.put(update)
         self._state_changed(change, now)
@@ -195,21 +194,23 @@
                 )
             )
 
-    def _send(self, to: str, body: frame.Body, first: Iterable[MemberUpdate] = ()) -> SendDatagram:
-        """A datagram; a target that is suspected, failed or superseded is sent that update with it."""
+    def _send(self, to: str, body: frame.Body, required: Iterable[MemberUpdate] = ()) -> SendDatagram:
+        """Build a datagram. A target that is suspected, failed, left or superseded is sent that update too."""
         record = self.membership.get(to)
         if record is not None and (record.update.state is not State.ALIVE or to in self._unconfirmed):
-            first = (*first, record.update)
+            required = (*required, record.update)
         return SendDatagram(
-            to, body, self._updates.take(first, frame.DATAGRAM_MOST - MAX_HEADER_SIZE, len(self.membership.names))
+            to,
+            body,
+            self._updates.take(required, frame.MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES, len(self.membership.names)),
         )
 
     def _new_number(self) -> int:
         self._number = (self._number + 1) & 0xFFFFFFFF
         return self._number
 
-    def _scaled(self, micros: int) -> int:
-        return micros * (1 + self.health_score)
+    def _scaled(self, duration: int) -> int:
+        return duration * (1 + self.health_score)
 
     def _ping_once(self, name: str, now: int) -> None:
         number = self._new_number()
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -1,4 +1,4 @@
-"""The sockets of a node: datagrams, state exchanges on TCP, and the one timer of its state machines."""
+"""Sockets of a node: UDP datagrams, state exchanges over TCP, and the timer that drives its state machines."""
 
 from __future__ import annotations
 
@@ -37,33 +37,35 @@
 
 Address = tuple[str, int]
 
-INBOUND_MOST, OUTBOUND_MOST = 16, 8  # exchanges at once
-EXCHANGE_MS, CONNECT_S = 5000, 2.0
-BYTES_PER_S, BYTES_BURST = 8_000, 64_000  # of datagrams that go out; a healthy node of sixteen sends an eighth of it
-READ_PER_S, READ_BURST = 2_000, 4_000  # datagrams that are read; more are dropped unread
-SLOW_TURN_US, SLOW_FOR = 200_000, 10_000_000  # a turn so late is announced to the others, for so long
+MAX_INBOUND_EXCHANGES, MAX_OUTBOUND_EXCHANGES = 16, 8  # in flight
+EXCHANGE_TIMEOUT_MS, CONNECT_TIMEOUT_S = 5000, 2.0
+# Limit of sent datagrams. A healthy node in a cluster of sixteen sends an eighth of it.
+MAX_SENT_BYTES_PER_S, MAX_SENT_BYTES_BURST = 8_000, 64_000
+MAX_READ_DATAGRAMS_PER_S, MAX_READ_DATAGRAMS_BURST = 2_000, 4_000  # further ones are dropped undecoded
+# After a turn of the event loop that is this late, the node announces itself as slow, for this long.
+LATE_TURN_US, SLOW_DURATION_US = 200_000, 10_000_000
 GROUP = "cluster"
 ANSWERED, ASKED, LATE, BAD, CROWDED = "answered", "asked", "late", "bad_frame", "crowded"
 
 
 class TokenBucket:
-    """A token bucket: ``rate`` a second, at most ``burst`` at once."""
+    """A token bucket: refilled with ``rate`` tokens a second, up to ``burst``."""
 
     def __init__(self, rate: int, burst: int) -> None:
-        self._rate, self._burst, self._left, self._at = rate, burst, float(burst), 0
+        self._rate, self._burst, self._tokens, self._updated_at = rate, burst, float(burst), 0
 
-    def take(self, now: int, much: int) -> bool:
-        """Take ``much`` at the time ``now`` (µs); False where so much is not there."""
-        self._left = min(self._burst, self._left + (now - self._at) * self._rate / 1e6)
-        self._at = now
-        if self._left < much:
+    def take(self, now: int, tokens: int) -> bool:
+        """Take ``tokens`` at the time ``now`` (µs); False if the bucket has fewer."""
+        self._tokens = min(self._burst, self._tokens + (now - self._updated_at) * self._rate / 1e6)
+        self._updated_at = now
+        if self._tokens < tokens:
             return False
-        self._left -= much
+        self._tokens -= tokens
         return True
 
 
-class Datagrams(DatagramProtocol):
-    """UDP side: hands datagrams to the driver."""
+class DatagramReceiver(DatagramProtocol):
+    """UDP socket: passes received datagrams to the driver."""
 
     noisy = False
 
@@ -71,12 +73,13 @@
         self._driver = driver
 
     def datagramReceived(self, data: bytes, _address: Address) -> None:
-        """One datagram."""
-        self._driver.datagram(data)
+        """Pass on one datagram."""
+        self._driver.datagram_received(data)
 
 
-class Stream(Protocol):
-    """One exchange: a frame each way, then close. ``to``: the peer, where this node starts it; else empty."""
+class ExchangeProtocol(Protocol):
+    """TCP connection of one exchange: one frame each way, then close. ``to``: the peer if this node starts the
+    exchange, empty if the peer does."""
 
     def __init__(self, driver: Driver, to: str = "") -> None:
         self._driver, self._to = driver, to
@@ -85,31 +88,31 @@
         self._deadline: Deadline | None = None
 
     def connectionMade(self) -> None:
-        """Start the deadline; send the request where this node started the exchange."""
+        """Start the timeout; send the request if this node started the exchange."""
         self.transport.setTcpNoDelay(True)
-        self._deadline = self._driver.deadlines.after(EXCHANGE_MS * 1000, self._drop, LATE)
+        self._deadline = self._driver.deadlines.after(EXCHANGE_TIMEOUT_MS * 1000, self._abort, LATE)
         if not self._driver.stream_opened(self):
-            self._drop(CROWDED)
+            self._abort(CROWDED)
         elif self._to:
             self.transport.write(self._driver.full_state(answer=False))
 
     def dataReceived(self, data: bytes) -> None:
-        """Collect one frame, answer it or accept the answer, and close."""
+        """Collect one frame, process it, answer it if it is a request, and close."""
         if self._reason is not None:
             return
         self._data += data
         try:
-            if len(self._data) < frame.HEAD.size:
+            if len(self._data) < frame.HEADER.size:
                 return
             length = frame.length(self._driver.key, self._data)
             if len(self._data) < length:
                 return
-            message = frame.decode(self._driver.key, self._data)  # more than the frame is wrong too
+            message = frame.decode(self._driver.key, self._data)  # bytes after the frame are an error too
             if not isinstance(message.body, Exchange) or message.body.answer != bool(self._to):
                 raise FrameError("unasked")
         except FrameError as error:
-            self._driver.bad(error, self._data)
-            self._drop(BAD)
+            self._driver.frame_rejected(error, self._data)
+            self._abort(BAD)
             return
         if self._to:
             self._reason = ANSWERED
@@ -118,14 +121,14 @@
             self._reason = ASKED
             self.transport.write(self._driver.full_state(answer=True))
             self.transport.loseConnection()
-        self._driver.receive(message, reached=not self._to)
+        self._driver.receive(message, inbound=not self._to)
 
-    def _drop(self, reason: str) -> None:
+    def _abort(self, reason: str) -> None:
         self._reason = self._reason or reason
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Log the end and report it to the driver."""
+        """Log why the connection ended and report it to the driver."""
         self._driver.deadlines.cancel(self._deadline)
         self._driver.stream_closed(self)
         log.info("connection", kind="cluster", node=self._to or None, reason=self._reason or CloseReason.REMOTE_CLOSED)
@@ -134,58 +137,59 @@
 
 
 class InboundFactory(Factory):
-    """Accepts exchanges that other nodes start."""
+    """Accepts connections for exchanges that other nodes start."""
 
     noisy = False
 
     def __init__(self, driver: Driver) -> None:
         self._driver = driver
 
-    def buildProtocol(self, _address: Address) -> Stream:
-        """A connection's protocol."""
-        return Stream(self._driver)
+    def buildProtocol(self, _address: Address) -> ExchangeProtocol:
+        """Build the protocol of one connection."""
+        return ExchangeProtocol(self._driver)
 
 
 class OutboundFactory(ClientFactory):
-    """Connects for one exchange that this node starts."""
+    """Opens the connection of one exchange that this node starts."""
 
     noisy = False
 
     def __init__(self, driver: Driver, to: str) -> None:
         self._driver, self._to = driver, to
 
-    def buildProtocol(self, _address: Address) -> Stream:
-        """A connection's protocol."""
-        return Stream(self._driver, self._to)
+    def buildProtocol(self, _address: Address) -> ExchangeProtocol:
+        """Build the protocol of one connection."""
+        return ExchangeProtocol(self._driver, self._to)
 
     def clientConnectionFailed(self, _connector: object, _reason: Failure) -> None:
-        """The exchange has failed before it began."""
+        """Report an exchange that failed before its connection was made."""
         self._driver.exchange_finished(self._to, failed=True)
 
 
 class Clock:
-    """µs that go on while the machine sleeps: else a lease would outlive a night."""
+    """A clock in µs that includes time in which the machine is suspended, so that leases expire meanwhile."""
 
     def __init__(self, deadlines: Deadlines) -> None:
         self._deadlines = deadlines
-        self._behind = self._apart()
+        self._suspended_at_start = self._suspended()
 
     @staticmethod
-    def _apart() -> int:
+    def _suspended() -> int:
+        """Total time (µs) for which the machine has been suspended since it booted."""
         return (time.clock_gettime_ns(time.CLOCK_BOOTTIME) - time.monotonic_ns()) // 1000
 
-    def turn(self) -> int:
-        """The same for the rest of this turn of the loop."""
-        return self._deadlines.now() + self._apart() - self._behind
+    def turn_time(self) -> int:
+        """The time at the start of this turn of the event loop, the same until the turn ends."""
+        return self._deadlines.now() + self._suspended() - self._suspended_at_start
 
-    def fresh(self) -> int:
-        """Right now, on the same scale: for what must not be done too late in a long turn."""
-        return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000 - self._behind
+    def current_time(self) -> int:
+        """The current time on the same scale, for decisions that may come late in a long turn, such as lease checks."""
+        return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000 - self._suspended_at_start
 
 
 class Driver:
-    """Carries out a core's instructions. ``on_event`` gets those that do not concern the network; ``keep`` puts durable
-    state on disk and calls back once it is there."""
+    """Executes a core's instructions. ``on_event`` receives those that do not concern network or disk; ``persist``
+    writes durable state to disk and calls back once it is there."""
 
     def __init__(
         self,
@@ -199,32 +203,40 @@
         core: Core,
         probe: int,
         on_event: Callable[[LogEvent | StartGeneration | RemovedFromView], None],
-        keep: Callable[[DurableState, Callable[[], None]], None],
+        persist: Callable[[DurableState, Callable[[], None]], None],
     ) -> None:
         self._reactor, self.deadlines, self._clock, self._counters = reactor, deadlines, clock, counters
-        self.key, self._listen, self._on_event, self._keep = frame.cluster_key(cluster, probe), listen, on_event, keep
+        self.key, self._listen, self._on_event, self._persist = (
+            frame.cluster_key(cluster, probe),
+            listen,
+            on_event,
+            persist,
+        )
         self.core = core
         self._addresses = dict(addresses)
         self._timer: Deadline | None = None
         self._udp = self._tcp = None
-        self._streams: set[Stream] = set()
+        self._streams: set[ExchangeProtocol] = set()
         self._outbound_peers: set[str] = set()
         self._queue: deque[DetectorInstruction | ViewInstruction] = deque()
-        self._carrying_out = False
-        self._reported: set[tuple[str, str]] = set()  # nodes whose frames were rejected, and why, as logged
-        self._slow: dict[int, int] = {}  # why, and until when
-        self._send_limit, self._read_limit = TokenBucket(BYTES_PER_S, BYTES_BURST), TokenBucket(READ_PER_S, READ_BURST)
+        self._executing = False
+        self._reported: set[tuple[str, str]] = set()  # node and reason of rejected frames already logged
+        self._slow: dict[int, int] = {}  # by reason: when this node stops announcing itself as slow
+        self._send_limit, self._read_limit = (
+            TokenBucket(MAX_SENT_BYTES_PER_S, MAX_SENT_BYTES_BURST),
+            TokenBucket(MAX_READ_DATAGRAMS_PER_S, MAX_READ_DATAGRAMS_BURST),
+        )
 
     def start(self) -> None:
-        """Raises CannotListenError where the address cannot be had."""
+        """Open the sockets and the timer. Raises CannotListenError if the address is not available."""
         host, port = self._listen
         self._tcp = self._reactor.listenTCP(port, InboundFactory(self), interface=host)
-        self._udp = self._reactor.listenUDP(port, Datagrams(self), interface=host)
-        self.go(self.core.tick(self._clock.turn()))
+        self._udp = self._reactor.listenUDP(port, DatagramReceiver(self), interface=host)
+        self.execute(self.core.tick(self._clock.turn_time()))
 
     def stop(self) -> None:
-        """Announce that this node leaves, give up its leases, and close."""
-        self.go(self.core.leave(self._clock.turn()))
+        """Announce that this node leaves, release its leases, and close its sockets."""
+        self.execute(self.core.leave(self._clock.turn_time()))
         self.deadlines.cancel(self._timer)
         self._timer = None
         for port in (self._udp, self._tcp):
@@ -235,44 +247,44 @@
             stream.transport.abortConnection()
 
     def reconfigure(self, addresses: Mapping[str, Address]) -> None:
-        """The configuration has changed: these nodes, at these addresses."""
+        """Apply a changed configuration; ``addresses`` maps its nodes to their addresses."""
         self._addresses = dict(addresses)
-        self.go(self.core.reconfigure(self._clock.turn(), addresses))
+        self.execute(self.core.reconfigure(self._clock.turn_time(), addresses))
 
     def renew(self, generation: int) -> None:
-        """A later generation of this process is on disk and begins."""
-        self.go(self.core.renew(self._clock.turn(), generation))
+        """Start a later generation of this process, which is on disk."""
+        self.execute(self.core.renew(self._clock.turn_time(), generation))
 
-    def slow(self, bit: int) -> None:
-        """This node has a reason to call itself slow, for some time."""
-        self._slow[bit] = self.deadlines.now() + SLOW_FOR
-        self.core.detector.slow |= bit
+    def announce_slow(self, reason: int) -> None:
+        """Announce this node as slow for ``SLOW_DURATION_US``; ``reason`` is a bit of ``SLOW_REASONS``."""
+        self._slow[reason] = self.deadlines.now() + SLOW_DURATION_US
+        self.core.detector.slow |= reason
 
     # Instructions --------------------------------------------------------------------------------
 
-    def go(self, instructions: Iterable[DetectorInstruction | ViewInstruction]) -> None:
-        """Carry instructions out in order, then set the timer for the next deadline."""
+    def execute(self, instructions: Iterable[DetectorInstruction | ViewInstruction]) -> None:
+        """Execute instructions in order, then set the timer to the next deadline."""
         self._queue.extend(instructions)
-        if self._carrying_out:
+        if self._executing:
             return
-        self._carrying_out = True
+        self._executing = True
         try:
             while self._queue:
-                self._carry_out(self._queue.popleft())
+                self._execute_one(self._queue.popleft())
         finally:
-            self._carrying_out = False
-        self._arm()
+            self._executing = False
+        self._set_timer()
 
-    def _carry_out(self, instruction: DetectorInstruction | ViewInstruction) -> None:
+    def _execute_one(self, instruction: DetectorInstruction | ViewInstruction) -> None:
         if isinstance(instruction, SendDatagram):
             self._send(instruction.to, self.core.message(instruction.body, instruction.updates))
         elif isinstance(instruction, SendViewMessage):
             if instruction.to == self.core.me.name:
-                self.go(self.core.receive_own(self._clock.turn(), instruction.message))
+                self.execute(self.core.receive_own(self._clock.turn_time(), instruction.message))
             else:
                 self._send(instruction.to, self.core.message(view_body(instruction.message)))
         elif isinstance(instruction, PersistState):
-            self._keep(instruction.durable, lambda: self._persisted(instruction))
+            self._persist(instruction.durable, lambda: self._persisted(instruction))
         elif isinstance(instruction, StartExchange):
             self._start_exchange(instruction.to)
         elif isinstance(instruction, FetchView):
@@ -282,12 +294,12 @@
 
     def _persisted(self, instruction: PersistState) -> None:
         self.core.state_persisted(instruction.durable)
-        self.go(instruction.then)
+        self.execute(instruction.then)
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         if self._udp is None:
             return
-        wait = max(0, self.core.next_deadline() - self._clock.turn())
+        wait = max(0, self.core.next_deadline() - self._clock.turn_time())
         due = self.deadlines.now() + int(wait)
         if self._timer is None or self._timer.callback is None or due < self._timer.at:
             self.deadlines.cancel(self._timer)
@@ -295,17 +307,17 @@
 
     def _tick(self) -> None:
         now = self.deadlines.now()
-        late = now - self._timer.at
-        if late > SLOW_TURN_US:
+        lateness = now - self._timer.at
+        if lateness > LATE_TURN_US:
             self._counters.add(GROUP, "late_turns")
-            self._counters.most(GROUP, "latest_turn_ms", late // 1000)
-            self.slow(SLOW_TURN)
+            self._counters.most(GROUP, "latest_turn_ms", lateness // 1000)
+            self.announce_slow(SLOW_TURN)
         for bit in [bit for bit, until in self._slow.items() if now >= until]:
             del self._slow[bit]
             self.core.detector.slow &= ~bit
-        self.go(self.core.tick(self._clock.turn()))
+        self.execute(self.core.tick(self._clock.turn_time()))
 
-    # Out -----------------------------------------------------------------------------------------
+    # Sending -------------------------------------------------------------------------------------
 
     def full_state(self, answer: bool) -> bytes:
         """The encoded exchange message."""
@@ -322,7 +334,7 @@
         try:
             self._udp.write(data, address)
         except (OSError, MessageLengthError):
-            self._counters.add(GROUP, "not_sent")  # as if it had been lost on its way
+            self._counters.add(GROUP, "not_sent")  # the protocols tolerate it as a lost datagram
             return
         self._counters.add(GROUP, "datagrams_out")
         self._counters.add(GROUP, "bytes_out", len(data))
@@ -333,17 +345,17 @@
             address is None
             or self._udp is None
             or to in self._outbound_peers
-            or len(self._outbound_peers) >= OUTBOUND_MOST
+            or len(self._outbound_peers) >= MAX_OUTBOUND_EXCHANGES
         ):
             return
         self._outbound_peers.add(to)
         self._counters.add(GROUP, "exchanges")
-        self._reactor.connectTCP(*address, OutboundFactory(self, to), timeout=CONNECT_S)
+        self._reactor.connectTCP(*address, OutboundFactory(self, to), timeout=CONNECT_TIMEOUT_S)
 
-    # In ------------------------------------------------------------------------------------------
+    # Receiving -----------------------------------------------------------------------------------
 
-    def datagram(self, data: bytes) -> None:
-        """A datagram has arrived; a malformed one is counted."""
+    def datagram_received(self, data: bytes) -> None:
+        """Decode and process a received datagram; a rejected one is counted."""
         if not self._read_limit.take(self.deadlines.now(), 1):
             self._counters.add(GROUP, "dropped_flood")
             return
@@ -354,12 +366,12 @@
             if isinstance(message.body, Exchange):
                 raise FrameError("unasked")
         except FrameError as error:
-            self.bad(error, data)
+            self.frame_rejected(error, data)
             return
-        self.receive(message, reached=True)
+        self.receive(message, inbound=True)
 
-    def bad(self, error: FrameError, data: bytes) -> None:
-        """Count a malformed frame; a node of another cluster key or version is logged once."""
+    def frame_rejected(self, error: FrameError, data: bytes) -> None:
+        """Count a rejected frame by reason; log each node of another cluster key or version once."""
         self.core.dropped_frames[error.reason] += 1
         if error.reason not in ("foreign", "version"):
             return
@@ -368,25 +380,25 @@
             self._reported.add((node, reason))
             self._on_event(LogEvent("not_understood", {"node": node or "unknown", "why": reason}))
 
-    def receive(self, message: Message, reached: bool) -> None:
-        """A decoded frame. ``reached``: it came to this node's address."""
-        self.go(self.core.receive(self._clock.turn(), message, reached))
+    def receive(self, message: Message, inbound: bool) -> None:
+        """Process a decoded frame. ``inbound``: sent to this node's address, not as an answer on our connection."""
+        self.execute(self.core.receive(self._clock.turn_time(), message, inbound))
 
     # Exchanges -----------------------------------------------------------------------------------
 
-    def stream_opened(self, stream: Stream) -> bool:
-        """Register a connection; False where too many are open."""
+    def stream_opened(self, stream: ExchangeProtocol) -> bool:
+        """Register a connection; False if too many are open."""
         self._streams.add(stream)
-        return len(self._streams) <= INBOUND_MOST + OUTBOUND_MOST
+        return len(self._streams) <= MAX_INBOUND_EXCHANGES + MAX_OUTBOUND_EXCHANGES
 
-    def stream_closed(self, stream: Stream) -> None:
+    def stream_closed(self, stream: ExchangeProtocol) -> None:
         """Unregister a connection."""
         self._streams.discard(stream)
 
     def exchange_finished(self, to: str, failed: bool) -> None:
-        """An exchange that this node started has ended."""
+        """Handle the end of an exchange that this node started."""
         self._outbound_peers.discard(to)
         if failed:
             self._counters.add(GROUP, "exchanges_failed")
         if self._udp is not None:
-            self.go(self.core.exchange_finished(self._clock.turn(), failed))
+            self.execute(self.core.exchange_finished(self._clock.turn_time(), failed))
--- a/lynxscale/relay/cluster/exceptions.py
+++ b/lynxscale/relay/cluster/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the cluster of relays."""
+"""Exceptions of the relay cluster."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class ClusterError(RelayError):
-    """Base of the cluster's errors."""
+    """Base class of the cluster's exceptions."""
 
 
 class FrameError(ClusterError, ValueError):
-    """A frame is malformed or not meant for this node. ``reason``: the name of the counter it is counted by."""
+    """A frame is malformed or not meant for this node. ``reason``: one word, by which it is counted."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -18,4 +18,4 @@
 
 
 class ForeignStateError(ClusterError):
-    """The state folder belongs to another node; the text names both."""
+    """The state folder belongs to another node; the message names both."""
--- a/lynxscale/relay/cluster/failure_detector.py
+++ b/lynxscale/relay/cluster/failure_detector.py
@@ -1,21 +1,21 @@
-"""Failure detection of one node: events and the time in, instructions out. No I/O, no clock.
-
-Probing, indirect probes and gossip are SWIM's (Das, Gupta, Motivala 2002). The local health score, by which a slow node
-stretches its own timeouts first, suspicion timeouts that shrink as more nodes confirm a suspicion, and telling a
-suspected node at once are Lifeguard's (Dadgar, Phillips, Currey 2018). Ours, as ``docs/design/cluster.md`` weighs it: a
-process is believed to be a node only once it answers at the node's configured address; direct probes are retried
-within their period; all that a node sends on behalf of others is bounded.
-
-Times are µs on the loop's clock. The table of state transitions of a node:
-
-    from      by                                                    to
-    (none)    it answers at its address, or an update               alive, or the update's
-    alive     no answer to a probe, direct or indirect; an update   suspect
-    suspect   a higher incarnation                                  alive
-    suspect   the suspicion has timed out                           failed
-    failed    a higher incarnation or generation                    alive
-    any       its own announcement that it leaves                   left
-    left      a higher generation                                   alive
+"""Failure detection of one node: takes events and the time, returns instructions. No I/O, no clock.
+
+Probing, indirect probes and gossip follow SWIM (Das, Gupta, Motivala 2002). From Lifeguard (Dadgar, Phillips, Currey
+2018) come the local health score, by which a slow node extends its own timeouts first, suspicion timeouts that shrink
+as more nodes confirm a suspicion, and notifying a suspected node at once. This implementation adds, for the reasons in
+``docs/design/cluster.md``: a process counts as a node only once it answers at the node's configured address; direct
+probes are retried within their period; the traffic that a node sends on behalf of others is bounded.
+
+Times are µs on the clock of the event loop. State transitions of a node:
+
+    from      cause                                                      to
+    (none)    the node answers at its address, or an update              alive, or the state of the update
+    alive     no answer to a probe, direct or indirect; or an update     suspect
+    suspect   a higher incarnation                                       alive
+    suspect   the suspicion timeout                                      failed
+    failed    a higher incarnation or generation                         alive
+    any       the node's own announcement that it leaves                 left
+    left      a higher generation                                        alive
 """
 
 from __future__ import annotations
@@ -40,21 +40,21 @@
 
 
 class FailureDetector(Prober):
-    """One node's failure detector: events in, instructions out."""
+    """One node's failure detector; each event returns the instructions that follow from it."""
 
     # Events --------------------------------------------------------------------------------------
 
     def next_deadline(self) -> int:
-        """Time (µs) at which ``tick`` has to be called, at the latest."""
+        """Latest time (µs) at which ``tick`` has to be called."""
         return int(self._next_tick_at) if self._next_tick_at < math.inf else self._earliest_deadline()
 
     def full_state(self) -> tuple[MemberUpdate, ...]:
-        """Every known update, its own first."""
+        """The latest update of every known node, this node's own first."""
         others = (record.update for record in self.membership if record.update.name != self.me.name)
         return (self._own_update(), *others)
 
     def tick(self, now: int) -> list[DetectorInstruction]:
-        """Run whatever is due."""
+        """Run everything that is due."""
         self._check_pause(now)
         self._run_relayed_probes(now)
         self._run_suspicions(now)
@@ -67,8 +67,8 @@
             self._start_exchange(now)
         return self._take_instructions(now)
 
-    def receive(self, now: int, message: Message, reached: bool = True) -> list[DetectorInstruction]:
-        """A frame of another node. ``reached``: it came to our address, and not as an answer on our own connection."""
+    def receive(self, now: int, message: Message, inbound: bool = True) -> list[DetectorInstruction]:
+        """Process a frame. ``inbound``: it was sent to this node's address, not as an answer on our own connection."""
         self._check_pause(now)
         sender = message.sender
         if sender not in self.membership.names or sender == self.me.name:
@@ -79,8 +79,8 @@
             self._merge(MemberUpdate(*identity, message.incarnation, State.ALIVE), now)
             self._observe_slowness(sender, message.slow)
         for update in message.updates:
-            if update.name != sender:  # what it says of itself stands in the frame's head
-                self._receive_update(update, now, reached)
+            if update.name != sender:  # the sender's own state is in the frame's own fields
+                self._receive_update(update, now, inbound)
             elif update.state is State.LEFT and record is not None and record.update.identity == identity:
                 self._merge(update, now)
         self._receive_body(now, message, identity)
@@ -90,7 +90,7 @@
         return self._take_instructions(now)
 
     def view_installed(self, now: int, members: Iterable[Identity]) -> list[DetectorInstruction]:
-        """A view has these members: a majority has reached them. They are alive until a probe fails."""
+        """Mark a new view's members alive until a probe fails: a majority has reached them."""
         self._check_pause(now)
         for identity in members:
             if identity.name != self.me.name:
@@ -98,20 +98,20 @@
         return self._take_instructions(now)
 
     def exchange_finished(self, now: int, failed: bool) -> list[DetectorInstruction]:
-        """An exchange started by this node has ended."""
+        """Handle the end of an exchange that this node started."""
         if not failed:
             self.contacted = True
         return []
 
     def renew(self, now: int, generation: int) -> list[DetectorInstruction]:
-        """A new generation of this process, which is on disk."""
+        """Start a later generation of this process, which is on disk."""
         self.me, self.incarnation = self.me._replace(generation=generation), 0
         self._merge(self._own_update(), now)
         self._updates.put(self._own_update())
         return self._take_instructions(now)
 
     def reconfigure(self, now: int, names: Iterable[str]) -> list[DetectorInstruction]:
-        """The configuration has changed: these are the nodes."""
+        """Apply a changed configuration; ``names`` are its nodes."""
         for name in self.membership.reconfigure(set(names) | {self.me.name}):
             self._updates.discard(name)
             for table in (
@@ -129,11 +129,11 @@
         return self._take_instructions(now)
 
     def leave(self, now: int) -> list[DetectorInstruction]:
-        """Graceful shutdown: announce it, so that nobody suspects this node."""
+        """Graceful shutdown: announce it, so that no other node suspects this one."""
         self.leaving = True
         self._merge(self._own_update(), now)
-        there = self.reachable()
-        for name in self._random.sample(there, min(len(there), 8)):
+        reachable = self.reachable()
+        for name in self._random.sample(reachable, min(len(reachable), 8)):
             self._instructions += [self._send(name, Gossip(), (self._own_update(),))] * 2
         return self._take_instructions(now)
 
@@ -155,31 +155,31 @@
         return min(times)
 
     def _check_pause(self, now: int) -> None:
-        """Did the process stand still? Then missing answers are not held against other nodes."""
-        late = now - max(self._next_tick_at, self._last_event_at)
+        """Detect that the process was paused: answers missed during a pause must not count against other nodes."""
+        pause = now - max(self._next_tick_at, self._last_event_at)
         self._last_event_at = now
-        if late <= self.timing.pause_threshold:
+        if pause <= self.timing.pause_threshold:
             return
         self._probe = None
         self._relayed_probes.clear()
         for record in self.membership:
             if record.update.state is State.SUSPECT:
-                record.since += late
+                record.since += pause
         self._adjust_health_score(2)
         self._raise_incarnation(self.incarnation + 1, now)
         self._next_probe_at = now + self._random.randrange(1, self.timing.probe_period)
-        self._instructions.append(LogEvent("paused", {"ms": late // 1000}))
+        self._instructions.append(LogEvent("paused", {"ms": pause // 1000}))
 
     def _take_instructions(self, now: int) -> list[DetectorInstruction]:
-        """All instructions of an event; updates not sent so far are gossiped at once."""
+        """Return the instructions of an event; updates that have not been sent yet are gossiped now."""
         if self._updates.has_unsent() and now - self._last_gossip_at >= self.timing.gossip_interval:
             self._last_gossip_at = now
-            there = self.reachable()
-            for name in self._random.sample(there, min(len(there), self.timing.gossip_fanout)):
+            reachable = self.reachable()
+            for name in self._random.sample(reachable, min(len(reachable), self.timing.gossip_fanout)):
                 self._instructions.append(self._send(name, Gossip()))
         self._next_tick_at = self._earliest_deadline()
-        out, self._instructions = self._instructions, []
-        return out
+        instructions, self._instructions = self._instructions, []
+        return instructions
 
     def _suspicion_deadline(self, record: MemberRecord) -> int:
         return suspicion_deadline(record, 1 + len(self.reachable()), self.health_score, self.timing)
@@ -196,31 +196,32 @@
                 self._ping_once(update.name, now)
 
     def _ping_unreachable(self, now: int) -> None:
-        """Ping one that is failed, left or unknown: it may be back, or a partition may have healed."""
+        """Ping a random node that is failed, left or unknown: it may be back, or a partition may have healed."""
         self._next_unreachable_ping_at = now + int(
             self.timing.unreachable_ping_interval * self._random.uniform(0.9, 1.1)
         )
-        far = self._unreachable()
-        young = now - self._started_at < self.timing.unreachable_exchange_interval
-        if young and any(self.membership.state(name) is None for name in far):
+        unreachable = self._unreachable()
+        recently_started = now - self._started_at < self.timing.unreachable_exchange_interval
+        if recently_started and any(self.membership.state(name) is None for name in unreachable):
             self._next_unreachable_ping_at = now + self.timing.initial_exchange_interval
-        if far:
-            self._ping_once(self._random.choice(far), now)
+        if unreachable:
+            self._ping_once(self._random.choice(unreachable), now)
 
     def _start_exchange(self, now: int) -> None:
-        there, far = self.reachable(), self._unreachable()
+        reachable, unreachable = self.reachable(), self._unreachable()
         scale = max(1.0, len(self.membership.names) / 32)
-        if not self.contacted and far:
+        if not self.contacted and unreachable:
             self._next_exchange_at = now + int(self.timing.initial_exchange_interval * self._random.uniform(0.8, 1.2))
-            self._instructions.append(StartExchange(self._random.choice(far)))
+            self._instructions.append(StartExchange(self._random.choice(unreachable)))
             return
         self._next_exchange_at = now + int(
             self.timing.unreachable_exchange_interval * scale * self._random.uniform(0.8, 1.2)
         )
-        if far and now >= self._next_unreachable_exchange_at:
+        if unreachable and now >= self._next_unreachable_exchange_at:
             self._next_unreachable_exchange_at = now + self.timing.unreachable_exchange_interval
-            self._instructions.append(StartExchange(self._random.choice(far)))
+            self._instructions.append(StartExchange(self._random.choice(unreachable)))
         elif (
-            there and self._random.random() < self.timing.unreachable_exchange_interval / self.timing.exchange_interval
+            reachable
+            and self._random.random() < self.timing.unreachable_exchange_interval / self.timing.exchange_interval
         ):
-            self._instructions.append(StartExchange(self._random.choice(there)))
+            self._instructions.append(StartExchange(self._random.choice(reachable)))
--- a/lynxscale/relay/cluster/flapping.py
+++ b/lynxscale/relay/cluster/flapping.py
@@ -1,4 +1,4 @@
-"""Backoff against a node that is removed and comes back again and again. No I/O, no clock."""
+"""Backoff for nodes that are repeatedly removed from the view and return. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class FlapBackoff:
-    """From its second removal within ``flap_window`` on, a node stays out for a time that doubles with each removal."""
+    """Keeps a node out after its second removal within ``flap_window``, twice as long after each further removal."""
 
     def __init__(self, timing: ViewTiming) -> None:
         self._timing = timing
         self._removal_times: dict[str, list[int]] = {}
 
     def removed(self, name: str, now: int) -> None:
-        """A new view is without that node."""
+        """Record that a new view does not contain that node any more."""
         self._removal_times.setdefault(name, []).append(now)
 
     def until(self, name: str) -> int:
-        """Time (µs) before which the node is not proposed for a view again; 0: at once."""
+        """Time (µs) before which the node is not proposed for a view again; 0 if it may be at once."""
         timing = self._timing
         times = self._removal_times.get(name, [])
         if not times:
--- a/lynxscale/relay/cluster/frame.py
+++ b/lynxscale/relay/cluster/frame.py
@@ -1,4 +1,4 @@
-"""Frames between nodes: bytes to checked messages and back. No I/O.
+"""Frames between nodes: encoding of messages, and decoding with validation. No I/O.
 
 A frame, on UDP and TCP alike, big-endian:
 
@@ -6,12 +6,11 @@
            3   1  version, 2
            4   4  crc32c of the cluster's name and its probe's period
            8   2  length of the message in bytes
-          10   n  the message, MessagePack, by the types below, fields in order
+          10   n  the message: MessagePack of the types below, fields in order
         10+n   4  crc32c of all before it
 
-The message is read by msgspec, which holds every field to its type and range. What does not stand by this is refused
-with a reason to count by, and never has an effect. Strangers that know the form are not kept out: a closed network is
-assumed.
+Decoding validates the type and range of every field with msgspec. An invalid frame is rejected with a one-word reason,
+by which it is counted, and has no other effect. Frames are not authenticated: a closed network is assumed.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 from crc32c import crc32c
 
 from lynxscale.relay.cluster.exceptions import FrameError
-from lynxscale.relay.cluster.membership_table import MemberUpdate, Name, NoName, Number
+from lynxscale.relay.cluster.membership_table import MemberUpdate, Name, Number, OptionalName
 from lynxscale.relay.cluster.messages import (
     Accept,
     Accepted,
@@ -39,23 +38,24 @@
 )
 
 MAGIC, VERSION = b"LXC", 2
-HEAD = struct.Struct(">3sBIH")
-TAIL = struct.Struct(">I")
-DATAGRAM_MOST = 1200  # bytes; under what any path takes in one piece
-MESSAGE_MOST = 65_535
+HEADER = struct.Struct(">3sBIH")
+TRAILER = struct.Struct(">I")
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of any usual path, so that datagrams are not fragmented
+MAX_MESSAGE_BYTES = 65_535
 
 U32 = Annotated[int, msgspec.Meta(ge=0, le=(1 << 32) - 1)]
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1, gc=False):
-    """Answer with an Ack of that number. ``origin``: the node that requested an indirect probe, else empty."""
+    """Requests an ``Ack`` with the same number. ``origin``: the node that requested an indirect probe, or empty."""
 
     probe: U32
-    origin: NoName = ""
+    origin: OptionalName = ""
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2, gc=False):
-    """Forwarded to ``origin`` by the node that probed for it. ``generation``, ``boot``: the process that answered."""
+    """Answers a ``Ping``; the helper of an indirect probe forwards it to the origin. ``generation`` and ``boot``
+    identify the process that answered."""
 
     probe: U32
     node: Name
@@ -64,14 +64,14 @@
 
 
 class PingRequest(msgspec.Struct, array_like=True, frozen=True, tag=3, gc=False):
-    """SWIM's ping-req: probe that node for the sender."""
+    """Requests an indirect probe of ``node`` on behalf of the sender (SWIM's ping-req)."""
 
     probe: U32
     node: Name
 
 
 class Nack(msgspec.Struct, array_like=True, frozen=True, tag=4, gc=False):
-    """The sender is up, and the node that it was requested to probe has not answered so far (Lifeguard)."""
+    """Tells the origin of an indirect probe that the helper is up but the target has not answered (Lifeguard)."""
 
     probe: U32
 
@@ -81,8 +81,8 @@
 
 
 class Exchange(msgspec.Struct, array_like=True, frozen=True, tag=6, gc=False):
-    """Full state, on TCP: with all updates in the frame, the view, the known write counts and digests of settings. The
-    receiver answers with its own, and ``answer`` set."""
+    """Full state, sent over TCP: view, known write counts, digests of settings, and the frame has all updates. The
+    receiver answers with its own state and ``answer`` set."""
 
     answer: bool
     view: View | None = None
@@ -90,7 +90,7 @@
     settings: dict[Name, U32] = {}
 
 
-# The index of a type is its tag on the wire.
+# The index of a type is its ``kind`` on the wire.
 VIEW_MESSAGE_TYPES: tuple[type, ...] = (
     Prepare,
     Promise,
@@ -111,7 +111,7 @@
     payload: msgspec.Raw
 
     def read(self) -> ViewMessage:
-        """Decode the message. Raises FrameError where the fields do not fit its type."""
+        """Decode the message. Raises FrameError if the fields are invalid for its type."""
         try:
             return _view_decoders[self.kind].decode(self.payload)
         except msgspec.MsgspecError as error:
@@ -127,9 +127,12 @@
 
 
 class Message(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """``sender``, ``generation``, ``boot``, ``incarnation``: the sending process, alive by that very fact; ``number``:
-    of its frames, never used twice by a process; ``slow``: bits of SLOW_REASONS; ``view`` and ``write_count``: the
-    number of its view, and of its durable state. Field order is the wire format; names are not on the wire."""
+    """The content of a frame. Field order is the wire format; field names are not on the wire.
+
+    ``sender``, ``generation``, ``boot`` and ``incarnation`` identify the sending process, which the frame shows to be
+    alive. ``number`` is the frame number, never used twice by a process; ``slow`` has bits of ``SLOW_REASONS``;
+    ``view`` is the number of the sender's view, and ``write_count`` that of its state on disk.
+    """
 
     sender: Name
     generation: Number
@@ -146,27 +149,30 @@
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
 _view_decoders = [msgspec.msgpack.Decoder(kind) for kind in VIEW_MESSAGE_TYPES]
-OVERHEAD = HEAD.size + TAIL.size
+FRAME_OVERHEAD_BYTES = HEADER.size + TRAILER.size
 
 
 def cluster_key(cluster: str, probe: int = 0) -> int:
-    """What stands for a cluster in a frame: its name, and the period (µs) on which all its times hang.
+    """Identify a cluster in a frame: checksum of its name and its probe period (µs), from which all times derive.
 
-    Guards against a node with longer leases than those who grant them believe.
+    It rejects frames of nodes with another probe period, whose leases would be longer than their grantors assume.
     """
     return crc32c(f"{cluster} {probe}".encode())
 
 
 def describe_mismatch(key: int, frame: bytes) -> tuple[str, str]:
-    """The reason and the node's name in a frame that is intact and of another key, or of another version with no name;
-    two empty texts where it is neither. For the log alone."""
-    if len(frame) < OVERHEAD:
+    """Describe, for the log only, an intact frame of another cluster key or protocol version.
+
+    Returns the difference and the sender's name; the name is empty for another version. Both are empty for any other
+    frame.
+    """
+    if len(frame) < FRAME_OVERHEAD_BYTES:
         return "", ""
-    magic, version, theirs, size = HEAD.unpack_from(frame)
+    magic, version, theirs, size = HEADER.unpack_from(frame)
     if (
         magic != MAGIC
-        or len(frame) != OVERHEAD + size
-        or TAIL.unpack_from(frame, len(frame) - TAIL.size)[0] != crc32c(frame[: -TAIL.size])
+        or len(frame) != FRAME_OVERHEAD_BYTES + size
+        or TRAILER.unpack_from(frame, len(frame) - TRAILER.size)[0] != crc32c(frame[: -TRAILER.size])
     ):
         return "", ""
     if version != VERSION:
@@ -178,59 +184,59 @@
 
 
 def encode(key: int, message: Message) -> bytes:
-    """The frame. Raises ValueError where the message is longer than a frame may be."""
+    """Encode a frame. Raises ValueError if the message is too long for one."""
     data = _encode(message)
-    if len(data) > MESSAGE_MOST:
-        raise ValueError(f"a message of {len(data)} bytes")
-    frame = HEAD.pack(MAGIC, VERSION, key, len(data)) + data
-    return frame + TAIL.pack(crc32c(frame))
+    if len(data) > MAX_MESSAGE_BYTES:
+        raise ValueError(f"message of {len(data)} bytes is too long for a frame")
+    frame = HEADER.pack(MAGIC, VERSION, key, len(data)) + data
+    return frame + TRAILER.pack(crc32c(frame))
 
 
-def length(key: int, head: bytes) -> int:
-    """Length in bytes of the frame that begins with these ``HEAD.size`` bytes. Raises FrameError."""
-    magic, version, cluster, size = HEAD.unpack_from(head)
+def length(key: int, header: bytes) -> int:
+    """Length in bytes of the frame that starts with ``header``. Raises FrameError if it is invalid."""
+    magic, version, cluster, size = HEADER.unpack_from(header)
     if magic != MAGIC:
         raise FrameError("garbage")
     if version != VERSION:
         raise FrameError("version")
     if cluster != key:
         raise FrameError("foreign")
-    return OVERHEAD + size
+    return FRAME_OVERHEAD_BYTES + size
 
 
 def decode(key: int, frame: bytes) -> Message:
     """Decode one complete frame. Raises FrameError."""
-    if len(frame) < OVERHEAD:
+    if len(frame) < FRAME_OVERHEAD_BYTES:
         raise FrameError("short")
     if length(key, frame) != len(frame):
         raise FrameError("length")
-    if TAIL.unpack_from(frame, len(frame) - TAIL.size)[0] != crc32c(frame[: -TAIL.size]):
+    if TRAILER.unpack_from(frame, len(frame) - TRAILER.size)[0] != crc32c(frame[: -TRAILER.size]):
         raise FrameError("checksum")
     try:
-        return _decode(frame[HEAD.size : -TAIL.size])
+        return _decode(frame[HEADER.size : -TRAILER.size])
     except msgspec.MsgspecError as error:
         raise FrameError("message") from error
 
 
 class ReplayWindow:
-    """Which of one sender's frames have come: guards against frames that are sent once more by whoever recorded them.
+    """Numbers of the frames received from one process, to reject replayed frames.
 
-    A frame is new once, and only while it is at most ``SPAN`` behind the newest (as in RFC 4303, 3.4.3).
+    A number is accepted once, and only if it is less than ``SPAN`` behind the highest (as in RFC 4303, section 3.4.3).
     """
 
     SPAN = 128
 
     def __init__(self) -> None:
-        self._top = -1
+        self._highest = -1
         self._seen = 0
 
-    def fresh(self, number: int) -> bool:
-        """Is it new? It is not any more then."""
-        if number > self._top:
-            self._seen = (self._seen << min(number - self._top, self.SPAN) | 1) & ((1 << self.SPAN) - 1)
-            self._top = number
+    def accept(self, number: int) -> bool:
+        """Accept a frame number: return whether it is new, and remember it."""
+        if number > self._highest:
+            self._seen = (self._seen << min(number - self._highest, self.SPAN) | 1) & ((1 << self.SPAN) - 1)
+            self._highest = number
             return True
-        behind = self._top - number
+        behind = self._highest - number
         if behind >= self.SPAN or self._seen >> behind & 1:
             return False
         self._seen |= 1 << behind
--- a/lynxscale/relay/cluster/instructions.py
+++ b/lynxscale/relay/cluster/instructions.py
@@ -1,7 +1,7 @@
-"""What the state machines ask of the driver, as values: datagrams, exchanges, writes to disk, log lines.
+"""Instructions that the state machines return to the driver: datagrams, exchanges, writes to disk, log lines.
 
-The failure detector returns lists of ``DetectorInstruction``, view agreement of ``ViewInstruction``. They are carried
-out in the order in which they were returned.
+The failure detector returns lists of ``DetectorInstruction``, view agreement of ``ViewInstruction``. They are executed
+in the order in which they were returned.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 class StartExchange(NamedTuple):
-    """Exchange full state with that node, on TCP."""
+    """Exchange full state with that node over TCP."""
 
     to: str
 
 
 class LogEvent(NamedTuple):
-    """A line for the log."""
+    """Write a log line."""
 
     event: str
     fields: dict[str, Any]
 
 
 class StartGeneration(NamedTuple):
-    """Others know a later generation of this node: begin one above ``generation``, once that is on disk."""
+    """Start a generation above ``generation`` once it is on disk, as other nodes know a later one of this node."""
 
     generation: int
 
@@ -44,27 +44,27 @@
 
 
 class SendViewMessage(NamedTuple):
-    """Send a message of view agreement; to the node itself by a direct call."""
+    """Send a message of view agreement; one to this node itself is delivered by a direct call."""
 
     to: str
     message: ViewMessage
 
 
 class PersistState(NamedTuple):
-    """Write this state to disk; send ``then`` once it is synced, and never before."""
+    """Write this state to disk; send the messages in ``then`` only once it is synced."""
 
     durable: DurableState
     then: tuple[SendViewMessage, ...]
 
 
 class FetchView(NamedTuple):
-    """That node knows a later view: exchange with it."""
+    """Fetch a later view from that node by an exchange."""
 
     peer: str
 
 
 class RemovedFromView(NamedTuple):
-    """This process is no longer in the view: begin a later generation."""
+    """This process is no longer in the view: start a later generation."""
 
     view: int
 
--- a/lynxscale/relay/cluster/leases.py
+++ b/lynxscale/relay/cluster/leases.py
@@ -1,4 +1,4 @@
-"""Leases: requested of the view's committee, granted to its members (Gray, Cheriton 1989). No I/O, no clock."""
+"""Leases (Gray, Cheriton 1989): requested from the view's committee, granted to its members. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
     LeaseRequest,
     Reject,
     committee_of,
-    removed,
+    removed_members,
 )
 
 
 class LeaseManager(AgreementState):
-    """Both ends of the leases: this node's own, and those that it grants."""
+    """Requests this node's own leases and grants leases to other members."""
 
     def lease_until(self, now: int) -> int:
-        """Time (µs) until which this node may act without a further grant; 0 where it may not."""
+        """Time (µs) until which this node may act without a further grant; 0 if it may not act."""
         view = self.durable.view
         if view is None or self.conflict or self.leaving or self.me not in view.members:
             return 0
-        if self.durable.accepted is not None and self.me in removed(view, self.durable.accepted):
+        if self.durable.accepted is not None and self.me in removed_members(view, self.durable.accepted):
             return 0
         committee = committee_of(view, self.timing.committee_size)
-        times = sorted(
+        request_times = sorted(
             (now if name == self.me.name else self._grant_times.get(name, 0) for name in committee), reverse=True
         )
-        asked = times[len(committee) // 2]
+        asked = request_times[len(committee) // 2]
         return asked + self.timing.lease if asked else 0
 
     def may_act(self, now: int) -> bool:
-        """Has it a lease? ``now`` has to be read right before the act."""
+        """Return whether this node holds a lease. ``now`` has to be read right before acting."""
         return now < self.lease_until(now)
 
     def lease_grantors(self, now: int) -> list[str]:
@@ -54,8 +54,8 @@
                 self._send(name, LeaseRequest(view.number, view.digest, self._token))
 
     def _request_interval(self, now: int) -> int:
-        """µs until the next asking. Guards a healthy member on a bad network: while asks or grants are lost they go
-        again soon; who has been without a lease for long has no hurry."""
+        """Time (µs) until the next lease request. It is short while requests or grants are lost, so that a member on a
+        lossy network keeps its lease, and longer again for a node that has been without a lease for some time."""
         lease, until = self.timing.lease, self.lease_until(now)
         if until > now:
             self._fast_requests_until = now + 2 * lease
@@ -73,12 +73,11 @@
             or identity not in view.members
         ):
             if view is not None and message.number < view.number:
-                self._send(
-                    sender, Reject(message.number, NO_BALLOT, 0, "behind")
-                )  # its head tells what there is to fetch
+                # The frame of this answer carries our view number, by which the sender fetches the view.
+                self._send(sender, Reject(message.number, NO_BALLOT, 0, "behind"))
             return
         if self.conflict or self.durable.accepted is not None or now < self._denied_until.get(identity, 0):
-            return  # the next view may be decided already, and count on no more leases in this one
+            return  # the next view may be decided already, which relies on no further leases in this one
         self._granted_until[identity] = now + self._grant_duration(self.timing.lease)
         self._send(sender, LeaseGrant(message.number, message.token))
 
--- a/lynxscale/relay/cluster/membership_table.py
+++ b/lynxscale/relay/cluster/membership_table.py
@@ -1,10 +1,10 @@
-"""What one node believes of the others, and the one rule by which updates are merged. No I/O, no clock.
+"""One node's table of the states of all nodes, and the rule by which updates are merged. No I/O, no clock.
 
-An update says of a node: its identity (name, generation, boot), its incarnation (SWIM: a number that the node itself
-raises to refute a suspicion; zero at the start of a generation), and its state. Updates of one node are totally ordered
+An update holds a node's identity (name, generation, boot), its incarnation (SWIM: a number that only the node itself
+raises, to refute a suspicion; zero at the start of a generation) and its state. Updates of one node are totally ordered
 and merging keeps the greatest, so the result does not depend on the order or number of deliveries (a join-semilattice).
-A node refutes a suspicion by a higher incarnation, as in SWIM (Das, Gupta, Motivala 2002), section 4.2; here it also
-refutes 'failed', since this table alone gives nobody the right to act.
+A node refutes a suspicion by a higher incarnation, as in SWIM (Das, Gupta, Motivala 2002), section 4.2. Here it can
+also refute 'failed', since no node may act because of this table alone.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 from msgspec import Meta
 
-# As they stand in frames and files, where msgspec holds them to it.
-NAME_MOST = 63  # letters
+# Field types of frames and files; msgspec validates the ranges when decoding.
+MAX_NAME_LENGTH = 63  # characters
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
-NoName = Annotated[str, Meta(max_length=NAME_MOST)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+OptionalName = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 
 
 class State(IntEnum):
-    """In order of precedence at the same generation and incarnation."""
+    """State of a node. At the same generation and incarnation, the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -33,7 +33,7 @@
 
 
 class Identity(NamedTuple):
-    """One process: ``generation`` rises each time the node starts, ``boot`` is drawn at random by each process."""
+    """One process of a node: ``generation`` rises with each start of the node, ``boot`` is random for each process."""
 
     name: Name
     generation: Number
@@ -41,18 +41,18 @@
 
 
 class MemberUpdate(NamedTuple):
-    """What is said of a node; ``by``: the node that suspects it, not part of the order."""
+    """Incarnation and state of one process of a node. ``by``: the node that suspects it; not part of the order."""
 
     name: Name
     generation: Number
     boot: Number
     incarnation: Number
     state: State
-    by: NoName = ""
+    by: OptionalName = ""
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """What updates of one node are ordered by."""
+        """Key by which updates of one node are ordered."""
         return self.generation, self.boot, self.incarnation, self.state
 
     @property
@@ -62,21 +62,21 @@
 
 
 def newer_of(one: MemberUpdate | None, other: MemberUpdate | None) -> MemberUpdate | None:
-    """The merge of two updates of one node; None: no update is known."""
+    """Merge two updates of one node, each of which may be None."""
     if one is None or other is None:
         return one or other
     return one if one.precedence >= other.precedence else other
 
 
 class StateChange(NamedTuple):
-    """A node's record has changed; ``before`` is None at its first update."""
+    """A change of a node's record; ``before`` is None at the node's first update."""
 
     now: MemberUpdate
     before: MemberUpdate | None
 
     @property
     def reportable(self) -> bool:
-        """Is it worth a log line? A higher incarnation alone is not."""
+        """Return whether the change is to be logged. A higher incarnation alone is not."""
         before = self.before
         return before is None or (self.now.state, self.now.generation, self.now.boot) != (
             before.state,
@@ -87,7 +87,8 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """``since``: µs, when this state began; ``suspected_by``: nodes that suspect this incarnation."""
+    """Latest update of a node. ``since``: time (µs) at which this state began; ``suspected_by``: nodes that suspect
+    this incarnation."""
 
     update: MemberUpdate
     since: int
@@ -105,16 +106,16 @@
         return iter(self._records.values())
 
     def get(self, name: str) -> MemberRecord | None:
-        """The node's record; None where no update is known."""
+        """The node's record; None if no update is known."""
         return self._records.get(name)
 
     def state(self, name: str) -> State | None:
-        """The node's state; None where no update is known."""
+        """The node's state; None if no update is known."""
         record = self._records.get(name)
         return record.update.state if record is not None else None
 
     def reconfigure(self, names: Iterable[str]) -> list[str]:
-        """Set the configured names; returns those that were dropped."""
+        """Set the configured names; return those whose records were dropped."""
         self.names = frozenset(names)
         removed = sorted(set(self._records) - self.names)
         for name in removed:
@@ -122,7 +123,7 @@
         return removed
 
     def merge(self, update: MemberUpdate, now: int) -> StateChange | None:
-        """Merge an update and return what it changed; None also where it only added a suspecting node."""
+        """Merge an update. Return the change, or None if there is none or only a further node that suspects."""
         if update.name not in self.names:
             return None
         record = self._records.get(update.name)
--- a/lynxscale/relay/cluster/messages.py
+++ b/lynxscale/relay/cluster/messages.py
@@ -1,6 +1,6 @@
-"""Views as values, the messages of view agreement, and what follows from a view and a change alone.
+"""Views, membership changes, the messages of view agreement, and pure functions of them.
 
-These types stand in frames and in the file of a node's memory, field by field; msgspec holds them to their ranges.
+These types are encoded in frames and in the files of durable state, field by field; msgspec validates their ranges.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 from msgspec import Meta
 
-from lynxscale.relay.cluster.membership_table import Identity, Name, NoName, Number
+from lynxscale.relay.cluster.membership_table import Identity, Name, Number, OptionalName
 
 
 class View(NamedTuple):
-    """An agreed membership. ``lineage``: drawn at random when a cluster forms; views of another lineage are foreign.
-    Members in the order of their names."""
+    """An agreed membership; members are sorted by name. ``lineage`` is drawn at random when a cluster forms; a view of
+    another lineage belongs to another cluster."""
 
     number: Number
     lineage: Number
@@ -28,12 +28,12 @@
         return tuple(member.name for member in self.members)
 
     def identity_of(self, name: str) -> Identity | None:
-        """The member of that name; None where there is none."""
+        """The member of that name; None if there is none."""
         return next((member for member in self.members if member.name == name), None)
 
     @property
     def digest(self) -> int:
-        """63 bits of a hash of the whole view."""
+        """Hash of the complete view, 63 bits."""
         text = f"{self.number} {self.lineage} " + " ".join(
             f"{member.name}/{member.generation}/{member.boot}" for member in self.members
         )
@@ -41,8 +41,8 @@
 
 
 class MembershipChange(NamedTuple):
-    """From one view to the next: ``removed`` by name, ``added`` new or in place of an earlier generation. The first
-    view has none before it and its change carries the ``lineage``."""
+    """The difference between a view and the next: nodes ``removed``, and processes ``added``, which are new or replace
+    an earlier generation. ``lineage`` is set only in the change that forms the first view."""
 
     removed: Annotated[tuple[Name, ...], Meta(max_length=256)]
     added: Annotated[tuple[Identity, ...], Meta(max_length=256)]
@@ -50,11 +50,11 @@
 
 
 class Ballot(NamedTuple):
-    """A Paxos proposal number; the higher one takes precedence. No process uses a round twice; ``boot`` separates
-    processes."""
+    """A Paxos proposal number; the higher one takes precedence. No process uses a round twice, and ``boot`` tells the
+    processes of a node apart."""
 
     round: Number
-    by: NoName
+    by: OptionalName
     boot: Number
 
 
@@ -62,39 +62,39 @@
 
 
 class DurableState(NamedTuple):
-    """A node's state on disk. ``write_count`` counts the writes that messages depended on: others remember the highest
-    that they have seen, as ``peer_write_counts`` has it of them, so that a rolled-back disk is noticed. ``votes``: the
-    state is complete, and the node may vote."""
+    """A node's state on disk. ``write_count`` counts the writes that messages depended on. Each node remembers the
+    highest count of its peers in ``peer_write_counts``, by which a peer notices that its disk was rolled back.
+    ``votes``: the state is complete, and the node may vote."""
 
     view: View | None = None
     promised: Ballot = NO_BALLOT
-    ballot: Ballot = NO_BALLOT  # of what was accepted
+    ballot: Ballot = NO_BALLOT  # of the accepted change
     accepted: MembershipChange | None = None
     write_count: Number = 0
     votes: bool = True
     peer_write_counts: Annotated[tuple[tuple[Name, Number], ...], Meta(max_length=256)] = ()
 
 
-# What nodes say -------------------------------------------------------------------------------------
+# Messages -------------------------------------------------------------------------------------------
 
 
 class Prepare(NamedTuple):
-    """Paxos phase 1. ``change``: to be proposed; ``previously_accepted``: some acceptor has accepted it, so that it may
-    be decided already and cannot be abandoned."""
+    """Paxos phase 1. ``change`` is the change to propose. ``previously_accepted``: some acceptor has accepted it
+    before, so it may be decided already and cannot be abandoned."""
 
-    number: Number  # of the view that is to be decided
-    base: Number  # digest of the one before; 0 for the first
+    number: Number  # of the view to be decided
+    base: Number  # digest of the view before it; 0 for the first view
     round: Number
     change: MembershipChange
     previously_accepted: bool
 
 
 class Promise(NamedTuple):
-    """``wait``: µs until the sender could accept the change, because of leases it granted."""
+    """Answers ``Prepare``. ``wait``: time (µs) until the leases granted by the sender allow it to accept the change."""
 
     number: Number
     to: Ballot
-    ballot: Ballot  # of what has been accepted
+    ballot: Ballot  # of the accepted change
     change: MembershipChange | None
     wait: Number
 
@@ -117,16 +117,16 @@
 
 
 class Reject(NamedTuple):
-    """``reason`` ``lease``: the sender may be asked again; any other is final for this ballot."""
+    """Rejects a ``Prepare`` or ``Accept``. Reason ``lease``: ask again later; any other is final for this ballot."""
 
     number: Number
     to: Ballot
-    promised: Number  # round
+    promised: Number  # round of the promised ballot
     reason: Annotated[str, Meta(max_length=20)]
 
 
 class Decided(NamedTuple):
-    """A quorum has accepted this change."""
+    """Announces that a quorum has accepted this change."""
 
     number: Number
     base: Number
@@ -134,7 +134,7 @@
 
 
 class LeaseRequest(NamedTuple):
-    """Asks for a lease in the view of that number and digest; ``token`` identifies the time of asking."""
+    """Requests a lease in the view of that number and digest; ``token`` identifies the request and thus its time."""
 
     number: Number
     digest: Number
@@ -142,14 +142,14 @@
 
 
 class LeaseGrant(NamedTuple):
-    """Grants the lease that was asked for under ``token``."""
+    """Grants the lease that was requested with ``token``."""
 
     number: Number
     token: Number
 
 
 class LeaseRelease(NamedTuple):
-    """Gives up a lease: the sender's process acts no more."""
+    """Releases a lease: the sending process no longer acts."""
 
     number: Number
 
@@ -157,45 +157,45 @@
 ViewMessage = Prepare | Promise | Accept | Accepted | Reject | Decided | LeaseRequest | LeaseGrant | LeaseRelease
 
 
-# What follows -----------------------------------------------------------------------------------------
+# Functions of views and changes -----------------------------------------------------------------------
 
 
 def quorum(view: View, committee: frozenset[str]) -> Callable[[Iterable[str]], bool]:
-    """A predicate: do these names decide in this view? More than half of its members and of its committee."""
+    """Return a predicate that tells whether names are a quorum: majorities of the view's members and its committee."""
     members = frozenset(view.names)
 
-    def decides(names: Iterable[str]) -> bool:
-        there = members & set(names)
-        return 2 * len(there) > len(members) and 2 * len(there & committee) > len(committee)
+    def is_quorum(names: Iterable[str]) -> bool:
+        present = members & set(names)
+        return 2 * len(present) > len(members) and 2 * len(present & committee) > len(committee)
 
-    return decides
+    return is_quorum
 
 
-def committee_of(view: View, most: int) -> frozenset[str]:
-    """Members that grant leases: all, or in a large view ``most`` of them by the hash of their names."""
-    if len(view.members) <= most:
+def committee_of(view: View, max_size: int) -> frozenset[str]:
+    """Members that grant leases: all, or in a larger view ``max_size`` of them, selected by the hash of their names."""
+    if len(view.members) <= max_size:
         return frozenset(view.names)
     by_hash = sorted(view.names, key=lambda name: blake2b(f"{view.lineage} {name}".encode(), digest_size=8).digest())
-    return frozenset(by_hash[:most])
+    return frozenset(by_hash[:max_size])
 
 
-def after(view: View | None, change: MembershipChange) -> View:
-    """The view that a change leads to."""
+def next_view(view: View | None, change: MembershipChange) -> View:
+    """The view that results from applying a change."""
     if view is None:
         return View(1, change.lineage, tuple(sorted(change.added)))
-    left = {member.name: member for member in view.members if member.name not in change.removed}
-    left |= {member.name: member for member in change.added}
-    return View(view.number + 1, view.lineage, tuple(left[name] for name in sorted(left)))
+    members = {member.name: member for member in view.members if member.name not in change.removed}
+    members |= {member.name: member for member in change.added}
+    return View(view.number + 1, view.lineage, tuple(members[name] for name in sorted(members)))
 
 
-def removed(view: View | None, change: MembershipChange) -> list[Identity]:
-    """Members (as processes) of the view that are not in the next one."""
+def removed_members(view: View | None, change: MembershipChange) -> list[Identity]:
+    """Members of the view whose process is not in the next view."""
     if view is None:
         return []
-    coming = set(change.added)
+    added = set(change.added)
     replaced = {member.name for member in change.added}
     return [
         member
         for member in view.members
-        if member not in coming and (member.name in change.removed or member.name in replaced)
+        if member not in added and (member.name in change.removed or member.name in replaced)
     ]
--- a/lynxscale/relay/cluster/probing.py
+++ b/lynxscale/relay/cluster/probing.py
@@ -1,4 +1,4 @@
-"""Probes (SWIM, section 3.1): direct, by way of other nodes, and on their behalf. No I/O, no clock."""
+"""Probes (SWIM, section 3.1): direct, indirect, and on behalf of other nodes. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     State,
 )
 
-MAX_RELAYED_PROBES = 64  # indirect probes for others in flight
+MAX_RELAYED_PROBES = 64  # in flight on behalf of other nodes
 
 
 class Prober(DetectorState):
-    """Has at most one probe of its own in flight, and a bounded number on behalf of others."""
+    """Keeps at most one probe of its own in flight, and a bounded number on behalf of other nodes."""
 
     def _begin_probe(self, now: int) -> None:
         if self._probe is not None:
@@ -59,7 +59,7 @@
                 self._instructions.append(self._send(name, PingRequest(probe.number, probe.target)))
 
     def _probe_failed(self, now: int) -> None:
-        """No answer, direct or indirect. Missing answers of the helpers count against this node's own health."""
+        """Suspect the target, which has not answered. Missing answers of helpers worsen this node's health score."""
         probe, self._probe = self._probe, None
         self._adjust_health_score(len(probe.asked - probe.answered) if probe.asked else 1)
         record = self.membership.get(probe.target)
@@ -68,7 +68,8 @@
                 self._merge(record.update._replace(by=self.me.name), now)
             return
         self._merge(record.update._replace(state=State.SUSPECT, by=self.me.name), now)
-        self._instructions.append(StartExchange(probe.target))  # where datagrams alone are lost it hears of it so
+        # Over TCP the target learns of the suspicion even if only its datagrams are lost.
+        self._instructions.append(StartExchange(probe.target))
 
     def _receive_body(self, now: int, message: Message, identity: Identity) -> None:
         body, sender = message.body, message.sender
@@ -83,8 +84,8 @@
 
     def _answer_ping(self, ping: Ping, sender: str, identity: Identity) -> None:
         record = self.membership.get(sender)
-        first = [record.update] if record is not None and record.update.identity != identity else []
-        self._instructions.append(self._send(sender, Ack(ping.probe, *self.me), first))
+        required = [record.update] if record is not None and record.update.identity != identity else []
+        self._instructions.append(self._send(sender, Ack(ping.probe, *self.me), required))
 
     def _receive_ack(self, now: int, ack: Ack, sender: str) -> None:
         relayed = self._relayed_probes.pop(ack.probe, None) if ack.node == sender else None
@@ -99,9 +100,9 @@
 
     def _on_ack(self, now: int, ack: Ack, sender: str) -> None:
         probe = self._probe
-        asked = self._identity_pings.pop(ack.probe, None)
+        identity_ping = self._identity_pings.pop(ack.probe, None)
         ours = probe is not None and probe.number == ack.probe and probe.target == ack.node
-        if not ours and (asked is None or asked[0] != ack.node):
+        if not ours and (identity_ping is None or identity_ping[0] != ack.node):
             return
         identity = Identity(ack.node, ack.generation, ack.boot)
         record = self.membership.get(ack.node)
@@ -121,7 +122,7 @@
             self._adjust_health_score(-1)
 
     def _ping_identity(self, now: int, identity: Identity) -> None:
-        """Frames come from a process that nobody has reached: ping the address to see which process answers."""
+        """Ping a node's address to learn which process answers there, after frames from a process not known yet."""
         if (
             now - self._identity_ping_at.get(identity.name, now - self.timing.suspect_ping_interval)
             < self.timing.suspect_ping_interval
@@ -132,7 +133,7 @@
         self._ping_once(identity.name, now)
 
     def _relay_probe(self, now: int, request: PingRequest, sender: str) -> None:
-        """Probe a node on behalf of another, while few enough such probes are in flight."""
+        """Probe a node on behalf of another, unless too many such probes are in flight."""
         if request.node not in self.membership.names or request.node == self.me.name:
             return
         if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
--- a/lynxscale/relay/cluster/proposal.py
+++ b/lynxscale/relay/cluster/proposal.py
@@ -1,4 +1,4 @@
-"""One proposal of a membership change: what its proposer knows of the acceptors' answers."""
+"""One proposal of a membership change, with the answers of the acceptors so far."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     number: int
     ballot: Ballot
     change: MembershipChange
-    previously_accepted: bool  # some acceptor has accepted that change before
-    progress_at: int  # when it began, or last had a new answer
+    previously_accepted: bool  # some acceptor has accepted the change before
+    progress_at: int  # start, or time of the last new answer
     retry_at: int
-    reassert_at: int  # when it is next sent to those too that have answered
+    reassert_at: int  # when it is sent again also to acceptors that have answered
     promises: dict[str, tuple[Ballot, MembershipChange | None]] = field(default_factory=dict)
-    ready_at: dict[str, int] = field(default_factory=dict)  # when each that has promised can accept
+    ready_at: dict[str, int] = field(default_factory=dict)  # by acceptor that has promised: when it can accept
     accepted_by: set[str] = field(default_factory=set)
     rejected_by: set[str] = field(default_factory=set)
-    preparing: bool = True  # for promises; else to accept
+    preparing: bool = True  # True in phase 1 (Prepare), False in phase 2 (Accept)
--- a/lynxscale/relay/cluster/proposer.py
+++ b/lynxscale/relay/cluster/proposer.py
@@ -1,4 +1,4 @@
-"""The proposer of Paxos (Lamport 1998): from ``Prepare`` to the decision, waiting for leases to expire between."""
+"""The Paxos proposer (Lamport 1998). Between ``Prepare`` and ``Accept`` it waits for leases to expire."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     Prepare,
     Promise,
     Reject,
-    after,
+    next_view,
 )
 from lynxscale.relay.cluster.proposal import Proposal
 
 
 class Proposer(Acceptor):
-    """Has at most one proposal in flight; its own acceptor is asked by a direct call."""
+    """Has at most one proposal in flight; its own acceptor is called directly."""
 
     def _propose(self, now: int, change: MembershipChange, previously_accepted: bool = False) -> None:
         self._highest_round = max(self._highest_round, self.durable.promised.round) + 1
@@ -39,7 +39,7 @@
         self._send_proposal(now)
 
     def _send_proposal(self, now: int) -> None:
-        """Ask whoever has not answered so far."""
+        """Send the proposal to the acceptors that have not answered yet."""
         proposal = self._proposal
         proposal.retry_at = now + self.timing.retry_interval
         view = self.durable.view
@@ -48,7 +48,7 @@
         message = kind(proposal.number, base, proposal.ballot.round, proposal.change, proposal.previously_accepted)
         asked = self._acceptors() - set(answered)
         if now >= proposal.reassert_at:
-            # Guards against those who have answered and would propose themselves while slower disks still write.
+            # Keeps acceptors that have answered from proposing themselves while those with slower disks still write.
             proposal.reassert_at = now + self.timing.backoff // 3
             asked = self._acceptors()
         for name in sorted(asked - {self.me.name}):
@@ -60,7 +60,7 @@
                 self._on_accept(now, self.me.name, self.me, message)
 
     def _ready_at(self) -> int | None:
-        """When so many of those who have promised can accept that they decide; None: too few have promised."""
+        """Time (µs) at which a quorum of those that have promised can accept; None if too few have promised."""
         ready = self._proposal.ready_at
         names: list[str] = []
         for name, at in sorted(ready.items(), key=lambda row: row[1]):
@@ -70,7 +70,7 @@
         return None
 
     def _accept_when_ready(self, now: int) -> bool:
-        """Ask for acceptance, if the time for it has come."""
+        """Send ``Accept`` if a quorum can accept now; return whether it was sent."""
         proposal = self._proposal
         at = self._ready_at() if proposal.preparing else None
         if at is None or now < at:
@@ -81,22 +81,22 @@
         return True
 
     def _timeout(self, now: int) -> int:
-        """µs for which the proposal may go without a new answer. Guards those whose disks are slow: begun anew it would
-        cost them another write, and never be voted on."""
-        there = {
+        """Time (µs) that the proposal may spend without a new answer. It is longer while a quorum is reachable: a new
+        proposal would cost acceptors with slow disks another write, and might never be voted on."""
+        reachable = {
             name
             for name in self._acceptors() - self._proposal.rejected_by
             if name == self.me.name
             or (self._membership.state(name) is State.ALIVE and self._answered_recently(name, now))
         }
-        return self.timing.extended_proposal_timeout if self._is_quorum(there) else self.timing.proposal_timeout
+        return self.timing.extended_proposal_timeout if self._is_quorum(reachable) else self.timing.proposal_timeout
 
     def _abandon_proposal(self, now: int, reason: str) -> None:
         self._failures += 1
-        rest = self.timing.backoff * (1 + min(self._failures, 4)) * self._random.uniform(0.5, 1.5)
+        delay = self.timing.backoff * (1 + min(self._failures, 4)) * self._random.uniform(0.5, 1.5)
         self._instructions.append(LogEvent("proposal_failed", {"number": self._proposal.number, "why": reason}))
         self._proposal = self._wanted_change = None
-        self._backoff_until = now + int(rest)
+        self._backoff_until = now + int(delay)
 
     def _on_promise(self, now: int, sender: str, identity: Identity, message: Promise) -> None:
         proposal = self._proposal
@@ -110,7 +110,7 @@
             return
         _, change = max(proposal.promises.values(), key=lambda row: row[0])
         if change is not None and change != proposal.change:
-            self._propose(now, change, previously_accepted=True)  # it may be decided already: ours has to wait
+            self._propose(now, change, previously_accepted=True)  # it may be decided already, so it goes first
             return
         proposal.previously_accepted = proposal.previously_accepted or change is not None
         self._accept_when_ready(now)
@@ -129,7 +129,7 @@
         recipients = (set(self._acceptors()) | {member.name for member in proposal.change.added}) - {self.me.name}
         for name in sorted(recipients):
             self._send(name, Decided(proposal.number, base, proposal.change))
-        self._install(now, after(view, proposal.change))
+        self._install(now, next_view(view, proposal.change))
 
     def _on_reject(self, now: int, sender: str, identity: Identity, message: Reject) -> None:
         proposal = self._proposal
@@ -139,9 +139,9 @@
         if message.reason != "lease":
             proposal.rejected_by.add(sender)
         if not self._is_quorum(self._acceptors() - proposal.rejected_by):
-            self._abandon_proposal(now, f"{message.reason}, says {sender}")
+            self._abandon_proposal(now, f"rejected ({message.reason}) by {sender}")
         elif message.reason == "promised":
-            self._abandon_proposal(now, f"{sender} has promised another")
+            self._abandon_proposal(now, f"{sender} has promised a higher ballot")
 
     def _is_for_current_proposal(self, message: Promise | Accepted | Reject) -> bool:
         proposal = self._proposal
--- a/lynxscale/relay/cluster/suspicion.py
+++ b/lynxscale/relay/cluster/suspicion.py
@@ -1,4 +1,4 @@
-"""How long a suspicion lasts before the node counts as failed (Lifeguard, section IV.B)."""
+"""Suspicion timeout, after which a suspected node counts as failed (Lifeguard, section IV.B)."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 def suspicion_deadline(record: MemberRecord, reachable: int, health_score: int, timing: DetectorTiming) -> int:
-    """Time (µs) at which a suspicion becomes a failure: the sooner, the more nodes share it.
+    """Time (µs) at which a suspected node counts as failed: the more nodes suspect it, the sooner.
 
     Parameters
     ----------
     record
-        The suspected node's.
+        The suspected node's record.
     reachable
         Nodes that are alive or suspected, this one included.
     health_score
-        This node's own; the worse it is, the longer it waits.
+        This node's own score; the worse it is, the longer the timeout.
     timing
-        Bounds of a suspicion and the number of confirmations that shorten it fully.
+        Bounds of the timeout, and the number of confirmations at which it is shortest.
     """
     required = max(0, min(timing.suspicion_confirmations, reachable - 2))
     scale = max(1.0, math.log10(max(1, reachable)))
--- a/lynxscale/relay/cluster/timing.py
+++ b/lynxscale/relay/cluster/timing.py
@@ -7,55 +7,55 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectorTiming:
-    """µs, unless they are counts. Probe period and timeout stretch with the node's health score."""
+    """Times in µs, and counts. Probe period and probe timeout are extended with the node's health score."""
 
-    probe_period: int = 500_000  # one probe in each
-    probe_timeout: int = 120_000  # until a probe goes again, and by way of others
-    suspect_ping_interval: int = 250_000  # between pings of a node that is suspected
-    indirect_probes: int = 3  # asked for an indirect probe
-    suspicion_min: int = 1_500_000  # of a suspicion that enough others share
-    suspicion_max: int = 4_500_000  # of one that nobody shares
-    suspicion_confirmations: int = 3  # others that are enough
-    health_score_max: int = 4  # by how many periods at most a node stretches its own
-    pause_threshold: int = 700_000  # a turn that comes so much late: the process stood still
-    unreachable_ping_interval: int = 2_000_000  # between pings of nodes that are failed, left or not heard of yet
-    exchange_interval: int = 30_000_000  # between exchanges of full state, at 32 nodes; longer with more
-    unreachable_exchange_interval: int = 10_000_000  # the same with a node that is failed or not heard of yet
-    initial_exchange_interval: int = 500_000  # while nobody has answered
-    retransmit_multiplier: int = 4  # times log2 of the nodes: how often one update is sent
-    gossip_interval: int = 100_000  # between two gossip rounds that do not wait for a probe
+    probe_period: int = 500_000  # one probe is started in each
+    probe_timeout: int = 120_000  # until a probe is retried directly and indirectly
+    suspect_ping_interval: int = 250_000  # between pings of a suspected node
+    indirect_probes: int = 3  # number of helpers for one probe
+    suspicion_min: int = 1_500_000  # timeout of a suspicion with enough confirmations
+    suspicion_max: int = 4_500_000  # timeout of a suspicion without confirmations
+    suspicion_confirmations: int = 3  # number that shortens the timeout to suspicion_min
+    health_score_max: int = 4  # at 4, probe period and timeout are five times as long
+    pause_threshold: int = 700_000  # a tick that is later than this shows that the process was paused
+    unreachable_ping_interval: int = 2_000_000  # between pings of nodes that are failed, left or unknown
+    exchange_interval: int = 30_000_000  # between exchanges of full state with up to 32 nodes; longer with more
+    unreachable_exchange_interval: int = 10_000_000  # between exchanges with nodes that are failed, left or unknown
+    initial_exchange_interval: int = 500_000  # between exchanges until the first answer
+    retransmit_multiplier: int = 4  # an update is sent this number times log2(nodes + 1)
+    gossip_interval: int = 100_000  # least time between gossip rounds besides the probes
     gossip_fanout: int = 2
 
 
 @dataclass(frozen=True, slots=True)
 class ViewTiming:
-    """µs, unless they are counts."""
+    """Times in µs, counts and a ratio."""
 
     lease: int = 2_500_000
-    clock_drift: float = 0.02  # by which clocks may go apart; what is granted is held so much longer
-    stable_for: int = 300_000  # for which a change must be wanted before it is proposed
-    rank_delay: int = 400_000  # added for each node of lower rank, so that proposers take turns
+    clock_drift: float = 0.02  # relative rate error of clocks; grantors honour a lease longer by this ratio
+    stable_for: int = 300_000  # time that a change must be wanted before it is proposed
+    rank_delay: int = 400_000  # proposal delay for each possible proposer ranked ahead, to avoid competing proposals
     retry_interval: int = 200_000
-    proposal_timeout: int = 6_000_000  # of a proposal that gets no new answer
-    # The same while enough nodes are reachable to decide it: three times what a bad disk's sync takes.
+    proposal_timeout: int = 6_000_000  # after the last new answer to a proposal
+    # Used instead while a quorum is reachable: three times the duration of a sync on a bad disk.
     extended_proposal_timeout: int = 30_000_000
-    backoff: int = 1_000_000  # after one that failed, at least
-    answer_validity: int = 3_000_000  # for which an answer to a probe shows that a node is there
-    flap_backoff: int = 2_000_000  # after a second removal of a node within a while, doubled by each further one
+    backoff: int = 1_000_000  # least delay after a failed proposal
+    answer_validity: int = 3_000_000  # time for which an answer to a probe shows a node to be reachable
+    flap_backoff: int = 2_000_000  # after a second removal of a node within flap_window; doubles with each further one
     flap_backoff_max: int = 60_000_000
     flap_window: int = 600_000_000
-    committee_size: int = 7  # members that are asked for leases, in larger views
-    max_added: int = 12  # in one change: it has to fit a datagram
+    committee_size: int = 7  # members that grant leases, if a view has more
+    max_added: int = 12  # nodes in one change, which has to fit in a datagram
 
 
 def detector_timing(probe: int) -> DetectorTiming:
     """The detector's times, scaled to the configured probe period (µs)."""
-    usual = DetectorTiming()
-    scale = probe / usual.probe_period
+    default = DetectorTiming()
+    scale = probe / default.probe_period
     return DetectorTiming(
         probe,
         **{
-            name: max(1, int(getattr(usual, name) * scale))
+            name: max(1, int(getattr(default, name) * scale))
             for name in (
                 "probe_timeout",
                 "suspect_ping_interval",
@@ -72,11 +72,11 @@
 
 def view_timing(probe: int) -> ViewTiming:
     """View agreement's times, scaled to the configured probe period (µs)."""
-    usual = ViewTiming()
+    default = ViewTiming()
     scale = probe / DetectorTiming().probe_period
     return ViewTiming(
         **{
-            name: max(1, int(getattr(usual, name) * scale))
+            name: max(1, int(getattr(default, name) * scale))
             for name in (
                 "lease",
                 "stable_for",
--- a/lynxscale/relay/cluster/view_change.py
+++ b/lynxscale/relay/cluster/view_change.py
@@ -1,28 +1,29 @@
 """View agreement of one node: numbered views, each decided by a majority of the one before. No I/O, no clock.
 
 Each view is one decision of single-decree Paxos (Lamport 1998) among the members of the view before it; the value is a
-membership change. View 1 is decided by all configured nodes, as a node without durable state cannot know whether there
-ever was one. A promise is on disk before it is sent (``PersistState``), so that a vote outlives a restart; a node whose
-state is lost, or older than what others have seen of it, does not vote until a view decided without its vote has taken
-it in by its new generation.
+membership change. View 1 has to be accepted by all configured nodes, as a node without durable state cannot know
+whether there was a view before. A promise is on disk before it is sent (``PersistState``), so that it survives a
+restart. A node whose state is lost, or older than what others have seen of it, does not vote until a view that was
+decided without its vote contains its new generation.
 
-A member may act while it holds a lease of a majority (Gray, Cheriton 1989). The lease counts from the moment of the
-request, by the requester's clock; whoever grants it accepts no view without the requester until it has expired, by its
-own clock and a margin for clock drift. A node that has accepted a change grants nothing more in this view; and after a
-new view, as after a start, no removal is accepted while leases granted before may still be valid. So no view without a
-node begins while that node may still act, also where it has not heard of the views between.
+A member may act while it holds a lease from a majority (Gray, Cheriton 1989). A lease starts at the time of its request
+by the requester's clock. Its grantor accepts no view without the requester until the lease has expired by the grantor's
+own clock, with a margin for clock drift. A node that has accepted a change grants no further leases in this view. After
+a new view, and after a start, no removal is accepted while leases granted earlier may still be valid. So no view
+without a node begins while that node may still act, even if the node has not received the views in between.
 
-A promise says how long such leases remain valid, and no more of them are granted; the proposer sends ``Accept`` once
-they have expired at a quorum. So no node waits with an accepted change, granting nothing, for others' leases.
+A promise states how long the leases remain valid that forbid accepting the change, and the acceptor grants no more of
+them. The proposer sends ``Accept`` once they have expired at a quorum. So no acceptor has to wait for the leases of
+others with a change accepted, unable to grant leases itself.
 
 Status of a node:
 
-    forming    no view yet: not all nodes have been heard, or view 1 is being decided
-    joining    there is a view, and this generation is not in it
+    forming    no view yet: some nodes have not been heard from, or view 1 is being decided
+    joining    there is a view, but it does not contain this generation
     cut_off    in the view, without a lease: no majority answers
     member     in the view, with a lease: it may act
 
-Times are µs on a clock that goes on while the machine sleeps.
+Times are µs on a clock that also counts time in which the machine is suspended.
 """
 
 from __future__ import annotations
@@ -50,23 +51,23 @@
     Reject,
     View,
     ViewMessage,
-    after,
     committee_of,
+    next_view,
 )
 from lynxscale.relay.cluster.proposer import Proposer
 
-CONSIDER_INTERVAL = 100_000  # µs between looks at whether a change is wanted
-IDLE_INTERVAL = 500_000  # µs; the same while nothing is wanted
+CONSIDER_INTERVAL_US = 100_000  # between checks whether a change is wanted
+IDLE_CONSIDER_INTERVAL_US = 500_000  # the same while no change is wanted
 
 
 class ViewAgreement(Proposer):
-    """One node's view agreement: its events, and which change it proposes when."""
+    """One node's view agreement: handles events, and decides which change to propose and when."""
 
     # Events --------------------------------------------------------------------------------------
 
     def next_deadline(self) -> int:
-        """Time (µs) at which ``tick`` has to be called, at the latest."""
-        times = [self._next_look_at, self._next_request_at]
+        """Latest time (µs) at which ``tick`` has to be called."""
+        times = [self._next_consider_at, self._next_request_at]
         proposal = self._proposal
         if proposal is not None:
             times.append(proposal.retry_at)
@@ -76,19 +77,19 @@
 
     @property
     def proposing(self) -> bool:
-        """Is a proposal of this node in flight?"""
+        """Whether a proposal of this node is in flight."""
         return self._proposal is not None
 
     def membership_changed(self, now: int) -> None:
-        """The membership table has changed: consider a proposal soon."""
-        self._next_look_at = min(self._next_look_at, now)
+        """Consider a proposal soon, as the membership table has changed."""
+        self._next_consider_at = min(self._next_consider_at, now)
 
     def tick(self, now: int) -> list[ViewInstruction]:
-        """Run whatever is due."""
-        if now >= self._next_look_at:
+        """Run everything that is due."""
+        if now >= self._next_consider_at:
             self._consider_proposal(now)
             idle = self._wanted_change is None and self._proposal is None and self.status is ViewStatus.MEMBER
-            self._next_look_at = now + (IDLE_INTERVAL if idle else CONSIDER_INTERVAL)
+            self._next_consider_at = now + (IDLE_CONSIDER_INTERVAL_US if idle else CONSIDER_INTERVAL_US)
             if self._persist_counts_at and now >= self._persist_counts_at:
                 self._persist(self.durable)
         if now >= self._next_request_at:
@@ -103,13 +104,13 @@
         return self._take_instructions(now)
 
     def retry_proposal(self, now: int) -> list[ViewInstruction]:
-        """Retry the proposal in flight, whether or not its time has come."""
+        """Retry the proposal in flight, even before its retry time."""
         if self._proposal is not None and not self._accept_when_ready(now):
             self._send_proposal(now)
         return self._take_instructions(now)
 
     def propose(self, now: int, change: MembershipChange) -> list[ViewInstruction]:
-        """Propose that change."""
+        """Propose a change."""
         self._propose(now, change)
         return self._take_instructions(now)
 
@@ -119,13 +120,13 @@
         return self._take_instructions(now)
 
     def receive(self, now: int, sender: str, identity: Identity, message: ViewMessage) -> list[ViewInstruction]:
-        """A message of another node; ``identity``: the process that sent it."""
+        """Process a message of another node; ``identity``: the process that sent it."""
         if sender in self.names:
             HANDLERS[type(message)](self, now, sender, identity, message)
         return self._take_instructions(now)
 
     def peer_view_seen(self, now: int, sender: str, number: int, write_count: int) -> list[ViewInstruction]:
-        """The head of a frame carried a peer's view number and write count."""
+        """Process the view number and write count in a frame of a peer."""
         if sender not in self.names:
             return []
         self._observe_write_count(now, sender, write_count)
@@ -137,7 +138,7 @@
     def receive_exchange(
         self, now: int, sender: str, view: View | None, write_counts: Mapping[str, int]
     ) -> list[ViewInstruction]:
-        """An exchange with a peer: its view, and the write counts that it knows."""
+        """Process a peer's exchange: its view, and the write counts that it knows."""
         if sender not in self.names:
             return []
         for name, write_count in write_counts.items():
@@ -151,14 +152,14 @@
         return self._take_instructions(now)
 
     def renew(self, now: int, me: Identity) -> list[ViewInstruction]:
-        """A new generation of this process; leases of the one before are not its own."""
+        """Start a later generation of this process, without the leases of the one before."""
         self.me = me
         self._grant_times.clear()
         self._request_times.clear()
         return self._take_instructions(now)
 
     def reconfigure(self, now: int, names: Iterable[str]) -> list[ViewInstruction]:
-        """The configuration has changed: these are the nodes."""
+        """Apply a changed configuration; ``names`` are its nodes."""
         self.names = frozenset(names) | {self.me.name}
         for table in (self.peer_views, self.write_counts):
             for name in set(table) - self.names:
@@ -166,24 +167,24 @@
         return self._take_instructions(now)
 
     def forget(self, now: int, name: str) -> str:
-        """An operator says that a machine is gone for good; why it cannot be, or an empty text."""
+        """Declare a node permanently gone, on an operator's request. Return why that is refused, or an empty string."""
         view = self.durable.view
         if name == self.me.name:
-            return "that is this node itself"
+            return "a node cannot declare itself gone"
         if view is None or name not in view.names:
             return f"{name} is not in the view"
         if self._membership.state(name) is State.ALIVE:
             return f"{name} is alive; stop it first"
         self.declared_gone.add(name)
-        self._next_look_at = now
+        self._next_consider_at = now
         return ""
 
     def leave(self, now: int) -> list[ViewInstruction]:
-        """Graceful shutdown: this process acts no more and releases its leases."""
+        """Graceful shutdown: stop acting and release this process's leases."""
         view = self.durable.view
-        held = self.me in view.members if view is not None else False
+        is_member = self.me in view.members if view is not None else False
         self.leaving = True
-        if held:
+        if is_member:
             for name in committee_of(view, self.timing.committee_size) - {self.me.name}:
                 self._send(name, LeaseRelease(view.number))
         return self._take_instructions(now)
@@ -191,7 +192,7 @@
     # Wanted change -------------------------------------------------------------------------------
 
     def _consider_proposal(self, now: int) -> None:
-        """Propose a view where one is wanted and it is this node's turn."""
+        """Propose a change if one is wanted and it is this node's turn."""
         votes = self.votes(now)
         if not votes and self.durable.votes and now >= self._next_check_at:
             self._next_check_at = now + self.timing.stable_for
@@ -204,7 +205,7 @@
                 self._instructions.append(FetchView(name))
         change = None
         if votes and not (self.leaving or self._proposal):
-            # What has been accepted is brought to its end first: until then nobody grants leases here.
+            # An accepted change is completed first: until it is decided, this node grants no leases.
             change = self.durable.accepted or self._wanted_membership_change(now)
         if change is None:
             if self._proposal is None:
@@ -220,11 +221,13 @@
             self._propose(now, change)
 
     def _proposer_rank(self) -> int:
-        """This node's rank among possible proposers."""
+        """This node's rank among the possible proposers."""
         view = self.durable.view
         names = self.names if view is None else view.names
-        there = sorted(name for name in names if name == self.me.name or self._membership.state(name) is State.ALIVE)
-        return there.index(self.me.name) if self.me.name in there else len(there)
+        candidates = sorted(
+            name for name in names if name == self.me.name or self._membership.state(name) is State.ALIVE
+        )
+        return candidates.index(self.me.name) if self.me.name in candidates else len(candidates)
 
     def _wanted_membership_change(self, now: int) -> MembershipChange | None:
         view = self.durable.view
@@ -235,12 +238,12 @@
             if member.name == self.me.name:
                 continue
             record = self._membership.get(member.name)
-            over = member.name in self.declared_gone or (
+            is_gone = member.name in self.declared_gone or (
                 record is not None
                 and record.update.identity[1:] >= member[1:]
                 and record.update.state in (State.FAILED, State.LEFT)
             )
-            if over:
+            if is_gone:
                 removed.append(member.name)
         for name in sorted(self.names - set(removed)):
             present, listed = self._current_identity(name), view.identity_of(name)
@@ -251,13 +254,13 @@
             if name != self.me.name and not self._answered_recently(name, now):
                 continue
             added.append(present)
-        # Most of those who are in it stay: what follows is decided by people who know what came before.
-        room = (len(view.members) - 1) // 2
-        change = MembershipChange(tuple(removed[:room]), tuple(added[: self.timing.max_added]))
+        # A majority of the members stays, so that the next change is decided mostly by nodes that know this view.
+        max_removed = (len(view.members) - 1) // 2
+        change = MembershipChange(tuple(removed[:max_removed]), tuple(added[: self.timing.max_added]))
         return change if change.removed or change.added else None
 
     def _first_view_change(self, now: int) -> MembershipChange | None:
-        """View 1, once all that the file names are there and none of them knows of a view."""
+        """The change to view 1, once all configured nodes are alive and none of them knows a view."""
         present = [self._current_identity(name) for name in sorted(self.names)]
         if None in present or any(self.peer_views.get(name, 1) for name in self.names - {self.me.name}):
             return None
@@ -272,7 +275,7 @@
     def _on_decided(self, now: int, sender: str, identity: Identity, message: Decided) -> None:
         view = self.durable.view
         if message.number == self.number + 1 and message.base == (view.digest if view is not None else 0):
-            self._install(now, after(view, message.change))
+            self._install(now, next_view(view, message.change))
         elif message.number > self.number:
             self._fetch_view(now, sender)
 
@@ -293,8 +296,8 @@
             self._instructions.append(
                 LogEvent("standing", {"now": status.value, "before": before.value, "view": self.number})
             )
-        out, self._instructions = self._instructions, []
-        return out
+        instructions, self._instructions = self._instructions, []
+        return instructions
 
 
 HANDLERS: dict[type, Callable] = {
--- a/lynxscale/relay/fleet/__init__.py
+++ b/lynxscale/relay/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Statistics of many relays: the traffic that each reports in its log, and sums over all of their logs."""
+"""Statistics of a fleet of relays: traffic that each relay reports in its log, and sums over the logs of all."""
--- a/tests/relay/cluster/test_failure_detector.py
+++ b/tests/relay/cluster/test_failure_detector.py
@@ -33,7 +33,7 @@
     assert StartGeneration(8) in detector().receive(1000, message("r2", frame.Gossip(), [later]))
     assert not [
         order
-        for order in detector().receive(1000, message("r2", frame.Exchange(True), [later]), reached=False)
+        for order in detector().receive(1000, message("r2", frame.Exchange(True), [later]), inbound=False)
         if isinstance(order, StartGeneration)
     ]
 
--- a/tests/relay/cluster/test_frame.py
+++ b/tests/relay/cluster/test_frame.py
@@ -41,8 +41,8 @@
 
 @given(st.binary(max_size=200))
 def test_an_invalid_message_behind_a_valid_checksum_is_rejected(data):
-    head = frame.HEAD.pack(frame.MAGIC, frame.VERSION, KEY, len(data)) + data
-    whole = head + frame.TAIL.pack(frame.crc32c(head))
+    head = frame.HEADER.pack(frame.MAGIC, frame.VERSION, KEY, len(data)) + data
+    whole = head + frame.TRAILER.pack(frame.crc32c(head))
     try:
         message = frame.decode(KEY, whole)
     except FrameError as error:
@@ -66,7 +66,7 @@
 def test_a_frame_number_is_accepted_once(numbers):
     window, seen = ReplayWindow(), set()
     for number in numbers:
-        fresh = window.fresh(number)
+        fresh = window.accept(number)
         assert not (fresh and number in seen)
         assert fresh or number in seen or number <= max(seen) - ReplayWindow.SPAN
         seen.add(number)
--- a/tests/relay/cluster/test_frame_sequences.py
+++ b/tests/relay/cluster/test_frame_sequences.py
@@ -48,7 +48,7 @@
         assert frame.decode(KEY, data) == message
         taken = self.taken[message.boot]
         fits = message.number not in taken and message.number > max(taken, default=-1) - ReplayWindow.SPAN
-        assert self.windows[message.boot].fresh(message.number) is fits
+        assert self.windows[message.boot].accept(message.number) is fits
         if fits:
             taken.add(message.number)
 
--- a/tests/relay/cluster/test_live_cluster.py
+++ b/tests/relay/cluster/test_live_cluster.py
@@ -264,7 +264,7 @@
             "foreign": foreign,
             "unknown": ours,
             "version": ours[:3] + b"\x01" + ours[4:],
-            "length": frame.HEAD.pack(frame.MAGIC, frame.VERSION, key, 65_535) + bytes(200),
+            "length": frame.HEADER.pack(frame.MAGIC, frame.VERSION, key, 65_535) + bytes(200),
             "checksum": ours[:-1] + bytes([ours[-1] ^ 1]),
             "unasked": frame.encode(key, whole),
             "message": frame.encode(key, msgspec.structs.replace(tell, view=-1)),
