--- a/tests/relay/cluster/strategies.py
+++ b/tests/relay/cluster/strategies.py
@@ -1,9 +1,8 @@
-"""Hypothesis strategies for the messages and updates of the cluster."""
+"""Hypothesis strategies for the cluster's messages, updates and frames."""
 
 from hypothesis import strategies as st
 
-from lynxscale.relay.cluster import frame
-from lynxscale.relay.cluster import messages as words
+from lynxscale.relay.cluster import frame, messages
 from lynxscale.relay.cluster.frame import Message
 from lynxscale.relay.cluster.membership_table import Identity, MemberUpdate, State
 from lynxscale.relay.cluster.messages import Ballot, MembershipChange, View
@@ -15,15 +14,15 @@
 CHANGES = st.builds(MembershipChange, st.tuples(NAMES), st.tuples(IDENTITIES), SMALL)
 BALLOTS = st.builds(Ballot, SMALL, NAMES, SMALL)
 VIEW_MESSAGES = st.one_of(
-    st.builds(words.Prepare, SMALL, SMALL, SMALL, CHANGES, st.booleans()),
-    st.builds(words.Promise, SMALL, BALLOTS, BALLOTS, st.none() | CHANGES, SMALL),
-    st.builds(words.Accept, SMALL, SMALL, SMALL, CHANGES, st.booleans()),
-    st.builds(words.Accepted, SMALL, BALLOTS),
-    st.builds(words.Reject, SMALL, BALLOTS, SMALL, st.just("lease")),
-    st.builds(words.Decided, SMALL, SMALL, CHANGES),
-    st.builds(words.LeaseRequest, SMALL, SMALL, SMALL),
-    st.builds(words.LeaseGrant, SMALL, SMALL),
-    st.builds(words.LeaseRelease, SMALL),
+    st.builds(messages.Prepare, SMALL, SMALL, SMALL, CHANGES, st.booleans()),
+    st.builds(messages.Promise, SMALL, BALLOTS, BALLOTS, st.none() | CHANGES, SMALL),
+    st.builds(messages.Accept, SMALL, SMALL, SMALL, CHANGES, st.booleans()),
+    st.builds(messages.Accepted, SMALL, BALLOTS),
+    st.builds(messages.Reject, SMALL, BALLOTS, SMALL, st.just("lease")),
+    st.builds(messages.Decided, SMALL, SMALL, CHANGES),
+    st.builds(messages.LeaseRequest, SMALL, SMALL, SMALL),
+    st.builds(messages.LeaseGrant, SMALL, SMALL),
+    st.builds(messages.LeaseRelease, SMALL),
 )
 BODIES = st.one_of(
     st.builds(frame.Ping, SMALL, NAMES),
--- a/tests/relay/cluster/test_frame_sequences.py
+++ b/tests/relay/cluster/test_frame_sequences.py
@@ -1,4 +1,4 @@
-"""Frames against a plain model, over a network that loses, duplicates, reorders and corrupts them."""
+"""Frames and replay windows against a model, over a network that loses, duplicates, reorders and corrupts frames."""
 
 import pytest
 from hypothesis import settings
@@ -14,68 +14,68 @@
 
 
 class Wire(RuleBasedStateMachine):
-    """One sender with two lives of its process, and a way that loses, doubles, reorders, keeps and spoils frames."""
+    """Two processes of one sender, and a network that loses, duplicates, reorders, delays and corrupts their frames."""
 
     def __init__(self) -> None:
         super().__init__()
         self.numbers = {5: 0, 6: 0}  # by boot
         self.frames: list[tuple[Message, bytes]] = []
         self.windows = {5: ReplayWindow(), 6: ReplayWindow()}
-        self.taken: dict[int, set[int]] = {5: set(), 6: set()}
+        self.accepted: dict[int, set[int]] = {5: set(), 6: set()}
 
     @rule(boot=st.sampled_from((5, 6)), lost=st.integers(0, 150), size=st.integers(0, 3))
     def sends(self, boot, lost, size):
-        """One frame, behind so many that nobody will ever see."""
+        """Send one frame, after ``lost`` frames that never arrive."""
         self.numbers[boot] += 1 + lost
-        news = [MemberUpdate(f"r{place}", 1, 1, place, State.SUSPECT, "r1") for place in range(size)]
-        message = Message("r1", 1, boot, 0, self.numbers[boot], 0, 3, 4, frame.Ping(size), news)
+        updates = [MemberUpdate(f"r{place}", 1, 1, place, State.SUSPECT, "r1") for place in range(size)]
+        message = Message("r1", 1, boot, 0, self.numbers[boot], 0, 3, 4, frame.Ping(size), updates)
         self.frames.append((message, frame.encode(KEY, message)))
 
     @rule(boot=st.sampled_from((5, 6)), apart=st.sampled_from((1, ReplayWindow.SPAN - 1, ReplayWindow.SPAN)))
-    def two_change_places(self, boot, apart):
+    def two_arrive_in_reverse_order(self, boot, apart):
         self.sends(boot, 0, 0)
         self.sends(boot, apart - 1, 0)
         self.delivers(len(self.frames) - 1)
         self.delivers(len(self.frames) - 2)
 
-    def one(self, place: int) -> tuple[Message, bytes]:
-        return self.frames[place % len(self.frames)]
+    def frame_at(self, index: int) -> tuple[Message, bytes]:
+        return self.frames[index % len(self.frames)]
 
     @precondition(lambda self: self.frames)
     @rule(place=st.integers(0, 1 << 16))
     def delivers(self, place):
-        message, data = self.one(place)
+        message, data = self.frame_at(place)
         assert frame.decode(KEY, data) == message
-        taken = self.taken[message.boot]
-        fits = message.number not in taken and message.number > max(taken, default=-1) - ReplayWindow.SPAN
-        assert self.windows[message.boot].accept(message.number) is fits
-        if fits:
-            taken.add(message.number)
+        accepted = self.accepted[message.boot]
+        is_new = message.number not in accepted and message.number > max(accepted, default=-1) - ReplayWindow.SPAN
+        assert self.windows[message.boot].accept(message.number) is is_new
+        if is_new:
+            accepted.add(message.number)
 
     @precondition(lambda self: self.frames)
     @rule(place=st.integers(0, 1 << 16), at=st.integers(0, 1 << 16), bit=st.integers(0, 7))
-    def spoils(self, place, at, bit):
-        data = bytearray(self.one(place)[1])
+    def corrupts_a_bit(self, place, at, bit):
+        data = bytearray(self.frame_at(place)[1])
         data[at % len(data)] ^= 1 << bit
-        self.refused(bytes(data), KEY)
+        self.assert_rejected(bytes(data), KEY)
 
     @precondition(lambda self: self.frames)
     @rule(place=st.integers(0, 1 << 16), other=st.integers(0, 1 << 16), at=st.integers(0, 1 << 16))
-    def cuts_and_glues(self, place, other, at):
-        one, two = self.one(place)[1], self.one(other)[1]
-        self.refused(one[: at % len(one)], KEY)
-        self.refused(one + two, KEY)
-        at %= min(len(one), len(two))
-        if one[:at] + two[at:] not in (one, two):
-            self.refused(one[:at] + two[at:], KEY)
+    def truncates_and_joins(self, place, other, at):
+        first, second = self.frame_at(place)[1], self.frame_at(other)[1]
+        self.assert_rejected(first[: at % len(first)], KEY)
+        self.assert_rejected(first + second, KEY)
+        at %= min(len(first), len(second))
+        if first[:at] + second[at:] not in (first, second):
+            self.assert_rejected(first[:at] + second[at:], KEY)
 
     @precondition(lambda self: self.frames)
     @rule(place=st.integers(0, 1 << 16))
     def comes_from_another_cluster(self, place):
-        self.refused(self.one(place)[1], FOREIGN)
+        self.assert_rejected(self.frame_at(place)[1], FOREIGN)
 
     @staticmethod
-    def refused(data: bytes, key: int) -> None:
+    def assert_rejected(data: bytes, key: int) -> None:
         with pytest.raises(FrameError):
             frame.decode(key, data)
 
--- a/tests/relay/cluster/test_model_checking.py
+++ b/tests/relay/cluster/test_model_checking.py
@@ -1,4 +1,4 @@
-"""The checkers of view agreement: they find injected mistakes, and nothing in the code as it is."""
+"""Model checking of view agreement: the checkers find injected mistakes, and no violation in the unchanged code."""
 
 import pytest
 
@@ -6,12 +6,12 @@
 from lab.model_checker import InvariantViolation
 
 
-def _lease_by_the_last_look(core):
+def _extend_lease(core):
     until = core.agreement.lease_until
     core.agreement.lease_until = lambda now: until(now) and until(now) + 3_000_000
 
 
-# Which of the scenarios that are searched in whole shows a mistake.
+# By mistake: index of the scenario whose exhaustive search finds it.
 SHOWN_BY = {
     mistakes.AcceptedIgnored: 0,
     mistakes.HalfIsEnough: 1,
@@ -40,33 +40,33 @@
 def test_no_order_of_events_breaks_an_invariant(scenario):
     searched = check.Check(scenario)
     print(searched.run(), "states")
-    assert len(searched.views) > 1  # else nothing was decided, and it proves nothing
+    assert len(searched.views) > 1  # otherwise no view was decided, and the search proves nothing
 
 
 @pytest.mark.parametrize("mistake", [mistakes.HalfIsEnough, mistakes.LeaseTooLong, mistakes.NoWaitAfterAView])
 def test_random_walks_find_injected_mistakes(mistake):
-    def put(one):
-        mistakes.spoil(mistake, one, 0)
+    def inject(agreement):
+        mistakes.spoil(mistake, agreement, 0)
 
-    assert found_by(lambda seed: explore.walk(3 + seed % 3, seed, mistake=put), 1500).startswith("walk ")
+    assert found_by(lambda seed: explore.walk(3 + seed % 3, seed, mistake=inject), 1500).startswith("walk ")
 
 
 def test_simulated_histories_find_a_lease_that_is_too_long():
-    play = lambda seed: simulate.history(3 + seed % 5, seed, seconds=12, mistake=_lease_by_the_last_look)  # noqa: E731
+    play = lambda seed: simulate.history(3 + seed % 5, seed, seconds=12, mistake=_extend_lease)  # noqa: E731
     assert found_by(play, 400).startswith("seed ")
 
 
-def found_by(play, most: int) -> str:
-    """What the first breach says, of so many seeds."""
-    for seed in range(most):
+def found_by(play, max_seeds: int) -> str:
+    """The message of the first violation among ``max_seeds`` seeds."""
+    for seed in range(max_seeds):
         try:
             play(seed)
-        except InvariantViolation as breach:
-            return str(breach)
+        except InvariantViolation as violation:
+            return str(violation)
     return "nothing was found"
 
 
 @pytest.mark.parametrize("block", range(4))
 def test_random_walks_keep_the_invariants(block):
     decided = sum(max(explore.walk(3 + seed % 3, seed).decided) - 1 for seed in range(block * 100, block * 100 + 100))
-    assert decided > 40  # else they prove nothing
+    assert decided > 40  # otherwise the walks prove nothing
--- a/tests/relay/test_fleet_report.py
+++ b/tests/relay/test_fleet_report.py
@@ -1,4 +1,4 @@
-"""Counting over a fleet: what a relay tells of its traffic, and the sums over many relays' logs."""
+"""Fleet statistics: the traffic that a relay reports in its log, and the sums over the logs of many relays."""
 
 import json
 import os
@@ -14,22 +14,22 @@
 from lynxscale.relay.fleet.lines import parse
 from tests.relay.node import NodeCase
 
-T = "2026-12-01T10:00:{:06.3f}Z"
+TIMESTAMP = "2026-12-01T10:00:{:06.3f}Z"
 
 
-def log(folder: Path, relay: str, *lines: tuple[float, str], end: str = "\n") -> None:
-    text = "\n".join(f"ts={T.format(at)} level=info event={rest}" for at, rest in lines)
+def write_log(folder: Path, relay: str, *lines: tuple[float, str], end: str = "\n") -> None:
+    text = "\n".join(f"ts={TIMESTAMP.format(at)} level=info event={rest}" for at, rest in lines)
     (folder / f"{relay}.log").write_text(text + end)
 
 
-def counted(folder: Path, *words: str) -> dict:
-    run = CliRunner().invoke(program, ["fleet", "count", "--json", *words, str(folder)])
+def count(folder: Path, *options: str) -> dict:
+    run = CliRunner().invoke(program, ["fleet", "count", "--json", *options, str(folder)])
     assert run.exit_code == 0, run.output
     return json.loads(run.stdout)
 
 
-def test_sums_over_relays_by_span_and_destination(tmp_path):
-    log(
+def test_sums_over_relays_by_interval_and_destination(tmp_path):
+    write_log(
         tmp_path,
         "n1",
         (0.0, "ready name=n1"),
@@ -37,7 +37,7 @@
         (5.1, "load span_ms=5000 held=3 out=1"),
         (6.0, 'module text="dest 4 endpoint 9 failing"'),
     )
-    log(
+    write_log(
         tmp_path,
         "n2",
         (0.4, "ready name=n2"),
@@ -46,7 +46,7 @@
         (8.5, 'module text="dest 4 endpoint 9 failing"'),
         (9.0, "connection kind=group reason=timed_out calls=1"),
     )
-    found = counted(tmp_path)
+    found = count(tmp_path)
     assert found["traffic"][0] == {
         "from_s": 0.0,
         "dest": "4",
@@ -67,8 +67,8 @@
     assert found["ended"] == {"group timed_out": 1}
 
 
-def test_lines_that_cannot_be_read_are_named_and_the_others_count(tmp_path):
-    log(
+def test_unreadable_lines_are_reported_and_the_others_counted(tmp_path):
+    write_log(
         tmp_path,
         "n1",
         (1.0, "traffic dest=1 span_ms=1000 ok=2"),
@@ -81,40 +81,40 @@
             b"\nTraceback (most recent call last):\n\xff\xfe\nevent=traffic ok=1\n0.5 ts=nonsense event=load\n{\n"
             b"ts=2026-12-01T10:00:04Z event=traffic dest=1 ok="
         )
-    found = counted(tmp_path)
+    found = count(tmp_path)
     assert sum(row.get("ok", 0) for row in found["traffic"]) == 6
-    places = [name.split(" ")[0] for name in found["unread"]["named"]]
-    assert places == [f"n1.log:{number}:" for number in (4, 5, 6, 7, 8, 9)] and found["unread"]["count"] == 6
+    positions = [name.split(" ")[0] for name in found["unread"]["named"]]
+    assert positions == [f"n1.log:{number}:" for number in (4, 5, 6, 7, 8, 9)] and found["unread"]["count"] == 6
 
 
 @pytest.mark.parametrize(
-    "words, wanted", [(["--every", "1ms"], "100ms"), (["--every", "soon"], "100ms"), ([], "no such file")]
+    "options, expected", [(["--every", "1ms"], "100ms"), (["--every", "soon"], "100ms"), ([], "no such file")]
 )
-def test_misuse_is_told(tmp_path, words, wanted):
-    run = CliRunner().invoke(program, ["fleet", "count", *words, str(tmp_path)])
-    assert run.exit_code and wanted in run.output
+def test_invalid_usage_is_reported(tmp_path, options, expected):
+    run = CliRunner().invoke(program, ["fleet", "count", *options, str(tmp_path)])
+    assert run.exit_code and expected in run.output
 
 
-def test_quoted_values_json_and_a_stamp_in_front_are_read():
-    line = parse(f'  12.5 ts={T.format(1)} level=info event=module text="a \\"b\\" c"', "n1")
+def test_quoted_values_json_and_a_leading_timestamp_are_parsed():
+    line = parse(f'  12.5 ts={TIMESTAMP.format(1)} level=info event=module text="a \\"b\\" c"', "n1")
     assert (line.event, line.fields["text"]) == ("module", 'a "b" c')
-    assert parse(json.dumps({"ts": T.format(1), "event": "load", "held": 3}), "n1").fields == {"held": 3}
+    assert parse(json.dumps({"ts": TIMESTAMP.format(1), "event": "load", "held": 3}), "n1").fields == {"held": 3}
 
 
-def test_a_relay_tells_of_its_busiest_destinations_and_of_all_others_together():
-    one = tally.Tally(0)
+def test_a_relay_reports_its_busiest_destinations_and_the_sum_of_the_others():
+    traffic = tally.Tally(0)
     for number in range(tally.MAX_DESTINATIONS + 8):
         for _ in range(2 if number >= 8 else 1):
-            one.add(number, "ok")
-    lines = one.lines(5_000_000, {"group": {"asked": 3}}, {"held": 2})
+            traffic.add(number, "ok")
+    lines = traffic.lines(5_000_000, {"group": {"asked": 3}}, {"held": 2})
     assert len(lines) == tally.MAX_DESTINATIONS + 2 and {fields["span_ms"] for _, fields in lines} == {5000}
     assert lines[-2][1] == {"dest": "others", "span_ms": 5000, "ok": 8}
     assert lines[-1] == ("load", {"span_ms": 5000, "held": 2, "lists_asked": 3})
-    assert one.lines(6_000_000, {"group": {"asked": 3}}, {"held": 0}) == []
+    assert traffic.lines(6_000_000, {"group": {"asked": 3}}, {"held": 0}) == []
 
 
-class Told(NodeCase):
-    def test_a_relay_tells_its_traffic(self):
+class TrafficReport(NodeCase):
+    def test_a_relay_reports_its_traffic(self):
         conf = Path(self.folder.name, "own.conf")
         conf.write_text("begin log\n    traffic 100ms\nend log\n")
         answers = [reply(503), reply(200)]
@@ -123,8 +123,8 @@
             self.start()
         self.client().hand_in("m1")
         self.delivered(1)
-        until(lambda: " ok=1" in self.log.read_text(), "its line")
-        found = counted(self.log.parent / "log", "--every", "1h")
+        until(lambda: " ok=1" in self.log.read_text(), "the traffic line")
+        found = count(self.log.parent / "log", "--every", "1h")
         row = found["traffic"][0]
         self.assertEqual(
             {name: row[name] for name in ("dest", "offered", "calls", "ok", "full")},
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What forty senders do together that none of them does alone: the real module in simulated time, by fixed seeds."""
+"""Collective behaviour of a fleet: forty senders with the real module in simulated time, by fixed seeds."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_an_overloaded_limit_is_used_and_not_used_up_by_refusals(seed):
+def test_an_overloaded_limit_is_used_and_not_spent_on_refusals(seed):
     fleet = Fleet(seed, [45.0, 110.0], [70.0, 90.0])
     fleet.run(30_000.0)
     taken, refused = fleet.sums(0, 5, 30)
@@ -33,30 +33,30 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_after_an_outage_a_cold_destination_is_not_pushed_over_and_serves_in_full_soon(seed):
+def test_after_an_outage_a_destination_that_warms_up_is_not_overloaded_and_soon_serves_in_full(seed):
     fleet = Fleet(seed, [110.0], [90.0])
-    place = fleet.by_number[0]
-    place.down = (6000.0, 11_000.0)
+    destination = fleet.by_number[0]
+    destination.down = (6000.0, 11_000.0)
     fleet.run(26_000.0)
     for begin in range(11, 20):
-        called = sum(place.called[s] for s in range(begin, begin + 3))
-        bears = sum(place.capacity(1000.0 * s) for s in range(begin, begin + 3))
-        assert called <= 2 * bears, (seed, begin, called, bears)
+        calls = sum(destination.called[s] for s in range(begin, begin + 3))
+        capacity = sum(destination.capacity(1000.0 * s) for s in range(begin, begin + 3))
+        assert calls <= 2 * capacity, (seed, begin, calls, capacity)
     early = fleet.sums(0, 11, 16)[0]
-    assert early >= 0.5 * sum(place.capacity(1000.0 * s) for s in range(11, 16)), (seed, early)
+    assert early >= 0.5 * sum(destination.capacity(1000.0 * s) for s in range(11, 16)), (seed, early)
     assert fleet.sums(0, 21, 26)[0] >= 0.85 * 90 * 5, seed
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_restarts_of_most_do_not_overbook_discovery(seed):
+def test_restarts_of_most_senders_do_not_overload_discovery(seed):
     fleet = Fleet(seed, [45.0, 110.0], [30.0, 90.0])
     fleet.run(8000.0)
     fleet.kill(0.7, 2000.0)
     fleet.run(30_000.0)
     asked = [at for at in fleet.asked if at >= 8000.0]
     assert max(sum(at <= t < at + 1000 for t in asked) for at in asked) <= 26, seed
-    late = [node.me for node in fleet.nodes[:28] if not any(10_000 <= t < 16_000 for t in fleet.told[node.me])]
-    assert not late, (seed, late)
+    without_list = [node.me for node in fleet.nodes[:28] if not any(10_000 <= t < 16_000 for t in fleet.told[node.me])]
+    assert not without_list, (seed, without_list)
 
 
 SECOND = Setup(per_call=20, reports=False, spans=True, slots=7, held=100)
@@ -64,7 +64,8 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_deployment_of_the_second_kind_serves_bursts_in_few_calls(seed):
-    """Three senders, counts of 4 and 12 calls a second, 20 messages a call, no reports: bundles carry most of it."""
+    """Three senders, limits of 4 and 12 calls a second, 20 messages a call, no load reports: most messages have to go
+    in bundles."""
     fleet = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=SECOND)
     for second in range(4, 28, 6):
         fleet.run(second * 1000.0)
@@ -76,14 +77,14 @@
         assert refused <= 0.35 * taken, (seed, number, taken, refused)
     alone = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=replace(SECOND, per_call=1))
     alone.run(40_000.0)
-    assert alone.ends["delivered"] < 0.6 * alone.offered, "what one message a call comes to"
+    assert alone.ends["delivered"] < 0.6 * alone.offered, "delivered too much with one message a call"
 
 
-def test_one_seed_gives_one_run():
-    def play() -> tuple:
+def test_the_same_seed_gives_the_same_run():
+    def run() -> tuple:
         fleet = Fleet(5, [20.0, 45.0], [25.0, 40.0])
         fleet.clump(0, 40)
         fleet.run(6000.0)
         return fleet.ends, fleet.sums(0, 0, 6), fleet.offered
 
-    assert play() == play()
+    assert run() == run()
