--- a/lynxscale/relay/cluster/acceptor.py
+++ b/lynxscale/relay/cluster/acceptor.py
@@ -35,7 +35,7 @@
             self._backoff_until = max(self._backoff_until, now + wait + self.timing.backoff)
         promise = SendViewMessage(sender, Promise(message.number, ballot, durable.ballot, durable.accepted, wait))
         if ballot == durable.promised:
-            # Repeats the promise. PersistState orders it after a write of it that may still be in flight.
+            # Repeats the promise, through PersistState because its write to disk may still be in flight.
             self._instructions.append(PersistState(durable, (promise,)))
         else:
             self._persist(durable._replace(promised=ballot), promise)
--- a/lynxscale/relay/cluster/agreement_state.py
+++ b/lynxscale/relay/cluster/agreement_state.py
@@ -39,7 +39,7 @@
 
 
 class AgreementState:
-    """State of one node's view agreement, and how it learns and installs views.
+    """State of one node's view agreement, with the methods that learn and install views.
 
     ``membership`` is the failure detector's table and only read here. ``last_answered`` maps a node to the time (µs)
     at which it last answered a probe of this node; ``peer_views`` maps a peer to the view number that it reports.
--- a/lynxscale/relay/cluster/core.py
+++ b/lynxscale/relay/cluster/core.py
@@ -20,7 +20,7 @@
 from lynxscale.relay.cluster.timing import DetectorTiming, ViewTiming
 from lynxscale.relay.cluster.view_change import ViewAgreement
 
-MAX_REPLAY_WINDOWS = 4  # for each node; one for each of its recent processes, or of processes that share its name
+MAX_REPLAY_WINDOWS = 4  # per node: one for each recent process under its name
 
 
 class Core:
@@ -107,7 +107,7 @@
         return instructions + self._install_view(now)
 
     def _compare_settings(self, name: str, theirs: Mapping[str, int]) -> list[DetectorInstruction | ViewInstruction]:
-        """Log each difference once. It is no error for a while, as files are edited one after the other."""
+        """Log each difference once. Differences are allowed, as files are edited one after the other."""
         groups = tuple(
             sorted(group for group in set(theirs) | set(self.settings) if theirs.get(group) != self.settings.get(group))
         )
@@ -137,7 +137,7 @@
         return self.agreement.receive(now, self.me.name, self.me, message)
 
     def state_persisted(self, durable: DurableState) -> None:
-        """This state is on disk and survives a restart."""
+        """Record that this state is on disk; later messages carry its write count."""
         self._write_count = max(self._write_count, durable.write_count)
 
     def message(self, body: frame.Body, updates: Iterable[MemberUpdate] = ()) -> Message:
@@ -163,7 +163,7 @@
         )
 
     def exchange_finished(self, now: int, failed: bool) -> list[DetectorInstruction | ViewInstruction]:
-        """An exchange started by this node has ended."""
+        """Handle the end of an exchange that this node started."""
         return [*self.detector.exchange_finished(now, failed)]
 
     def renew(self, now: int, generation: int) -> list[DetectorInstruction | ViewInstruction]:
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -42,9 +42,10 @@
 # Limit of sent datagrams. A healthy node in a cluster of sixteen sends an eighth of it.
 MAX_SENT_BYTES_PER_S, MAX_SENT_BYTES_BURST = 8_000, 64_000
 MAX_READ_DATAGRAMS_PER_S, MAX_READ_DATAGRAMS_BURST = 2_000, 4_000  # further ones are dropped undecoded
-# After a turn of the event loop that is this late, the node announces itself as slow, for this long.
+# After a timer tick later than LATE_TURN_US, the node announces itself as slow for SLOW_DURATION_US.
 LATE_TURN_US, SLOW_DURATION_US = 200_000, 10_000_000
-GROUP = "cluster"
+COUNTER_GROUP = "cluster"
+# Reasons for the end of an exchange connection, as logged.
 ANSWERED, ASKED, LATE, BAD, CROWDED = "answered", "asked", "late", "bad_frame", "crowded"
 
 
@@ -188,8 +189,8 @@
 
 
 class Driver:
-    """Executes a core's instructions. ``on_event`` receives those that do not concern network or disk; ``persist``
-    writes durable state to disk and calls back once it is there."""
+    """Executes a core's instructions. ``on_event`` receives those that do not concern network or disk; ``save`` writes
+    durable state to disk and calls back once it is there."""
 
     def __init__(
         self,
@@ -203,15 +204,10 @@
         core: Core,
         probe: int,
         on_event: Callable[[LogEvent | StartGeneration | RemovedFromView], None],
-        persist: Callable[[DurableState, Callable[[], None]], None],
+        save: Callable[[DurableState, Callable[[], None]], None],
     ) -> None:
         self._reactor, self.deadlines, self._clock, self._counters = reactor, deadlines, clock, counters
-        self.key, self._listen, self._on_event, self._persist = (
-            frame.cluster_key(cluster, probe),
-            listen,
-            on_event,
-            persist,
-        )
+        self.key, self._listen, self._on_event, self._save = frame.cluster_key(cluster, probe), listen, on_event, save
         self.core = core
         self._addresses = dict(addresses)
         self._timer: Deadline | None = None
@@ -284,7 +280,7 @@
             else:
                 self._send(instruction.to, self.core.message(view_body(instruction.message)))
         elif isinstance(instruction, PersistState):
-            self._persist(instruction.durable, lambda: self._persisted(instruction))
+            self._save(instruction.durable, lambda: self._persisted(instruction))
         elif isinstance(instruction, StartExchange):
             self._start_exchange(instruction.to)
         elif isinstance(instruction, FetchView):
@@ -309,8 +305,8 @@
         now = self.deadlines.now()
         lateness = now - self._timer.at
         if lateness > LATE_TURN_US:
-            self._counters.add(GROUP, "late_turns")
-            self._counters.most(GROUP, "latest_turn_ms", lateness // 1000)
+            self._counters.add(COUNTER_GROUP, "late_turns")
+            self._counters.most(COUNTER_GROUP, "latest_turn_ms", lateness // 1000)
             self.announce_slow(SLOW_TURN)
         for bit in [bit for bit, until in self._slow.items() if now >= until]:
             del self._slow[bit]
@@ -329,15 +325,15 @@
             return
         data = frame.encode(self.key, message)
         if not self._send_limit.take(self.deadlines.now(), len(data)):
-            self._counters.add(GROUP, "over_budget")
+            self._counters.add(COUNTER_GROUP, "over_budget")
             return
         try:
             self._udp.write(data, address)
         except (OSError, MessageLengthError):
-            self._counters.add(GROUP, "not_sent")  # the protocols tolerate it as a lost datagram
+            self._counters.add(COUNTER_GROUP, "not_sent")  # the protocols tolerate it as a lost datagram
             return
-        self._counters.add(GROUP, "datagrams_out")
-        self._counters.add(GROUP, "bytes_out", len(data))
+        self._counters.add(COUNTER_GROUP, "datagrams_out")
+        self._counters.add(COUNTER_GROUP, "bytes_out", len(data))
 
     def _start_exchange(self, to: str) -> None:
         address = self._addresses.get(to)
@@ -349,7 +345,7 @@
         ):
             return
         self._outbound_peers.add(to)
-        self._counters.add(GROUP, "exchanges")
+        self._counters.add(COUNTER_GROUP, "exchanges")
         self._reactor.connectTCP(*address, OutboundFactory(self, to), timeout=CONNECT_TIMEOUT_S)
 
     # Receiving -----------------------------------------------------------------------------------
@@ -357,10 +353,10 @@
     def datagram_received(self, data: bytes) -> None:
         """Decode and process a received datagram; a rejected one is counted."""
         if not self._read_limit.take(self.deadlines.now(), 1):
-            self._counters.add(GROUP, "dropped_flood")
+            self._counters.add(COUNTER_GROUP, "dropped_flood")
             return
-        self._counters.add(GROUP, "datagrams_in")
-        self._counters.add(GROUP, "bytes_in", len(data))
+        self._counters.add(COUNTER_GROUP, "datagrams_in")
+        self._counters.add(COUNTER_GROUP, "bytes_in", len(data))
         try:
             message = frame.decode(self.key, data)
             if isinstance(message.body, Exchange):
@@ -399,6 +395,6 @@
         """Handle the end of an exchange that this node started."""
         self._outbound_peers.discard(to)
         if failed:
-            self._counters.add(GROUP, "exchanges_failed")
+            self._counters.add(COUNTER_GROUP, "exchanges_failed")
         if self._udp is not None:
             self.execute(self.core.exchange_finished(self._clock.turn_time(), failed))
--- a/lynxscale/relay/cluster/failure_detector.py
+++ b/lynxscale/relay/cluster/failure_detector.py
@@ -68,7 +68,7 @@
         return self._take_instructions(now)
 
     def receive(self, now: int, message: Message, inbound: bool = True) -> list[DetectorInstruction]:
-        """Process a frame. ``inbound``: it was sent to this node's address, not as an answer on our own connection."""
+        """Process a frame. ``inbound``: sent to this node's address, not as an answer on our connection."""
         self._check_pause(now)
         sender = message.sender
         if sender not in self.membership.names or sender == self.me.name:
--- a/lynxscale/relay/cluster/settings.py
+++ b/lynxscale/relay/cluster/settings.py
@@ -27,13 +27,13 @@
 def shared_settings(product: Conf) -> Iterator[Setting]:
     """All settings that have to be the same in every file, in the order of the file's sections."""
     yield Setting("relays", "relays", product.relay.relays)
-    for names, directive, group in (
+    for attribute, directive, group in (
         ("cls", "class", "classes"),
         ("tenant", "tenant", "tenants"),
         ("kind", "kind", "kinds"),
         ("zone", "zone", "zones"),
     ):
-        for row in getattr(product.names, names):
+        for row in getattr(product.names, attribute):
             yield Setting(group, f"{directive} {row['name']}", row)
     for key in SHARED_LIMITS:
         yield Setting("limits", key.replace("_", "-"), getattr(product.limits, key))
--- a/lynxscale/relay/cluster/timing.py
+++ b/lynxscale/relay/cluster/timing.py
@@ -15,8 +15,8 @@
     indirect_probes: int = 3  # number of helpers for one probe
     suspicion_min: int = 1_500_000  # timeout of a suspicion with enough confirmations
     suspicion_max: int = 4_500_000  # timeout of a suspicion without confirmations
-    suspicion_confirmations: int = 3  # number that shortens the timeout to suspicion_min
-    health_score_max: int = 4  # at 4, probe period and timeout are five times as long
+    suspicion_confirmations: int = 3  # number at which the timeout is down to suspicion_min
+    health_score_max: int = 4  # probe period and timeout are multiplied by 1 + health score
     pause_threshold: int = 700_000  # a tick that is later than this shows that the process was paused
     unreachable_ping_interval: int = 2_000_000  # between pings of nodes that are failed, left or unknown
     exchange_interval: int = 30_000_000  # between exchanges of full state with up to 32 nodes; longer with more
--- a/tests/relay/cluster/test_frame_sequences.py
+++ b/tests/relay/cluster/test_frame_sequences.py
@@ -27,7 +27,7 @@
     def sends(self, boot, lost, size):
         """Send one frame, after ``lost`` frames that never arrive."""
         self.numbers[boot] += 1 + lost
-        updates = [MemberUpdate(f"r{place}", 1, 1, place, State.SUSPECT, "r1") for place in range(size)]
+        updates = [MemberUpdate(f"r{index}", 1, 1, index, State.SUSPECT, "r1") for index in range(size)]
         message = Message("r1", 1, boot, 0, self.numbers[boot], 0, 3, 4, frame.Ping(size), updates)
         self.frames.append((message, frame.encode(KEY, message)))
 
@@ -42,9 +42,9 @@
         return self.frames[index % len(self.frames)]
 
     @precondition(lambda self: self.frames)
-    @rule(place=st.integers(0, 1 << 16))
-    def delivers(self, place):
-        message, data = self.frame_at(place)
+    @rule(index=st.integers(0, 1 << 16))
+    def delivers(self, index):
+        message, data = self.frame_at(index)
         assert frame.decode(KEY, data) == message
         accepted = self.accepted[message.boot]
         is_new = message.number not in accepted and message.number > max(accepted, default=-1) - ReplayWindow.SPAN
@@ -53,16 +53,16 @@
             accepted.add(message.number)
 
     @precondition(lambda self: self.frames)
-    @rule(place=st.integers(0, 1 << 16), at=st.integers(0, 1 << 16), bit=st.integers(0, 7))
-    def corrupts_a_bit(self, place, at, bit):
-        data = bytearray(self.frame_at(place)[1])
+    @rule(index=st.integers(0, 1 << 16), at=st.integers(0, 1 << 16), bit=st.integers(0, 7))
+    def corrupts_a_bit(self, index, at, bit):
+        data = bytearray(self.frame_at(index)[1])
         data[at % len(data)] ^= 1 << bit
         self.assert_rejected(bytes(data), KEY)
 
     @precondition(lambda self: self.frames)
-    @rule(place=st.integers(0, 1 << 16), other=st.integers(0, 1 << 16), at=st.integers(0, 1 << 16))
-    def truncates_and_joins(self, place, other, at):
-        first, second = self.frame_at(place)[1], self.frame_at(other)[1]
+    @rule(index=st.integers(0, 1 << 16), other=st.integers(0, 1 << 16), at=st.integers(0, 1 << 16))
+    def truncates_and_joins(self, index, other, at):
+        first, second = self.frame_at(index)[1], self.frame_at(other)[1]
         self.assert_rejected(first[: at % len(first)], KEY)
         self.assert_rejected(first + second, KEY)
         at %= min(len(first), len(second))
@@ -70,9 +70,9 @@
             self.assert_rejected(first[:at] + second[at:], KEY)
 
     @precondition(lambda self: self.frames)
-    @rule(place=st.integers(0, 1 << 16))
-    def comes_from_another_cluster(self, place):
-        self.assert_rejected(self.frame_at(place)[1], FOREIGN)
+    @rule(index=st.integers(0, 1 << 16))
+    def comes_from_another_cluster(self, index):
+        self.assert_rejected(self.frame_at(index)[1], FOREIGN)
 
     @staticmethod
     def assert_rejected(data: bytes, key: int) -> None:
--- a/tests/relay/cluster/test_membership_sequences.py
+++ b/tests/relay/cluster/test_membership_sequences.py
@@ -65,9 +65,9 @@
             self.merge(who, self.updates[-1])
 
     @precondition(lambda self: self.updates)
-    @rule(to=st.sampled_from(NAMES), place=st.integers(0, 1 << 16))
-    def sends_update(self, to, place):
-        self.merge(to, self.updates[place % len(self.updates)])
+    @rule(to=st.sampled_from(NAMES), index=st.integers(0, 1 << 16))
+    def sends_update(self, to, index):
+        self.merge(to, self.updates[index % len(self.updates)])
 
     @rule(who=st.sampled_from(NAMES), names=st.sets(st.sampled_from(NAMES)))
     def is_reconfigured(self, who, names):
@@ -88,9 +88,9 @@
 
     def teardown(self) -> None:
         """Once every table has received all updates, in any order, all hold the same greatest ones."""
-        for place, membership in enumerate(self.tables.values()):
+        for index, membership in enumerate(self.tables.values()):
             membership.reconfigure(NAMES)
-            for update in self.updates[:: 1 if place else -1] * 2:
+            for update in self.updates[:: 1 if index else -1] * 2:
                 membership.merge(update, self.now)
         tables = [
             {record.update.name: order(record.update) for record in membership} for membership in self.tables.values()
