--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -45,13 +45,13 @@
 
 def _of_file(conf: str) -> dict:
     """The status that a relay last wrote into its folder."""
-    from lynxscale.relay.cluster.component import STATUS
+    from lynxscale.relay.cluster.component import STATUS_FILE
     from lynxscale.relay.cluster.durable_state import FOLDER
 
     own = _read(conf)
     if own.cluster.name is None:
         raise CommandFailedError(f"{conf}: it has no section cluster")
-    path = Path(own.relay.state) / FOLDER / STATUS
+    path = Path(own.relay.state) / FOLDER / STATUS_FILE
     try:
         return orjson.loads(path.read_bytes())
     except FileNotFoundError as error:
@@ -220,8 +220,8 @@
     for path, conf in files[1:]:
         differ(path, "name", conf.cluster.name, one.cluster.name)
         differ(path, "probe", conf.cluster.probe, one.cluster.probe)
-        mine = {setting.directive: setting for setting in settings.of(conf)}
-        theirs = {setting.directive: setting for setting in settings.of(one)}
+        mine = {setting.directive: setting for setting in settings.shared_settings(conf)}
+        theirs = {setting.directive: setting for setting in settings.shared_settings(one)}
         for word in theirs | mine:
             none = f"no {word}"
             differ(
