--- a/lynxscale/__main__.py
+++ b/lynxscale/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m lynxscale``: without words the relay, as the platform starts it; with words the commands."""
+"""``python -m lynxscale``: runs the relay if there are no arguments, as the platform starts it, else a command."""
 
 import gc
 import sys
@@ -6,15 +6,16 @@
 
 
 def main() -> None:
-    """Run the relay without arguments, as the platform starts it, else the command that they name."""
+    """Run the command that the arguments name; without arguments run the relay, as the platform starts it."""
     begun = time.monotonic_ns() // 1000
     if len(sys.argv) > 1:
-        from lynxscale.cli import main as commands
+        from lynxscale.cli import main as command_line
 
-        commands()
-    # Guards the start against collections of what imports make and never goes: many relays may start together.
+        command_line()
+    # Imported objects are never freed, so collecting garbage during the start only costs time: many relays may start at
+    # once.
     gc.disable()
-    # Guards against imports that the daemon doesn't need: its memory may be as little as 32 MB.
+    # Imported here, so that the daemon loads only the modules that it needs: its memory may be as little as 32 MB.
     from lynxscale.relay.daemon import main as daemon
 
     sys.exit(daemon(begun=begun))
--- a/lynxscale/dataplane/__init__.py
+++ b/lynxscale/dataplane/__init__.py
@@ -1,6 +1,7 @@
-"""The data plane: relays that take requests from clients and forward them to endpoints.
+"""The data plane: relays that accept requests from clients and forward them to endpoints.
 
-A request passes ``service`` (can it be served now?), ``routing`` (its route), ``forwarding`` (its life cycle) and
-``attempt`` (one send to one endpoint). ``load_balancer`` chooses the endpoint, ``slot_queue`` orders requests that
-wait for one, ``turns`` reserves budgets and commits turns at the control plane.
+``service`` accepts a request, or holds it until the relay is configured; ``routing`` finds its route; ``forwarding``
+manages its life cycle; ``attempt`` sends it once to one endpoint. ``load_balancer`` chooses the endpoint,
+``slot_queue`` orders the requests that wait for a slot, and ``turns`` reserves budgets and commits turns at the
+control plane.
 """
--- a/lynxscale/dataplane/__main__.py
+++ b/lynxscale/dataplane/__main__.py
@@ -1,4 +1,7 @@
-"""The data plane's process: ``python -m lynxscale.dataplane``. SIGTERM starts a graceful shutdown."""
+"""The process of a relay: ``python -m lynxscale.dataplane``.
+
+SIGTERM starts a graceful shutdown. SIGHUP reloads the settings file.
+"""
 
 from __future__ import annotations
 
@@ -20,21 +23,21 @@
 
 log = logging.getLogger(__name__)
 
-DIAL_TIMEOUT_S = 0.6
-NOT_READY_PERIOD_S = 2.6  # until two health checks have failed, the platform sends new connections
-GRACE_MARGIN_S = 0.8  # how long before the end of its grace period the process ends
+CONNECT_TIMEOUT_S = 0.6
+NOT_READY_PERIOD_S = 2.6  # the platform sends new connections until two health checks have failed
+SHUTDOWN_MARGIN_S = 0.8  # the process exits this long before the platform kills it
 DRAIN_POLL_INTERVAL_S = 0.05
 LISTEN_BACKLOG = 512
 
 
 async def serve(settings: Settings) -> None:
-    """Run until SIGTERM, and then until all accepted requests have ended or the grace period nearly has."""
+    """Serve until SIGTERM, then drain the requests in flight for at most the grace period, less a margin."""
     loop = asyncio.get_running_loop()
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     clock = LoopClock(loop)
     network = PeerNetwork(loop, settings.internal_address)
-    service = RelayService(settings, clock, network, AsyncioDialer(loop, DIAL_TIMEOUT_S), Random())
+    service = RelayService(settings, clock, network, AsyncioDialer(loop, CONNECT_TIMEOUT_S), Random())
     clients: set[ServerConnection] = set()
     health_checks: set[ServerConnection] = set()
     await network.listen(service.receive)
@@ -53,12 +56,15 @@
     watcher = SettingsWatcher(settings, service.settings_changed)
     loop.add_signal_handler(signal.SIGHUP, watcher.reload)
     await watch_until(stopped, watcher)
-    await drain(service, server, clients, loop.time() + settings.bounds.grace_s - GRACE_MARGIN_S)
+    await drain(service, server, clients, loop.time() + settings.bounds.grace_s - SHUTDOWN_MARGIN_S)
     log.info("event=ended")
 
 
 async def drain(service: RelayService, server: asyncio.Server, clients: set[ServerConnection], deadline: float) -> None:
-    """Accept no more clients once the platform sends none; wait for those in flight until ``deadline`` (loop time)."""
+    """Close the listener after ``NOT_READY_PERIOD_S``, then idle connections; wait for the requests in flight.
+
+    ``deadline``: the loop time at which the wait ends.
+    """
     loop = asyncio.get_running_loop()
     service.stopping = True
     service.limits.closing = True
@@ -73,7 +79,7 @@
 
 
 def main() -> int:
-    """Serve by the settings file; the exit code, 2 where it cannot be used."""
+    """Run a relay until SIGTERM and return its exit code: 2 if its settings are unusable."""
     return run(serve)
 
 
--- a/lynxscale/dataplane/attempt.py
+++ b/lynxscale/dataplane/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint, from its send to exactly one outcome."""
+"""One attempt to execute a request at one endpoint. Each attempt ends with exactly one outcome."""
 
 from __future__ import annotations
 
@@ -17,36 +17,39 @@
 
 
 class AttemptOutcome(Enum):
-    """How an attempt ended, by what is certain of its execution."""
+    """How an attempt ended, and whether the endpoint can have executed the request."""
 
-    COMPLETE = "complete"  # a complete response of the endpoint
-    NOT_EXECUTED = "not_executed"  # for certain: it may go to another endpoint whatever its kind
+    COMPLETE = "complete"  # the endpoint sent a complete response
+    NOT_EXECUTED = "not_executed"  # certain, so even a request that is not idempotent may be sent to another endpoint
     MAY_HAVE_EXECUTED = "may_have_executed"
 
 
 class AttemptListener(Protocol):
-    """The request that an attempt belongs to."""
+    """Receives the events of an attempt; implemented by the request that it belongs to."""
 
     def on_response_head(self, attempt: Attempt, status: int, head: Head) -> None:
-        """The endpoint's response begins."""
+        """Called with the status and header fields of the endpoint's response."""
 
     def on_response_data(self, attempt: Attempt, data: bytes) -> None:
-        """A chunk of its body."""
+        """Called for each chunk of the response body."""
 
     def on_restart_timeout(self, attempt: Attempt) -> None:
-        """The restart timeout has expired before a response began; the attempt continues unless it is cancelled."""
+        """Called if the restart timeout expires before a response begins; the attempt continues unless cancelled."""
 
     def on_attempt_ended(self, attempt: Attempt, outcome: AttemptOutcome) -> None:
-        """The attempt has ended."""
+        """Called once, when the attempt has ended."""
 
 
 class Attempt:
-    """Implements ResponseReceiver of one connection. The listener is not called after an outcome or ``cancel``."""
+    """Sends a request over one connection, whose ResponseReceiver it implements, and reports to its listener.
+
+    The listener is not called after ``on_attempt_ended`` or ``cancel``.
+    """
 
     def __init__(
         self, endpoint: EndpointState, request: Request, listener: AttemptListener, clock: Clock, max_tokens: int
     ) -> None:
-        """Sends the request; ``max_tokens`` count against the endpoint's KV cache until the attempt ends."""
+        """Send the request; ``max_tokens`` count against the endpoint's KV cache until the attempt ends."""
         self.endpoint = endpoint
         self._request_id = request.head.get(headers.REQUEST_ID)
         self._listener: AttemptListener | None = listener
@@ -68,13 +71,13 @@
         return (self._clock.now() - self._sent_at) * 1000.0
 
     def start_restart_timer(self, timeout_ms: float) -> None:
-        """Call the listener's ``on_restart_timeout`` after that time, unless a response begins before."""
+        """Call the listener's ``on_restart_timeout`` after ``timeout_ms``, unless a response begins earlier."""
         self._restart_timer = self._clock.call_later(timeout_ms / 1000.0, self._restart_timeout_expired)
 
     def on_head(self, status: int, head: Head) -> None:
-        """Part of ResponseReceiver. A response to another request ends the attempt: the connection is out of step.
+        """Part of ResponseReceiver. A response to another request ends the attempt, as the connection is out of step.
 
-        A response without an id may be an earlier request's where the connection carried one.
+        A response without a request id may belong to an earlier request if the connection has carried one.
         """
         answered_id = head.get(headers.REQUEST_ID)
         if answered_id != self._request_id and (answered_id is not None or self._connection.used):
@@ -125,7 +128,7 @@
         self._end(AttemptOutcome.NOT_EXECUTED if not_sent else AttemptOutcome.MAY_HAVE_EXECUTED)
 
     def cancel(self) -> None:
-        """End the attempt at the endpoint too, without an outcome."""
+        """Abort the attempt by closing its connection, so that the endpoint stops too; no outcome is reported."""
         if self._listener is not None:
             self._listener = None
             self._release()
@@ -148,7 +151,7 @@
         self.endpoint.tokens_in_flight -= self._max_tokens
 
     def _reject_response(self) -> None:
-        """Reject another request's response, or an unsigned one: the connection cannot be trusted any more."""
+        """Reject a response to another request or one without a signature, and close the connection it came on."""
         self._connection.close()
         self.endpoint.on_failure()
         self._end(AttemptOutcome.MAY_HAVE_EXECUTED)
--- a/lynxscale/dataplane/cli.py
+++ b/lynxscale/dataplane/cli.py
@@ -17,16 +17,16 @@
     """Run a relay until SIGTERM."""
 
     def __call__(self) -> None:
-        """Run it; the exit code is the process's."""
+        """Exit with the code of the process."""
         from lynxscale.dataplane.__main__ import main as run
 
         raise cappa.Exit(code=run())
 
 
-@cappa.command(help="Tell what a relay knows; ADDRESS is its readiness address.")
+@cappa.command(help="Print the status of a relay; ADDRESS is its readiness address.")
 @dataclass
 class Status:
-    """The status of a relay."""
+    """Print the status of a relay."""
 
     address: str
     json: Annotated[bool, cappa.Arg(long=True, help="As JSON.")] = False
@@ -36,16 +36,16 @@
         print_status(self.address, self.json, RelayStatus, render)
 
 
-@cappa.command(name="lynxscale-dataplane", help="Relays that take requests from clients and pass them to endpoints.")
+@cappa.command(name="lynxscale-dataplane", help="Relays that forward requests from clients to endpoints.")
 @dataclass
 class DataPlane:
-    """The commands of ``lynxscale-dataplane``."""
+    """All commands of the data plane."""
 
     command: cappa.Subcommands[Run | CheckSettings | Status]
 
 
 def main(arguments: list[str] | None = None) -> None:
-    """Entry point; ``arguments`` default to those of the process."""
+    """Parse the arguments, those of the process by default, and run the command."""
     cappa.invoke(DataPlane, argv=arguments)
 
 
--- a/lynxscale/dataplane/connection_pool.py
+++ b/lynxscale/dataplane/connection_pool.py
@@ -1,15 +1,15 @@
-"""A pool of idle connections to one endpoint, reused by later attempts there."""
+"""A pool of idle connections to one endpoint, reused by later attempts at it."""
 
 from __future__ import annotations
 
 from lynxscale.coordination.ports import Clock
 from lynxscale.runtime.http_client import ClientConnection, Dial
 
-MAX_IDLE = 24  # connections to one endpoint
+MAX_IDLE_CONNECTIONS = 24  # per endpoint
 
 
 class ConnectionPool:
-    """The idle connections of an address; the most recently used is taken first."""
+    """The idle connections to an address; the most recently used is reused first."""
 
     __slots__ = ("_address", "_clock", "_closed", "_dial", "_idle")
 
@@ -22,11 +22,11 @@
 
     @property
     def has_idle(self) -> bool:
-        """Is there a connection that can carry a request now?"""
+        """Whether an idle connection can carry a request now."""
         return any(connection.reusable for connection in self._idle)
 
     def acquire(self) -> ClientConnection:
-        """An idle connection, else a new one."""
+        """Return an idle connection, or a new one if none can be reused."""
         while self._idle:
             connection = self._idle.pop()
             if connection.reusable:
@@ -37,15 +37,15 @@
         return connection
 
     def close(self) -> None:
-        """Close all idle connections and keep none from now on; those in use end with their request."""
+        """Close all idle connections; those in use are closed when their request ends."""
         self._closed = True
         for connection in self._idle:
             connection.close()
         self._idle.clear()
 
     def _release(self, connection: ClientConnection) -> None:
-        if not self._closed and len(self._idle) < MAX_IDLE:
+        if not self._closed and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
-            # Not at once: the connection is still delivering the end of its response.
+            # Deferred to the next iteration, as the connection is still delivering the end of its response.
             self._clock.call_later(0.0, connection.close)
--- a/lynxscale/dataplane/endpoint_state.py
+++ b/lynxscale/dataplane/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a relay knows of one endpoint from its own attempts: concurrency window, restart timeout, load and cooldown."""
+"""State of one endpoint, derived from a relay's own attempts: concurrency window, restart timeout, load, cooldown."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from lynxscale.runtime.http_client import Dial
 from lynxscale.scheduling.restart_timeout import INF, AttemptSample
 
-READY = "ready"  # the platform's state of an endpoint that takes requests
+READY = "ready"  # the platform's state for an endpoint that accepts requests
 
 # The concurrency window, in requests (docs/design/serving-tier.md)
-MAX_WINDOW_SHARE = 0.75  # of the endpoint's slots
-UNHEALTHY_WINDOW_SHARE = 0.5  # of the slots, while the endpoint is failing or slow
-SLOW_MULTIPLE = 3.0  # recent latency in median latencies beyond which an endpoint counts as slow
-RECENT_LATENCY_WEIGHT = 0.2  # of the newest attempt in the recent latency
+MAX_WINDOW_SHARE = 0.75  # share of the endpoint's slots
+UNHEALTHY_WINDOW_SHARE = 0.5  # share of the slots while the endpoint is failing or slow
+SLOW_LATENCY_MEDIANS = 3.0  # an endpoint is slow if its recent latency exceeds so many median latencies
+RECENT_LATENCY_WEIGHT = 0.2  # weight of the newest attempt in the moving average
 
-# The restart budget, a token bucket: one token a restart
-RESTART_COST_MEDIANS = 1.0  # cost of a restart in median latencies: the abandoned call may run on
+# The restart budget, a token bucket: each restart takes one token
+RESTART_COST_MEDIANS = 1.0  # in median latencies: the endpoint may go on executing the abandoned request
 RESTART_TOKENS_PER_SUCCESS, MAX_RESTART_TOKENS = 0.1, 3.0
 INITIAL_RESTART_TOKENS = 1.0
 
@@ -28,14 +28,14 @@
 REJECTION_COOLDOWN_S = 0.05
 FAILURE_COOLDOWN_S, MAX_FAILURE_COOLDOWN_S = 0.2, 2.0
 MAX_COOLDOWN_DOUBLINGS = 4
-FAILING_STREAK = 2  # consecutive failures that make an endpoint failing: a lone error is chance
-SUCCESS, RESTART, FAILURE = 0.0, 0.5, 1.0  # severity of an attempt's end; a restart is weaker evidence than a failure
+MIN_CONSECUTIVE_FAILURES = 2  # for an endpoint to count as failing, as a single error may be random
+SUCCESS, RESTART, FAILURE = 0.0, 0.5, 1.0  # severities; a restart is weaker evidence than a failure
 
-REPORTED_LOAD_LIFETIME_S = 1.0  # a reported load counts linearly less until it is so old
+REPORTED_LOAD_LIFETIME_S = 1.0  # the weight of a reported load falls linearly to 0 over this time
 
 
 class EndpointState:
-    """One endpoint, its connections, and what recent attempts have shown."""
+    """One endpoint, its idle connections, and the estimates from its recent attempts."""
 
     def __init__(self, endpoint: Endpoint, clock: Clock, dial: Dial) -> None:
         self.endpoint = endpoint
@@ -56,48 +56,51 @@
 
     @property
     def slots(self) -> int:
-        """Requests that the endpoint executes at once."""
+        """The number of requests that the endpoint executes concurrently."""
         return max(1, self.endpoint.slots)
 
     @property
     def failing(self) -> bool:
-        """Have the latest attempts all failed?"""
-        return self._consecutive_failures >= FAILING_STREAK
+        """Whether the last ``MIN_CONSECUTIVE_FAILURES`` attempts have all failed."""
+        return self._consecutive_failures >= MIN_CONSECUTIVE_FAILURES
 
     @property
     def slow(self) -> bool:
-        """Is the recent latency more than ``SLOW_MULTIPLE`` median latencies?"""
-        return self.sample.median > 0 and self.recent_latency_ms > SLOW_MULTIPLE * self.sample.median
+        """Whether the recent latency exceeds ``SLOW_LATENCY_MEDIANS`` median latencies."""
+        return self.sample.median > 0 and self.recent_latency_ms > SLOW_LATENCY_MEDIANS * self.sample.median
 
     @property
     def concurrency_limit(self) -> int:
-        """Requests of this relay that may be in flight there now."""
+        """The number of this relay's requests that may be in flight at the endpoint now."""
         share = UNHEALTHY_WINDOW_SHARE if self.failing or self.slow else MAX_WINDOW_SHARE
         return max(1, min(self.window, math.floor(share * self.slots)))
 
     @property
     def load(self) -> float:
-        """Requests at the endpoint: this relay's, and those of other relays by the endpoint's latest report."""
+        """Requests at the endpoint: this relay's own, and those of other relays as estimated from its latest report."""
         age = self._clock.now() - self._load_reported_at
         return self.in_flight + self._load_of_others * max(0.0, 1.0 - age / REPORTED_LOAD_LIFETIME_S)
 
     def kv_cache_load(self, typical_tokens: float) -> float:
-        """Tokens that the requests there may come to hold; other relays' count as ``typical_tokens`` each."""
+        """Return the most tokens that the requests at the endpoint may hold in its KV cache.
+
+        Each request of another relay counts as ``typical_tokens``.
+        """
         return self.tokens_in_flight + max(0.0, self.load - self.in_flight) * typical_tokens
 
     def may_send(self, now: float) -> bool:
-        """May another request be sent now? The endpoint is ready, not in cooldown, and its window has room."""
+        """Whether another request may be sent: the endpoint is ready, not in cooldown, and its window is not full."""
         return self.ready and now >= self.cooldown_until and self.in_flight < self.concurrency_limit
 
-    # What attempts report ----------------------------------------------------------------------------
+    # Reports of attempts -----------------------------------------------------------------------------
 
     def on_load_report(self, requests: int) -> None:
-        """The endpoint reports its load, this relay's request included."""
+        """Record the load that the endpoint reports, which includes this relay's requests."""
         self._load_of_others = max(0.0, requests - self.in_flight)
         self._load_reported_at = self._clock.now()
 
     def on_success(self, latency_ms: float) -> None:
-        """An attempt completed; the window grows by one."""
+        """Record a completed attempt and increase the window by one."""
         self._record_latency(latency_ms)
         weight = RECENT_LATENCY_WEIGHT if self.recent_latency_ms else 1.0
         self.recent_latency_ms += (latency_ms - self.recent_latency_ms) * weight
@@ -107,17 +110,17 @@
         self.failure_rate.observe(SUCCESS)
 
     def on_error_response(self) -> None:
-        """The response that completed was an error of the endpoint's own."""
+        """Record that a completed response was a server error."""
         self.failure_rate.observe(FAILURE)
 
     def on_rejected(self) -> None:
-        """The endpoint was full and did not execute the request; the window is halved."""
+        """Halve the window, as the endpoint was full and did not execute the request."""
         self._record_latency(INF)
         self.window = max(1, self.window // 2)
         self.cooldown_until = self._clock.now() + REJECTION_COOLDOWN_S
 
     def on_failure(self) -> None:
-        """The attempt ended without a response that counts: an error, a reset, or no connection."""
+        """Record an attempt without a valid response: a protocol error, a reset, or no connection."""
         self._record_latency(INF)
         self.failure_rate.observe(FAILURE)
         self._consecutive_failures += 1
@@ -126,18 +129,18 @@
             self.cooldown_until = self._clock.now() + min(cooldown_s, MAX_FAILURE_COOLDOWN_S)
 
     def on_deadline_expired(self) -> None:
-        """No response in all the time that the request had; the window is halved."""
+        """Record that the request's deadline expired during the attempt, and halve the window."""
         self.window = max(1, self.window // 2)
         self.on_failure()
 
     def on_restart(self) -> None:
-        """The relay abandoned the attempt at the restart timeout."""
+        """Record that the attempt was abandoned at the restart timeout, and take a restart token."""
         self.failure_rate.observe(RESTART)
         self.restart_tokens -= 1.0
         self._record_latency(INF)
 
     def mark_unavailable(self) -> None:
-        """The endpoint is draining, or another one has its address: nothing more is sent there."""
+        """Send no more requests: the endpoint is draining or gone, or its address now belongs to another one."""
         self.ready = False
         self.connections.close()
 
--- a/lynxscale/dataplane/exceptions.py
+++ b/lynxscale/dataplane/exceptions.py
@@ -10,4 +10,4 @@
 
 
 class UnusableConfigurationError(DataPlaneError, ValueError):
-    """A published configuration cannot be decoded by this relay's version; the text names the field."""
+    """This version of the relay cannot decode a published configuration; the message names the field."""
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -1,8 +1,8 @@
-"""One request of a client: its life cycle from arrival to its one response.
+"""The life cycle of one client request, from its arrival to its response.
 
-``ForwardedRequest`` is the state machine (states and transitions: ``request_state``); what it decides by is in
-``retry_policy``, the endpoint is chosen by ``load_balancer``, one send is an ``Attempt``, the response is put together
-by ``response_stream`` and turns are admitted and committed by ``turns``. ``_transition`` is the only change of state.
+``ForwardedRequest`` is a state machine; ``request_state`` defines its states and transitions, and only ``_transition``
+changes the state. ``retry_policy`` decides about retries and restarts, ``load_balancer`` chooses an endpoint, an
+``Attempt`` sends the request once, ``response_stream`` assembles the response, and ``turns`` admits and commits turns.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class ForwardingContext:
-    """What all requests of a relay share."""
+    """The objects that all requests of a relay share."""
 
     clock: Clock
     balancer: LoadBalancer
@@ -58,14 +58,14 @@
         self._attempt: Attempt | None = None  # the one in flight
         self._sends = 0
         self._executions = 0
-        self._attempted: set[str] = set()  # ids of endpoints
-        self._turn = context.turns.turn_of(request, route)
+        self._attempted: set[str] = set()  # ids of the endpoints that it was sent to
+        self._turn = context.turns.create_turn(request, route)
         self._response = ResponseStream(responder, route)
         self._queue_wait_timer: Timer | None = None
         self._deadline_timer: Timer = self._clock.call_later(timeout_s, self._deadline_expired)
 
     def start(self) -> None:
-        """Admit the turn, where the request is one, and send it."""
+        """Dispatch the request, after its admission if it is a turn."""
         if self._turn is None:
             self._dispatch()
             return
@@ -95,7 +95,7 @@
     # Queueing ----------------------------------------------------------------------------------------
 
     def _dispatch(self) -> None:
-        """Send to an endpoint, or wait for a slot."""
+        """Send the request to an endpoint, or queue it until a slot is free."""
         self._transition(RequestState.QUEUED)
         if not retry_policy.may_send(self._sends, self._remaining_ms):
             self._give_up()
@@ -142,7 +142,7 @@
                 self._attempt.start_restart_timer(restart_timeout_ms)
 
     def on_restart_timeout(self, attempt: Attempt) -> None:
-        """Part of AttemptListener. Abandon the attempt and send another one (restart, van Moorsel and Wolter)."""
+        """Part of AttemptListener. Abandon the attempt and send another one (the restart of van Moorsel and Wolter)."""
         if self.state is not RequestState.SENT:
             return
         if not retry_policy.restart_is_worthwhile(attempt.endpoint, self._remaining_ms):
@@ -153,7 +153,7 @@
         self._dispatch()
 
     def _cancel_attempt(self, attempt: Attempt) -> None:
-        """The endpoint's slot is released at once."""
+        """Cancel the attempt, which releases its slot, and let a queued request use the slot."""
         attempt.cancel()
         self._attempt = None
         self._balancer.queue.notify(self._service)
@@ -175,7 +175,7 @@
         return retry_policy.may_execute_again(self._route, self._executions, self._remaining_ms)
 
     def _attempt_broken(self) -> None:
-        """The attempt may have been executed, and its response is not complete."""
+        """Handle an attempt that the endpoint may have executed, but whose response is incomplete."""
         if self._may_execute_again():
             self._send_again()
         elif self.state is RequestState.STREAMING:
@@ -190,7 +190,7 @@
             self._dispatch()
 
     def _resume_stream(self) -> None:
-        """Continue the stream at another endpoint; a client in the midst of a response does not wait for a slot."""
+        """Continue the stream at another endpoint; it is aborted if no slot is free, as its client cannot wait."""
         endpoint = self._balancer.choose(self._service, self._demand, self._attempted)
         if endpoint is None or self._remaining_ms < retry_policy.MIN_REMAINING_MS:
             self._abort()
@@ -223,7 +223,7 @@
             self._send_again()
         else:
             self._transition(RequestState.ENDED)
-            self._response.respond_at_once()
+            self._response.send_buffered()
 
     def _stream_complete(self) -> None:
         if self.state is RequestState.SENT:
@@ -240,14 +240,14 @@
             self._end_stream()
 
     def on_commit_timeout(self) -> None:
-        """Part of TurnListener. The client must not take a turn for complete that may be lost."""
+        """Part of TurnListener. Abort: the turn may be lost, so the client must not take it for complete."""
         if self.state is RequestState.COMMITTING:
             self._abort()
 
-    # The end of the request --------------------------------------------------------------------------
+    # End of the request ------------------------------------------------------------------------------
 
     def _give_up(self) -> None:
-        """Send nothing more, before any byte of a response: 503 where nothing was executed, else 502."""
+        """Give up a request that has no response yet: 503 if it was certainly not executed, otherwise 502."""
         if self._executions:
             self._respond(relay_response(BAD_GATEWAY))
         else:
@@ -269,7 +269,7 @@
             self._give_up()
 
     def on_client_disconnected(self) -> None:
-        """Part of Exchange. The attempt is cancelled; a commit goes on."""
+        """Part of Exchange. Cancel the attempt; a commit that has begun continues."""
         if self.state is RequestState.ENDED:
             return
         if self._attempt is not None:
@@ -289,12 +289,12 @@
         self._responder.end()
 
     def _abort(self) -> None:
-        """End the connection, so that the response cannot be taken for complete."""
+        """Close the client's connection, so that it cannot take the response for complete."""
         self._transition(RequestState.ENDED)
         self._responder.abort()
 
     def _transition(self, state: RequestState) -> None:
-        """The only change of state; place in the queue, timers and turn end with the states that they belong to."""
+        """Change the state, and release what only the earlier state needs: queue entry, timers and turn."""
         if state is not RequestState.QUEUED:
             self._balancer.queue.remove(self._service, self)
             if self._queue_wait_timer is not None:
@@ -306,13 +306,13 @@
         self.state = state
 
     def _close_turn(self) -> None:
-        """Charge what was generated and release the rest, unless the turn is committed or not yet admitted."""
+        """Charge the generated tokens and release the rest, unless the turn is committed or not yet admitted."""
         if self._turn is not None and self.state is not RequestState.ADMITTING:
             self._turn.close(self._generated_tokens)
 
 
 def endpoint_demand(head: Head, route: Route, kv_cache_tokens: int) -> EndpointDemand:
-    """What a request requires of an endpoint."""
+    """Return what a request on this route requires of an endpoint."""
     if not route.streaming:
         return EndpointDemand("", 0, 0)
     max_tokens = headers.prompt_tokens(head) + headers.max_output_tokens(head)
--- a/lynxscale/dataplane/history_cache.py
+++ b/lynxscale/dataplane/history_cache.py
@@ -1,6 +1,6 @@
-"""A relay's cache of the conversations that it has served, so that the primary sends only what is missing here.
+"""A relay's cache of conversation histories, so that the primary sends only the turns that the relay lacks.
 
-A retained turn never changes, so a history that was durable once stays valid for as long as the primary has its turn.
+A retained turn never changes, so a cached history stays valid for as long as the primary retains its last turn.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 
 @frozen
 class CachedHistory:
-    """All inputs and outputs of a chain of turns up to and including one turn, and that turn's session."""
+    """The inputs and outputs of a chain of turns, concatenated, and the session of its last turn."""
 
     session: str
     content: bytes
 
 
 class HistoryCache:
-    """Histories by the id of their last turn, bounded by the bytes of their content; least recently used go first."""
+    """Histories by the id of their last turn; the least recently used are evicted beyond ``max_bytes`` of content."""
 
     def __init__(self, max_bytes: int = DEFAULT_MAX_BYTES) -> None:
         self._max_bytes = max_bytes
         self._bytes = 0
-        self._histories: dict[str, CachedHistory] = {}  # by turn, the most recently used last
-        self._newest_turn: dict[str, str] = {}  # by session
+        self._histories: dict[str, CachedHistory] = {}  # by the id of the last turn, most recently used last
+        self._newest_turn: dict[str, str] = {}  # turn id by session
 
     def best_match(self, session: str, previous_turn: str) -> str:
-        """The cached turn that is most likely in the chain that ends with ``previous_turn``; empty for none."""
+        """Return the cached turn that is most likely part of the chain up to ``previous_turn``; empty for none."""
         if not previous_turn:
             return ""
         return previous_turn if previous_turn in self._histories else self._newest_turn.get(session, "")
 
     def get(self, turn: str) -> bytes | None:
-        """The history up to and including a turn, None where it is not cached."""
+        """Return the history up to and including a turn, None if it is not cached."""
         found = self._histories.pop(turn, None)
         if found is None:
             return None
@@ -42,7 +42,7 @@
         return found.content
 
     def put(self, session: str, turn: str, content: bytes) -> None:
-        """Add the history that ends with a turn; the turn is durable."""
+        """Add the history that ends with a durable turn."""
         self._evict(turn)
         self._histories[turn] = CachedHistory(session, content)
         self._newest_turn[session] = turn
--- a/lynxscale/dataplane/pending_until_configured.py
+++ b/lynxscale/dataplane/pending_until_configured.py
@@ -1,4 +1,4 @@
-"""Requests that arrive before the relay has its configuration and endpoint list: they wait for a bounded time."""
+"""Holds requests that arrive before the relay has a configuration and an endpoint list, for a bounded time."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 MAX_PENDING = 500
 MAX_WAIT_S = 1.2
-WAIT_DEADLINE_SHARE = 0.45  # of the time that the client gives
+WAIT_DEADLINE_SHARE = 0.45  # share of the client's deadline that a request may wait
 RETRY_AFTER_S = 0.4
 
 
 class PendingRequest:
-    """One waiting request. Implements Exchange, and passes on to the exchange that serves it later."""
+    """One waiting request. Implements Exchange, and forwards a disconnect to the exchange that serves it later."""
 
     def __init__(self, request: Request, responder: Responder) -> None:
         self.request = request
@@ -33,7 +33,7 @@
 
 
 class PendingUntilConfigured:
-    """Holds requests until ``serve_all``; each is rejected once it has waited for its share of the client's time."""
+    """Holds requests until ``serve_all``; each is rejected if it waits for longer than its share of the deadline."""
 
     def __init__(self, clock: Clock, serve: Callable[[Request, Responder], Exchange | None]) -> None:
         self._clock = clock
@@ -41,19 +41,19 @@
         self._pending: list[PendingRequest] = []
 
     def add(self, request: Request, responder: Responder) -> PendingRequest | None:
-        """Let a request wait; None where it is rejected at once, as too many wait already."""
+        """Add a request; it is rejected immediately, and None returned, if too many are waiting already."""
         if len(self._pending) >= MAX_PENDING:
             responder.respond(relay_response(SERVICE_UNAVAILABLE, RETRY_AFTER_S))
             return None
         pending = PendingRequest(request, responder)
         self._pending.append(pending)
-        allowed_ms = request.head.number(DEADLINE_MS)
-        wait_s = MAX_WAIT_S if allowed_ms is None else min(MAX_WAIT_S, WAIT_DEADLINE_SHARE * allowed_ms / 1000.0)
+        deadline_ms = request.head.number(DEADLINE_MS)
+        wait_s = MAX_WAIT_S if deadline_ms is None else min(MAX_WAIT_S, WAIT_DEADLINE_SHARE * deadline_ms / 1000.0)
         self._clock.call_later(wait_s, lambda: self._reject(pending))
         return pending
 
     def serve_all(self) -> None:
-        """The relay is configured: serve everything that still waits."""
+        """Serve all requests that still wait, as the relay is configured now."""
         all_pending, self._pending = self._pending, []
         for pending in all_pending:
             if pending.waiting:
--- a/lynxscale/dataplane/request_state.py
+++ b/lynxscale/dataplane/request_state.py
@@ -1,9 +1,9 @@
-"""The states of a forwarded request, and which may follow which.
+"""The states of a forwarded request and the transitions between them.
 
-A request begins QUEUED. Where it is a turn it is ADMITTING until the primary has replied. From QUEUED it is SENT to an
-endpoint, and returns there when the attempt may be followed by another one. Once bytes of a response have gone to the
-client it is STREAMING; attempts may still follow each other then, within the one response. A retained turn is
-COMMITTING until it is durable, as its last byte waits for that. Every request comes to ENDED, once.
+A request begins QUEUED. A turn is ADMITTING until the primary has replied. A QUEUED request is SENT to an endpoint, and
+returns to QUEUED if it may be sent again. Once bytes of a response have been sent to the client it is STREAMING; a
+further attempt may then continue the same response. A retained turn is COMMITTING until it is durable, and only then
+is its response completed. Every request ends in ENDED, exactly once.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RequestState(Enum):
-    """What a request is doing."""
+    """The state of a request; the module describes each."""
 
     ADMITTING = "admitting"
     QUEUED = "queued"
@@ -22,7 +22,7 @@
     ENDED = "ended"
 
 
-# ForwardedRequest does not check itself by this table, as it is on the hot path; tests check that every change is here.
+# ForwardedRequest does not check its transitions against this table, as it is on the hot path; tests do.
 TRANSITIONS: dict[RequestState, frozenset[RequestState]] = {
     RequestState.QUEUED: frozenset(
         (RequestState.ADMITTING, RequestState.QUEUED, RequestState.SENT, RequestState.ENDED)
--- a/lynxscale/dataplane/response_stream.py
+++ b/lynxscale/dataplane/response_stream.py
@@ -1,6 +1,6 @@
-"""The one response of a request, put together from its attempts: streamed to the client, or buffered until complete.
+"""The response of a request, assembled from its attempts: streamed to the client, or buffered until it is complete.
 
-Only complete events are streamed, so that another attempt can continue after the last one.
+Only complete events are streamed, so that another attempt can continue after the last of them.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 
 class ResponseStream:
-    """The endpoint's response of the current attempt, and the events of all attempts so far.
+    """The response of the current attempt, and the events of all attempts so far.
 
-    ``streams``: does the current response go to the client event by event? Known once its head is there.
+    ``streams``: whether the current response is forwarded event by event; valid once its head was received.
     """
 
     __slots__ = ("_body", "_head", "_responder", "_route", "events", "status", "streams")
@@ -33,7 +33,7 @@
 
     @property
     def resume_after(self) -> bytes | None:
-        """The id of the last event that the client has, None where it has none."""
+        """The id of the last event that was sent to the client, None if there was none."""
         return self.events.last_event_id if self.events.event_count else None
 
     def begin_attempt(self) -> None:
@@ -44,22 +44,22 @@
         self.events.discard_partial()
 
     def set_head(self, status: int, head: Head) -> None:
-        """The endpoint's response begins."""
+        """Store the status and header fields of the endpoint's response."""
         self.status = status
         self.streams = self._route.streaming and status == OK
         self._head = head
 
     def receive(self, data: bytes) -> bytes:
-        """Take a chunk of the endpoint's response; returns the events that it completes, for ``Responder.data``."""
+        """Add a chunk of the endpoint's response; return the events that it completes, for ``Responder.data``."""
         if self.streams:
             return self.events.feed(data)
         self._body += data
         return b""
 
     def start(self) -> None:
-        """Send the endpoint's status and fields to the client."""
+        """Send the endpoint's status and header fields to the client."""
         self._responder.start(self.status, self._head.end_to_end())
 
-    def respond_at_once(self) -> None:
+    def send_buffered(self) -> None:
         """Send the buffered response to the client."""
         self._responder.respond(forwarded_response(self.status, self._head, bytes(self._body)))
--- a/lynxscale/dataplane/retry_policy.py
+++ b/lynxscale/dataplane/retry_policy.py
@@ -1,8 +1,8 @@
-"""When a request may be sent again, and when an attempt may be abandoned for another one. Decides without I/O.
+"""Decides when a request may be sent again, and when an attempt may be abandoned for another one. Does no I/O.
 
-Two counts matter. *Sends* are all attempts, also those that an endpoint rejected without executing them; *executions*
-are the attempts that may have been executed, which a route's ``max-attempts`` limits. A request that is not idempotent
-is executed once at most.
+*Sends* count all attempts, including those that an endpoint rejected without executing them. *Executions* count the
+attempts that may have been executed; a route's ``max-attempts`` limits them. A request that is not idempotent is
+executed at most once.
 """
 
 from __future__ import annotations
@@ -10,41 +10,41 @@
 from lynxscale.dataplane.endpoint_state import EndpointState
 from lynxscale.dataplane.routing import Route
 
-MAX_SENDS = 6  # of one request, rejections included
-MIN_REMAINING_MS = 5.0  # with less time left nothing is sent
-MIN_REMAINING_MEDIANS = 1.0  # nor with less than an endpoint's median latency (design)
+MAX_SENDS = 6  # per request, including rejected attempts
+MIN_REMAINING_MS = 5.0  # a request with less time left is not sent
+MIN_REMAINING_MEDIANS = 1.0  # in median latencies of the endpoint; with less time left it would hardly answer in time
 MIN_REMAINING_MEDIANS_TO_RESTART = 2.0
-RESTART_TOKEN = 1.0
-QUEUE_WAIT_SHARE = 0.25  # of the remaining time: a request that finds no slot is rejected after it
+MIN_RESTART_TOKENS = 1.0
+QUEUE_WAIT_SHARE = 0.25  # share of the remaining time after which a request without a slot is rejected
 
 
 def may_send(sends: int, remaining_ms: float) -> bool:
-    """May a request be sent, to whichever endpoint?"""
+    """Whether a request may be sent at all, regardless of the endpoint."""
     return remaining_ms >= MIN_REMAINING_MS and sends < MAX_SENDS
 
 
 def can_answer_in_time(endpoint: EndpointState, remaining_ms: float) -> bool:
-    """Does the endpoint usually answer within the remaining time?"""
+    """Whether the endpoint usually answers within the remaining time."""
     return endpoint.sample.median * MIN_REMAINING_MEDIANS <= remaining_ms
 
 
 def may_execute_again(route: Route, executions: int, remaining_ms: float) -> bool:
-    """May a request that may have been executed be sent again?"""
+    """Whether a request that may have been executed can be sent again."""
     return route.idempotent and executions < route.max_attempts and remaining_ms > MIN_REMAINING_MS
 
 
 def may_restart(route: Route, executions: int) -> bool:
-    """May the attempt that follows so many executions be abandoned for another one? Not the route's last."""
+    """Whether the attempt after ``executions`` executions may be abandoned; the last one of a route may not."""
     return route.idempotent and executions + 1 < route.max_attempts
 
 
 def restart_is_worthwhile(endpoint: EndpointState, remaining_ms: float) -> bool:
-    """Are the restart budget and the remaining time enough to abandon an attempt at the endpoint?"""
-    if endpoint.restart_tokens < RESTART_TOKEN:
+    """Whether the restart budget and the remaining time allow abandoning an attempt at the endpoint."""
+    if endpoint.restart_tokens < MIN_RESTART_TOKENS:
         return False
     return remaining_ms >= MIN_REMAINING_MEDIANS_TO_RESTART * endpoint.sample.median
 
 
 def queue_wait_s(remaining_ms: float, route: Route) -> float:
-    """How long a request may wait for a slot, in seconds."""
+    """Return how many seconds a request may wait for a slot."""
     return QUEUE_WAIT_SHARE * min(remaining_ms, route.timeout_ms) / 1000.0
--- a/lynxscale/dataplane/routing.py
+++ b/lynxscale/dataplane/routing.py
@@ -1,7 +1,7 @@
 """The configuration as a relay uses it: routes by host and longest path prefix, services, limits.
 
-Fields are named as in the operators' configuration (``docs/operators/configuration.md``), in kebab case there. Times
-are in the unit of each name.
+Fields have the names of the operators' configuration (``docs/operators/configuration.md``), which are in kebab case
+there. A suffix of the name gives the unit of a time.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 from lynxscale.dataplane.exceptions import UnusableConfigurationError
 
-STREAMING, SAFE = "streaming", "safe"  # route types; every other one is executed once at most
+STREAMING, SAFE = "streaming", "safe"  # route types; requests of any other type are executed at most once
 
 
 class WeightedBackend(msgspec.Struct, frozen=True):
-    """One service of a route that is split by weight."""
+    """One service of a route that splits its traffic by weight."""
 
     backend: str
     weight: float
 
 
 class Route(msgspec.Struct, frozen=True, rename="kebab"):
-    """One route: which requests it takes, and how they are forwarded."""
+    """A route: which requests it matches, and how they are forwarded."""
 
     name: str
     host: str
@@ -42,16 +42,16 @@
 
     @property
     def streaming(self) -> bool:
-        """Is the response a stream of events?"""
+        """Whether the response is a stream of events."""
         return self.route_type == STREAMING
 
     @property
     def idempotent(self) -> bool:
-        """May a request be executed more than once?"""
+        """Whether a request may be executed more than once."""
         return self.route_type == SAFE or (self.streaming and self.resumable)
 
     def pick_backend(self, random: Random) -> str:
-        """The service for one request, drawn by weight; draws nothing where there is one service."""
+        """Return the service for one request, drawn by weight; ``random`` is not used if there is only one service."""
         if not self.weighted_backends:
             return self.backend
         weights = [backend.weight for backend in self.weighted_backends]
@@ -59,7 +59,7 @@
 
 
 class Engine(msgspec.Struct, frozen=True, rename="kebab"):
-    """A service's model engine; ``stream_stride``: tokens in each event."""
+    """The model engine of a service. ``stream_stride``: tokens in each event of a stream."""
 
     slots: int = 1
     stream_stride: int = 1
@@ -67,7 +67,7 @@
 
 
 class Service(msgspec.Struct, frozen=True, rename="kebab"):
-    """One service."""
+    """A service that endpoints provide; without an engine it runs no model."""
 
     name: str
     max_connections: int = 100
@@ -75,7 +75,7 @@
 
 
 class ClientLimits(msgspec.Struct, frozen=True, rename="kebab"):
-    """What clients may send, and how long they may take."""
+    """Limits on the size and duration of clients' requests, and on the idle time of their connections."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -106,19 +106,19 @@
             routes.sort(key=lambda route: -len(route.path_prefix))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The host's route with the longest prefix of the path; ``host`` may have a port and be in any case."""
+        """Return the host's route with the longest matching path prefix; the port and case of ``host`` are ignored."""
         for route in self.routes_by_host.get(host.partition(":")[0].lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
     def tokens_per_event(self, service: str) -> int:
-        """Tokens in each event of a service's streams."""
+        """Return the number of tokens in each event of a service's streams."""
         engine = self._engine(service)
         return engine.stream_stride if engine else 1
 
     def kv_cache_tokens(self, service: str) -> int:
-        """Tokens that the KV cache of each endpoint of a service can hold, 0 where it has no engine."""
+        """Return how many tokens the KV cache of an endpoint of the service can hold, 0 if it has no engine."""
         engine = self._engine(service)
         return engine.kv_capacity_tokens if engine else 0
 
@@ -128,7 +128,7 @@
 
 
 def decode_route_table(value: msgspec.Raw) -> RouteTable:
-    """The table of a configuration as it was published. Raises UnusableConfigurationError."""
+    """Decode a published configuration into a route table. Raises UnusableConfigurationError."""
     try:
         return RouteTable(msgspec.json.decode(value, type=Configuration))
     except msgspec.ValidationError as error:
--- a/lynxscale/dataplane/server_sent_events.py
+++ b/lynxscale/dataplane/server_sent_events.py
@@ -1,4 +1,4 @@
-"""Server-sent events (WHATWG HTML, section 9.2) that pass through a relay: only complete ones, counted."""
+"""A scanner for server-sent events (WHATWG HTML, section 9.2); it forwards complete events only, and counts them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class EventScanner:
-    """Splits a stream into complete events. ``keep_data``: collect the data of each, for a retained turn."""
+    """Splits a stream into complete events. ``keep_data``: also collect the data of each event, for a retained turn."""
 
     __slots__ = ("_data", "_keep_data", "_partial", "event_count", "last_event_id")
 
@@ -19,15 +19,15 @@
 
     @property
     def within_event(self) -> bool:
-        """Has an event begun that is not complete?"""
+        """Whether the stream is within an event."""
         return bool(self._partial)
 
     def discard_partial(self) -> None:
-        """Another attempt continues after the last complete event."""
+        """Drop an incomplete event, as another attempt continues after the last complete one."""
         self._partial = b""
 
     def feed(self, chunk: bytes) -> bytes:
-        """The bytes of all events that the chunk completes."""
+        """Add a chunk and return the bytes of all events that it completes."""
         buffer = self._partial + chunk
         end = buffer.rfind(BOUNDARY)
         if end < 0:
@@ -40,7 +40,7 @@
         return complete
 
     def content(self) -> bytes:
-        """The collected data of each event, each followed by a line feed."""
+        """Return the collected data of all events, each followed by a line feed."""
         return b"".join(data + b"\n" for data in self._data)
 
     def _read_event(self, event: bytes) -> None:
--- a/lynxscale/dataplane/service.py
+++ b/lynxscale/dataplane/service.py
@@ -1,4 +1,4 @@
-"""One relay: topics from the distribution tree, heartbeats of the ring, and requests of clients."""
+"""A relay: handles topics from the distribution tree, heartbeats of the ring, and requests of clients."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 
 ISOLATION_CHECK_INTERVAL_S = 0.2
 MIN_DIRECT_POLL_INTERVAL_S = 0.8
-DIRECT_POLL_RATE_SHARE = 0.5  # of the platform's rate limit, for all relays together
+DIRECT_POLL_RATE_SHARE = 0.5  # share of the platform's rate limit that all relays together may use
 
 
 class RelayService:
-    """Handles messages and requests of one data plane process."""
+    """Handles the messages and requests of one relay process."""
 
     def __init__(self, settings: Settings, clock: Clock, network: Network, dial: Dial, random: Random) -> None:
         address = settings.internal_address
@@ -69,12 +69,12 @@
 
     @property
     def ready(self) -> bool:
-        """Does the health check succeed: is the relay configured, not stopping and not isolated?"""
+        """Whether the health check succeeds: the relay is configured, not stopping and not isolated."""
         return self._configured and not self.stopping and not self.isolated
 
     @property
     def isolated(self) -> bool:
-        """Has no primary confirmed this relay's topics for ``ISOLATED_AFTER_INTERVALS``? It then reports not ready."""
+        """Whether no primary confirmed this relay's topics for ``ISOLATED_AFTER_INTERVALS``; it is then not ready."""
         return self.tree.isolated
 
     @property
@@ -90,21 +90,21 @@
             self.calls.primary_changed()
 
     def settings_changed(self, settings: Settings) -> None:
-        """The settings file has changed; its seeds are all that a running relay takes from it."""
+        """Apply a changed settings file; a running relay uses only its seeds."""
         self._seeds = settings.contacts
         self._update_contacts()
 
     # Requests ----------------------------------------------------------------------------------------
 
     def handle_readiness(self, request: Request, responder: Responder) -> None:
-        """Answer the platform's health check and requests for the status."""
+        """Answer the platform's health checks and requests for the status."""
         if request.path == "/status":
             responder.respond(Response(OK, Head(()), msgspec.json.encode(self.status())))
         else:
             responder.respond(relay_response(OK if self.ready else SERVICE_UNAVAILABLE))
 
     def handle_request(self, request: Request, responder: Responder) -> Exchange | None:
-        """Begin to serve a client's request."""
+        """Serve a client's request, or hold it until the relay is configured."""
         if not self._configured:
             return self._pending.add(request, responder)
         return self._forward(request, responder)
@@ -120,7 +120,7 @@
         return exchange
 
     def status(self) -> RelayStatus:
-        """The status report of this relay."""
+        """Return the status of this relay."""
         return RelayStatus(
             address=self.tree.address,
             ready=self.ready,
@@ -132,10 +132,10 @@
             endpoints=[endpoint_status(name, state) for name, state in sorted(self.balancer.states.items())],
         )
 
-    # Without a primary -------------------------------------------------------------------------------
+    # Isolation ---------------------------------------------------------------------------------------
 
     def _check_isolation(self) -> None:
-        """While no primary is reachable, read the platform's endpoint list directly and end client connections."""
+        """While isolated, poll the platform's endpoint list directly, and close client connections after a response."""
         self._clock.call_later(ISOLATION_CHECK_INTERVAL_S, self._check_isolation)
         isolated = self.route_table is not None and self.isolated
         self.limits.closing = isolated or self.stopping
@@ -147,14 +147,14 @@
         self._polls_endpoints = isolated
 
     def _direct_poll_interval_s(self) -> float:
-        """Seconds between two polls, so that all relays together stay within their share of the platform's rate."""
+        """Return the seconds between polls that keep all relays together within their share of the platform's rate."""
         relays = max(1, len(self.tree.roster))
         return max(MIN_DIRECT_POLL_INTERVAL_S, relays / (DIRECT_POLL_RATE_SHARE * self._platform_rate_per_s))
 
     # Topics ------------------------------------------------------------------------------------------
 
     def _on_topics(self, names: list[str]) -> None:
-        """New versions of these topics have arrived."""
+        """Apply the topics of which new versions have arrived."""
         topics = self.tree.publisher.topics
         if CONFIGURATION_TOPIC in names:
             self._apply_configuration(topics[CONFIGURATION_TOPIC].value)
@@ -184,7 +184,7 @@
         self.limits.idle_timeout_s = limits.idle_timeout_ms / 1000.0
 
     def _apply_endpoints(self) -> None:
-        """Apply the endpoint list once all of its shards are there."""
+        """Apply the endpoint list once all of its shards have arrived."""
         topics = self.tree.publisher.topics
         if ENDPOINTS_TOPIC not in topics:
             return
--- a/lynxscale/dataplane/slot_queue.py
+++ b/lynxscale/dataplane/slot_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot at an endpoint: by priority, then first in, first out."""
+"""Queues of requests that wait for a slot at an endpoint, by priority and then first in, first out."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 from lynxscale.coordination.ports import Clock, Timer
 
-POLL_INTERVAL_S = 0.05  # as an endpoint's cooldown ends without a notification
+POLL_INTERVAL_S = 0.05  # polling is needed as the end of a cooldown sends no notification
 
 
 @frozen
 class QueuedRequest:
-    """One entry. A lower ``priority`` is served first."""
+    """An entry of a queue. A lower ``priority`` is served first."""
 
     priority: int
     sequence_number: int
@@ -22,7 +22,7 @@
 
 
 class SlotQueue:
-    """Queues by service; ``has_free_slot(service)``: would an endpoint of the service take a request now?"""
+    """One queue per service. ``has_free_slot(service)``: whether an endpoint of the service accepts a request now."""
 
     def __init__(self, clock: Clock, has_free_slot: Callable[[str], bool]) -> None:
         self._clock = clock
@@ -32,23 +32,23 @@
         self._poll_timer: Timer | None = None
 
     def enqueue(self, service: str, waiter: Hashable, priority: int, on_slot_free: Callable[[], None]) -> None:
-        """Call ``on_slot_free`` once, when a slot of the service may be free."""
+        """Add a waiter; ``on_slot_free`` is called once, when a slot of the service may be free."""
         entry = QueuedRequest(priority, self._next_sequence_number(), on_slot_free)
         self._queues.setdefault(service, {})[waiter] = entry
         if self._poll_timer is None:
             self._poll_timer = self._clock.call_later(POLL_INTERVAL_S, self._poll)
 
     def remove(self, service: str, waiter: Hashable) -> None:
-        """Take a waiter out; nothing happens where it is not queued."""
+        """Remove a waiter if it is queued."""
         self._queues.get(service, {}).pop(waiter, None)
 
     def notify(self, service: str) -> None:
-        """A slot of the service was released: the queue is served in the event loop's next iteration."""
+        """Serve the queue in the event loop's next iteration, as a slot of the service was released."""
         if self._queues.get(service):
             self._clock.call_later(0.0, lambda: self._serve(service))
 
     def notify_all(self) -> None:
-        """The endpoints have changed."""
+        """Notify the queues of all services, as the endpoints have changed."""
         for service in self._queues:
             self.notify(service)
 
@@ -65,4 +65,4 @@
             waiter = min(queue, key=lambda one: (queue[one].priority, queue[one].sequence_number))
             queue.pop(waiter).on_slot_free()
             if waiter in queue:
-                return  # it queued itself again: no free slot suits it
+                return  # the waiter queued itself again, as no free slot suits it
--- a/lynxscale/dataplane/status.py
+++ b/lynxscale/dataplane/status.py
@@ -1,6 +1,6 @@
-"""A relay's status report: ``GET /status`` at its readiness address.
+"""The status of a relay: ``GET /status`` at its readiness address, and its rendering as text.
 
-Fields keep the JSON names that operators read; where a name here differs, ``msgspec.field`` gives the one in JSON.
+Operators read the JSON names; ``msgspec.field`` gives the JSON name of a field that is named differently here.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class EndpointStatus(msgspec.Struct, frozen=True):
-    """One endpoint, by this relay's own attempts.
+    """The state of one endpoint, derived from this relay's own attempts.
 
     ``restart_timeout_ms`` is None while too few attempts have completed.
     """
@@ -29,7 +29,7 @@
 
 
 class RelayStatus(msgspec.Struct, frozen=True):
-    """One relay. ``confirmed_age_s``: how long ago the primary confirmed the versions of topics held here."""
+    """The status of one relay. ``confirmed_age_s``: seconds since the primary confirmed the versions of its topics."""
 
     address: str
     ready: bool
@@ -42,14 +42,14 @@
 
 
 def endpoint_status(endpoint_id: str, state: EndpointState) -> EndpointStatus:
-    """The status of one endpoint."""
+    """Return the status of one endpoint."""
     restart_timeout_ms = state.sample.restart_timeout_ms if math.isfinite(state.sample.restart_timeout_ms) else None
     service = state.endpoint.backend
     return EndpointStatus(endpoint_id, service, state.ready, state.in_flight, state.window, restart_timeout_ms)
 
 
 def render(status: RelayStatus) -> str:
-    """The status as text, one fact a line."""
+    """Return the status as text, one line per item."""
     condition = "stopping" if status.stopping else "ready" if status.ready else "not ready"
     lines = [
         f"relay          {status.address}, {condition}",
--- a/lynxscale/dataplane/turns.py
+++ b/lynxscale/dataplane/turns.py
@@ -1,7 +1,7 @@
-"""Turns of agent programs, as a client of the control plane: reserved budgets, histories and retained turns.
+"""Turns of agent programs: a client of the control plane that reserves budgets, reads histories and retains turns.
 
-A turn is admitted (its tokens are reserved and its history is read), executed, and then either committed (retained and
-durable before its last byte goes to the client) or closed (only its tokens are charged).
+A turn is admitted (its tokens are reserved and its history is read), executed, and then either committed (retained, and
+durable before its response ends) or closed (only its tokens are charged).
 """
 
 from __future__ import annotations
@@ -17,40 +17,43 @@
 from lynxscale.dataplane.routing import Route
 from lynxscale.runtime.http_types import Request
 
-ADMISSION_TIMEOUT_S = 2.5  # a new primary is elected well within it
-ISOLATED_ADMISSION_TIMEOUT_S = 0.3  # another relay may reach a primary
+ADMISSION_TIMEOUT_S = 2.5  # the election of a new primary takes less
+ISOLATED_ADMISSION_TIMEOUT_S = 0.3  # short, so that the client can retry through a relay that reaches a primary
 COMMIT_TIMEOUT_S = 2.5
-CLOSE_TIMEOUT_S = 10.0  # no client waits for it
-NO_BUDGET = -1  # on the wire: the program's budget is not limited
+CLOSE_TIMEOUT_S = 10.0  # no client waits for the reply
+NO_BUDGET = -1  # value of ``AdmitTurn.budget`` for a program without a budget
 
 
 class TurnListener(Protocol):
-    """The request that a turn belongs to."""
+    """Receives the events of a turn; implemented by the request that it belongs to."""
 
     def on_turn_admitted(self, turn: Turn, history: bytes) -> None:
-        """The turn's tokens are reserved; ``history`` is what goes before its own input."""
+        """Called once the turn's tokens are reserved; ``history`` has to precede its own input."""
 
     def on_turn_rejected(self, status: int) -> None:
-        """Not admitted: 402 or 404 where that is certain, else 503. No reservation remains."""
+        """Called if the turn is not admitted: 402 or 404 if the primary rejects it, otherwise 503.
+
+        No reservation remains.
+        """
 
     def on_turn_committed(self) -> None:
-        """The turn is durable."""
+        """Called once the turn is durable."""
 
     def on_commit_timeout(self) -> None:
-        """No primary has acknowledged the commit in time; whether the turn is durable is unknown."""
+        """Called if no primary acknowledges the commit in time; the turn may or may not be durable."""
 
 
 class TurnClient:
     """Creates the turns of a relay's requests."""
 
     def __init__(self, calls: PrimaryCalls, isolated: Callable[[], bool]) -> None:
-        """``isolated()``: has no primary been reachable for some time?"""
+        """``isolated()``: whether the relay is isolated from the primary."""
         self._calls = calls
         self._isolated = isolated
         self._histories = HistoryCache()
 
-    def turn_of(self, request: Request, route: Route) -> Turn | None:
-        """The turn of a request, None where it has no budget and is not retained, or its route does not stream."""
+    def create_turn(self, request: Request, route: Route) -> Turn | None:
+        """Return the turn of a request; None if it has no budget and is not retained, or its route does not stream."""
         budget = request.head.number(headers.BUDGET)
         if not route.streaming or (budget is None and not route.retained):
             return None
@@ -60,7 +63,7 @@
 
 
 class Turn:
-    """One request of a client for a turn."""
+    """The turn of one request. Every turn that was admitted has to be committed or closed."""
 
     def __init__(
         self,
@@ -88,7 +91,7 @@
     def admit(self, remaining_s: float, listener: TurnListener) -> None:
         """Reserve the turn's tokens and get its history."""
         cached_turn = self._histories.best_match(self._session, self._previous_turn)
-        # Read now: by the time of the reply it may be evicted.
+        # Read now, as the entry may be evicted before the reply arrives.
         cached_history = self._histories.get(cached_turn) or b""
 
         def on_reply(reply: Message | None) -> None:
@@ -99,20 +102,20 @@
                 self._closed = True
                 listener.on_turn_rejected(reply.status)
             else:
-                # The admission may yet be decided: what it reserves is released, as nothing is executed.
+                # The primary may still admit the turn: close it, so that its reservation is released.
                 self.close(0)
                 listener.on_turn_rejected(SERVICE_UNAVAILABLE)
 
         self._calls.call(self._admission(cached_turn), min(remaining_s, self._admission_timeout_s), on_reply)
 
     def close(self, tokens: int) -> None:
-        """Charge the tokens, release the rest of the reservation, and retain nothing. Only the first call counts."""
+        """Charge the tokens, release the rest of the reservation, and retain nothing. Repeated calls have no effect."""
         if not self._closed:
             self._closed = True
             self._calls.call(self._finish(tokens, None), CLOSE_TIMEOUT_S, lambda reply: None)
 
     def commit(self, tokens: int, output: bytes, listener: TurnListener) -> None:
-        """Charge the tokens and retain the turn's input and output."""
+        """Charge the tokens and retain the turn's input and output; the listener is called with the outcome."""
         self._closed = True
         content = self._input + output
 
--- a/tests/dataplane/test_connection_pool.py
+++ b/tests/dataplane/test_connection_pool.py
@@ -1,12 +1,12 @@
-"""The idle connections to an endpoint."""
+"""The pool of idle connections to an endpoint."""
 
 from lab.tier.world import World
-from lynxscale.dataplane.connection_pool import MAX_IDLE, ConnectionPool
+from lynxscale.dataplane.connection_pool import MAX_IDLE_CONNECTIONS, ConnectionPool
 from lynxscale.runtime.http_client import ClientConnection, ClientState
 
 
 def pool_with_connections(count: int) -> tuple[World, ConnectionPool, list[ClientConnection]]:
-    """A pool, and connections from it that are idle again but not yet released."""
+    """A pool, and connections acquired from it that are idle but not yet released to it."""
     world = World(1)
     pool = ConnectionPool("10.0.0.1:1", world.machine("a:1").clock(), lambda address, connection: None, closed=False)
     connections = [pool.acquire() for _ in range(count)]
@@ -29,7 +29,7 @@
 
 
 def test_a_full_or_closed_pool_closes_what_is_released():
-    world, pool, connections = pool_with_connections(MAX_IDLE + 1)
+    world, pool, connections = pool_with_connections(MAX_IDLE_CONNECTIONS + 1)
     for connection in connections:
         pool._release(connection)
     world.run(world.time + 0.01)
--- a/tests/dataplane/test_load_balancer.py
+++ b/tests/dataplane/test_load_balancer.py
@@ -224,7 +224,7 @@
 
 
 def test_the_keys_remembered_are_bounded_and_the_least_recently_used_goes_first(monkeypatch):
-    monkeypatch.setattr(load_balancer_module, "MAX_REMEMBERED_KEYS", 3)
+    monkeypatch.setattr(load_balancer_module, "MAX_AFFINITY_KEYS", 3)
     balancer = load_balancer(("north",) * 2)
     for key in ("a", "b", "c", "a", "d"):
         balancer.choose("model", EndpointDemand(key, 0, 0), set())
