--- a/lynxscale/controlplane/__main__.py
+++ b/lynxscale/controlplane/__main__.py
@@ -1,6 +1,7 @@
-"""The control plane's process: ``python -m lynxscale.controlplane``.
+"""The process of a control member: ``python -m lynxscale.controlplane``.
 
-SIGTERM shuts it down gracefully: it hands over the lease and leaves the group. SIGHUP reads the settings file anew.
+SIGTERM starts a graceful shutdown: the member hands over the lease and leaves the group. SIGHUP reloads the settings
+file.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 1.0
-SHUTDOWN_MARGIN_S = 1.0  # before the platform kills the process
-FLUSH_S = 0.05  # for the last messages to be sent
+SHUTDOWN_MARGIN_S = 1.0  # the process exits this long before the platform kills it
+FLUSH_DELAY_S = 0.05  # in which the last messages are sent
 MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
@@ -56,7 +57,7 @@
 
 
 async def leave(service: ControlService, timeout_s: float) -> None:
-    """Leave the group once nothing depends on this member any more, at the latest after ``timeout_s`` seconds."""
+    """Leave the group; wait until nothing depends on this member any more, at most ``timeout_s`` seconds."""
     released = asyncio.Event()
     service.leave(released.set)
     try:
@@ -64,11 +65,11 @@
             await released.wait()
     except TimeoutError:
         log.warning("event=left_unreleased")
-    await asyncio.sleep(FLUSH_S)
+    await asyncio.sleep(FLUSH_DELAY_S)
 
 
 def main() -> int:
-    """Run a control process until SIGTERM and return its exit code: 2 where its settings are unusable."""
+    """Run a control process until SIGTERM and return its exit code: 2 if its settings are unusable."""
     return run(serve)
 
 
--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -1,6 +1,7 @@
 """The command line of the control plane: ``lynxscale-controlplane``.
 
-Each command is a dataclass whose fields are its arguments, and whose call runs it; cappa parses and calls.
+Each command is a dataclass: its fields are the arguments, and calling it runs the command. cappa parses the arguments
+and calls the command.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
     file: str
 
     def __call__(self) -> None:
-        """Print the findings; exit code 1 where there are any."""
+        """Print the findings; the exit code is 1 if there are any."""
         checked = check_configuration(read_file(self.file))
         if isinstance(checked, Failure):
             raise fail(_finding_lines(self.file, checked.failure()), ExitCode.FINDINGS)
@@ -65,7 +66,7 @@
     json: Annotated[bool, cappa.Arg(long=True, help="As JSON.")] = False
 
     def __call__(self) -> None:
-        """Print it as text or JSON."""
+        """Print the status as text or JSON."""
         print_status(self.address, self.json, ControlStatus, render)
 
 
@@ -77,7 +78,7 @@
     address: str
 
     def __call__(self) -> None:
-        """Print it as it was sent."""
+        """Print the configuration as the operator sent it."""
         response = _checked(self.address, call(self.address, "GET", READ_PATH))
         print(response.body.decode())
 
@@ -93,7 +94,7 @@
     update: Annotated[bool, cappa.Arg(long=True, help="FILE is an update: generation, upsert and remove.")] = False
 
     def __call__(self) -> None:
-        """Send it; exit code 1 where it was not acknowledged."""
+        """Send the file; the exit code is 1 if it is not acknowledged."""
         fields = ((BASE_HEADER, b"%d" % self.base),)
         path = UPDATE_PATH if self.update else REPLACE_PATH
         _checked(self.address, call(self.address, "POST", path, read_file(self.file), fields))
@@ -110,7 +111,7 @@
     update: Annotated[bool, cappa.Arg(long=True, help="AFTER is an update of BEFORE.")] = False
 
     def __call__(self) -> None:
-        """Print one line for each difference; exit code 1 where there are any."""
+        """Print one line for each difference; the exit code is 1 if there are any."""
         before = _load(self.before)
         after = _load_updated(before, self.after) if self.update else _load(self.after)
         lines = differences(before, after)
@@ -120,7 +121,7 @@
 
 
 def _checked(address: str, response: Response) -> Response:
-    """Return the response where its status is 200. Raises cappa.Exit."""
+    """Return the response if its status is 200. Raises cappa.Exit."""
     if response.status != HTTPStatus.OK:
         raise fail(f"{address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
     return response
@@ -135,7 +136,7 @@
 
 
 def _unwrap(path: str, checked: Result[Configuration, Findings]) -> Configuration:
-    """Return the configuration that was read from a file. Raises cappa.Exit."""
+    """Return the checked configuration of a file. Raises cappa.Exit if there are findings."""
     if isinstance(checked, Failure):
         raise fail(_finding_lines(path, checked.failure()), ExitCode.UNUSABLE)
     return checked.unwrap()
@@ -153,7 +154,7 @@
     folder: str
 
     def __call__(self) -> None:
-        """Print the position reached, and each file that shows that something is missing."""
+        """Print the position of the last stored batch, and each file that is damaged or unreachable."""
         store = _open_store(self.folder)
         print(f"{self.folder}: position {store.position.epoch}/{store.position.index}, {len(store.values)} keys")
         if not store.intact:
@@ -169,7 +170,7 @@
     folder: str
 
     def __call__(self) -> None:
-        """Print it, sorted by key."""
+        """Print the entries, sorted by key."""
         for key, value in sorted(_open_store(self.folder).values.items()):
             print(msgspec.json.encode({"key": key, "value": value}).decode())
 
@@ -191,7 +192,7 @@
 @cappa.command(name="storage", help="The data folder of a member that is stopped.")
 @dataclass
 class Storage:
-    """Commands on the stored state."""
+    """Commands on the stored state of a stopped member."""
 
     command: cappa.Subcommands[Verify | Export]
 
--- a/lynxscale/controlplane/configuration.py
+++ b/lynxscale/controlplane/configuration.py
@@ -1,4 +1,4 @@
-"""The shape of the operator's configuration, as decoded from JSON. Field names are those of the operators' pages."""
+"""The types of the operator's configuration as decoded from JSON; its documentation defines the field names."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 @frozen
 class Finding:
-    """What is wrong with a configuration or an update, and at which path in it, such as ``routes[0].timeout-ms``."""
+    """An error in a configuration or an update, with the path of the field, such as ``routes[0].timeout-ms``."""
 
     path: str
     message: str
--- a/lynxscale/controlplane/configuration_check.py
+++ b/lynxscale/controlplane/configuration_check.py
@@ -1,4 +1,4 @@
-"""Checks a configuration and collects all findings, each with its path, so that an operator corrects them at once.
+"""Checks a configuration and collects all findings, each with its path, so that an operator can correct all together.
 
 A check returns ``Success`` with the configuration, or ``Failure`` with a non-empty tuple of findings.
 """
@@ -25,12 +25,12 @@
 
 
 def check_configuration(body: bytes) -> Result[Configuration, Findings]:
-    """Decode and check the configuration of a request's body."""
+    """Decode and check the configuration in a request's body."""
     return decode_object(body).bind(check_decoded)
 
 
 def decode_object(body: bytes) -> Result[dict[str, Any], Findings]:
-    """Decode the JSON object of a request's body, unchecked."""
+    """Decode the JSON object in a request's body without checking its fields."""
     try:
         decoded = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
@@ -41,13 +41,13 @@
 
 
 def check_decoded(decoded: dict[str, Any]) -> Result[Configuration, Findings]:
-    """Check a decoded object; the same object is returned where it is a valid configuration."""
+    """Check a decoded object; return the same object if it is a valid configuration."""
     findings = tuple(_configuration_findings(decoded))
     return Failure(findings) if findings else Success(cast(Configuration, decoded))
 
 
 def generation_findings(decoded: dict[str, Any]) -> Iterator[Finding]:
-    """Yield what is wrong with the version of a configuration or an update."""
+    """Yield the findings on the version of a configuration or an update."""
     if type(decoded.get("generation")) is not int:
         yield Finding("generation", "want a whole number")
 
@@ -121,7 +121,7 @@
 
 
 def _duplicate_match_findings(routes: list[Any]) -> Iterator[Finding]:
-    """Yield routes that match the same requests as an earlier one: the same host and path prefix."""
+    """Yield a finding for each route with the host and path prefix of an earlier one."""
     first: dict[tuple[Any, Any], int] = {}
     for index, route in enumerate(routes):
         if not isinstance(route, dict):
--- a/lynxscale/controlplane/configuration_endpoint.py
+++ b/lynxscale/controlplane/configuration_endpoint.py
@@ -1,7 +1,7 @@
 """The configuration in force, and the operator's requests that read, replace or update it.
 
-A request names the version that it builds on, and makes a later one. A repeated request is acknowledged again, also by
-another primary and when later ones were committed since; see ``lynxscale.controlplane.idempotency``.
+A change names its base version and creates a later version. A repeated request is acknowledged again, even by another
+primary and after later changes; see ``lynxscale.controlplane.idempotency``.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
     check_update,
 )
 from lynxscale.controlplane.http_responses import (
-    JSON_CONTENT,
+    JSON_CONTENT_TYPE,
     CommittedResponses,
     invalid_request,
     json_response,
-    undecided,
+    service_unavailable,
 )
 from lynxscale.controlplane.idempotency import ChangeKind, IdempotencyRecords, idempotency_key
 from lynxscale.coordination.member import ControlMember
@@ -39,39 +39,39 @@
 
 
 class CurrentConfiguration(msgspec.Struct, frozen=True):
-    """The configuration in force: its version, and its JSON, byte for byte as sent where it was sent complete."""
+    """The configuration in force: its version and its JSON. A replacement is stored byte for byte as it was sent."""
 
     generation: int
     body: msgspec.Raw
 
 
 class ConfigurationEndpoint:
-    """Handles requests on the configuration; only the primary may be asked to change it."""
+    """Handles the operator's requests on the configuration; used by the primary only."""
 
     def __init__(
         self, member: ControlMember, responses: CommittedResponses, on_commit: Callable[[CurrentConfiguration], None]
     ) -> None:
-        """``on_commit(configuration)`` is called once a new one is committed."""
+        """``on_commit(configuration)`` is called once a new configuration is committed."""
         self._member = member
         self._responses = responses
         self._on_commit = on_commit
         self._records = IdempotencyRecords(member)
 
     def current(self) -> CurrentConfiguration | None:
-        """Return the newest configuration in this member's store, committed or not; None where there is none yet."""
+        """Return the newest configuration in this member's store, committed or not; None if there is none yet."""
         raw = self._member.store.values.get(CURRENT_KEY)
         return None if raw is None else msgspec.json.decode(raw, type=CurrentConfiguration)
 
     def read(self, responder: Responder) -> None:
-        """Send the configuration that is newest now, once it is known to be committed.
+        """Send the configuration that is the newest now, once it is known to be committed.
 
-        What is submitted while this waits may never be.
+        A change that is submitted in the meantime is not sent, as it may never be committed.
         """
         newest = self.current()
         self._member.barrier(lambda outcome: responder.respond(read_response(newest, outcome)))
 
     def change(self, kind: ChangeKind, request: Request, responder: Responder) -> None:
-        """Replace or update the configuration, and answer once that is committed or rejected."""
+        """Replace or update the configuration; respond once the change is committed or rejected."""
         base = request.head.text(BASE_HEADER, "0").strip()
         key = idempotency_key(kind, base, request.body)
         if self._records.contains(key):
@@ -101,7 +101,7 @@
             self._commit_update(update, key, responder)
 
     def _rejects_version(self, base: str, generation: int, responder: Responder) -> bool:
-        """Reject a change that builds on another version than that in force, or that makes no later one."""
+        """Reject a change unless its base version is in force and its new version later; return whether it was."""
         rejection = self._version_rejection(base, generation)
         if rejection is not None:
             self._responses.send_after_barrier(responder, rejection)
@@ -111,7 +111,7 @@
         current = self.current()
         in_force = current.generation if current else 0
         if base != str(in_force) and self._records.may_be_evicted(base):
-            return undecided("orders on so old a version are remembered no longer")
+            return service_unavailable("orders on so old a version are remembered no longer")
         if base != str(in_force):
             return json_response(HTTPStatus.PRECONDITION_FAILED, {"error": f"version {in_force} is current"})
         if generation <= in_force:
@@ -121,7 +121,7 @@
     def _commit_update(self, update: ConfigurationUpdate, key: str, responder: Responder) -> None:
         updated = self._updated(update)
         if isinstance(updated, Failure):
-            # The configuration that it is applied to may not be committed yet.
+            # The findings may rest on a configuration that is not committed yet.
             self._responses.send_after_barrier(responder, invalid_request(updated.failure()))
             return
         self._commit(update["generation"], msgspec.json.encode(updated.unwrap()), key, responder)
@@ -141,7 +141,7 @@
 
 
 def read_response(configuration: CurrentConfiguration | None, outcome: CommitOutcome) -> Response:
-    """The answer to a read, by what became of all that was submitted before it."""
+    """Return the response to a read; ``outcome`` is that of everything submitted before the read."""
     if not outcome.committed or configuration is None:
-        return undecided("no configuration yet")
-    return Response(HTTPStatus.OK, Head(JSON_CONTENT), bytes(configuration.body))
+        return service_unavailable("no configuration yet")
+    return Response(HTTPStatus.OK, Head(JSON_CONTENT_TYPE), bytes(configuration.body))
--- a/lynxscale/controlplane/configuration_update.py
+++ b/lynxscale/controlplane/configuration_update.py
@@ -1,7 +1,7 @@
 """Updates of the configuration: routes and services are added, replaced or removed by name.
 
-The result is a complete configuration, checked like one that was sent complete. All findings are collected, each with
-its path.
+The result is a complete configuration and is checked like a replacement. All findings are collected, each with its
+path.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ConfigurationUpdate(TypedDict):
-    """``upsert``: entries by list, each added, or replacing the one of its name; ``remove``: names by list."""
+    """``upsert``: entries to add, or to replace by name, per list; ``remove``: names of entries, per list."""
 
     generation: int
     upsert: NotRequired[dict[str, list[Entry]]]
@@ -31,7 +31,7 @@
 
 
 def check_update(body: bytes) -> Result[ConfigurationUpdate, Findings]:
-    """Decode the update of a request's body, and check what does not depend on the configuration in force."""
+    """Decode the update in a request's body, and check all that does not depend on the configuration in force."""
     decoded = decode_object(body)
     if isinstance(decoded, Failure):
         return decoded
@@ -48,7 +48,7 @@
     updated: Entry = {**current, "generation": update["generation"]}
     for name in NAMED_LISTS:
         updated[name] = _updated_list(named_entries(current, name), _upserted(update, name), _removed(update, name))
-    return check_decoded(updated).alt(_of_result)
+    return check_decoded(updated).alt(_prefix_result_paths)
 
 
 def named_entries(configuration: Configuration, name: str) -> list[Entry]:
@@ -57,7 +57,7 @@
 
 
 def _updated_list(entries: list[Entry], upserted: list[Entry], removed: list[str]) -> list[Entry]:
-    """Return the entries in their order; new ones come last."""
+    """Return the updated entries in their order, followed by the new ones."""
     removed_names = set(removed)
     replacements = {entry["name"]: entry for entry in upserted}
     remaining = [replacements.get(entry["name"], entry) for entry in entries if entry["name"] not in removed_names]
@@ -65,7 +65,7 @@
     return remaining + [entry for entry in upserted if entry["name"] not in names_before]
 
 
-def _of_result(findings: Findings) -> Findings:
+def _prefix_result_paths(findings: Findings) -> Findings:
     return tuple(Finding(f"result.{finding.path}", finding.message) for finding in findings)
 
 
@@ -108,7 +108,7 @@
 
 
 def _duplicate_name_findings(update: Entry) -> Iterator[Finding]:
-    """Yield names that occur more than once, in one operation or in both."""
+    """Yield a finding for each name that occurs more than once, in one operation or in both."""
     for name in NAMED_LISTS:
         upserted = [entry.get("name") for entry in _unchecked_list(update, "upsert", name) if isinstance(entry, dict)]
         removed = [entry for entry in _unchecked_list(update, "remove", name) if isinstance(entry, str)]
--- a/lynxscale/controlplane/exceptions.py
+++ b/lynxscale/controlplane/exceptions.py
@@ -12,13 +12,13 @@
 
 
 class AdmissionError(ControlPlaneError):
-    """A turn that may not run. ``status`` is the HTTP status that the relay answers its client with."""
+    """Base of the errors that reject a turn. ``status`` is the HTTP status that the relay's client gets."""
 
     status: HTTPStatus
 
 
 class TurnNotFoundError(AdmissionError):
-    """The turn to continue from is not retained: it never completed, or its retention is over."""
+    """The previous turn is not retained: it never completed, or its retention has expired."""
 
     status = HTTPStatus.NOT_FOUND
 
@@ -28,7 +28,7 @@
 
 
 class BudgetExceededError(AdmissionError):
-    """The budget does not cover the largest number of tokens that the turn may use."""
+    """The remaining budget is less than the maximum number of tokens that the turn may use."""
 
     status = HTTPStatus.PAYMENT_REQUIRED
 
--- a/lynxscale/controlplane/http_responses.py
+++ b/lynxscale/controlplane/http_responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses of the operator's API, and those that are sent once the state that they depend on is committed."""
+"""HTTP responses of the operator's API, and their delivery once the state that they depend on is committed."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 from lynxscale.runtime.http_server import Responder
 from lynxscale.runtime.http_types import Head, Response
 
-JSON_CONTENT = ((b"content-type", b"application/json"),)
-RETRY_AFTER = ((b"retry-after", b"0.2"),)  # seconds
-NOT_COMMITTED = "not decided"  # also where it is unknown whether the change was committed
+JSON_CONTENT_TYPE = ((b"content-type", b"application/json"),)
+RETRY_AFTER = ((b"retry-after", b"0.2"),)  # in seconds
+NOT_COMMITTED = "not decided"  # the change may or may not have been committed
 
 
 def json_response(status: int, value: object) -> Response:
     """Return a response with a JSON body."""
-    return Response(status, Head(JSON_CONTENT), msgspec.json.encode(value))
+    return Response(status, Head(JSON_CONTENT_TYPE), msgspec.json.encode(value))
 
 
-def no_such_call() -> Response:
-    """Return the response to a request for a path or method that the API does not have."""
+def not_found() -> Response:
+    """Return the 404 response to a request for an unknown path or method."""
     return json_response(HTTPStatus.NOT_FOUND, {"error": "no such call"})
 
 
 def invalid_request(findings: tuple[Finding, ...]) -> Response:
-    """Return the response to a request that can never be accepted as it is: everything that is wrong with it."""
+    """Return the 400 response to an invalid request, with all findings."""
     listed = [{"place": finding.path, "error": finding.message} for finding in findings]
     return json_response(HTTPStatus.BAD_REQUEST, {"findings": listed})
 
 
-def undecided(text: str) -> Response:
-    """Return the response without a definite answer: the caller is to retry."""
+def service_unavailable(text: str) -> Response:
+    """Return the 503 response to a request whose result is unknown, or unavailable now: the caller has to retry."""
     return Response(
-        HTTPStatus.SERVICE_UNAVAILABLE, Head((*JSON_CONTENT, *RETRY_AFTER)), msgspec.json.encode({"error": text})
+        HTTPStatus.SERVICE_UNAVAILABLE, Head((*JSON_CONTENT_TYPE, *RETRY_AFTER)), msgspec.json.encode({"error": text})
     )
 
 
 class CommittedResponses:
-    """Sends responses once the state that they depend on is committed, and ``undecided`` where that is uncertain."""
+    """Sends responses once the state that they depend on is committed, or 503 if that is uncertain."""
 
     def __init__(self, member: ControlMember) -> None:
         self._member = member
 
     def send_after_barrier(self, responder: Responder, response: Response) -> None:
-        """Send the response once everything that was submitted before is committed."""
+        """Send the response once everything that was submitted earlier is committed."""
 
         def on_outcome(outcome: CommitOutcome) -> None:
-            responder.respond(response if outcome.committed else undecided(NOT_COMMITTED))
+            responder.respond(response if outcome.committed else service_unavailable(NOT_COMMITTED))
 
         self._member.barrier(on_outcome)
 
@@ -64,6 +64,6 @@
         def on_outcome(outcome: CommitOutcome) -> None:
             if outcome.committed:
                 on_commit()
-            responder.respond(response if outcome.committed else undecided(NOT_COMMITTED))
+            responder.respond(response if outcome.committed else service_unavailable(NOT_COMMITTED))
 
         self._member.submit(puts, on_outcome)
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -15,7 +15,7 @@
 from http import HTTPStatus
 
 from lynxscale.controlplane.configuration_endpoint import ConfigurationEndpoint, CurrentConfiguration
-from lynxscale.controlplane.http_responses import CommittedResponses, no_such_call, undecided
+from lynxscale.controlplane.http_responses import CommittedResponses, not_found, service_unavailable
 from lynxscale.controlplane.idempotency import ChangeKind
 from lynxscale.controlplane.retirement_endpoint import RetirementEndpoint
 from lynxscale.coordination.member import ControlMember
@@ -28,7 +28,7 @@
 
 
 class OperatorApi:
-    """Handles the operator's requests on any member; only the primary decides, others redirect to it."""
+    """Handles the operator's requests on any member; members other than the primary redirect to it."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         on_configuration: Callable[[CurrentConfiguration], None],
         on_retirement: Callable[[], None],
     ) -> None:
-        """``on_configuration(configuration)`` and ``on_retirement()`` are called once one is committed."""
+        """``on_configuration(configuration)`` and ``on_retirement()`` are called once such a change is committed."""
         responses = CommittedResponses(member)
         self.configuration = ConfigurationEndpoint(member, responses, on_configuration)
         self.retirement = RetirementEndpoint(member, responses, on_retirement)
@@ -45,7 +45,7 @@
         self._control_port = control_port  # the same on all members
 
     def handle(self, request: Request, responder: Responder) -> None:
-        """Answer a request, now or once its change is committed."""
+        """Respond to a request, immediately or once its change is committed."""
         if not self._member.leads():
             self._redirect_to_primary(request, responder)
         elif request.method == "POST" and request.path in CHANGE_KINDS:
@@ -55,12 +55,12 @@
         elif request.path.startswith(RETIREMENT_PATH_PREFIX):
             self._handle_retirement(request, responder)
         else:
-            responder.respond(no_such_call())
+            responder.respond(not_found())
 
     def _redirect_to_primary(self, request: Request, responder: Responder) -> None:
         primary = self._member.primary()
         if not primary:
-            responder.respond(undecided("there is no primary"))
+            responder.respond(service_unavailable("there is no primary"))
             return
         location = f"http://{primary.rpartition(':')[0]}:{self._control_port}{request.target}"
         responder.respond(Response(HTTPStatus.TEMPORARY_REDIRECT, Head(((b"location", location.encode()),))))
@@ -73,4 +73,4 @@
         elif (request.method, action) == ("GET", "read"):
             self.retirement.read(node, responder)
         else:
-            responder.respond(no_such_call())
+            responder.respond(not_found())
--- a/lynxscale/controlplane/program_state.py
+++ b/lynxscale/controlplane/program_state.py
@@ -1,7 +1,7 @@
 """Token budgets of programs, as records of the replicated store.
 
-The largest number of tokens that a turn may use is reserved before it runs, and settled with the number that it did
-use. The reservation of a relay that has died stays, so a budget is never exceeded.
+The maximum number of tokens that a turn may use is reserved before it runs, and replaced by the number it has used when
+it ends. If the relay fails in between, the reservation stays, so that the budget is never exceeded.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from lynxscale.coordination.messages import AdmitTurn, FinishTurn, Put, put_value
 
 PROGRAM_PREFIX = "program/"
-MIN_PROGRAM_RETENTION_S = 600.0  # a program that was stopped may be resumed
-NO_BUDGET = -1  # in ``AdmitTurn.budget``
+MIN_PROGRAM_RETENTION_S = 600.0  # for programs that are resumed after a pause
+NO_BUDGET = -1  # value of ``AdmitTurn.budget`` for a program without a budget
 
 
 class ProgramRecord(msgspec.Struct):
-    """Tokens that a program has spent, and those reserved by request id for its turns in flight.
+    """The tokens that a program has spent, and those reserved for its turns in flight, by request id.
 
-    Stored under the names given to ``msgspec.field``; folders of earlier versions are read with them.
+    ``msgspec.field`` gives the stored names; data folders of earlier versions contain them.
     """
 
     budget: int
@@ -30,12 +30,15 @@
 
     @property
     def committed_tokens(self) -> int:
-        """Tokens spent or reserved."""
+        """The number of tokens that are spent or reserved."""
         return self.spent_tokens + sum(self.reservations.values())
 
 
 class ProgramState:
-    """Reserves and settles tokens of programs. ``values`` is the store's memory; changes are returned, not made."""
+    """Reserves and settles tokens of programs.
+
+    ``values`` are the store's entries in memory. Methods return changes as puts and apply none.
+    """
 
     def __init__(self, values: dict[str, msgspec.Raw], retention: RetentionTracker) -> None:
         self._values = values
@@ -58,7 +61,7 @@
         return (self._store(request.program, program, request.retention_s),)
 
     def settle(self, request: FinishTurn) -> tuple[Put, ...]:
-        """Return the puts that replace a turn's reservation by the tokens it used; none where it has none."""
+        """Return the puts that replace a turn's reservation by the tokens it used; none if it has no reservation."""
         program = self._load(request.program)
         if program is None or request.request not in program.reservations:
             return ()
--- a/lynxscale/controlplane/relay_requests.py
+++ b/lynxscale/controlplane/relay_requests.py
@@ -1,4 +1,4 @@
-"""Requests of relays: turns to admit and to finish, and subscriptions to topics. Only a serving primary answers."""
+"""Requests of relays: to admit and finish turns, and to subscribe to topics. Only a serving primary answers them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from lynxscale.coordination.relay_roster import Roster
 from lynxscale.coordination.topic_publisher import Publisher
 
-MAX_PENDING_REDIRECTS = 10_000  # relays remembered while no primary is known; those beyond are not redirected
+MAX_PENDING_REDIRECTS = 10_000  # relays that wait for a primary to become known; further ones are not redirected
 
 
 class RelayRequestHandler:
     """Answers relays, or redirects them to the primary as soon as it is known.
 
-    A member that leads serves relays between ``start_serving`` and ``stop_serving``.
+    The primary answers relays between ``start_serving`` and ``stop_serving``.
     """
 
     def __init__(self, member: ControlMember, publisher: Publisher, network: Network) -> None:
@@ -36,10 +36,10 @@
         self._network = network
         self._admission: TurnAdmission | None = None
         self._roster: Roster | None = None
-        self._pending_redirects: dict[str, None] = {}  # in the order in which they asked
+        self._pending_redirects: dict[str, None] = {}  # relay addresses in order of arrival
 
     def start_serving(self, admission: TurnAdmission, roster: Roster) -> None:
-        """Answer requests from now on, with the admission state and roster of this lead."""
+        """Answer requests from now on, with the admission state and roster of a new primary."""
         self._admission = admission
         self._roster = roster
 
@@ -48,7 +48,7 @@
         self._admission = self._roster = None
 
     def on_call(self, call: Call) -> None:
-        """Admit or finish a turn; the reply is sent once the change is durable."""
+        """Admit or finish a turn, and reply once the change is durable."""
         if self._admission is None or not self._member.leads():
             self._redirect(call.caller)
         elif isinstance(call.body, AdmitTurn):
@@ -58,7 +58,7 @@
             self._reply_when_durable(call, TurnFinished(), self._admission.finish(call.body))
 
     def on_attach(self, message: Attach) -> None:
-        """Enter a relay into the roster and send it the topics that it lacks."""
+        """Add a relay to the roster and send it the topics that it lacks."""
         if self._roster is None or not self._member.leads():
             self._redirect(message.sender)
             return
@@ -66,12 +66,12 @@
         self._publisher.on_attach(message, self._publisher.address, self._member.record.epoch, 0.0)
 
     def on_suspicion(self, message: Suspicion) -> None:
-        """Count a relay's report that another one misses its heartbeats."""
+        """Count a relay's report that another relay's heartbeats are missing."""
         if self._roster is not None:
             self._roster.on_suspicion(message)
 
     def send_pending_redirects(self) -> None:
-        """Redirect the relays that sent requests while no primary was known, where one is known now."""
+        """Redirect the relays that sent requests while no primary was known, if one is known now."""
         if self._pending_redirects and self._serving_primary():
             addresses, self._pending_redirects = self._pending_redirects, {}
             for address in addresses:
@@ -97,6 +97,6 @@
             self._pending_redirects[address] = None
 
     def _serving_primary(self) -> str:
-        """Return the primary's address; empty where it is unknown, or this member and not serving yet."""
+        """Return the primary's address; empty if it is unknown, or is this member and not serving yet."""
         starting = self._member.leads() and self._admission is None
         return "" if starting else self._member.primary()
--- a/lynxscale/controlplane/retention.py
+++ b/lynxscale/controlplane/retention.py
@@ -1,7 +1,7 @@
-"""Retention of stored records: durations that the primary counts on its monotonic clock, never wall-clock times.
+"""Retention of stored records, measured on the primary's monotonic clock and never by wall-clock time.
 
-Each new primary restarts all durations, as elapsed time is not stored. A turn is
-retained for as long as any turn that continues from it.
+The elapsed time is not stored, so each new primary restarts the retention of all records. A turn is retained for at
+least as long as any turn that continues from it.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 
 class RetentionRecord(msgspec.Struct):
-    """The fields that a stored program or turn has in common: its retention in seconds, and its parent turn.
+    """The fields of a stored program or turn that retention needs: its duration in seconds, and the previous turn.
 
-    Stored names are those of ``ProgramRecord`` and ``TurnRecord``.
+    The stored names are those of ``ProgramRecord`` and ``TurnRecord``.
     """
 
     retention_s: float = msgspec.field(default=0.0, name="keep_s")
@@ -24,7 +24,7 @@
 
 
 class RetentionTracker:
-    """Tracks when keys of the store expire. A key does not expire before its children have."""
+    """Tracks when keys of the store expire. A key never expires before its children."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -33,20 +33,20 @@
         self._child_counts: Counter[str] = Counter()
 
     def clear(self) -> None:
-        """Track no keys."""
+        """Stop tracking all keys."""
         self._expires_at.clear()
         self._parents.clear()
         self._child_counts.clear()
 
     def retain(self, key: str, retention_s: float, parent: str = "") -> None:
-        """Retain a key for ``retention_s`` seconds from now on, and its parent for at least as long."""
+        """Retain a key for ``retention_s`` seconds from now, and its parent for at least as long."""
         self._expires_at[key] = self._clock.now() + retention_s
         if parent and key not in self._parents:
             self._parents[key] = parent
             self._child_counts[parent] += 1
 
     def pop_expired(self) -> list[str]:
-        """Return the expired keys without children, children before parents, and stop tracking them."""
+        """Return the expired keys, children before their parents, and stop tracking them."""
         now = self._clock.now()
         candidates = [key for key, expires_at in self._expires_at.items() if expires_at < now]
         expired: list[str] = []
@@ -55,12 +55,12 @@
             if not leaves:
                 break
             for key in leaves:
-                self._forget(key)
+                self._untrack(key)
             expired += leaves
             candidates = [key for key in candidates if key in self._expires_at]
         return expired
 
-    def _forget(self, key: str) -> None:
+    def _untrack(self, key: str) -> None:
         del self._expires_at[key]
         self._child_counts.pop(key, None)
         parent = self._parents.pop(key, "")
--- a/lynxscale/controlplane/retirement_endpoint.py
+++ b/lynxscale/controlplane/retirement_endpoint.py
@@ -1,11 +1,11 @@
-"""Retirement of machines: the operator's requests to evacuate a machine, so that it can be taken away."""
+"""Retirement of machines: the operator's requests to evacuate a machine before its removal."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from http import HTTPStatus
 
-from lynxscale.controlplane.http_responses import CommittedResponses, json_response, undecided
+from lynxscale.controlplane.http_responses import CommittedResponses, json_response, service_unavailable
 from lynxscale.coordination.leadership import Leadership
 from lynxscale.coordination.member import ControlMember
 from lynxscale.coordination.messages import put_value
@@ -17,7 +17,7 @@
 
 
 class RetirementEndpoint:
-    """Handles requests on the retirement of machines, each known by its node name."""
+    """Handles requests on the retirement of machines, which are identified by node name."""
 
     def __init__(self, member: ControlMember, responses: CommittedResponses, on_commit: Callable[[], None]) -> None:
         """``on_commit()`` is called once a retirement is committed."""
@@ -26,12 +26,15 @@
         self._on_commit = on_commit
 
     def retiring_nodes(self) -> frozenset[str]:
-        """Return the machines that are to be evacuated, or already are."""
+        """Return the machines that are being evacuated, or have been."""
         prefix = len(RETIREMENT_PREFIX)
         return frozenset(key[prefix:] for key in self._member.store.values if key.startswith(RETIREMENT_PREFIX))
 
     def start(self, node: str, responder: Responder) -> None:
-        """Retire a machine where enough live ones remain; 404 or 409 only where that is certain, else 503."""
+        """Retire a machine if enough live ones remain.
+
+        The response is 404 or 409 only if the machine is certainly unknown or needed, otherwise 503.
+        """
         running = json_response(HTTPStatus.OK, {"state": "running"})
         if self._is_retiring(node):
             self._responses.send_after_barrier(responder, running)
@@ -64,16 +67,16 @@
     def _rejection(self, node: str) -> Response:
         possible = self._leadership.possibly_live_nodes()
         if possible is None:
-            return undecided("not every machine was heard of yet")
+            return service_unavailable("not every machine was heard of yet")
         if node not in possible:
             return json_response(HTTPStatus.NOT_FOUND, {"error": f"no machine is called {node!r}"})
         if len(possible - {node}) < self._member.min_members:
             return json_response(HTTPStatus.CONFLICT, {"error": "too few machines would remain"})
-        return undecided("some machines are silent just now")
+        return service_unavailable("some machines are silent just now")
 
     def _progress(self, node: str, outcome: CommitOutcome) -> Response:
         if not outcome.committed or not self._member.leads():
-            return undecided("not decided")
+            return service_unavailable("not decided")
         if not self._is_retiring(node):
             return json_response(HTTPStatus.NOT_FOUND, {"error": f"{node!r} is not to be emptied"})
         state = "done" if self._leadership.is_vacated(node) else "running"
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -1,7 +1,7 @@
-"""One process of the control plane: a member of the replicated group, and what it does as primary.
+"""One process of the control plane: a member of the replicated group, and its tasks as primary.
 
-Composes the parts and dispatches messages, requests and ticks to them. A member serves as primary once it holds the
-lease and has established that everything earlier primaries committed is committed; it stops once it loses the lease.
+It dispatches messages, requests and ticks to its components. A member serves as primary once it holds the lease and has
+established that everything that earlier primaries committed is committed; it stops once it loses the lease.
 """
 
 from __future__ import annotations
@@ -33,9 +33,9 @@
 log = logging.getLogger(__name__)
 
 STATUS_PATH = "/status"
-TICK_S = 0.02  # between two checks whether to serve, publish or run periodic tasks
-EXPIRY_INTERVAL_S = 5.0  # between removals of records whose retention is over
-SCRUB_INTERVAL_S = 1.0  # between comparisons of the replicas' checksums
+TICK_INTERVAL_S = 0.02  # of checks whether to serve, publish or run periodic tasks
+EXPIRY_INTERVAL_S = 5.0  # of removals of expired records
+SCRUB_INTERVAL_S = 1.0  # of comparisons of the replicas' checksums
 
 
 class ControlService:
@@ -56,9 +56,9 @@
         self._relay_requests = RelayRequestHandler(self.member, self.publisher, network)
         self._poller = EndpointPoller(settings.cloud.address, clock, dial, self.publication.publish_endpoints)
         self._clock = clock
-        self._admission: TurnAdmission | None = None  # while this member serves as primary
+        self._admission: TurnAdmission | None = None  # not None while this member serves as primary
         self._next_expiry = self._next_scrub = 0.0
-        clock.call_later(TICK_S, self._tick)
+        clock.call_later(TICK_INTERVAL_S, self._tick)
 
     def handle_request(self, request: Request, responder: Responder) -> None:
         """Answer an operator's HTTP request."""
@@ -79,7 +79,7 @@
             self._relay_requests.on_suspicion(message)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Apply a changed settings file: its seeds, and the address of the platform's list."""
+        """Apply a changed settings file: its seeds and the address of the platform's API."""
         self.member.contacts = settings.contacts
         self._poller.address = settings.cloud.address
 
@@ -88,7 +88,7 @@
         self.member.leave(on_release)
 
     def status(self) -> ControlStatus:
-        """Return the status of this process and, as primary, of the other members."""
+        """Return the status of this process and, if it is the primary, of the other members."""
         member = self.member
         leads = member.leads()
         current = self.operator_api.configuration.current()
@@ -138,7 +138,7 @@
         self.member.retiring = self.operator_api.retirement.retiring_nodes()
 
     def _publish_once_committed(self) -> None:
-        """Publish the configuration found at the start of a lead; a change may have been submitted already."""
+        """Publish the configuration that this member has as it begins to lead, once that is known to be committed."""
         found = self.operator_api.configuration.current()
 
         def on_outcome(outcome: CommitOutcome) -> None:
@@ -148,11 +148,11 @@
         self.member.barrier(on_outcome)
 
     def _publish(self, configuration: CurrentConfiguration | None) -> None:
-        """Publish a configuration that is committed: relays never go back from one."""
+        """Publish a configuration. It must be committed, as relays never return to an earlier version."""
         self.publication.publish_configuration(configuration)
 
     def _tick(self) -> None:
-        self._clock.call_later(TICK_S, self._tick)
+        self._clock.call_later(TICK_INTERVAL_S, self._tick)
         if self.member.leads() and self._admission is None:
             self._start_serving()
         self._relay_requests.send_pending_redirects()
--- a/lynxscale/controlplane/status.py
+++ b/lynxscale/controlplane/status.py
@@ -1,6 +1,6 @@
 """The status of a control process: ``GET /status`` at its control address, and its rendering as text.
 
-JSON field names are those of the operators' pages.
+Operators read the JSON names; ``msgspec.field`` gives the JSON name of a field that is named differently here.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class ReplicaStatus(msgspec.Struct, frozen=True):
-    """One member of the group, by the messages that the primary has received from it."""
+    """The status of one member of the group, as the primary knows it from the member's messages."""
 
     member: str
     node: str
@@ -19,10 +19,10 @@
 
 
 class ControlStatus(msgspec.Struct, frozen=True):
-    """One control process.
+    """The status of one control process.
 
-    ``leads``: it holds the lease. ``position``: epoch and index of the last stored batch. ``configuration``: the
-    version in force. ``endpoints``, ``relays`` and ``replicas`` are known to the primary alone.
+    ``leads``: whether it holds the lease. ``position``: epoch and index of the last stored batch. ``configuration``:
+    the version in force. ``endpoints``, ``relays`` and ``replicas`` are reported by the primary only.
     """
 
     node: str
@@ -40,7 +40,7 @@
 
 
 def render(status: ControlStatus) -> str:
-    """Return the status as text, one fact a line."""
+    """Return the status as text, one line per item."""
     lines = [
         f"node           {status.node}",
         f"state          {status.state}{' (holds the lease)' if status.leads else ''}",
--- a/lynxscale/controlplane/topic_publication.py
+++ b/lynxscale/controlplane/topic_publication.py
@@ -1,6 +1,6 @@
-"""What the primary publishes to relays: the configuration, the endpoint list, the members and the roster of relays.
+"""Topics that the primary publishes to relays: the configuration, the endpoint list, the members and the roster.
 
-Topics are versioned by the primary's epoch and a number that rises within it; the configuration by its own version.
+A topic's version is the primary's epoch and a number that increases within it; the configuration has its own version.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class TopicPublication:
-    """Publishes topics for as long as its member leads; each time that it begins to lead, all of them anew."""
+    """Publishes topics while its member is the primary; all topics are published again after each ``start``."""
 
     def __init__(self, member: ControlMember, publisher: Publisher, clock: Clock) -> None:
         self._member = member
@@ -43,7 +43,7 @@
         self._roster_changed = False
 
     def start(self) -> None:
-        """Forget what was published before, here or by an earlier primary."""
+        """Discard the topics, children and roster of earlier, as this member begins to lead."""
         self._publisher.topics, self._publisher.children = {}, {}
         self.roster = Roster(self._clock, self._on_roster_change)
         self.endpoints, self._shards, self._members = [], {}, ()
@@ -57,7 +57,7 @@
         self._push()
 
     def publish_endpoints(self, endpoints: list[Endpoint]) -> None:
-        """Publish the shards of the endpoint list that have changed."""
+        """Publish the changed shards of the endpoint list."""
         if endpoints == self.endpoints or not self._member.leads():
             return
         log.info("event=endpoints count=%d", len(endpoints))
@@ -76,7 +76,7 @@
         self._push()
 
     def publish_membership(self) -> None:
-        """Publish the control plane's members and the roster of relays, where they have changed."""
+        """Publish the control plane's members and the roster of relays if they have changed."""
         members = tuple(address_of(member) for member in self._member.record.voters)
         if members != self._members:
             self._members = members
--- a/lynxscale/controlplane/turn_admission.py
+++ b/lynxscale/controlplane/turn_admission.py
@@ -1,4 +1,4 @@
-"""Admits turns of programs on the primary and records their ends, by budgets and by the history of conversations."""
+"""Admission and completion of turns on the primary: budgets of programs and histories of conversations."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class TurnAdmission:
-    """Decides on a primary's state. ``values`` is the store's memory; changes are returned as puts, not made."""
+    """Admits and finishes turns.
+
+    ``values`` are the store's entries in memory. Methods return changes as puts and apply none.
+    """
 
     def __init__(self, values: dict[str, msgspec.Raw], clock: Clock) -> None:
         self._values = values
@@ -22,7 +25,7 @@
         self._turns = TurnHistory(values, self._retention)
 
     def restart_retention(self) -> None:
-        """Track all stored records anew, as another primary may have written them."""
+        """Restart the retention of all stored records, as another primary may have written them."""
         self._retention.clear()
         for key, raw in self._values.items():
             if key.startswith((PROGRAM_PREFIX, TURN_PREFIX)):
@@ -30,7 +33,7 @@
                 self._retention.retain(key, record.retention_s, turn_key(record.previous))
 
     def admit(self, request: AdmitTurn) -> tuple[TurnAdmitted | TurnRejected, tuple[Put, ...]]:
-        """Return the answer to a turn that is to run, and the puts that must be durable before the answer is sent."""
+        """Return the reply to an admission request, and the puts that must be durable before it is sent."""
         try:
             admitted = self._turns.compose(request.previous, request.cached)
             return admitted, self._programs.reserve(request)
@@ -38,9 +41,9 @@
             return TurnRejected(error.status), ()
 
     def finish(self, request: FinishTurn) -> tuple[Put, ...]:
-        """Return the puts that must be durable before a turn has ended."""
+        """Return the puts that must be durable before the end of a turn is acknowledged."""
         return self._programs.settle(request) + self._turns.record(request)
 
     def remove_expired(self) -> tuple[Put, ...]:
-        """Return the puts that remove the records whose retention is over."""
+        """Return the puts that remove expired records."""
         return tuple(put_value(key, None) for key in self._retention.pop_expired())
--- a/lynxscale/controlplane/turn_history.py
+++ b/lynxscale/controlplane/turn_history.py
@@ -1,4 +1,4 @@
-"""Retained turns of conversations, as records of the replicated store. Each turn names the one it continues from."""
+"""Retained turns of conversations, as records of the replicated store. Each turn names the previous turn."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from lynxscale.coordination.messages import FinishTurn, Put, TurnAdmitted, put_value
 
 TURN_PREFIX = "turn/"
-RETENTION_MARGIN_S = 30.0  # clients count retention from the end of the answer, which comes after the record
-MAX_CHAIN_TURNS = 10_000  # a longer chain would be a loop of records
+RETENTION_MARGIN_S = 30.0  # clients count retention from the end of the response, which follows the record
+MAX_CHAIN_TURNS = 10_000  # guards against a cycle of records
 
 
 class TurnRecord(msgspec.Struct):
-    """A retained turn: its input and output, and the id of the turn it continues from, empty for none.
+    """A retained turn: its input and output, and the id of the previous turn, empty for none.
 
-    Stored under the names given to ``msgspec.field``; folders of earlier versions are read with them.
+    ``msgspec.field`` gives the stored names; data folders of earlier versions contain them.
     """
 
     content: bytes
@@ -25,17 +25,21 @@
 
 
 class TurnHistory:
-    """Records turns and composes histories. ``values`` is the store's memory; changes are returned, not made."""
+    """Records turns and composes histories.
+
+    ``values`` are the store's entries in memory. Methods return changes as puts and apply none.
+    """
 
     def __init__(self, values: dict[str, msgspec.Raw], retention: RetentionTracker) -> None:
         self._values = values
         self._retention = retention
 
     def compose(self, last: str, cached: str) -> TurnAdmitted:
-        """Return the contents of the chain up to turn ``last``, oldest first; empty where ``last`` is.
+        """Return the contents of the chain of turns up to ``last``, oldest first; nothing if ``last`` is empty.
 
-        Where turn ``cached`` is part of the chain, only what follows it, as the relay has the rest. A turn is retained
-        as long as any that continues from it, so nothing before a retained turn is missing. Raises TurnNotFoundError.
+        If turn ``cached`` is part of the chain, only the turns after it are returned, as the relay has the rest. A turn
+        is retained for as long as any that continues from it, so no turn before a retained one is missing. Raises
+        TurnNotFoundError.
         """
         contents: list[bytes] = []
         turn = last
@@ -51,7 +55,7 @@
         return TurnAdmitted(b"".join(reversed(contents)), turn)
 
     def record(self, request: FinishTurn) -> tuple[Put, ...]:
-        """Return the puts that retain a turn that has completed; none where it is not to be retained."""
+        """Return the puts that retain a completed turn; none if it need not be retained."""
         if request.content is None:
             return ()
         record = TurnRecord(request.content, request.previous, request.retention_s + RETENTION_MARGIN_S)
@@ -61,5 +65,5 @@
 
 
 def turn_key(turn: str) -> str:
-    """Return the store's key of a turn; empty for no turn."""
+    """Return the key of a turn in the store; empty for no turn."""
     return TURN_PREFIX + turn if turn else ""
