--- a/lynxscale/discovery/endpoint.py
+++ b/lynxscale/discovery/endpoint.py
@@ -1,4 +1,4 @@
-"""The record of one endpoint, as the platform lists it and as the control plane publishes it."""
+"""The record of an endpoint, as the platform lists it and the control plane publishes it."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Endpoint(msgspec.Struct, frozen=True, order=True):
-    """One endpoint of the platform's list; its field names are those of the platform's answer and of the topics.
+    """An endpoint of the platform's list. The field names are those of the platform's API and of the topics.
 
-    ``backend`` names the service that it runs, ``address`` is ``host:port``, ``slots`` is the number of requests that
-    it runs at once, and ``state`` is the platform's word for its lifecycle, such as ``ready`` or ``draining``.
+    ``backend`` is the name of its service, ``address`` is ``host:port``, ``slots`` is the number of requests that it
+    executes concurrently, and ``state`` is its lifecycle state at the platform, such as ``ready`` or ``draining``.
     """
 
     id: str
--- a/lynxscale/discovery/endpoint_poller.py
+++ b/lynxscale/discovery/endpoint_poller.py
@@ -1,7 +1,7 @@
 """Polls the platform's endpoint list: ``GET /instances``, page by page.
 
-The primary of the control plane polls and publishes the list. A relay without contact to any primary polls it itself,
-at its share of the platform's rate limit.
+The primary of the control plane polls and publishes the list. A relay that reaches no primary polls it as well,
+within its share of the platform's rate limit.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 POLL_INTERVAL_S = 0.6
 RETRY_DELAY_S = 0.3  # after a failed or rejected request
 REQUEST_TIMEOUT_S = 1.0
-MAX_PAGES = 200  # of one list; a list with more replaces nothing
+MAX_PAGES = 200  # per list; a longer list is ignored
 
 
 class EndpointPage(msgspec.Struct, rename="kebab"):
-    """One page of the platform's answer; ``next-page-token`` is absent on the last one."""
+    """A page of the platform's list; the last page has no ``next-page-token``."""
 
     instances: list[Endpoint]
     next_page_token: str | None = None
 
 
 class EndpointPoller:
-    """Fetches all pages, again and again while it runs. ``on_list`` gets each complete list, sorted.
+    """Fetches the list repeatedly while it runs. ``on_list(endpoints)`` is called with each complete list, sorted.
 
-    ``address`` (``host:port`` of the platform) may be changed at any time; the next request goes there.
+    ``address`` (``host:port`` of the platform) may be changed at any time; the next request uses it.
     """
 
     def __init__(self, address: str, clock: Clock, dial: Dial, on_list: Callable[[list[Endpoint]], None]) -> None:
@@ -45,19 +45,19 @@
         self._dial = dial
         self._on_list = on_list
         self._timer: Timer | None = None
-        self._run_number = 0  # rises with every start and stop, so that answers to earlier requests are dropped
+        self._run_number = 0  # increased by every start and stop, so that responses to earlier requests are ignored
         self._interval_s = POLL_INTERVAL_S
         self._endpoints: list[Endpoint] = []
         self._pages = 0
 
     def start(self, interval_s: float = POLL_INTERVAL_S) -> None:
-        """Fetch the list now, and again ``interval_s`` seconds after each complete one."""
+        """Fetch the list now, and again ``interval_s`` seconds after each complete list."""
         self._interval_s = interval_s
         self._run_number += 1
         self._fetch_list(self._run_number)
 
     def stop(self) -> None:
-        """Poll no more; the answer to a request in flight is dropped."""
+        """Stop polling; the response to a request in flight is ignored."""
         self._run_number += 1
         if self._timer is not None:
             self._timer.cancel()
@@ -98,7 +98,7 @@
         if self._pages < MAX_PAGES:
             self._fetch_page(run_number, token)
             return
-        # A part of the list would take the endpoints of the other part away from every relay.
+        # Publishing a partial list would remove the other endpoints from every relay.
         log.error("event=endpoint_list_too_long pages=%d", self._pages)
         self._fetch_list_later(run_number, self._interval_s)
 
@@ -107,7 +107,7 @@
 
 
 def decode_page(body: bytes) -> EndpointPage | None:
-    """Decode a page of the list; None where the body is no such page."""
+    """Decode a page of the list; None if the body is not a valid page."""
     try:
         return msgspec.json.decode(body, type=EndpointPage)
     except msgspec.DecodeError:
--- a/lynxscale/discovery/topics.py
+++ b/lynxscale/discovery/topics.py
@@ -1,7 +1,7 @@
-"""Topics that the control plane publishes to relays, and how the endpoint list is sharded over several of them.
+"""Topics that the control plane publishes to relays, and the sharding of the endpoint list.
 
-``ENDPOINTS_TOPIC`` holds the number of shards. Each shard is a topic of its own, so a change of one endpoint costs one
-shard on every link of the distribution tree and not the complete list.
+``ENDPOINTS_TOPIC`` holds the number of shards. Each shard is a separate topic, so that a change of one endpoint sends
+one shard over every link of the distribution tree instead of the complete list.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 ENDPOINTS_TOPIC = "endpoints"
 MEMBERS_TOPIC = "members"
 ENDPOINT_SHARD_PREFIX = "endpoints/"
-MAX_ENDPOINTS_PER_SHARD = 100  # on average, as endpoints are assigned by hash
+MAX_ENDPOINTS_PER_SHARD = 100  # on average, as endpoints are assigned to shards by hash
 
 
 def shard_count(endpoints: int) -> int:
-    """Return the number of shards for a list of that length: a power of two, so that it seldom changes."""
+    """Return the number of shards for a list of that length: a power of two, so that it rarely changes."""
     count = 1
     while count * MAX_ENDPOINTS_PER_SHARD < endpoints:
         count *= 2
@@ -32,7 +32,7 @@
 
 
 def shard_endpoints(endpoints: Iterable[Endpoint], count: int) -> dict[str, list[Endpoint]]:
-    """Return the shards by topic name; an endpoint's shard follows from its id."""
+    """Return the shards by topic name; the hash of an endpoint's id determines its shard."""
     shards: dict[str, list[Endpoint]] = {shard_topic(count, index): [] for index in range(count)}
     for endpoint in endpoints:
         index = zlib.crc32(endpoint.id.encode()) % count
@@ -41,5 +41,5 @@
 
 
 def is_stale_shard_topic(topic: str, count: int) -> bool:
-    """Whether the topic is a shard of the endpoint list, but of another number of shards than ``count``."""
+    """Whether the topic is a shard of an endpoint list with a number of shards other than ``count``."""
     return topic.startswith(ENDPOINT_SHARD_PREFIX) and not topic.startswith(f"{ENDPOINT_SHARD_PREFIX}{count}/")
--- a/lynxscale/runtime/__init__.py
+++ b/lynxscale/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What the programs of the serving tier run on: settings, sockets, files, HTTP by h11, logs."""
+"""I/O and process support for the programs of the serving tier: settings, sockets, files, HTTP (with h11) and logs."""
--- a/lynxscale/runtime/clock.py
+++ b/lynxscale/runtime/clock.py
@@ -8,7 +8,7 @@
 
 
 class LoopClock:
-    """Implements the Clock port of ``lynxscale.coordination.ports`` by an asyncio event loop."""
+    """Implements the Clock port of ``lynxscale.coordination.ports`` with an asyncio event loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -16,7 +16,7 @@
         self.wall = time.time
 
     def call_later(self, delay: float, call: Callable[[], None]) -> asyncio.Handle:
-        """Make the call once, after ``delay`` seconds; in the loop's next iteration for zero or less."""
+        """Call ``call()`` once, after ``delay`` seconds; in the loop's next iteration if ``delay`` is 0 or less."""
         if delay <= 0:
             return self._loop.call_soon(call)
         return self._loop.call_later(delay, call)
--- a/lynxscale/runtime/commands.py
+++ b/lynxscale/runtime/commands.py
@@ -1,4 +1,4 @@
-"""What the command lines of both programs share: exits with a message, calls to a process, ``check-settings``."""
+"""Code that the command lines of both programs share: error exits, requests to a process, ``check-settings``."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """A file's bytes. Raises cappa.Exit with ``UNUSABLE`` where it cannot be read."""
+    """Return the content of a file. Raises cappa.Exit with ``UNUSABLE`` if it cannot be read."""
     try:
         return Path(path).read_bytes()
     except OSError as error:
@@ -35,7 +35,7 @@
 
 
 def call(address: str, method: str, target: str, body: bytes = b"", fields: Headers = ()) -> Response:
-    """The response of the process at ``address``. Raises cappa.Exit with ``UNUSABLE`` where there is none."""
+    """Return the response of the process at ``address``. Raises cappa.Exit with ``UNUSABLE`` if there is none."""
     try:
         return send_request_blocking(address, method, target, body, fields)
     except NoResponseError as error:
@@ -43,12 +43,12 @@
 
 
 def print_status(address: str, as_json: bool, kind: type[T], render: Callable[[T], str]) -> None:
-    """Print the status page of a process, as received or as text by ``render``. Raises cappa.Exit."""
+    """Print the status of a process: the JSON as received, or the text that ``render`` returns. Raises cappa.Exit."""
     response = call(address, "GET", "/status")
     print(response.body.decode() if as_json else render(msgspec.json.decode(response.body, type=kind)))
 
 
-@cappa.command(name="check-settings", help="Check a settings file; all findings are told at once.")
+@cappa.command(name="check-settings", help="Check a settings file; all findings are printed at once.")
 @dataclass
 class CheckSettings:
     """The command ``check-settings`` of both programs. ``file``: path of the settings file."""
@@ -56,7 +56,7 @@
     file: str
 
     def __call__(self) -> None:
-        """Print the node's name, or all findings. Raises cappa.Exit with ``FINDINGS`` for the latter."""
+        """Print the node's name, or all findings. Raises cappa.Exit with ``FINDINGS`` if there are any."""
         try:
             settings = parse_settings(read_file(self.file).decode(errors="replace"), self.file)
         except SettingsError as error:
--- a/lynxscale/runtime/durable_files.py
+++ b/lynxscale/runtime/durable_files.py
@@ -1,4 +1,4 @@
-"""A folder of small files that survive a crash: each is written under a temporary name, synced and renamed into place.
+"""Durable files: each is written under a temporary name, synced and renamed into place, so that it survives a crash.
 
 A rename within a folder is atomic (POSIX ``rename``), and durable once the folder itself is synced.
 """
@@ -12,13 +12,13 @@
 from lynxscale.runtime.exceptions import ReadOnlyFolderError
 
 TEMPORARY_SUFFIX = ".aside"
-SYNC_EVERY_BYTES = 4 * 1024 * 1024
-"""A long file is synced each time that so much was written, so that no single sync blocks for long."""
+SYNC_INTERVAL_BYTES = 4 * 1024 * 1024
+"""A long file is synced after every so many bytes, so that no single sync blocks for long."""
 FILE_MODE = 0o644
 
 
 class DurableFiles:
-    """Implements the Files port. A write returns once content and name are on stable storage.
+    """Implements the Files port in a folder. A write returns once content and name are on stable storage.
 
     ``before_sync()`` is called before a write blocks on the disk.
     """
@@ -32,11 +32,11 @@
             unfinished.unlink()
 
     def write(self, name: str, content: bytes) -> None:
-        """Store a file. Raises OSError; the file of that name is then as before."""
+        """Write a file. Raises OSError; a file of that name is then unchanged."""
         self.write_all({name: content})
 
     def write_all(self, contents: dict[str, bytes]) -> None:
-        """Store several files. Raises OSError; those not yet renamed into place are then as before."""
+        """Write several files. Raises OSError; those not yet renamed into place are then unchanged."""
         self._before_sync()
         files = []
         try:
@@ -54,34 +54,34 @@
             raise
 
     def create(self, name: str) -> AtomicFileWriter:
-        """Begin a file. Raises OSError."""
+        """Return a writer for a new file. Raises OSError."""
         temporary = self._folder / (name + TEMPORARY_SUFFIX)
         return AtomicFileWriter(temporary, self._folder / name, self._descriptor)
 
     def read(self, name: str) -> bytes | None:
-        """A file's content, None where there is none. Raises OSError."""
+        """Return a file's content, None if it does not exist. Raises OSError."""
         try:
             return (self._folder / name).read_bytes()
         except FileNotFoundError:
             return None
 
     def read_chunk(self, name: str, offset: int, size: int) -> bytes | None:
-        """At most ``size`` bytes from an offset, read from the disk, not from the page cache. Raises OSError."""
+        """Return at most ``size`` bytes from an offset, read from the disk, not from the page cache. Raises OSError."""
         return read_chunk_from_disk(self._folder / name, offset, size)
 
     def names(self) -> list[str]:
-        """All complete files, sorted."""
+        """Return the names of all complete files, sorted."""
         return sorted(name for name in os.listdir(self._folder) if not name.endswith(TEMPORARY_SUFFIX))
 
     def remove(self, name: str) -> None:
-        """Remove a file; durable with the next write. Raises OSError."""
+        """Remove a file; the removal is durable after the next write. Raises OSError."""
         (self._folder / name).unlink(missing_ok=True)
 
 
 def read_chunk_from_disk(path: Path, offset: int, size: int) -> bytes | None:
-    """At most ``size`` bytes of a file from an offset, None where there is none. Raises OSError.
+    """Return at most ``size`` bytes of a file from an offset, None if it does not exist. Raises OSError.
 
-    The pages are dropped from the cache first: what the cache holds says nothing of the disk.
+    The pages are dropped from the page cache first, as cached pages would hide damage on the disk.
     """
     try:
         descriptor = os.open(path, os.O_RDONLY)
@@ -95,7 +95,7 @@
 
 
 class AtomicFileWriter:
-    """Implements the FileWriter port: a file under a temporary name, renamed once its content is durable."""
+    """Implements the FileWriter port: writes under a temporary name and renames once the content is durable."""
 
     def __init__(self, temporary_path: Path, path: Path, folder_descriptor: int) -> None:
         """Create the temporary file. Raises OSError."""
@@ -106,13 +106,13 @@
         self._unsynced_bytes = 0
 
     def append(self, content: bytes) -> None:
-        """Add a chunk, and sync once ``SYNC_EVERY_BYTES`` are unsynced. Raises OSError."""
+        """Append a chunk, and sync once more than ``SYNC_INTERVAL_BYTES`` are unsynced. Raises OSError."""
         try:
             written = 0
             while written < len(content):
                 written += os.write(self._descriptor, content[written:])
             self._unsynced_bytes += written
-            if self._unsynced_bytes > SYNC_EVERY_BYTES:
+            if self._unsynced_bytes > SYNC_INTERVAL_BYTES:
                 os.fdatasync(self._descriptor)
                 self._unsynced_bytes = 0
         except OSError:
@@ -120,7 +120,7 @@
             raise
 
     def finish(self) -> None:
-        """Make content and name durable. Raises OSError."""
+        """Make the content and the name durable. Raises OSError."""
         self.sync()
         self.rename_into_place()
         os.fsync(self._folder_descriptor)
@@ -134,7 +134,7 @@
             raise
 
     def rename_into_place(self) -> None:
-        """Give the file its name; durable once the folder is synced. Raises OSError."""
+        """Rename the file to its final name; this is durable once the folder is synced. Raises OSError."""
         self._close()
         os.rename(self._temporary_path, self._path)
 
@@ -150,7 +150,7 @@
 
 
 class ReadOnlyFiles:
-    """Implements the Files port for inspecting a folder: it changes nothing."""
+    """Implements the Files port for inspecting a folder without changing it."""
 
     def __init__(self, folder: str) -> None:
         self._folder = Path(folder)
@@ -168,20 +168,20 @@
         raise self._write_rejected()
 
     def read(self, name: str) -> bytes | None:
-        """A file's content, None where there is none. Raises OSError."""
+        """Return a file's content, None if it does not exist. Raises OSError."""
         path = self._folder / name
         return path.read_bytes() if path.is_file() else None
 
     def read_chunk(self, name: str, offset: int, size: int) -> bytes | None:
-        """At most ``size`` bytes from an offset. Raises OSError."""
+        """Return at most ``size`` bytes from an offset. Raises OSError."""
         return read_chunk_from_disk(self._folder / name, offset, size)
 
     def names(self) -> list[str]:
-        """All complete files, sorted."""
+        """Return the names of all complete files, sorted."""
         return sorted(path.name for path in self._folder.iterdir() if not path.name.endswith(TEMPORARY_SUFFIX))
 
     def remove(self, name: str) -> None:
-        """Does nothing: a reader of the folder may drop files that it finds superseded."""
+        """Do nothing: the store removes superseded files as it opens a folder, which an inspection must not do."""
 
     def _write_rejected(self) -> ReadOnlyFolderError:
         return ReadOnlyFolderError(f"{self._folder} is open for reading only")
--- a/lynxscale/runtime/exceptions.py
+++ b/lynxscale/runtime/exceptions.py
@@ -1,7 +1,7 @@
-"""Errors of the I/O layer, named after the side at fault, as h11 names its protocol errors.
+"""Errors of the I/O layer, named after the side at fault, as in h11.
 
-``LocalError``: this process, or what it was given, is at fault; a retry fails alike. ``RemoteError``: the other side
-or the network between is at fault; a retry may succeed. Faults of a disk stay the ``OSError`` of the system call.
+``LocalError``: this process or its input is at fault; a retry fails again. ``RemoteError``: the other side or the
+network is at fault; a retry may succeed. Disk errors are raised as the ``OSError`` of the system call.
 """
 
 from __future__ import annotations
@@ -10,11 +10,11 @@
 
 
 class LocalError(LynxscaleError):
-    """This process, or what it was given, is at fault."""
+    """Base of errors of which this process or its input is the cause."""
 
 
 class SettingsError(LocalError):
-    """The settings cannot be used; the text holds one finding a line, each with its place in the file."""
+    """The settings cannot be used; the message has one finding per line, each with the file and the field."""
 
 
 class ReadOnlyFolderError(LocalError, OSError):
@@ -22,11 +22,11 @@
 
 
 class RemoteError(LynxscaleError):
-    """The other side, or the network between, is at fault."""
+    """Base of errors of which the other side or the network is the cause."""
 
 
 class NoResponseError(RemoteError):
-    """The server at ``address`` gave no complete response; the text is ``reason``."""
+    """The server at ``address`` sent no complete response; the message is ``reason``."""
 
     def __init__(self, address: str, reason: str) -> None:
         super().__init__(reason)
--- a/lynxscale/runtime/exit_codes.py
+++ b/lynxscale/runtime/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the tier's programs and command lines."""
+"""Exit codes of the serving tier's programs and commands."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class ExitCode(IntEnum):
-    """The exit status of a program, as its shell or process manager reads it."""
+    """The exit status of a program or command."""
 
     OK = 0
     FINDINGS = 1
-    """The command ran, and reports findings or a rejection."""
+    """The command ran and reports findings or a rejection."""
     UNUSABLE = 2
     """The command or program could not run: unusable settings, unreadable file, unreachable server."""
--- a/lynxscale/runtime/http_client.py
+++ b/lynxscale/runtime/http_client.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 client by h11. A ``ClientConnection`` carries one request at a time, and may be reused for the next.
+"""HTTP/1.1 client based on h11. A ``ClientConnection`` carries one request at a time and may be reused.
 
-Its states: CONNECTING -> IDLE <-> WAITING -> CLOSED; CLOSED is reached from every state and never left. Responses reach
-a ``ResponseReceiver``: ``on_head``, any number of ``on_data``, then ``on_end``; or ``on_failure`` at any point before.
+Its states are CONNECTING -> IDLE <-> WAITING -> CLOSED; CLOSED is reached from every state and is final. A
+``ResponseReceiver`` gets ``on_head``, any number of ``on_data``, then ``on_end``; or ``on_failure`` at any point before
+``on_end``.
 """
 
 from __future__ import annotations
@@ -18,41 +19,41 @@
 from lynxscale.runtime.sockets import configure_socket, split_address
 
 DEFAULT_KEEP_ALIVE_S = 4.0
-"""An idle connection is not reused after so long, where the server states no ``Keep-Alive: timeout``."""
+"""How long an idle connection may be reused if the server sends no ``Keep-Alive: timeout``."""
 KEEP_ALIVE_MARGIN_S = 0.5
-"""A connection is not reused in the last moments of the server's timeout, as the server may be closing it."""
+"""An idle connection is not reused this close to the server's timeout, as the server may be closing it."""
 MAX_HEADER_BYTES = 65536
 
 
 class ResponseFailure(Enum):
-    """Why there is no complete response."""
+    """The reason why there is no complete response."""
 
     NOT_CONNECTED = "not_connected"
-    """No byte of the request was sent: the server cannot have executed it."""
+    """No byte of the request was sent, so the server cannot have executed it."""
     CLOSED = "closed"
     """The connection ended before the response did; the server may have executed the request."""
     MALFORMED = "malformed"
-    """The server sent something that is not HTTP; it may have executed the request."""
+    """The server sent invalid HTTP; it may have executed the request."""
 
 
 class ResponseReceiver(Protocol):
-    """Takes the parts of one response as they arrive."""
+    """Receives the parts of one response as they arrive."""
 
     def on_head(self, status: int, head: Head) -> None:
-        """The response begins."""
+        """Called with the status and header fields of the response."""
 
     def on_data(self, data: bytes) -> None:
-        """A chunk of its body."""
+        """Called for each chunk of the body."""
 
     def on_end(self) -> None:
-        """It is complete."""
+        """Called once the response is complete."""
 
     def on_failure(self, failure: ResponseFailure) -> None:
-        """It will not be completed; no call follows."""
+        """Called if the response will not be completed; no further call follows."""
 
 
 class ClientState(Enum):
-    """State of a connection to a server."""
+    """The state of a connection to a server."""
 
     CONNECTING = "connecting"
     IDLE = "idle"
@@ -61,18 +62,18 @@
 
 
 Dial = Callable[[str, "ClientConnection"], None]
-"""``dial(address, connection)`` connects to ``host:port`` and reports to the connection."""
+"""``dial(address, connection)`` connects to ``host:port`` and calls the connection with the outcome."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a server. ``on_idle(connection)`` is called whenever it may carry another request."""
+    """A connection to a server. ``on_idle(connection)`` is called whenever it becomes free for another request."""
 
     def __init__(self, address: str, clock: Clock, on_idle: Callable[[ClientConnection], None]) -> None:
         self.address = address
         self.state = ClientState.CONNECTING
         self.idle_until = 0.0
-        self.used = False  # has it carried a complete exchange?
-        self._written = False  # has any byte of a request been passed to the transport?
+        self.used = False  # whether it has carried a complete request and response
+        self._written = False  # whether any byte of a request was passed to the transport
         self._clock = clock
         self._on_idle = on_idle
         self._http = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEADER_BYTES)
@@ -87,18 +88,18 @@
         return self.state is ClientState.IDLE and self._clock.now() < self.idle_until
 
     def send(self, request: Request, receiver: ResponseReceiver) -> None:
-        """Send a request, once the connection is established."""
+        """Send a request as soon as the connection is established."""
         self._request, self._receiver = request, receiver
         if self.state is ClientState.IDLE:
             self._write()
 
     def close(self) -> None:
-        """Abort the connection; its receiver is not called any more."""
+        """Abort the connection; the receiver is not called any more."""
         self._receiver = None
         self._set_state(ClientState.CLOSED)
 
     def on_connect_failed(self) -> None:
-        """The dialer has failed or timed out; the connection may just have been established, and carry a request."""
+        """Handle a failed or timed-out dial; meanwhile the connection may have come up and sent its request."""
         self._fail(ResponseFailure.CLOSED if self._written else ResponseFailure.NOT_CONNECTED)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -134,7 +135,7 @@
     def _end_of_stream(self) -> None:
         try:
             self._http.receive_data(b"")
-        except RuntimeError:  # h11: the end of the stream was received before
+        except RuntimeError:  # h11 was told of the end of the stream before
             return
         self._read()
 
@@ -150,7 +151,7 @@
             if request.body:
                 data += self._http.send(h11.Data(data=request.body))
             data += self._http.send(h11.EndOfMessage()) or b""
-        except h11.LocalProtocolError:  # the request cannot be expressed in HTTP/1.1
+        except h11.LocalProtocolError:  # the request is not valid in HTTP/1.1
             self._fail(ResponseFailure.NOT_CONNECTED)
             return
         self._written = True
@@ -164,7 +165,7 @@
             self._fail(ResponseFailure.MALFORMED)
 
     def _next(self) -> bool:
-        """Handle one event of h11; False where it needs more bytes."""
+        """Handle the next h11 event; return False if h11 needs more bytes."""
         receiver, event = self._receiver, self._http.next_event()
         if event is h11.NEED_DATA or event is h11.PAUSED or receiver is None:
             return False
@@ -200,7 +201,7 @@
             receiver.on_failure(failure)
 
     def _set_state(self, state: ClientState) -> None:
-        """The only place that changes the state."""
+        """Change the state; all changes go through this method."""
         if self.state is ClientState.CLOSED:
             return
         self.state = state
@@ -209,7 +210,7 @@
 
 
 def keep_alive_s(head: Head) -> float:
-    """Seconds for which the server keeps an idle connection, by its ``Keep-Alive`` field (RFC 2068, 19.7.1)."""
+    """Return for how long an idle connection may be reused, by the ``Keep-Alive`` field (RFC 2068, section 19.7.1)."""
     for parameter in head.text(b"keep-alive").split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
@@ -218,7 +219,7 @@
 
 
 class AsyncioDialer:
-    """Implements Dial by asyncio."""
+    """Implements Dial with asyncio."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, timeout_s: float) -> None:
         self._loop = loop
@@ -226,7 +227,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def __call__(self, address: str, connection: ClientConnection) -> None:
-        """Connect in the background; the connection is called with the outcome."""
+        """Connect in the background and call the connection with the outcome."""
         task = self._loop.create_task(self._connect(address, connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -236,12 +237,12 @@
         try:
             async with asyncio.timeout(self._timeout_s):
                 await self._loop.create_connection(lambda: connection, host, port)
-        except OSError:  # a TimeoutError is one
+        except OSError:  # includes TimeoutError
             connection.on_connect_failed()
 
 
 class SingleRequest:
-    """One request and its response on a connection of its own."""
+    """Sends one request on a new connection that is closed after the response."""
 
     def __init__(
         self,
@@ -252,7 +253,7 @@
         timeout_s: float,
         done: Callable[[int, bytes], None],
     ) -> None:
-        """``done(status, body)`` is called once; status 0 where there is no complete response within ``timeout_s``."""
+        """``done(status, body)`` is called once; the status is 0 without a complete response within ``timeout_s``."""
         self._done: Callable[[int, bytes], None] | None = done
         self._status = 0
         self._body = bytearray()
--- a/lynxscale/runtime/http_server.py
+++ b/lynxscale/runtime/http_server.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 server by h11. A ``ServerConnection`` serves the requests of one client connection one after the other.
+"""HTTP/1.1 server based on h11. A ``ServerConnection`` serves the requests of one client connection sequentially.
 
-Its states: IDLE -> READING -> ANSWERING -> IDLE; CLOSED is reached from every state and never left. A complete request
-goes to the ``Handler``, which answers by its ``Responder`` at once or later, and returns an ``Exchange`` in the latter
-case, to be called should the client disconnect first.
+Its states are IDLE -> READING -> ANSWERING -> IDLE; CLOSED is reached from every state and is final. A complete
+request is passed to the ``Handler`` with a ``Responder``. A handler that responds later returns an ``Exchange``, which
+is called if the client disconnects before the end of the response.
 """
 
 from __future__ import annotations
@@ -26,28 +26,28 @@
 
 @define
 class ServerLimits:
-    """Limits on a client's bytes and times; changed in place by a new configuration."""
+    """Limits on the size and duration of requests; a new configuration changes them in place."""
 
     header_bytes: int = 16384
     body_bytes: int = 4 * 1024 * 1024
     header_timeout_s: float = 5.0
     idle_timeout_s: float = 60.0
-    closing: bool = False  # graceful shutdown: each response closes its connection
+    closing: bool = False  # if set, each response closes its connection, as in a graceful shutdown
 
 
 class Exchange(Protocol):
-    """What a handler has pending for one request."""
+    """A request that its handler has not answered yet."""
 
     def on_client_disconnected(self) -> None:
-        """The client disconnected before the end of the response."""
+        """Called if the client disconnects before the end of the response."""
 
 
 Handler = Callable[[Request, "Responder"], Exchange | None]
-"""``handler(request, responder)``; returns what is pending, None where the request is answered or its end is moot."""
+"""``handler(request, responder)`` returns the pending exchange, or None if a disconnect needs no handling."""
 
 
 class ConnectionState(Enum):
-    """State of a connection from a client."""
+    """The state of a connection from a client."""
 
     IDLE = "idle"
     READING = "receiving"
@@ -62,7 +62,7 @@
         self._connection: ServerConnection | None = connection
 
     def detach(self) -> None:
-        """The connection is closed."""
+        """Ignore all further calls, as the connection is closed."""
         self._connection = None
 
     def respond(self, response: Response) -> None:
@@ -75,18 +75,18 @@
             self._connection.finish()
 
     def start(self, status: int, fields: Headers) -> None:
-        """Begin a response whose body follows."""
+        """Start a response whose body follows in chunks."""
         if self._connection is not None:
             self._connection.send_head(status, fields)
 
     def data(self, data: bytes) -> None:
-        """Send a chunk of the body at once."""
+        """Send a chunk of the body without buffering."""
         if self._connection is not None:
             self._connection.send_data(data)
             self._connection.flush()
 
     def end(self) -> None:
-        """The body is complete."""
+        """Complete the response."""
         if self._connection is not None:
             self._connection.finish()
 
@@ -97,7 +97,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One client's connection."""
+    """A connection from a client; it adds itself to ``open_connections`` while it is open."""
 
     def __init__(
         self,
@@ -122,7 +122,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is partly read or not yet answered."""
+        """Whether a request is being read, or its response is not complete."""
         return self.state in (ConnectionState.READING, ConnectionState.ANSWERING)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -155,7 +155,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection, whatever its state."""
+        """Close the connection in any state."""
         if self._transport is not None:
             self.flush()
             self._transport.close()
@@ -171,7 +171,7 @@
         self._queue(h11.Data(data=data))
 
     def finish(self) -> None:
-        """Complete the response, and read the next request."""
+        """Complete the response and read the next request."""
         self._queue(h11.EndOfMessage())
         self.flush()
         self._exchange = None
@@ -194,7 +194,7 @@
     def _queue(self, event: h11.Event) -> None:
         try:
             self._unsent += self._http.send(event) or b""
-        except h11.LocalProtocolError:  # the handler's response cannot be expressed in HTTP/1.1
+        except h11.LocalProtocolError:  # the handler's response is not valid in HTTP/1.1
             self.close()
 
     def _read(self) -> None:
@@ -205,7 +205,7 @@
             self._reject(error.error_status_hint)
 
     def _next(self) -> bool:
-        """Handle one event of h11; False where it needs more bytes."""
+        """Handle the next h11 event; return False if h11 needs more bytes."""
         event = self._http.next_event()
         if event is h11.NEED_DATA or event is h11.PAUSED:
             return False
@@ -236,7 +236,7 @@
             self._exchange = exchange
 
     def _reject(self, status: int) -> None:
-        """Answer a request that cannot be read, and close the connection."""
+        """Respond with an error to a request that cannot be read, and close the connection."""
         if self._http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self._queue(h11.Response(status_code=status, headers=[*EMPTY_LENGTH, (b"connection", b"close")]))
             self._queue(h11.EndOfMessage())
@@ -258,7 +258,7 @@
             self.close()
 
     def _set_state(self, state: ConnectionState) -> None:
-        """The only place that changes the state."""
+        """Change the state; all changes go through this method."""
         if self.state is ConnectionState.CLOSED or self.state is state:
             return
         self.state = state
--- a/lynxscale/runtime/http_types.py
+++ b/lynxscale/runtime/http_types.py
@@ -20,7 +20,7 @@
         b"upgrade",
     )
 )
-"""Fields of one connection, which an intermediary does not forward (RFC 9110, section 7.6.1)."""
+"""Fields that apply to a single connection and are not forwarded by an intermediary (RFC 9110, section 7.6.1)."""
 
 
 @frozen
@@ -30,19 +30,19 @@
     fields: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The value of the first field of that name, None where there is none."""
+        """Return the value of the first field of that name, None if there is none."""
         for field_name, value in self.fields:
             if field_name == name:
                 return value
         return None
 
     def text(self, name: bytes, default: str = "") -> str:
-        """The field as text, ``default`` where there is none."""
+        """Return the field as text, ``default`` if it is missing."""
         value = self.get(name)
         return default if value is None else value.decode("latin-1")
 
     def number(self, name: bytes) -> float | None:
-        """The field as a number, None where it is missing or no number."""
+        """Return the field as a number, None if it is missing or not a number."""
         value = self.get(name)
         try:
             return None if value is None else float(value)
@@ -50,14 +50,14 @@
             return None
 
     def end_to_end(self) -> Headers:
-        """The fields that an intermediary forwards: neither hop-by-hop nor named by ``Connection``."""
+        """Return the fields that an intermediary forwards: neither hop-by-hop nor named in ``Connection``."""
         named = frozenset(option.strip().lower() for option in (self.get(b"connection") or b"").split(b","))
         return tuple(entry for entry in self.fields if entry[0] not in HOP_BY_HOP and entry[0] not in named)
 
 
 @frozen
 class Request:
-    """A complete request."""
+    """A complete HTTP request."""
 
     method: str
     target: str
@@ -72,7 +72,7 @@
 
 @frozen
 class Response:
-    """A complete response."""
+    """A complete HTTP response."""
 
     status: int
     head: Head = Head(())
--- a/lynxscale/runtime/logs.py
+++ b/lynxscale/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The tier's log on standard error: one line an event, ``event=NAME`` and its fields as ``key=value``."""
+"""Logging to standard error: one line per event, with ``event=NAME`` and its fields as ``key=value``."""
 
 from __future__ import annotations
 
--- a/lynxscale/runtime/operator_client.py
+++ b/lynxscale/runtime/operator_client.py
@@ -1,7 +1,7 @@
-"""A client of the operator API and of the status pages: one request on a connection of its own, redirects followed.
+"""A client of the operator API and of the status pages: it sends each request on a new connection.
 
-The command lines use it, and so does the laboratory. A control member that is not the primary redirects
-(307, RFC 9110, section 15.4.8) to the primary's control address.
+It follows redirects: a control member that is not the primary redirects to the primary's control address (307, RFC
+9110, section 15.4.8). The command lines and the package ``lab`` use it.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from lynxscale.runtime.http_types import Head, Headers, Request, Response
 
 TIMEOUT_S = 5.0
-"""For one request and its response, the connection's set-up included."""
+"""For one request and its response, including the connection set-up."""
 MAX_REDIRECTS = 2
 TEMPORARY_REDIRECT = 307
 
 
 class _ResponseCollector:
-    """Implements ResponseReceiver: collects a response and resolves a future with it."""
+    """Implements ResponseReceiver: collects a response and sets it as the result of a future."""
 
     def __init__(self, address: str, collected: asyncio.Future[Response]) -> None:
         self._address = address
@@ -51,7 +51,7 @@
 
 
 async def _exchange(address: str, request: Request) -> Response:
-    """The response of one server, of whatever status. Raises NoResponseError."""
+    """Return the response of one server without following redirects. Raises NoResponseError."""
     loop = asyncio.get_running_loop()
     collected: asyncio.Future[Response] = loop.create_future()
     connection = ClientConnection(address, LoopClock(loop), lambda idle: None)
@@ -67,7 +67,7 @@
 
 
 async def send_request(address: str, request: Request) -> Response:
-    """The response of ``address`` (``host:port``), redirects followed. Raises NoResponseError."""
+    """Return the response of ``address`` (``host:port``), following redirects. Raises NoResponseError."""
     for _ in range(MAX_REDIRECTS + 1):
         response = await _exchange(address, request)
         if response.status != TEMPORARY_REDIRECT:
@@ -79,6 +79,6 @@
 
 
 def send_request_blocking(address: str, method: str, target: str, body: bytes = b"", fields: Headers = ()) -> Response:
-    """As ``send_request``, by an event loop of its own. Raises NoResponseError."""
+    """Like ``send_request``, but blocking: it runs a new event loop. Raises NoResponseError."""
     head = Head(((b"host", address.encode()), *fields))
     return asyncio.run(send_request(address, Request(method, target, head, body)))
--- a/lynxscale/runtime/peer_network.py
+++ b/lynxscale/runtime/peer_network.py
@@ -1,6 +1,6 @@
-"""Messages between nodes: netstrings of JSON over TCP, one connection in each direction.
+"""Messages between nodes: netstrings of JSON over TCP, with one connection in each direction.
 
-A message is lost where its connection cannot be established, or breaks: a sender that needs a response retries.
+Messages are lost if their connection fails or cannot be established; a sender that needs a response has to retry.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 CONNECT_TIMEOUT_S = 1.0
 RECONNECT_BACKOFF_S = 0.1
-"""After a failed connection attempt, messages are dropped for so long."""
+"""How long messages are dropped after a failed connection attempt."""
 MAX_UNSENT_BYTES = 16 * 1024 * 1024
-"""A connection whose write buffer exceeds this is aborted: its peer reads too slowly."""
+"""A connection whose write buffer exceeds this is aborted, as its peer reads too slowly."""
 
 
 class InboundConnection(asyncio.Protocol):
-    """A connection by which another node sends to this one."""
+    """A connection on which another node sends messages to this one."""
 
     def __init__(self, receive: Callable[[Message], None]) -> None:
         self._receive = receive
@@ -52,9 +52,9 @@
 
 
 class OutboundConnection(asyncio.Protocol):
-    """The connection by which this node sends to one peer, established as needed.
+    """The connection on which this node sends messages to one peer, established on demand.
 
-    It is down (no transport), connecting (``_connecting``) or up (a transport).
+    It is disconnected (no transport), connecting (``_connecting`` is set) or connected (with a transport).
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: str) -> None:
@@ -67,7 +67,7 @@
         self._flush_scheduled = False
 
     def send(self, payload: bytes) -> None:
-        """Send with the next flush: messages of one iteration of the loop share one write."""
+        """Queue a message for the next flush; messages of one event-loop iteration share a write."""
         if self._transport is None and not self._connecting:
             if self._loop.time() < self._backoff_until:
                 return
@@ -83,7 +83,7 @@
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: self, host, port)
-        except OSError:  # a TimeoutError is one
+        except OSError:  # includes TimeoutError
             self._backoff_until = self._loop.time() + RECONNECT_BACKOFF_S
             self._unsent.clear()
         finally:
@@ -114,7 +114,7 @@
 
 
 class PeerNetwork:
-    """Implements the Network port. ``address``: where this node listens, ``host:port``."""
+    """Implements the Network port. ``address`` (``host:port``) is where this node listens."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: str) -> None:
         self.address = address
@@ -130,12 +130,12 @@
         self._server = await self._loop.create_server(lambda: InboundConnection(receive), host, port)
 
     def flush(self) -> None:
-        """Write all unsent messages now: the event loop is about to block on a disk."""
+        """Write all unsent messages now; called before the event loop blocks on a disk."""
         for connection in self._connections.values():
             connection.flush()
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message; one to this node itself is received in the loop's next iteration."""
+        """Send a message; a message to this node itself is received in the event loop's next iteration."""
         if not address:
             return
         if address == self.address:
--- a/lynxscale/runtime/process.py
+++ b/lynxscale/runtime/process.py
@@ -1,4 +1,4 @@
-"""Start of a program of the tier: its log, its settings, its event loop and its exit code."""
+"""Runs a program of the serving tier: configures its log, loads its settings and runs its event loop."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run(serve: Callable[[Settings], Coroutine[Any, Any, None]]) -> int:
-    """Run ``serve(settings)`` to its end; return the exit code, ``UNUSABLE`` for unusable settings."""
+    """Run ``serve(settings)`` until it returns; return the exit code, ``UNUSABLE`` for unusable settings."""
     logs.configure()
     try:
         settings = load_settings()
--- a/lynxscale/runtime/settings.py
+++ b/lynxscale/runtime/settings.py
@@ -1,7 +1,7 @@
-"""The settings of one process, as its settings file states them.
+"""The settings of one process, as read from its settings file.
 
-A field's key in the file is its name here with hyphens (``heartbeat_ms`` is ``heartbeat-ms``). The unit stands in the
-name: ``_ms`` milliseconds, ``_s`` seconds, ``_mb`` megabytes.
+A field's key in the file is its name with hyphens: ``heartbeat_ms`` is ``heartbeat-ms``. The suffix of the name gives
+the unit: ``_ms`` milliseconds, ``_s`` seconds, ``_mb`` megabytes.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 
 
 def internal_address(control_address: str, port: int) -> str:
-    """The internal address of the machine behind a control address."""
+    """Return the internal address of the machine with a given control address."""
     return f"{control_address.rpartition(':')[0]}:{port}"
 
 
 class Listen(msgspec.Struct, frozen=True):
-    """Addresses (``host:port``) on which the role listens; empty where it does not serve that."""
+    """Addresses (``host:port``) on which the process listens; empty if it does not offer that interface."""
 
     frontend: str = ""
     readiness: str = ""
@@ -23,7 +23,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True, rename="kebab"):
-    """Resources of the machine that the process may use. ``cpu_share``: cores."""
+    """Resources of the machine that the process may use. ``cpu_share`` is in cores."""
 
     cpu_share: float = 1.0
     memory_mb: int = 256
@@ -32,7 +32,7 @@
 
 
 class FaultTolerance(msgspec.Struct, frozen=True):
-    """How many failure domains of each kind may be lost at once while all guarantees hold."""
+    """The number of failure domains of each kind that may fail simultaneously while all guarantees hold."""
 
     machines: int = 0
     zones: int = 0
@@ -53,7 +53,7 @@
 
 
 class Cloud(msgspec.Struct, frozen=True, rename="kebab"):
-    """The platform's API with the endpoint list. ``rate_per_s``: rate limit of calls; ``lag_ms``: the list's age."""
+    """The platform's API. ``rate_per_s``: its rate limit; ``lag_ms``: how far its endpoint list may lag behind."""
 
     address: str = ""
     rate_per_s: float = 10.0
@@ -61,7 +61,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, rename="kebab"):
-    """One process of the serving tier. ``seeds``: control addresses of the machines to contact at the start."""
+    """The settings of one process. ``seeds``: control addresses of the machines that it contacts at the start."""
 
     node_name: str
     ip: str
@@ -79,10 +79,10 @@
 
     @property
     def internal_address(self) -> str:
-        """Address on which this node listens for its peers."""
+        """The address on which this node listens for its peers."""
         return f"{self.ip}:{self.internal_ports[0]}"
 
     @property
     def contacts(self) -> tuple[str, ...]:
-        """Internal addresses of the seeds; all machines use the same internal ports."""
+        """The internal addresses of the seeds; all machines use the same internal ports."""
         return tuple(internal_address(seed, self.internal_ports[0]) for seed in self.seeds)
--- a/lynxscale/runtime/settings_reader.py
+++ b/lynxscale/runtime/settings_reader.py
@@ -1,6 +1,6 @@
-"""Reads the settings file of a process: TOML, named by the variable ``LYNXSCALE_SETTINGS``.
+"""Reads the settings file of a process: a TOML file that the environment variable ``LYNXSCALE_SETTINGS`` names.
 
-Unknown keys are ignored. All wrong fields are reported together, each by its place in the file.
+Unknown keys are ignored. All invalid fields are reported together, each with the file and the field.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def load_settings() -> Settings:
-    """The settings of this process. Raises SettingsError."""
+    """Load the settings of this process. Raises SettingsError."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
         raise SettingsError(f"the variable {SETTINGS_VARIABLE} names no file")
@@ -31,7 +31,7 @@
 
 
 def parse_settings(text: str, source: str) -> Settings:
-    """Settings from TOML text; ``source`` is the file's name in findings. Raises SettingsError with all findings."""
+    """Parse settings from TOML; ``source`` is the file's name in findings. Raises SettingsError with all findings."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -43,7 +43,7 @@
 
 
 def _findings(table: dict[str, Any], source: str) -> list[str]:
-    """Every field that is missing or of a wrong type; msgspec itself stops at the first, so each is checked alone."""
+    """Return a finding for each missing or invalid field; checked one by one, as msgspec stops at the first error."""
     found = []
     for field in msgspec.structs.fields(Settings):
         if field.encode_name not in table:
--- a/lynxscale/runtime/settings_watcher.py
+++ b/lynxscale/runtime/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Applies changes of the settings file to a running process, with or without a signal."""
+"""Applies changes of the settings file to a running process, by polling the file and on SIGHUP."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         self._on_change = on_change
 
     def reload(self) -> None:
-        """Read the file; an unusable one is logged, and the settings in force stay."""
+        """Read the file; an unusable file is logged and leaves the current settings in force."""
         try:
             settings = load_settings()
         except SettingsError as error:
@@ -37,7 +37,7 @@
 
 
 async def watch_until(stopped: asyncio.Event, watcher: SettingsWatcher) -> None:
-    """Reload every ``POLL_INTERVAL_S``, as the file may change without a signal, until ``stopped`` is set."""
+    """Reload every ``POLL_INTERVAL_S`` until ``stopped`` is set, as the file may change without a signal."""
     while not stopped.is_set():
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(stopped.wait(), POLL_INTERVAL_S)
--- a/lynxscale/runtime/sockets.py
+++ b/lynxscale/runtime/sockets.py
@@ -1,4 +1,4 @@
-"""Addresses and socket options that all connections of the tier share."""
+"""Address parsing and socket options for all TCP connections of the serving tier."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import socket
 
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
-"""A connection whose sent bytes stay unacknowledged for so long is closed by the kernel (``TCP_USER_TIMEOUT``)."""
+"""The kernel closes a connection whose sent bytes stay unacknowledged for so long (``TCP_USER_TIMEOUT``)."""
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``host:port``. Raises ValueError where the port is no number."""
+    """Split ``host:port``. Raises ValueError if the port is not a number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
