--- a/tests/controlplane/test_configuration_check.py
+++ b/tests/controlplane/test_configuration_check.py
@@ -1,4 +1,4 @@
-"""Findings of the configuration check: all at once, each with its path."""
+"""The configuration check reports all findings together, each with its path."""
 
 import msgspec
 import pytest
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "places"),
+    ("body", "paths"),
     [
         (b'{"generation":1,"routes":[', ["body"]),
         (b"[]", ["body"]),
@@ -15,8 +15,8 @@
         (b'{"generation":"x","routes":[7],"services":[{}]}', ["generation", "services[0].name", "routes[0]"]),
     ],
 )
-def test_unreadable_parts_are_reported_by_path(body, places):
-    assert [finding.path for finding in check_configuration(body).failure()] == places
+def test_invalid_fields_are_reported_by_path(body, paths):
+    assert [finding.path for finding in check_configuration(body).failure()] == paths
 
 
 def test_zero_weights_and_unknown_services_are_reported():
--- a/tests/controlplane/test_configuration_endpoint.py
+++ b/tests/controlplane/test_configuration_endpoint.py
@@ -1,4 +1,4 @@
-"""The operator's requests that change the configuration, on a simulated tier."""
+"""The operator's requests that read or change the configuration, on a simulated tier."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,7 @@
 
 
 def test_an_update_is_committed_like_a_replacement_and_read_back_completely():
-    """Seen on the Stadtwerke Steyr days: POST /config/update was answered 404, and every day missed a duty."""
+    """Guards against a missing route: ``POST /config/update`` was once answered 404, so operators could not update."""
     tier = settled_tier()
     route = default_configuration()["routes"][0] | {"timeout-ms": 1234}
     update = {"generation": 4, "upsert": {"routes": [route]}, "remove": {"routes": ["look"]}}
@@ -60,10 +60,10 @@
     assert tier.push(default_configuration(5), 3).status == 200
     assert tier.update({"generation": 6}, 3).status == 412
     assert tier.update({"generation": 5}, 5).status == 400
-    answer = tier.update({"generation": 7, "remove": {"routes": ["nobody"]}}, 5)
-    assert answer.status == 400
-    assert [found["place"] for found in msgspec.json.decode(answer.body)["findings"]] == ["remove.routes[0]"]
-    # The same bytes under the other kind are another order.
+    response = tier.update({"generation": 7, "remove": {"routes": ["nobody"]}}, 5)
+    assert response.status == 400
+    assert [finding["place"] for finding in msgspec.json.decode(response.body)["findings"]] == ["remove.routes[0]"]
+    # The same body as a replacement is a different request.
     assert tier.operator_call("POST", "/config/replace", msgspec.json.encode(update), "1").status == 400
 
 
@@ -73,14 +73,14 @@
     broken["routes"][0]["backend"] = "nobody"
     broken["routes"][1]["timeout-ms"] = 0
     broken["routes"][3]["path-prefix"] = "/look/"
-    answer = tier.push(broken, 1)
-    places = [finding["place"] for finding in msgspec.json.decode(answer.body)["findings"]]
-    assert answer.status == 400
-    assert places == ["routes[0].backend", "routes[1].timeout-ms", "routes[3]"]
+    response = tier.push(broken, 1)
+    paths = [finding["place"] for finding in msgspec.json.decode(response.body)["findings"]]
+    assert response.status == 400
+    assert paths == ["routes[0].backend", "routes[1].timeout-ms", "routes[3]"]
     assert tier.primary().operator_api.configuration.current().generation == 1
 
 
-BATCH_SENT_S = 0.0005  # after which a batch is in flight, and what is submitted waits for the next
+BATCH_SEND_DELAY_S = 0.0005  # a batch is in flight after it; puts submitted later go into the next batch
 
 
 class RecordingResponder:
@@ -97,13 +97,13 @@
 
 
 def change_to(generation: int, base: int) -> Request:
-    """A request that replaces the configuration."""
+    """A request that replaces the configuration of version ``base`` by that of version ``generation``."""
     body = msgspec.json.encode(default_configuration(generation))
     return Request("POST", "/config/replace", Head(((b"lynxscale-base-version", b"%d" % base),)), body)
 
 
 def isolate(tier: SimulatedTier, host: str) -> None:
-    """Nothing that a control member sends from now on arrives anywhere."""
+    """Drop all messages that a control member sends from now on."""
     own = f"{host}:{INTERNAL_PORT}"
     for address in list(tier.world.machines):
         if address != own:
@@ -111,13 +111,16 @@
 
 
 def test_a_read_never_shows_a_change_that_was_submitted_while_it_waited():
-    """Found by asking what a single copy could have answered: such a change may never be committed."""
+    """A read waits for all earlier batches. A change that is submitted meanwhile may never be committed.
+
+    Showing it would not be linearizable: here the primary is isolated as it answers, and its change is lost.
+    """
     tier = settled_tier()
     primary = tier.primary()
     host = primary.publisher.address.partition(":")[0]
     read, changed = RecordingResponder(lambda: isolate(tier, host)), RecordingResponder()
-    primary.member.submit((put_value("turn", 1),), lambda outcome: None)  # as turns always are under load
-    tier.world.run(tier.world.time + BATCH_SENT_S)
+    primary.member.submit((put_value("turn", 1),), lambda outcome: None)  # so that the read has to wait for a batch
+    tier.world.run(tier.world.time + BATCH_SEND_DELAY_S)
     primary.operator_api.configuration.read(read)
     primary.operator_api.configuration.change(ChangeKind.REPLACE, change_to(2, 1), changed)
     assert tier.world.run_until(lambda: read.response is not None, 1.0)
@@ -129,7 +132,7 @@
 
 
 def test_relays_are_sent_no_change_that_is_not_committed_yet():
-    """They never go back from a version, so one that is lost would bar the next of its number."""
+    """Relays never return to an earlier version: one that is lost would block the next change with the same number."""
     tier = settled_tier()
     primary = tier.primary()
     published: list[int] = []
@@ -142,7 +145,7 @@
     primary.publisher.update = watch
     first, second = RecordingResponder(), RecordingResponder()
     primary.operator_api.configuration.change(ChangeKind.REPLACE, change_to(2, 1), first)
-    tier.world.run(tier.world.time + BATCH_SENT_S)
+    tier.world.run(tier.world.time + BATCH_SEND_DELAY_S)
     primary.operator_api.configuration.change(ChangeKind.REPLACE, change_to(3, 2), second)
     assert tier.world.run_until(lambda: first.response is not None, 1.0)
     assert second.response is None and published == [2]
--- a/tests/controlplane/test_configuration_update.py
+++ b/tests/controlplane/test_configuration_update.py
@@ -1,4 +1,4 @@
-"""Updates of the configuration: what is reported, and what they change."""
+"""Updates of the configuration: their findings and their results."""
 
 import msgspec
 import pytest
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "places"),
+    ("body", "paths"),
     [
         (b"7", ["body"]),
         (b'{"upsert":[],"remove":{"limits":[]},"routes":[]}', ["generation", "routes", "upsert", "remove.limits"]),
@@ -21,8 +21,8 @@
         ),
     ],
 )
-def test_findings_of_an_update_are_reported_by_path(body, places):
-    assert [finding.path for finding in check_update(body).failure()] == places
+def test_findings_of_an_update_are_reported_by_path(body, paths):
+    assert [finding.path for finding in check_update(body).failure()] == paths
 
 
 def test_an_update_changes_only_what_it_names_and_its_result_is_checked_completely():
@@ -32,27 +32,29 @@
     table = {"generation": 2, "routes": [route, other], "services": [{"name": "a"}], "limits": limits}
 
     def outcome(**parts):
-        return check_update(msgspec.json.encode({"generation": 5} | parts)).bind(lambda one: apply_update(table, one))
+        return check_update(msgspec.json.encode({"generation": 5} | parts)).bind(
+            lambda update: apply_update(table, update)
+        )
 
     changed, added = route | {"timeout-ms": 7.5}, route | {"name": "n", "path-prefix": "/n/"}
-    whole = outcome(upsert={"routes": [added, changed]}, remove={"routes": ["o"]}).unwrap()
-    assert whole == {"generation": 5, "routes": [changed, added], "services": [{"name": "a"}], "limits": limits}
-    refused = {
+    complete = outcome(upsert={"routes": [added, changed]}, remove={"routes": ["o"]}).unwrap()
+    assert complete == {"generation": 5, "routes": [changed, added], "services": [{"name": "a"}], "limits": limits}
+    rejected = {
         "remove.routes[0]": outcome(remove={"routes": ["nobody"]}),
         "result.routes[0].backend": outcome(remove={"services": ["a"]}),
         "result.routes[2]": outcome(upsert={"routes": [added | {"path-prefix": "/o/"}]}),
         "result.routes[0].timeout-ms": outcome(upsert={"routes": [route | {"timeout-ms": 0}]}),
     }
-    assert {place: answer.failure()[0].path for place, answer in refused.items()} == {place: place for place in refused}
+    assert {path: result.failure()[0].path for path, result in rejected.items()} == {path: path for path in rejected}
 
 
 def test_an_update_never_silently_drops_one_of_two_entries_with_one_name():
-    """Configurations may hold such items: they are told apart by place."""
+    """A configuration may contain two entries of the same name at different positions of a list."""
     route = {"name": "r", "host": "h", "path-prefix": "/", "route-type": "safe", "timeout-ms": 5, "backend": "a"}
-    twin = route | {"path-prefix": "/twin/"}
-    table = {"generation": 2, "routes": [route, twin], "services": [{"name": "a"}]}
+    duplicate = route | {"path-prefix": "/twin/"}
+    table = {"generation": 2, "routes": [route, duplicate], "services": [{"name": "a"}]}
     other = {"generation": 3, "upsert": {"services": [{"name": "b"}]}}
-    assert apply_update(table, other).unwrap()["routes"] == [route, twin]
+    assert apply_update(table, other).unwrap()["routes"] == [route, duplicate]
     both = apply_update(table, {"generation": 3, "upsert": {"routes": [route | {"timeout-ms": 9}]}})
     assert [finding.path for finding in both.failure()] == ["result.routes[1]"]
     assert apply_update(table, {"generation": 3, "remove": {"routes": ["r"]}}).unwrap()["routes"] == []
--- a/tests/controlplane/test_program_state.py
+++ b/tests/controlplane/test_program_state.py
@@ -1,4 +1,4 @@
-"""Token budgets of programs: by themselves, and on a simulated tier."""
+"""Token budgets of programs, in unit tests and on a simulated tier."""
 
 import msgspec
 import pytest
@@ -50,7 +50,7 @@
 
 
 def test_a_budget_is_spent_once_and_further_turns_get_402():
-    """Four events of ten tokens a turn: three turns fit into 120, with the most of each reserved."""
+    """Each turn reserves its maximum of 40 tokens and uses all of them, so a budget of 120 admits three turns."""
     tier = settled_tier()
     statuses = [tier.turn("p", 120, most=40, relay=tier.relay_hosts[n % 3]).status for n in range(4)]
     assert statuses == [200, 200, 200, 402]
@@ -81,7 +81,7 @@
     tier.world.run(tier.world.time + 1)
     own = f"{tier.relay_hosts[0]}:7000"
     for host in tier.control_hosts:
-        tier.world.partition(f"{host}:7000", own, both_ways=False)  # the admission arrives, its answer does not
+        tier.world.partition(f"{host}:7000", own, both_ways=False)  # the admission arrives, but its reply is lost
     answer, _ = tier.start_request("/kept/stream", program="p", budget="40", lynxscale_token_count="1,40")
     assert tier.world.run_until(lambda: answer.ended, 4.0)
     assert answer.status == 503
--- a/tests/controlplane/test_retention.py
+++ b/tests/controlplane/test_retention.py
@@ -1,4 +1,4 @@
-"""Retention of records: what expires, and in which order."""
+"""Retention of records: which keys expire, and in which order."""
 
 from lab.tier.world import World
 from lynxscale.controlplane.retention import RetentionTracker
--- a/tests/controlplane/test_retirement_endpoint.py
+++ b/tests/controlplane/test_retirement_endpoint.py
@@ -9,7 +9,7 @@
     tier = settled_tier(controls=3)
     assert tier.turn("p", 1000, request_id="t1", body=b"hello ").complete
     leaving = next(host for host in tier.control_hosts if tier.controls[host] is not tier.primary())
-    # A lead of a second or so has not heard for certain who is there: nothing is refused for good yet.
+    # A new primary does not know for certain yet which machines are live, so it rejects nothing definitely.
     assert tier.operator_call("POST", f"/retire/node-{leaving}/start", b"{}").status == 503
     assert tier.operator_call("POST", "/retire/nobody/start", b"{}").status == 503
     tier.world.run(tier.world.time + 3)
@@ -29,11 +29,11 @@
     assert (answer.status, answer.complete) == (200, True)
 
 
-def test_a_retirement_is_not_committed_by_stale_knowledge_of_present_machines():
+def test_a_retirement_is_not_committed_on_stale_information_about_live_machines():
     tier = SimulatedTier(World(4), controls=4).start_serving()
     tier.world.run(tier.world.time + 4)
-    lead = tier.primary()
-    gone, retired = [host for host in tier.control_hosts if tier.controls[host] is not lead][:2]
+    primary = tier.primary()
+    gone, retired = [host for host in tier.control_hosts if tier.controls[host] is not primary][:2]
     tier.kill_control(gone)
     tier.world.run(tier.world.time + 0.4)
     assert tier.operator_call("POST", f"/retire/node-{retired}/start", b"{}").status == 503
--- a/tests/controlplane/test_service.py
+++ b/tests/controlplane/test_service.py
@@ -1,4 +1,4 @@
-"""A control process as primary: what it resumes after every process was killed."""
+"""Recovery of a tier after all of its processes were killed."""
 
 from lab.tier.simulated_tier import HOST
 from tests.simulated_tier import settled_tier
@@ -16,7 +16,7 @@
         tier.start_control(host)
     for host in tier.relay_hosts:
         tier.start_relay(host)
-    begun = tier.world.time
+    started_at = tier.world.time
     assert tier.turn("p", 1000, request_id="t2", previous="t1").status == 200
-    assert tier.world.time - begun < 2.0
+    assert tier.world.time - started_at < 2.0
     assert HOST in tier.relays[tier.relay_hosts[0]].route_table.routes_by_host
--- a/tests/controlplane/test_status.py
+++ b/tests/controlplane/test_status.py
@@ -1,10 +1,10 @@
-"""The status of a control process as text."""
+"""The rendering of a control process's status as text."""
 
 from lynxscale.controlplane.status import ControlStatus, ReplicaStatus, render
 
 
 def status(**fields: object) -> ControlStatus:
-    usual = {
+    defaults = {
         "node": "node-1",
         "member": "a:1#0",
         "state": "primary",
@@ -18,7 +18,7 @@
         "retiring": [],
         "replicas": [ReplicaStatus("b:1#0", "node-2", True, True, 0.26), ReplicaStatus("c:1#0", "", False, False, 9.0)],
     }
-    return ControlStatus(**(usual | fields))
+    return ControlStatus(**(defaults | fields))
 
 
 def test_a_primary_shows_its_relays_and_replicas():
--- a/tests/controlplane/test_topic_publication.py
+++ b/tests/controlplane/test_topic_publication.py
@@ -1,4 +1,4 @@
-"""What the primary publishes to relays: shards of the endpoint list, configurations and the roster."""
+"""Topics that the primary publishes to relays: shards of the endpoint list, the configuration and the roster."""
 
 import msgspec
 import pytest
@@ -31,9 +31,9 @@
     changed = default_configuration(5)
     changed["routes"][0]["path-prefix"] = "/moved/"
     assert tier.push(changed, 1).status == 200
-    acknowledged = tier.world.time
+    acknowledged_at = tier.world.time
     assert tier.world.run_until(lambda: all(r.route_table.generation == 5 for r in tier.relays.values()), 2.0)
-    assert tier.world.time - acknowledged < 2.0 / 3
+    assert tier.world.time - acknowledged_at < 2.0 / 3
 
 
 @pytest.mark.parametrize("relays", [8, 24])
--- a/tests/controlplane/test_turn_history.py
+++ b/tests/controlplane/test_turn_history.py
@@ -1,4 +1,4 @@
-"""Retained turns: how long they are kept, and what is certain about one that is not there."""
+"""Retained turns: their retention, and the response to a turn that continues from an unknown one."""
 
 import msgspec
 
@@ -9,33 +9,33 @@
 
 
 def test_a_turn_is_retained_as_long_as_any_that_continues_from_it():
-    """Seen from reading: each turn of a chain expired by itself, so a long conversation got 404 after its first."""
+    """Guards against turns of a chain that expire separately: a long conversation then gets 404 for its first turn."""
     machine = World(1).machine("a:1")
     values: dict[str, msgspec.Raw] = {}
     admission = TurnAdmission(values, machine.clock())
 
-    def put(puts: tuple[Put, ...]) -> None:
-        for one in puts:
-            if one.removes:
-                del values[one.key]
+    def apply(puts: tuple[Put, ...]) -> None:
+        for put in puts:
+            if put.removes:
+                del values[put.key]
             else:
-                values[one.key] = one.value
+                values[put.key] = put.value
 
     for number in range(6):
         previous = f"t{number - 1}" if number else ""
-        put(admission.finish(FinishTurn("p", f"t{number}", 0, 60.0, b"x", previous)))
+        apply(admission.finish(FinishTurn("p", f"t{number}", 0, 60.0, b"x", previous)))
         machine.world.time += 50.0
-        put(admission.remove_expired())
-    asked = AdmitTurn("p", "t6", -1, 0, 60.0, True, "t5")
-    answer, _ = admission.admit(asked)
-    assert isinstance(answer, TurnAdmitted) and answer.history == b"x" * 6
+        apply(admission.remove_expired())
+    request = AdmitTurn("p", "t6", -1, 0, 60.0, True, "t5")
+    reply, _ = admission.admit(request)
+    assert isinstance(reply, TurnAdmitted) and reply.history == b"x" * 6
     later = TurnAdmission(values, machine.clock())
     later.restart_retention()
     machine.clock_step_s = 7200.0
-    put(later.remove_expired())
+    apply(later.remove_expired())
     assert len(values) == 6
     machine.world.time += 91.0
-    put(later.remove_expired())
+    apply(later.remove_expired())
     assert not values
 
 
--- a/tests/dataplane/test_attempt.py
+++ b/tests/dataplane/test_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts at endpoints."""
+"""Attempts at endpoints, on a simulated tier."""
 
 from unittest.mock import patch
 
@@ -54,7 +54,7 @@
 def test_the_latency_of_an_attempt_is_that_of_its_first_byte():
     tier = settled_tier()
     for name in ("i-0", "i-1"):
-        tier.endpoints[name].events = 50  # a second and more, the first after some 50 ms
+        tier.endpoints[name].events = 50  # takes more than a second; the first event arrives after about 50 ms
     assert tier.request("/open/stream").complete
     relay = tier.relays[tier.relay_hosts[0]]
     latencies = [state.recent_latency_ms for state in relay.balancer.states.values() if state.recent_latency_ms]
--- a/tests/dataplane/test_endpoint_state.py
+++ b/tests/dataplane/test_endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a relay learns of an endpoint from its attempts."""
+"""The state of an endpoint, as attempts change it."""
 
 from math import inf
 
@@ -22,13 +22,13 @@
 
 
 def endpoint_state(world: World) -> EndpointState:
-    """A ready endpoint of eight slots that nothing is known of."""
+    """A ready endpoint with ``SLOTS`` slots and no attempts yet."""
     endpoint = Endpoint("e", "model", "10.0.0.1:1", "north", SLOTS, "ready")
     return EndpointState(endpoint, world.machine("a:1").clock(), lambda address, connection: None)
 
 
 def cooldown_s(world: World, state: EndpointState) -> float:
-    """Seconds for which nothing may be sent there."""
+    """Seconds until a request may be sent again."""
     return max(0.0, state.cooldown_until - world.time)
 
 
@@ -66,13 +66,13 @@
 def test_failures_in_a_row_double_the_cooldown_up_to_its_bound():
     world = World(1)
     state = endpoint_state(world)
-    waits = []
+    cooldowns = []
     for _ in range(7):
         state.on_failure()
-        waits.append(cooldown_s(world, state))
-    assert waits[0] == 0.0  # a lone failure is chance
+        cooldowns.append(cooldown_s(world, state))
+    assert cooldowns[0] == 0.0  # a single failure may be random
     doubled = [FAILURE_COOLDOWN_S * 2**number for number in range(1, 4)]
-    assert waits[1:] == pytest.approx([*doubled, *[MAX_FAILURE_COOLDOWN_S] * 3])
+    assert cooldowns[1:] == pytest.approx([*doubled, *[MAX_FAILURE_COOLDOWN_S] * 3])
 
 
 def test_a_success_ends_a_row_of_failures():
@@ -160,7 +160,7 @@
     world.run(world.time + REPORTED_LOAD_LIFETIME_S)
     assert state.load == 2
     state.on_load_report(1)
-    assert state.load == 2  # never less than what is known to be in flight
+    assert state.load == 2  # never less than the requests known to be in flight
 
 
 def test_the_kv_cache_counts_own_tokens_exactly_and_those_of_others_as_typical():
--- a/tests/dataplane/test_forwarding.py
+++ b/tests/dataplane/test_forwarding.py
@@ -57,7 +57,7 @@
 
 
 def test_a_call_is_restarted_at_another_endpoint_after_the_restart_timeout():
-    """The design: twenty tries of 50 ms, then one endpoint hangs."""
+    """After 60 calls of about 50 ms each, one endpoint hangs."""
     tier = settled_tier()
     for number in range(60):
         assert tier.request("/look/1", method="GET", request_id=f"w{number}").status == 200
--- a/tests/dataplane/test_history_cache.py
+++ b/tests/dataplane/test_history_cache.py
@@ -1,4 +1,4 @@
-"""A relay's cache of histories."""
+"""A relay's cache of conversation histories."""
 
 from lynxscale.dataplane.history_cache import HistoryCache
 
--- a/tests/dataplane/test_load_balancer.py
+++ b/tests/dataplane/test_load_balancer.py
@@ -1,4 +1,4 @@
-"""Choice of an endpoint: each test fails without the mechanism it names."""
+"""The choice of an endpoint. Each test fails without the mechanism that it names."""
 
 import pytest
 
@@ -13,10 +13,10 @@
 SLOTS = 16
 
 
-def load_balancer(zones: tuple[str, ...], own: str = "north") -> LoadBalancer:
-    """A load balancer of one service, with an endpoint in each of the zones."""
+def load_balancer(zones: tuple[str, ...], local_zone: str = "north") -> LoadBalancer:
+    """A load balancer for one service, with one endpoint in each of the zones."""
     clock = World(1).machine("a:1").clock()
-    balancer = LoadBalancer(own, clock, lambda address, connection: None)
+    balancer = LoadBalancer(local_zone, clock, lambda address, connection: None)
     balancer.update_endpoints(
         [Endpoint(f"e{n}", "model", f"10.0.0.{n}:1", zone, SLOTS, "ready") for n, zone in enumerate(zones)]
     )
@@ -26,14 +26,14 @@
 
 
 def send_to_chosen(balancer: LoadBalancer, key: str) -> str:
-    """The id of the endpoint that a request with the key is sent to."""
+    """Choose an endpoint for a request with the key, count the request there, and return the endpoint's id."""
     state = balancer.choose("model", EndpointDemand(key, 0, 0), set())
     state.in_flight += 1
     return state.endpoint.id
 
 
 def test_the_own_zone_is_loaded_no_more_than_the_bound():
-    """Seen on scale-1: one zone's only endpoint took as much as two of another."""
+    """Guards against overload of a small zone: its only endpoint got as much load as two of another zone."""
     balancer = load_balancer(("north", "south", "south", "south"))
     chosen = [send_to_chosen(balancer, f"program{number}") for number in range(16)]
     assert 4 <= chosen.count("e0") <= 5
@@ -66,7 +66,7 @@
 
 
 def test_requests_wait_while_an_endpoints_kv_cache_would_not_hold_them():
-    """Seen on a day with an endpoint less: hundreds of requests were preempted and read again."""
+    """Guards against overcommitting the KV cache: with an endpoint down, hundreds of requests were preempted."""
     tier = SimulatedTier(World(4))
     table = default_configuration()
     table["services"][0]["engine"]["kv-capacity-tokens"] = 1000
@@ -97,12 +97,12 @@
 
 
 def set_listed_state(balancer: LoadBalancer, state: str) -> None:
-    """Replace the list by one with a single endpoint, ``e0``, in that state."""
+    """Replace the endpoint list by one with a single endpoint, ``e0``, in the given state."""
     balancer.update_endpoints([Endpoint("e0", "model", "10.0.0.0:1", "north", SLOTS, state)])
 
 
 def test_an_endpoint_that_turns_ready_gets_requests_and_starts_with_a_window_of_one():
-    """Found by reading: one first listed as not ready got nothing for as long as it kept its id."""
+    """Guards against ignoring the change: an endpoint that was first listed as not ready got no requests at all."""
     balancer = load_balancer(())
     set_listed_state(balancer, "starting")
     assert balancer.choose("model", EndpointDemand("", 0, 0), set()) is None
@@ -124,7 +124,7 @@
 
 
 def test_an_endpoint_that_lost_its_address_stays_unavailable_while_it_is_listed_as_ready():
-    """The platform's list lags: the same list again must not bring it back."""
+    """The platform's list lags, so an unchanged list must not make the endpoint available again."""
     balancer = load_balancer(("north",))
     balancer.states["e0"].mark_unavailable()
     set_listed_state(balancer, "ready")
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize(("failing", "avoided"), [(1, True), (2, True), (3, False)])
 def test_ejection_leaves_at_least_half_of_a_services_endpoints(failing, avoided):
-    """With more than half failing the fault is likely to be elsewhere, and the rest would be overrun."""
+    """If more than half fail, the cause is probably elsewhere, and the remaining endpoints would be overloaded."""
     balancer = load_balancer(("north",) * 4)
     states = [balancer.states[f"e{number}"] for number in range(4)]
     for state in states[:failing]:
@@ -141,7 +141,7 @@
             state.on_error_response()
         state.recent_latency_ms = 1.0
     for state in states[failing:]:
-        state.in_flight = 5  # worse by load: only ejection speaks for them
+        state.in_flight = 5  # chosen only if the others are ejected, as their load is higher
         state.recent_latency_ms = 1.0
     chosen = {balancer.choose("model", EndpointDemand("", 0, 0), set()).endpoint.id for _ in range(8)}
     assert chosen.isdisjoint({f"e{number}" for number in range(failing)}) == avoided
@@ -150,11 +150,11 @@
 def test_ejected_endpoints_count_against_all_ready_ones_not_only_those_with_room():
     balancer = load_balancer(("north",) * 4)
     for number in (0, 1):
-        balancer.states[f"e{number}"].in_flight = SLOTS  # no room
+        balancer.states[f"e{number}"].in_flight = SLOTS  # full
     for _ in range(4):
         balancer.states["e2"].on_error_response()
     balancer.states["e3"].in_flight = 5
-    # Only e2 and e3 have room, and one of four ready endpoints would be left: less than half.
+    # Only e2 and e3 have free slots; ejecting e2 would leave one of four ready endpoints, less than half.
     assert balancer.choose("model", EndpointDemand("", 0, 0), set()).endpoint.id == "e2"
 
 
@@ -205,9 +205,9 @@
 
 def test_the_load_bound_has_slack_so_that_few_requests_do_not_scatter():
     balancer = load_balancer(("south",) * 4)
-    home = send_to_chosen(balancer, "program")
+    first = send_to_chosen(balancer, "program")
     balancer._last_endpoint.clear()
-    assert send_to_chosen(balancer, "program") == home  # one request there is within 1.25 x mean + 1
+    assert send_to_chosen(balancer, "program") == first  # its load of 1 is within 1.25 x mean + 1
 
 
 def test_requests_of_other_relays_count_as_typical_ones_in_the_kv_cache():
@@ -216,7 +216,7 @@
         balancer.choose("model", EndpointDemand("p", 100, 10_000), set())
     full = balancer.states["e0"]
     full.in_flight, full.tokens_in_flight = 1, 100
-    full.on_load_report(9)  # eight of others, about 100 tokens each
+    full.on_load_report(9)  # eight requests of other relays, about 100 tokens each
     assert balancer.choose("model", EndpointDemand("q", 100, 1_000), set()).endpoint.id == "e1"
     balancer.states["e1"].mark_unavailable()
     assert balancer.choose("model", EndpointDemand("q", 100, 1_000), set()) is None
--- a/tests/dataplane/test_pending_until_configured.py
+++ b/tests/dataplane/test_pending_until_configured.py
@@ -1,4 +1,4 @@
-"""Requests that arrive before the configuration."""
+"""Requests that arrive before the relay is configured."""
 
 import pytest
 
@@ -38,7 +38,7 @@
 
 
 class RecordingExchange:
-    """Records whether its client has left. Implements Exchange."""
+    """Records whether its client has disconnected. Implements Exchange."""
 
     def __init__(self) -> None:
         self.disconnected = False
@@ -49,7 +49,7 @@
 
 
 class Waiting:
-    """Pending requests on a simulated clock, and what became of them."""
+    """Pending requests on a simulated clock, with the requests served and their exchanges."""
 
     def __init__(self) -> None:
         self.world = World(1)
@@ -63,7 +63,7 @@
         return self.exchanges[-1]
 
     def add(self, target: str, deadline_ms: int | None = None) -> tuple[PendingRequest | None, RecordingResponder]:
-        """A request arrives."""
+        """Add a request; return its pending request and its responder."""
         responder = RecordingResponder()
         fields = () if deadline_ms is None else ((DEADLINE_MS, b"%d" % deadline_ms),)
         return self.pending.add(Request("GET", target, Head(fields)), responder), responder
--- a/tests/dataplane/test_request_faults.py
+++ b/tests/dataplane/test_request_faults.py
@@ -1,4 +1,4 @@
-"""What a forwarded request does at its deadline, as its client leaves, and with responses that cannot be trusted."""
+"""Forwarded requests under faults: expired deadlines, disconnected clients, untrusted responses, lost primaries."""
 
 import msgspec
 import pytest
@@ -11,34 +11,34 @@
 from lynxscale.dataplane.turns import ADMISSION_TIMEOUT_S, COMMIT_TIMEOUT_S
 from tests.simulated_tier import EVENTS, endpoints_that_ran, settled_tier
 
-HANGS_S = 60.0
+HANG_S = 60.0  # a service time beyond all deadlines
 MODELS, TOOLS = ("i-0", "i-1"), ("i-2", "i-3")
 
 
 def hang(tier: SimulatedTier) -> None:
-    """No endpoint responds any more."""
+    """Make all endpoints hang."""
     for endpoint in tier.endpoints.values():
-        endpoint.service_time_s = HANGS_S
+        endpoint.service_time_s = HANG_S
 
 
 def running(tier: SimulatedTier) -> int:
-    """Requests that endpoints execute now."""
+    """The number of requests that the endpoints are executing."""
     return sum(endpoint.running for endpoint in tier.endpoints.values())
 
 
 def states(tier: SimulatedTier) -> dict[str, EndpointState]:
-    """What the first relay knows of the endpoints."""
+    """The first relay's endpoint states, by endpoint id."""
     return tier.relays[tier.relay_hosts[0]].balancer.states
 
 
-def widen(tier: SimulatedTier, window: int = 6) -> None:
-    """Let the first relay send several requests to each endpoint."""
+def set_windows(tier: SimulatedTier, window: int = 6) -> None:
+    """Set the first relay's concurrency window for each endpoint."""
     for state in states(tier).values():
         state.window = window
 
 
 def program_record(tier: SimulatedTier, program: str) -> ProgramRecord:
-    """A program's record at the primary."""
+    """A program's record in the primary's store."""
     return msgspec.json.decode(tier.primary().member.store.values[PROGRAM_PREFIX + program], type=ProgramRecord)
 
 
@@ -56,9 +56,9 @@
 
 
 def test_an_expired_deadline_ends_the_attempt_at_the_endpoint():
-    """Else it runs on there, and its slot stays taken here."""
+    """Otherwise it continues there, and its slot stays occupied at the relay."""
     tier = settled_tier()
-    widen(tier)
+    set_windows(tier)
     hang(tier)
     answer = tier.request("/book/1", lynxscale_deadline_ms="500", request_id="b")
     tier.world.run(tier.world.time + 0.1)
@@ -102,7 +102,7 @@
     tier.world.run(tier.world.time + 2)
     answers = [tier.request("/look/1", lynxscale_deadline_ms="400") for _ in range(3)]
     tier.world.run(tier.world.time + 2)
-    assert [one.status for one in answers] == [200] * 3
+    assert [response.status for response in answers] == [200] * 3
     assert all(state.failure_rate.current < 0.2 for state in states(tier).values())
 
 
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("ending", ["response", "failure", "disconnect"])
 def test_a_released_slot_is_used_at_once(ending):
-    """Not only when the queue looks for itself, every 50 ms."""
+    """The queue is served when a slot is released, not only by its poll every 50 ms."""
     tier = settled_tier()
     for name in TOOLS:
         tier.endpoints[name].service_time_s = 0.5
@@ -164,17 +164,17 @@
 
 
 def restarting_tier() -> tuple[SimulatedTier, str]:
-    """A tier whose relay has a restart timeout, and the endpoint that the next call goes to and that hangs."""
+    """A tier whose first relay has a restart timeout, and the id of an endpoint that hangs."""
     tier = settled_tier()
     for number in range(60):
         assert tier.request("/look/1", method="GET", request_id=f"w{number}").status == 200
     hung = endpoints_that_ran(tier, "w59")[0]
-    tier.endpoints[hung].service_time_s = HANGS_S
+    tier.endpoints[hung].service_time_s = HANG_S
     return tier, hung
 
 
 def restarted_call(tier: SimulatedTier, hung: str) -> str:
-    """Send calls until one was restarted; its id."""
+    """Send calls until one is restarted, and return its request id."""
     for number in range(6):
         assert tier.request("/look/1", method="GET", request_id=f"c{number}").status == 200
         if len(endpoints_that_ran(tier, f"c{number}")) == 2:
@@ -194,10 +194,10 @@
 
 
 def test_a_restarted_call_counts_both_executions():
-    """Two are allowed: the second attempt is neither restarted nor, where it fails, followed by a third."""
+    """The route allows two executions, so the second attempt is neither restarted nor followed by a third."""
     tier, hung = restarting_tier()
     for name in TOOLS:
-        tier.endpoints[name].service_time_s = HANGS_S
+        tier.endpoints[name].service_time_s = HANG_S
         for _ in range(60):
             states(tier)[name].on_success(50.0)
         states(tier)[name].restart_tokens = 3.0
@@ -327,11 +327,11 @@
     assert sent == []
 
 
-# Turns whose client or primary is gone -------------------------------------------------------------------
+# Turns without a client or a primary ---------------------------------------------------------------------
 
 
 def watch_calls(tier: SimulatedTier) -> list[AdmitTurn | FinishTurn]:
-    """All admissions and ends of turns that are sent from now on, without retries."""
+    """Record the admissions and ends of turns that relays send from now on, without retries."""
     sent: list[AdmitTurn | FinishTurn] = []
     for relay in tier.relays.values():
         call = relay.calls.call
@@ -345,7 +345,7 @@
 
 
 def test_a_client_that_leaves_during_admission_leaves_no_reservation():
-    """Else the tokens stay reserved for good, and its program runs out of budget."""
+    """Otherwise the tokens stay reserved, and the program runs out of budget."""
     tier = settled_tier()
     sent = watch_calls(tier)
     _, connection = tier.start_request(
@@ -395,8 +395,8 @@
     tier.world.run(tier.world.time + 0.5)
     assert [type(body) for body in sent] == [AdmitTurn, FinishTurn] and sent[1].tokens == 0
     begun = tier.world.time
-    patient = tier.turn("p", 1000, lynxscale_deadline_ms="4000")
-    assert patient.status == 503 and patient.ended_at - begun < ADMISSION_TIMEOUT_S + 0.5
+    second = tier.turn("p", 1000, lynxscale_deadline_ms="4000")
+    assert second.status == 503 and second.ended_at - begun < ADMISSION_TIMEOUT_S + 0.5
     assert running(tier) == 0 and all(not endpoint.executed for endpoint in tier.endpoints.values())
 
 
@@ -411,7 +411,7 @@
 
 
 def test_a_turn_that_no_primary_commits_in_time_is_aborted():
-    """Its client must not take it for complete: it may be lost."""
+    """The turn may be lost, so its client must not take the response for complete."""
     tier = settled_tier()
     for name in MODELS:
         tier.endpoints[name].events = 20
@@ -467,10 +467,10 @@
 
 
 def test_a_restarted_call_that_finds_no_other_endpoint_is_502():
-    """It may have been executed: 503 would tell its client that it was not."""
+    """The call may have been executed; 503 would tell the client that it was not."""
     tier, hung = restarting_tier()
     other = next(name for name in TOOLS if name != hung)
-    tier.endpoints[other].service_time_s = HANGS_S
+    tier.endpoints[other].service_time_s = HANG_S
     call, _ = tier.start_request("/look/1", method="GET", request_id="c", lynxscale_deadline_ms="4000")
     assert tier.world.run_until(lambda: endpoints_that_ran(tier, "c") != [], 1.0)
     first = endpoints_that_ran(tier, "c")[0]
--- a/tests/dataplane/test_request_state.py
+++ b/tests/dataplane/test_request_state.py
@@ -1,4 +1,4 @@
-"""The states of forwarded requests: every change is one of the table's."""
+"""The states of forwarded requests: every transition that occurs is in the table."""
 
 import pytest
 
--- a/tests/dataplane/test_retry_policy.py
+++ b/tests/dataplane/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""When requests are sent again and attempts abandoned: decisions without I/O."""
+"""The retry policy: when requests are sent again, and when attempts are abandoned."""
 
 import pytest
 
@@ -10,18 +10,18 @@
 
 
 def route(route_type: str, max_attempts: int, resumable: bool = False) -> Route:
-    """A route of that type with a time-out of 4000 ms."""
+    """A route of the given type with a timeout of 4000 ms."""
     return Route("r", "h", "/", route_type, 4000.0, max_attempts=max_attempts, resumable=resumable)
 
 
 def endpoint_state() -> EndpointState:
-    """An endpoint that nothing is known of."""
+    """A ready endpoint without attempts yet."""
     clock = World(1).machine("a:1").clock()
     return EndpointState(Endpoint("i-1", "s", "10.0.0.1:1", "z", 4, "ready"), clock, lambda address, connection: None)
 
 
 @pytest.mark.parametrize(
-    ("one", "executions", "again"),
+    ("policy_route", "executions", "again"),
     [
         (route("safe", 2), 1, True),
         (route("safe", 2), 2, False),
@@ -30,9 +30,9 @@
         (route("streaming", 2, resumable=True), 1, True),
     ],
 )
-def test_only_idempotent_requests_are_executed_again_and_within_max_attempts(one, executions, again):
-    assert retry_policy.may_execute_again(one, executions, 1000.0) is again
-    assert not retry_policy.may_execute_again(one, executions, retry_policy.MIN_REMAINING_MS)
+def test_only_idempotent_requests_are_executed_again_and_within_max_attempts(policy_route, executions, again):
+    assert retry_policy.may_execute_again(policy_route, executions, 1000.0) is again
+    assert not retry_policy.may_execute_again(policy_route, executions, retry_policy.MIN_REMAINING_MS)
 
 
 def test_the_last_attempt_of_a_route_is_not_restarted():
--- a/tests/dataplane/test_routing.py
+++ b/tests/dataplane/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes and services of a configuration."""
+"""The route table of a configuration."""
 
 import msgspec
 import pytest
--- a/tests/dataplane/test_service.py
+++ b/tests/dataplane/test_service.py
@@ -1,4 +1,4 @@
-"""What a relay answers by itself."""
+"""A relay's own responses, its status, and its behaviour without a primary."""
 
 import msgspec
 
@@ -34,7 +34,7 @@
 
 
 def readiness(tier: SimulatedTier, target: str = "/ready") -> Response:
-    """What the first relay answers on its readiness address."""
+    """Return the first relay's response on its readiness address."""
     responder = RecordingResponder()
     relay = tier.relays[tier.relay_hosts[0]]
     relay.handle_readiness(Request("GET", target, Head(())), responder)
--- a/tests/dataplane/test_shutdown.py
+++ b/tests/dataplane/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The shutdown of a relay's process, on an event loop whose time is simulated."""
+"""The graceful shutdown of a relay's process, on an event loop with simulated time."""
 
 import asyncio
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class SimulatedTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop that never waits: the time moves on by itself, from timer to timer. Stops after ``MAX_STEPS``."""
+    """An event loop that never waits: its time advances to the next timer. It stops after ``MAX_STEPS`` iterations."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,20 +21,20 @@
         self.steps = 0
 
     def time(self) -> float:
-        """Simulated seconds."""
+        """The simulated time in seconds."""
         return self.now
 
     def _run_once(self) -> None:
         self.steps += 1
         if self.steps > MAX_STEPS:
-            raise TimeoutError("the simulated time goes on and on")
+            raise TimeoutError("the event loop did not finish within MAX_STEPS iterations")
         if not self._ready and self._scheduled:
             self.now = max(self.now, self._scheduled[0]._when)
         super()._run_once()
 
 
 class Connection:
-    """A client's connection. ``busy_until``: simulated seconds."""
+    """A client's connection. ``busy_until``: the simulated time at which its request ends."""
 
     def __init__(self, loop: SimulatedTimeLoop, busy_until: float) -> None:
         self._loop = loop
@@ -43,7 +43,7 @@
 
     @property
     def busy(self) -> bool:
-        """Is a request in flight?"""
+        """Whether a request is in flight."""
         return self._loop.now < self._busy_until
 
     def close_if_idle(self) -> None:
@@ -65,7 +65,7 @@
 
 
 class Relay:
-    """The parts of RelayService that a shutdown changes."""
+    """A substitute for RelayService with the attributes that a shutdown changes."""
 
     def __init__(self) -> None:
         self.stopping = False
@@ -73,7 +73,7 @@
 
 
 class Shutdown:
-    """One shutdown, with connections that are busy until the given times."""
+    """A shutdown with one connection for each of the given times, until which it is busy."""
 
     def __init__(self, busy_until: tuple[float, ...]) -> None:
         self.loop = SimulatedTimeLoop()
@@ -81,7 +81,7 @@
         self.connections = [Connection(self.loop, until) for until in busy_until]
 
     def run(self, watch: Callable[[], None] = lambda: None) -> float:
-        """The simulated time of its end."""
+        """Run the shutdown and return the simulated time of its end; ``watch()`` is called soon after its start."""
         self.loop.call_later(STEP_S, watch)
         drain = program.drain(self.relay, self.server, set(self.connections), GRACE_S)
         try:
--- a/tests/dataplane/test_turns.py
+++ b/tests/dataplane/test_turns.py
@@ -1,4 +1,4 @@
-"""Turns that continue earlier ones, and the histories that relays have cached."""
+"""Turns that continue earlier turns, and the histories that relays cache."""
 
 from lynxscale.coordination.messages import Message, Reply, TurnAdmitted
 from tests.simulated_tier import OUTPUT, endpoints_that_ran, executed_request, settled_tier
@@ -16,7 +16,7 @@
 
 
 def test_a_relay_with_a_cached_history_is_sent_only_what_is_missing():
-    """Seen on the Stadtwerke Steyr site: a third of all bytes between zones were histories, each sent whole."""
+    """Guards against sending complete histories: they were a third of all bytes between zones in one deployment."""
     tier = settled_tier()
     sent: list[TurnAdmitted] = []
     deliver = tier.world.deliver
@@ -28,19 +28,19 @@
 
     tier.world.deliver = watch
     relays = [tier.relay_hosts[number] for number in (0, 0, 1, 0, 2)]
-    previous, wanted = {}, b""
+    previous, history = {}, b""
     for number, relay in enumerate(relays):
         text = f"say{number} ".encode()
         answer = tier.turn("p", 1000, relay=relay, request_id=f"t{number}", session="s", body=text, **previous)
         assert answer.status == 200
-        ran = next(
+        executed = next(
             r
             for e in tier.endpoints.values()
             for r in e.executed
             if r.head.get(b"lynxscale-request-id") == b"t%d" % number
         )
-        assert ran.body == wanted + text
-        wanted += text + b"word1\nword2\nword3\nword4\n"
+        assert executed.body == history + text
+        history += text + b"word1\nword2\nword3\nword4\n"
         previous = {"previous": f"t{number}"}
     assert [body.base_turn for body in sent] == ["", "t0", "", "t1", ""]
     assert [body.history.count(b"say") for body in sent] == [0, 0, 2, 1, 4]
--- a/tests/discovery/test_endpoint_poller.py
+++ b/tests/discovery/test_endpoint_poller.py
@@ -1,4 +1,4 @@
-"""Polling of the platform's endpoint list by the primary, and by relays without one, on a simulated tier."""
+"""Polling of the platform's endpoint list by the primary, and by isolated relays, on a simulated tier."""
 
 import msgspec
 import pytest
@@ -47,7 +47,7 @@
 
 
 class PagedPlatform:
-    """Serves a list of one endpoint a page."""
+    """Serves a list with one endpoint per page and ``last`` pages."""
 
     def __init__(self, tier: SimulatedTier, last: int) -> None:
         self.address = "10.9.0.1:80"
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize(("pages", "lists"), [(MAX_PAGES, 1), (MAX_PAGES + 1, 0)])
 def test_a_list_that_is_longer_than_all_pages_replaces_nothing(pages, lists):
-    """Found by reading: its first part counted as complete, so that relays dropped the endpoints of the rest."""
+    """Guards against applying a partial list: relays would remove the endpoints of the missing pages."""
     tier = settled_tier()
     world = tier.world
     platform = PagedPlatform(tier, pages)
@@ -79,4 +79,4 @@
     assert world.run_until(lambda: platform.pages >= MAX_PAGES, 30.0)
     world.run(world.time + 0.1)
     poller.stop()
-    assert [len(one) for one in received] == [pages] * lists
+    assert [len(endpoints) for endpoints in received] == [pages] * lists
--- a/tests/runtime/test_http_types.py
+++ b/tests/runtime/test_http_types.py
@@ -1,4 +1,4 @@
-"""Header fields as plain values."""
+"""Access to the header fields of HTTP messages."""
 
 from lynxscale.runtime.http_types import Head, Request
 
--- a/tests/runtime/test_operator_client.py
+++ b/tests/runtime/test_operator_client.py
@@ -9,9 +9,9 @@
 
 
 def test_a_redirect_keeps_the_query():
-    """Found by reading: the redirected request went to the path alone."""
+    """Guards against a redirected request that lacks the query of the ``Location``."""
 
-    async def play() -> list[str]:
+    async def targets_of_redirected_request() -> list[str]:
         loop = asyncio.get_running_loop()
         targets: list[str] = []
 
@@ -32,4 +32,4 @@
         server.close()
         return targets
 
-    assert asyncio.run(play()) == ["/config/read?version=7&full"] * 2
+    assert asyncio.run(targets_of_redirected_request()) == ["/config/read?version=7&full"] * 2
--- a/tests/runtime/test_peer_network.py
+++ b/tests/runtime/test_peer_network.py
@@ -8,9 +8,9 @@
 
 
 def test_unsent_messages_are_written_before_a_write_blocks_on_the_disk(tmp_path):
-    """Seen from reading: a batch left for its copies only when the primary's own syncs were over."""
+    """Guards against a delayed batch: it reached the replicas only after the primary's own disk syncs."""
 
-    async def play() -> list[Message]:
+    async def send_during_write() -> list[Message]:
         loop = asyncio.get_running_loop()
         sender, receiver = PeerNetwork(loop, "127.0.0.1:0"), PeerNetwork(loop, "127.0.0.1:0")
         received: list[Message] = []
@@ -34,5 +34,5 @@
         receiver._server.close()
         return received
 
-    asyncio.run(play())
+    asyncio.run(send_during_write())
     assert DurableFiles(str(tmp_path)).read("a") == b"1"
--- a/tests/runtime/test_processes.py
+++ b/tests/runtime/test_processes.py
@@ -13,21 +13,21 @@
 from lab.tier.simulated_tier import default_configuration
 from tests.programs import controlplane_cli, dataplane_cli, run_module
 
-NETWORK = 83
-DECIDED_WITHIN_S = 15.0
+NETWORK = 83  # second number of the loopback addresses
+RETRY_TIMEOUT_S = 15.0
 
 
-async def off_loop(call, *arguments):
+async def run_in_thread(call, *arguments):
     return await asyncio.get_running_loop().run_in_executor(None, call, *arguments)
 
 
-async def configure(*words):
-    """A ``config`` command, sent again while it gets 503, as operators are asked to: a busy machine costs a lease."""
-    deadline = time.monotonic() + DECIDED_WITHIN_S
+async def config_command(*arguments):
+    """Run a ``config`` command, and retry it on 503, as operators have to: a busy machine may lose its lease."""
+    deadline = time.monotonic() + RETRY_TIMEOUT_S
     while True:
-        done = await off_loop(controlplane_cli, "config", *words)
-        if "503" not in done.stderr or time.monotonic() > deadline:
-            return done
+        completed = await run_in_thread(controlplane_cli, "config", *arguments)
+        if "503" not in completed.stderr or time.monotonic() > deadline:
+            return completed
 
 
 def turn_fields(name: str, previous: str = "") -> tuple:
@@ -40,18 +40,18 @@
 def test_a_tier_of_processes_from_first_start_to_graceful_shutdown():
     folder = Path(tempfile.mkdtemp(prefix="tier-"))
     try:
-        asyncio.run(play(LocalTier(folder, NETWORK), folder))
+        asyncio.run(check_tier(LocalTier(folder, NETWORK), folder))
     finally:
         shutil.rmtree(folder)
 
 
-async def play(tier: LocalTier, folder: Path) -> None:
+async def check_tier(tier: LocalTier, folder: Path) -> None:
     try:
         await tier.start()
         await check_turns_and_failover(tier)
         await check_status(tier)
         await check_configuration(tier, folder)
-        await check_end(tier)
+        await check_graceful_shutdown(tier)
     finally:
         tier.stop()
     verified = controlplane_cli("storage", "verify", str(folder / "control-1"))
@@ -78,13 +78,13 @@
 
 async def check_status(tier: LocalTier) -> None:
     primary = await tier.primary()
-    reported = await off_loop(controlplane_cli, "status", tier.control(primary))
+    reported = await run_in_thread(controlplane_cli, "status", tier.control(primary))
     assert reported.returncode == 0 and "holds the lease" in reported.stdout and "relays         2" in reported.stdout
-    reported = await off_loop(controlplane_cli, "status", tier.control(primary), "--json")
+    reported = await run_in_thread(controlplane_cli, "status", tier.control(primary), "--json")
     assert json.loads(reported.stdout)["configuration"] == 1
-    reported = await off_loop(dataplane_cli, "status", tier.readiness("relay-1"))
+    reported = await run_in_thread(dataplane_cli, "status", tier.readiness("relay-1"))
     assert "relay          127" in reported.stdout and "ready" in reported.stdout
-    unreachable = await off_loop(dataplane_cli, "status", f"127.{NETWORK}.9.9:1")
+    unreachable = await run_in_thread(dataplane_cli, "status", f"127.{NETWORK}.9.9:1")
     assert unreachable.returncode == 2 and "not_connected" in unreachable.stderr
 
 
@@ -99,11 +99,11 @@
     compared = controlplane_cli("config", "diff", str(files[1]), str(files[2]))
     assert compared.returncode == 1 and compared.stdout == "~ routes kept: timeout-ms\n"
     assert controlplane_cli("config", "diff", str(files[1]), str(files[1])).returncode == 0
-    pushed = await configure("push", address, str(files[2]), "--base", "1")
+    pushed = await config_command("push", address, str(files[2]), "--base", "1")
     assert pushed.returncode == 0, pushed.stderr
-    again = await configure("push", address, str(files[1]), "--base", "1")
+    again = await config_command("push", address, str(files[1]), "--base", "1")
     assert again.returncode == 1 and "412" in again.stderr
-    read = await configure("read", address)
+    read = await config_command("read", address)
     assert json.loads(read.stdout)["generation"] == 2
     await check_update(address, files[2], folder / "update.json")
 
@@ -112,19 +112,19 @@
     update.write_bytes(msgspec.json.encode({"generation": 3, "remove": {"routes": ["look"]}}))
     compared = controlplane_cli("config", "diff", str(before), str(update), "--update")
     assert compared.returncode == 1 and compared.stdout == "- routes look\n"
-    pushed = await configure("push", address, str(update), "--base", "2", "--update")
+    pushed = await config_command("push", address, str(update), "--base", "2", "--update")
     assert pushed.returncode == 0, pushed.stderr
-    read = json.loads((await configure("read", address)).stdout)
+    read = json.loads((await config_command("read", address)).stdout)
     assert read["generation"] == 3 and [route["name"] for route in read["routes"]] == ["kept", "open", "book"]
     update.write_bytes(msgspec.json.encode({"generation": 4, "remove": {"routes": ["nobody"]}}))
-    refused = await configure("push", address, str(update), "--base", "3", "--update")
-    assert refused.returncode == 1 and "remove.routes[0]" in refused.stderr
+    rejected = await config_command("push", address, str(update), "--base", "3", "--update")
+    assert rejected.returncode == 1 and "remove.routes[0]" in rejected.stderr
     compared = controlplane_cli("config", "diff", str(before), str(update), "--update")
     assert compared.returncode == 2 and "remove.routes[0]" in compared.stderr
 
 
-async def check_end(tier: LocalTier) -> None:
-    """SIGTERM amid a stream: it comes to its end, and the process to exit code 0."""
+async def check_graceful_shutdown(tier: LocalTier) -> None:
+    """On SIGTERM during a stream, the relay completes the stream and exits with code 0."""
     for endpoint in tier.endpoints:
         endpoint.service_time_s = 1.0
     address = tier.frontend("relay-1")
@@ -136,7 +136,7 @@
     answer = await stream
     assert answer.status == 200 and answer.body.count(b"data:") == 4
     assert (await tier.call(tier.readiness("relay-1"), "GET", "/ready")).status == 503
-    assert await off_loop(relay.wait, 10) == 0
+    assert await run_in_thread(relay.wait, 10) == 0
     del tier.processes["relay-1"]
 
 
--- a/tests/runtime/test_settings_reader.py
+++ b/tests/runtime/test_settings_reader.py
@@ -1,4 +1,4 @@
-"""All findings of a settings file are reported at once."""
+"""The settings reader reports all findings of a file together."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 def test_empty_seeds_are_a_finding():
-    """Found by reading: the check passed, and a relay ended with ZeroDivisionError."""
+    """Guards against accepting them: a relay without seeds fails with ZeroDivisionError."""
     with pytest.raises(SettingsError) as raised:
         parse_settings('node-name = "n"\nip = "a"\nzone = "a"\ninternal-ports = [1, 2]\nseeds = []', "s.toml")
     assert str(raised.value) == "s.toml: seeds: want one address at least"
