--- a/lynxscale/controlplane/__main__.py
+++ b/lynxscale/controlplane/__main__.py
@@ -27,7 +27,7 @@
 
 CONNECT_TIMEOUT_S = 1.0
 SHUTDOWN_MARGIN_S = 1.0  # the process exits this long before the platform kills it
-FLUSH_DELAY_S = 0.05  # in which the last messages are sent
+FLUSH_DELAY_S = 0.05  # lets the last messages be sent before the process exits
 MAX_BODY_BYTES = 8 * 1024 * 1024
 
 
--- a/lynxscale/controlplane/cli.py
+++ b/lynxscale/controlplane/cli.py
@@ -23,7 +23,7 @@
 from lynxscale.controlplane.operator_api import READ_PATH, REPLACE_PATH, UPDATE_PATH
 from lynxscale.controlplane.status import ControlStatus, render
 from lynxscale.coordination.store import Store
-from lynxscale.runtime.commands import CheckSettings, call, fail, print_status, read_file
+from lynxscale.runtime.commands import CheckSettings, fail, print_status, read_file, send_request_or_exit
 from lynxscale.runtime.durable_files import ReadOnlyFiles
 from lynxscale.runtime.exit_codes import ExitCode
 from lynxscale.runtime.http_types import Response
@@ -79,7 +79,7 @@
 
     def __call__(self) -> None:
         """Print the configuration as the operator sent it."""
-        response = _checked(self.address, call(self.address, "GET", READ_PATH))
+        response = _require_ok(self.address, send_request_or_exit(self.address, "GET", READ_PATH))
         print(response.body.decode())
 
 
@@ -90,14 +90,14 @@
 
     address: str
     file: str
-    base: Annotated[int, cappa.Arg(long=True, help="The version that it builds on.")]
+    base: Annotated[int, cappa.Arg(long=True, help="The version in force that FILE replaces or updates.")]
     update: Annotated[bool, cappa.Arg(long=True, help="FILE is an update: generation, upsert and remove.")] = False
 
     def __call__(self) -> None:
         """Send the file; the exit code is 1 if it is not acknowledged."""
         fields = ((BASE_HEADER, b"%d" % self.base),)
         path = UPDATE_PATH if self.update else REPLACE_PATH
-        _checked(self.address, call(self.address, "POST", path, read_file(self.file), fields))
+        _require_ok(self.address, send_request_or_exit(self.address, "POST", path, read_file(self.file), fields))
         print(f"{self.file}: acknowledged")
 
 
@@ -120,7 +120,7 @@
             raise cappa.Exit(code=ExitCode.FINDINGS)
 
 
-def _checked(address: str, response: Response) -> Response:
+def _require_ok(address: str, response: Response) -> Response:
     """Return the response if its status is 200. Raises cappa.Exit."""
     if response.status != HTTPStatus.OK:
         raise fail(f"{address}: {response.status}: {response.body.decode()}", ExitCode.FINDINGS)
@@ -158,7 +158,7 @@
         store = _open_store(self.folder)
         print(f"{self.folder}: position {store.position.epoch}/{store.position.index}, {len(store.values)} keys")
         if not store.intact:
-            findings = (f"{self.folder}/{name}: damaged, or nothing leads to it" for name in store.damage)
+            findings = (f"{self.folder}/{name}: damaged or unreachable" for name in store.damage)
             raise fail("\n".join(findings), ExitCode.FINDINGS)
 
 
--- a/lynxscale/controlplane/operator_api.py
+++ b/lynxscale/controlplane/operator_api.py
@@ -42,7 +42,7 @@
         self.configuration = ConfigurationEndpoint(member, responses, on_configuration)
         self.retirement = RetirementEndpoint(member, responses, on_retirement)
         self._member = member
-        self._control_port = control_port  # the same on all members
+        self._control_port = control_port  # all members use the same port
 
     def handle(self, request: Request, responder: Responder) -> None:
         """Respond to a request, immediately or once its change is committed."""
--- a/lynxscale/controlplane/service.py
+++ b/lynxscale/controlplane/service.py
@@ -33,9 +33,9 @@
 log = logging.getLogger(__name__)
 
 STATUS_PATH = "/status"
-TICK_INTERVAL_S = 0.02  # of checks whether to serve, publish or run periodic tasks
-EXPIRY_INTERVAL_S = 5.0  # of removals of expired records
-SCRUB_INTERVAL_S = 1.0  # of comparisons of the replicas' checksums
+TICK_INTERVAL_S = 0.02  # between checks whether to serve, publish or run periodic tasks
+EXPIRY_INTERVAL_S = 5.0  # between removals of expired records
+SCRUB_INTERVAL_S = 1.0  # between comparisons of the replicas' checksums
 
 
 class ControlService:
--- a/lynxscale/controlplane/topic_publication.py
+++ b/lynxscale/controlplane/topic_publication.py
@@ -43,7 +43,7 @@
         self._roster_changed = False
 
     def start(self) -> None:
-        """Discard the topics, children and roster of earlier, as this member begins to lead."""
+        """Discard everything that this member published earlier; called when it becomes the primary."""
         self._publisher.topics, self._publisher.children = {}, {}
         self.roster = Roster(self._clock, self._on_roster_change)
         self.endpoints, self._shards, self._members = [], {}, ()
--- a/lynxscale/dataplane/cli.py
+++ b/lynxscale/dataplane/cli.py
@@ -32,7 +32,7 @@
     json: Annotated[bool, cappa.Arg(long=True, help="As JSON.")] = False
 
     def __call__(self) -> None:
-        """Print it as text or JSON."""
+        """Print the status as text or JSON."""
         print_status(self.address, self.json, RelayStatus, render)
 
 
--- a/lynxscale/dataplane/endpoint_state.py
+++ b/lynxscale/dataplane/endpoint_state.py
@@ -16,7 +16,7 @@
 # The concurrency window, in requests (docs/design/serving-tier.md)
 MAX_WINDOW_SHARE = 0.75  # share of the endpoint's slots
 UNHEALTHY_WINDOW_SHARE = 0.5  # share of the slots while the endpoint is failing or slow
-SLOW_LATENCY_MEDIANS = 3.0  # an endpoint is slow if its recent latency exceeds so many median latencies
+SLOW_LATENCY_MEDIANS = 3.0  # an endpoint is slow if its recent latency exceeds this many median latencies
 RECENT_LATENCY_WEIGHT = 0.2  # weight of the newest attempt in the moving average
 
 # The restart budget, a token bucket: each restart takes one token
@@ -28,7 +28,7 @@
 REJECTION_COOLDOWN_S = 0.05
 FAILURE_COOLDOWN_S, MAX_FAILURE_COOLDOWN_S = 0.2, 2.0
 MAX_COOLDOWN_DOUBLINGS = 4
-MIN_CONSECUTIVE_FAILURES = 2  # for an endpoint to count as failing, as a single error may be random
+MIN_CONSECUTIVE_FAILURES = 2  # an endpoint with fewer is not failing: a single error may be random
 SUCCESS, RESTART, FAILURE = 0.0, 0.5, 1.0  # severities; a restart is weaker evidence than a failure
 
 REPORTED_LOAD_LIFETIME_S = 1.0  # the weight of a reported load falls linearly to 0 over this time
--- a/lynxscale/dataplane/forwarding.py
+++ b/lynxscale/dataplane/forwarding.py
@@ -55,7 +55,7 @@
         client_ms = request.head.number(headers.DEADLINE_MS)
         timeout_s = (route.timeout_ms if client_ms is None else min(client_ms, route.timeout_ms)) / 1000.0
         self._deadline = self._clock.now() + timeout_s
-        self._attempt: Attempt | None = None  # the one in flight
+        self._attempt: Attempt | None = None  # the attempt in flight
         self._sends = 0
         self._executions = 0
         self._attempted: set[str] = set()  # ids of the endpoints that it was sent to
--- a/lynxscale/dataplane/retry_policy.py
+++ b/lynxscale/dataplane/retry_policy.py
@@ -12,7 +12,7 @@
 
 MAX_SENDS = 6  # per request, including rejected attempts
 MIN_REMAINING_MS = 5.0  # a request with less time left is not sent
-MIN_REMAINING_MEDIANS = 1.0  # in median latencies of the endpoint; with less time left it would hardly answer in time
+MIN_REMAINING_MEDIANS = 1.0  # in median latencies of the endpoint; with less time left a timely response is unlikely
 MIN_REMAINING_MEDIANS_TO_RESTART = 2.0
 MIN_RESTART_TOKENS = 1.0
 QUEUE_WAIT_SHARE = 0.25  # share of the remaining time after which a request without a slot is rejected
--- a/lynxscale/dataplane/status.py
+++ b/lynxscale/dataplane/status.py
@@ -53,7 +53,7 @@
     condition = "stopping" if status.stopping else "ready" if status.ready else "not ready"
     lines = [
         f"relay          {status.address}, {condition}",
-        f"configuration  {status.generation}, vouched for {status.confirmed_age_s:.1f} s ago",
+        f"configuration  {status.generation}, confirmed {status.confirmed_age_s:.1f} s ago",
         f"tree           {status.tree_position}, primary {status.primary or 'unknown'}",
     ]
     return "\n".join((*lines, *(_endpoint_line(endpoint) for endpoint in status.endpoints)))
--- a/lynxscale/runtime/commands.py
+++ b/lynxscale/runtime/commands.py
@@ -34,7 +34,7 @@
         raise fail(f"{path}: {error.strerror}", ExitCode.UNUSABLE) from None
 
 
-def call(address: str, method: str, target: str, body: bytes = b"", fields: Headers = ()) -> Response:
+def send_request_or_exit(address: str, method: str, target: str, body: bytes = b"", fields: Headers = ()) -> Response:
     """Return the response of the process at ``address``. Raises cappa.Exit with ``UNUSABLE`` if there is none."""
     try:
         return send_request_blocking(address, method, target, body, fields)
@@ -44,7 +44,7 @@
 
 def print_status(address: str, as_json: bool, kind: type[T], render: Callable[[T], str]) -> None:
     """Print the status of a process: the JSON as received, or the text that ``render`` returns. Raises cappa.Exit."""
-    response = call(address, "GET", "/status")
+    response = send_request_or_exit(address, "GET", "/status")
     print(response.body.decode() if as_json else render(msgspec.json.decode(response.body, type=kind)))
 
 
--- a/lynxscale/runtime/durable_files.py
+++ b/lynxscale/runtime/durable_files.py
@@ -13,7 +13,7 @@
 
 TEMPORARY_SUFFIX = ".aside"
 SYNC_INTERVAL_BYTES = 4 * 1024 * 1024
-"""A long file is synced after every so many bytes, so that no single sync blocks for long."""
+"""A long file is synced whenever this many bytes are unsynced, so that no single sync blocks for long."""
 FILE_MODE = 0o644
 
 
@@ -106,7 +106,7 @@
         self._unsynced_bytes = 0
 
     def append(self, content: bytes) -> None:
-        """Append a chunk, and sync once more than ``SYNC_INTERVAL_BYTES`` are unsynced. Raises OSError."""
+        """Append a chunk, and sync if more than ``SYNC_INTERVAL_BYTES`` are unsynced. Raises OSError."""
         try:
             written = 0
             while written < len(content):
--- a/lynxscale/runtime/http_client.py
+++ b/lynxscale/runtime/http_client.py
@@ -135,7 +135,7 @@
     def _end_of_stream(self) -> None:
         try:
             self._http.receive_data(b"")
-        except RuntimeError:  # h11 was told of the end of the stream before
+        except RuntimeError:  # h11 has already received the end of the stream
             return
         self._read()
 
--- a/lynxscale/runtime/operator_client.py
+++ b/lynxscale/runtime/operator_client.py
@@ -61,7 +61,7 @@
         async with asyncio.timeout(TIMEOUT_S):
             return await collected
     except TimeoutError:
-        raise NoResponseError(address, "no answer in time") from None
+        raise NoResponseError(address, "no response in time") from None
     finally:
         connection.close()
 
--- a/lynxscale/runtime/peer_network.py
+++ b/lynxscale/runtime/peer_network.py
@@ -124,7 +124,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, receive: Callable[[Message], None]) -> None:
-        """Pass each message received to ``receive`` from now on. Raises OSError where the port is in use."""
+        """Pass each message received to ``receive`` from now on. Raises OSError if the port is in use."""
         self._receive = receive
         host, port = split_address(self.address)
         self._server = await self._loop.create_server(lambda: InboundConnection(receive), host, port)
--- a/lynxscale/runtime/settings_reader.py
+++ b/lynxscale/runtime/settings_reader.py
@@ -22,7 +22,7 @@
     """Load the settings of this process. Raises SettingsError."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     if not path:
-        raise SettingsError(f"the variable {SETTINGS_VARIABLE} names no file")
+        raise SettingsError(f"the environment variable {SETTINGS_VARIABLE} is not set or empty")
     try:
         text = Path(path).read_text()
     except OSError as error:
--- a/lynxscale/runtime/sockets.py
+++ b/lynxscale/runtime/sockets.py
@@ -7,7 +7,7 @@
 import socket
 
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
-"""The kernel closes a connection whose sent bytes stay unacknowledged for so long (``TCP_USER_TIMEOUT``)."""
+"""The kernel closes a connection whose sent bytes stay unacknowledged for this long (``TCP_USER_TIMEOUT``)."""
 
 
 def split_address(address: str) -> tuple[str, int]:
--- a/tests/controlplane/test_check_command.py
+++ b/tests/controlplane/test_check_command.py
@@ -9,7 +9,7 @@
 from tests.programs import controlplane_cli, dataplane_cli, run_module
 
 
-def test_check_reports_all_findings_with_their_paths(tmp_path):
+def test_check_reports_all_findings_with_their_places(tmp_path):
     table = default_configuration()
     table["routes"][0]["backend"] = "nobody"
     table["routes"][1]["timeout-ms"] = 0
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("cli", [controlplane_cli, dataplane_cli])
-def test_check_settings_reports_empty_seeds_with_their_field(cli, tmp_path):
+def test_check_settings_reports_empty_seeds_with_their_place(cli, tmp_path):
     path = settings_without_seeds(tmp_path)
     checked = cli("check-settings", str(path))
     assert checked.returncode == 1
--- a/tests/controlplane/test_configuration_check.py
+++ b/tests/controlplane/test_configuration_check.py
@@ -15,7 +15,7 @@
         (b'{"generation":"x","routes":[7],"services":[{}]}', ["generation", "services[0].name", "routes[0]"]),
     ],
 )
-def test_invalid_fields_are_reported_by_path(body, paths):
+def test_unreadable_parts_are_reported_by_path(body, paths):
     assert [finding.path for finding in check_configuration(body).failure()] == paths
 
 
--- a/tests/controlplane/test_retirement_endpoint.py
+++ b/tests/controlplane/test_retirement_endpoint.py
@@ -9,7 +9,7 @@
     tier = settled_tier(controls=3)
     assert tier.turn("p", 1000, request_id="t1", body=b"hello ").complete
     leaving = next(host for host in tier.control_hosts if tier.controls[host] is not tier.primary())
-    # A new primary does not know for certain yet which machines are live, so it rejects nothing definitely.
+    # A new primary does not know yet which machines are live, so it answers 503 instead of a definite rejection.
     assert tier.operator_call("POST", f"/retire/node-{leaving}/start", b"{}").status == 503
     assert tier.operator_call("POST", "/retire/nobody/start", b"{}").status == 503
     tier.world.run(tier.world.time + 3)
@@ -29,7 +29,7 @@
     assert (answer.status, answer.complete) == (200, True)
 
 
-def test_a_retirement_is_not_committed_on_stale_information_about_live_machines():
+def test_a_retirement_is_not_committed_by_stale_knowledge_of_present_machines():
     tier = SimulatedTier(World(4), controls=4).start_serving()
     tier.world.run(tier.world.time + 4)
     primary = tier.primary()
