--- a/.ci/deployment_names.py
+++ b/.ci/deployment_names.py
@@ -1,8 +1,9 @@
-"""No class, tenant, kind, zone or site name of a deployment stands in the program: all of these come from the settings.
+"""Checks that the program contains no class, tenant, kind, zone or site name of a deployment.
 
-Looks in every Python file of the program: for the names of ``deployment-names.txt`` as words anywhere, and for those
-of the site files in ``deploy/sites`` as whole string constants, as these are words of everyday. Exit code 1 with file,
-line and name where one is found.
+All of these names come from the settings. Every Python file of the program is searched: for the names in
+``deployment-names.txt`` as words anywhere, and for those in the site files in ``deploy/sites`` only as complete string
+constants, because they are common words. Each occurrence is printed with its file and line; exit code 1 if there is
+any.
 """
 
 from __future__ import annotations
@@ -14,29 +15,31 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-PROGRAM = ("lynxscale",)
+PROGRAM_FOLDERS = ("lynxscale",)
 
 
-def listed(root: Path) -> set[str]:
-    """The names that are told in so many words, one a line; ``#`` begins a comment."""
+def listed_names(root: Path) -> set[str]:
+    """The names in ``deployment-names.txt``, one a line; ``#`` begins a comment."""
     lines = (root / ".ci" / "deployment-names.txt").read_text().splitlines()
     return {name for line in lines if (name := line.partition("#")[0].strip())}
 
 
-def of_sites(root: Path) -> set[str]:
+def site_names(root: Path) -> set[str]:
+    """The site, zone, class, tenant and kind names in ``deploy/sites``."""
     names: set[str] = set()
     for path in sorted((root / "deploy" / "sites").glob("*.toml")):
         site = tomllib.loads(path.read_text())
         names |= {site["name"], *site["net"]["zones"]}
-        names |= {one["name"] for group in ("class", "tenant") for one in site[group]}
+        names |= {entry["name"] for table in ("class", "tenant") for entry in site[table]}
         names |= {kind["name"] for tier in site["tier"] for kind in tier["kind"]}
     return names
 
 
-def found(root: Path) -> Iterator[str]:
-    words = re.compile(r"(?<![\w-])(?:" + "|".join(map(re.escape, sorted(listed(root)))) + r")(?![\w-])")
-    constants = of_sites(root)
-    for path in sorted(path for room in PROGRAM for path in (root / room).rglob("*.py")):
+def find_names(root: Path) -> Iterator[str]:
+    """Each occurrence of a deployment name in the program, as ``FILE:LINE: NAME``."""
+    words = re.compile(r"(?<![\w-])(?:" + "|".join(map(re.escape, sorted(listed_names(root)))) + r")(?![\w-])")
+    constants = site_names(root)
+    for path in sorted(path for folder in PROGRAM_FOLDERS for path in (root / folder).rglob("*.py")):
         text = path.read_text()
         for number, line in enumerate(text.splitlines(), 1):
             for name in words.findall(line):
@@ -47,10 +50,11 @@
 
 
 def main(root: Path) -> int:
-    faults = list(found(root))
-    for fault in faults:
-        print(f"{fault}: a name of a deployment; want it from the settings", file=sys.stderr)
-    return bool(faults)
+    """Exit code: 1 if a deployment name was found, otherwise 0."""
+    occurrences = list(find_names(root))
+    for occurrence in occurrences:
+        print(f"{occurrence}: name of a deployment, must come from the settings", file=sys.stderr)
+    return bool(occurrences)
 
 
 if __name__ == "__main__":
--- a/Makefile
+++ b/Makefile
@@ -56,48 +56,49 @@
 bench-cluster: build
 	$(PYTHON) -m lab.bench_cluster
 
-# Histories and walks of the cluster's state machines: ten thousand of each.
+# Ten thousand simulated histories and ten thousand random walks of the cluster's state machines.
 sim-cluster: build
 	seq 0 1250 8750 | xargs -P 8 -I{} sh -c '$(PYTHON) -m lab.cluster.simulate {} $$(({} + 1249)) && \
 		$(PYTHON) -m lab.cluster.explore {} $$(({} + 1249))'
 
-# Small machines in every order, a further loss in every instant of a change of the group, drawn histories of whole tiers,
-# ten thousand, and the mistakes put in on purpose that these must find. Hours on eight cores; each command runs by itself.
+# Checks the serving tier: small models in every order of events, a second failure at every step of a membership change,
+# ten thousand random histories of simulated tiers, and the mutations that these checks must detect. Takes hours on eight
+# cores; each command can also be run alone.
 sim-tier: build
 	$(PYTHON) -m lab.tier.models
 	$(PYTHON) -m lab.tier.second_failure
 	seq 1 1250 8751 | xargs -P 8 -I{} sh -c '$(PYTHON) -m lab.tier.histories {} $$(({} + 1249))'
 	$(PYTHON) -m lab.tier.mutations
 
-# A small tier of real processes on loopback serves programs while its primary is killed.
+# Demo: a small tier of real processes on loopback serves programs while its primary is killed.
 demo-tier: build
 	$(PYTHON) -m lab.tier.demo
 
-# A tier of real processes under load goes from the checkout that OTHER names to this one and back: OTHER=PATH, SEED=N.
+# Upgrades a tier of real processes under load from the checkout OTHER to this one, and back: OTHER=PATH, SEED=N.
 upgrade-tier: build
 	$(PYTHON) -m lab.tier.rolling_upgrade $(OTHER) $(if $(SEED),--seed $(SEED))
 
-# Processor time of a turn, here and in the checkout that OTHER names: OTHER=PATH. Needs a quiet machine.
+# Compares the CPU time of a turn in this checkout and in the checkout OTHER: OTHER=PATH. Needs an idle machine.
 bench-turn: build
 	$(PYTHON) -m lab.tier.bench_turn $(OTHER)
 
-# Every order of what may happen to the views, within each scenario's bounds.
+# Explores every order of events that can affect the cluster's views, within each scenario's bounds.
 check-cluster: build
 	$(PYTHON) -m lab.cluster.check
 
-# An hour at five nodes and one at sixteen; the seed is the day's unless SEED tells it.
+# One hour with five nodes and one hour with sixteen. SEED defaults to the day of the year.
 soak-cluster: build
 	$(PYTHON) -m lynxscale lab cluster --nodes 5 --minutes 60 --at-once 3 --seed $${SEED:-$$(date +%j)}
 	$(PYTHON) -m lynxscale lab cluster --nodes 16 --minutes 60 --at-once 2 --rate 2 --seed $${SEED:-$$(date +%j)}
 
-# Each kind of fault by itself, at three, five and seven nodes. The first that breaks something ends it.
+# Each kind of fault alone, with three, five and seven nodes; stops at the first failure. SEED as in soak-cluster.
 soak-faults: build
 	for nodes in 3 5 7; do for kind in $$($(PYTHON) -c "from lab.cluster.faults import ALL; print(*ALL)"); do \
 		echo "$$nodes nodes, $$kind"; $(PYTHON) -m lynxscale lab cluster --nodes $$nodes --kinds $$kind --at-once 1 \
 		--minutes 0.3 --seed $${SEED:-$$(date +%j)} || exit 1; done; done
 
-# The close-range tests again and again, each time with another seed, for an hour unless MINUTES tells otherwise. The
-# first that fails ends it; its seed is printed.
+# Repeats the tests of race conditions, restart rules, deadlines and connection limits with seeds counted up from SEED
+# (default 1), for MINUTES (default 60). Prints each seed before its run, and stops at the first failure.
 soak-rare: build
 	seed=$${SEED:-1}; end=$$(($$(date +%s) + 60 * $${MINUTES:-60})); while [ $$(date +%s) -lt $$end ]; do \
 		echo "seed $$seed"; RARE_SEED=$$seed $(PYTHON) -m pytest -q -p no:cacheprovider -n 4 --hypothesis-seed=$$seed \
--- a/features/steps/tier_steps.py
+++ b/features/steps/tier_steps.py
@@ -11,7 +11,7 @@
 
 
 def primary_host(tier: SimulatedTier) -> str:
-    """Where the primary runs."""
+    """The host of the primary; waits up to 5 s for one."""
     assert tier.world.run_until(lambda: tier.primary() is not None, 5.0), f"no primary in time (seed {SEED})"
     return tier.primary().publisher.address.partition(":")[0]
 
@@ -39,7 +39,7 @@
 
 
 @when("all control members lose power and one of them its disk")
-def all_lost(context):
+def all_members_lost(context):
     tier = context.tier
     for number, host in enumerate(tier.control_hosts):
         tier.kill_control(host, power=True, wipe=number == 0)
@@ -51,10 +51,10 @@
 @when("the primary is partitioned from the other members")
 def primary_partitioned(context):
     tier = context.tier
-    context.former = primary_host(tier)
-    own = tier.controls[context.former].publisher.address
+    context.former_primary = primary_host(tier)
+    own = tier.controls[context.former_primary].publisher.address
     for host in tier.control_hosts:
-        if host != context.former:
+        if host != context.former_primary:
             tier.world.partition(own, tier.controls[host].publisher.address)
 
 
@@ -63,12 +63,12 @@
     context.answer = context.tier.push(default_configuration(version), base)
 
 
-@when("{count:d} concurrent turns of at most {most:d} tokens share a budget of {budget:d}")
-def many_turns(context, count, most, budget):
+@when("{count:d} concurrent turns of at most {max_tokens:d} tokens share a budget of {budget:d}")
+def concurrent_turns(context, count, max_tokens, budget):
     tier = context.tier
-    fields = {"program": "p", "budget": str(budget), "lynxscale_token_count": f"100,{most}"}
+    fields = {"program": "p", "budget": str(budget), "lynxscale_token_count": f"100,{max_tokens}"}
     relays = [tier.relay_hosts[number % len(tier.relay_hosts)] for number in range(count)]
-    context.answers_of_all = [tier.start_request("/open/stream", relay=relay, **fields)[0] for relay in relays]
+    context.concurrent_answers = [tier.start_request("/open/stream", relay=relay, **fields)[0] for relay in relays]
     tier.world.run(tier.world.time + 3.0)
 
 
@@ -79,8 +79,8 @@
 
 @then('the endpoint that executed "{name}" got the input and output of "t1" before its own input')
 def history_first(context, name):
-    ran = [request for one in context.tier.endpoints.values() for request in one.executed]
-    bodies = [request.body for request in ran if request.head.text(b"lynxscale-request-id") == name]
+    executed = [request for endpoint in context.tier.endpoints.values() for request in endpoint.executed]
+    bodies = [request.body for request in executed if request.head.text(b"lynxscale-request-id") == name]
     assert bodies == [b"hello " + OUTPUT + b"more"], bodies
 
 
@@ -101,15 +101,17 @@
     end = tier.world.time + seconds
     while tier.world.time < end:
         tier.world.run(tier.world.time + 0.005)
-        assert sum(one.member.leads() for one in tier.controls.values()) <= 1, f"two at {tier.world.time}"
+        assert sum(control.member.leads() for control in tier.controls.values()) <= 1, (
+            f"two primaries at {tier.world.time} s"
+        )
 
 
 @then("another member is primary")
 def another_primary(context):
-    assert primary_host(context.tier) != context.former
+    assert primary_host(context.tier) != context.former_primary
 
 
 @then("{executed:d} of them are executed and {rejected:d} get {status:d}")
 def some_executed(context, executed, rejected, status):
-    statuses = sorted(answer.status for answer in context.answers_of_all)
+    statuses = sorted(answer.status for answer in context.concurrent_answers)
     assert statuses == [200] * executed + [status] * rejected, statuses
--- a/tests/data/tier/generate.py
+++ b/tests/data/tier/generate.py
@@ -1,8 +1,9 @@
-"""Wrote the golden data in ``v1`` by the program at d667dea, the last one before the tier's names were changed.
+"""Generates golden data of the control plane; ``v1`` was written by commit d667dea, the last before a renaming.
 
-``v1`` must never be written anew: what a renamed program writes tells nothing about what the one before it stored. A
-changed format gets a folder of its own beside, and this one is read for as long as tiers with such files may come.
-Run with ``lynxscale`` and ``lab`` of the wanted commit on the path: ``python tests/data/tier/generate.py FOLDER``.
+Never regenerate ``v1``: files written by the renamed program do not show that it still reads those of the earlier one.
+If a format changes, add a folder for the new one beside ``v1``, and keep ``v1`` for as long as tiers with such files
+may be upgraded. Run with ``lynxscale`` and ``lab`` of the wanted commit on the path:
+``python tests/data/tier/generate.py FOLDER``.
 """
 
 from __future__ import annotations
@@ -25,9 +26,9 @@
 from lynxscale.runtime.durable_files import DurableFiles
 from tests import golden
 
-MAX_IDEMPOTENCY_RECORDS = 4  # few, so that some are forgotten
-SMALL_CHUNK = 200  # bytes: several frames in a whole version
-FOLDED_AT = 9  # batches that are folded
+MAX_IDEMPOTENCY_RECORDS = 4  # so few that the oldest records are forgotten
+SMALL_CHUNK = 200  # bytes: so small that a snapshot has several chunks
+FOLDED_AT = 9  # number of batches that go into a snapshot
 LONG_S, SHORT_S = 3600.0, 0.0
 PROGRAM, OTHER = "agent-7", "agent-8"
 
@@ -121,7 +122,7 @@
     ("endpoint_status", RELAY_ENDPOINTS[0]),
     ("relay_status", ["10.1.0.1:7000", True, False, 3, 0.5, "root", "10.0.0.1:7000", RELAY_ENDPOINTS]),
 ]
-# Registers: a founder's first, that of a machine that comes later, and all fields set.
+# Acceptor states: the first one of a founding member, that of a member that joins later, and one with all fields set.
 REGISTERS: dict[str, tuple[str, bool, list | None]] = {
     "founder": (golden.SEEDS[0], True, None),
     "newcomer": ("10.0.0.9:7000", False, None),
@@ -130,7 +131,7 @@
 
 
 def line(table: dict[str, type], name: str, fields: list) -> dict:
-    """One structure with its bytes, and those without the fields that have their default values."""
+    """A row of the golden data: a struct's bytes; as ``short``, its bytes without the fields left at their defaults."""
     kind = table[name]
     value = golden.build(kind, fields)
     whole = msgspec.json.encode(value)
@@ -146,24 +147,24 @@
 
 
 def text(content: bytes) -> str:
-    """Bytes as the messages carry them."""
+    """Bytes in base64, as messages contain them."""
     return base64.b64encode(content).decode()
 
 
 def call(number: int, kind: str, **body: Any) -> dict:
-    """A relay's call."""
+    """A step: a relay sends a call."""
     told = {"type": "call", "number": number, "caller": golden.RELAY, "life": 77, "body": {"type": kind, **body}}
     return {"send": told}
 
 
 def admit(number: int, request: str, **more: Any) -> dict:
-    """A turn asks to run."""
+    """A step: a relay asks to admit a turn."""
     body = {"program": PROGRAM, "request": request, "budget": 1000, "most": 100, "retention_s": LONG_S}
     return call(number, "admit_turn", **(body | {"retained": True} | more))
 
 
 def finish(number: int, request: str, tokens: int, content: bytes | None = None, **more: Any) -> dict:
-    """A turn ends."""
+    """A step: a relay reports the end of a turn."""
     body = {"program": PROGRAM, "request": request, "tokens": tokens, "retention_s": LONG_S}
     if content is not None:
         body["content"] = text(content)
@@ -171,13 +172,13 @@
 
 
 def order(method: str, target: str, body: dict | None = None, base: int | None = None) -> dict:
-    """An operator's call."""
+    """A step: an operator's HTTP request."""
     content = "" if body is None else json.dumps(body)
     return {"operator": [method, target, content, None if base is None else str(base)]}
 
 
 def replacing(generation: int) -> dict:
-    """The operator sends a whole configuration."""
+    """A step: the operator replaces the configuration."""
     return order("POST", "/config/replace", default_configuration(generation), generation - 1)
 
 
@@ -248,17 +249,17 @@
 
 
 def write_lines(path: Path, rows: list[dict]) -> None:
-    """A JSON-lines file."""
+    """Write a JSON-lines file."""
     path.write_text("".join(json.dumps(row, ensure_ascii=False) + "\n" for row in rows))
 
 
 def answered(steps: list[dict], answers: list[Any]) -> list[dict]:
-    """Steps with what was answered."""
+    """Each step with its answer."""
     return [step | {"answer": answer} for step, answer in zip(steps, answers, strict=True)]
 
 
 def write_tier(target: Path, scratch: Path) -> None:
-    """The folders of four control members, and the answers before and after a restart from them."""
+    """Write the folders of four control members, and the answers before and after a restart from these folders."""
     usual, idempotency.MAX_IDEMPOTENCY_RECORDS = idempotency.MAX_IDEMPOTENCY_RECORDS, MAX_IDEMPOTENCY_RECORDS
     tier = golden.start_tier(target / "members")
     write_lines(target / "before.jsonl", answered(BEFORE_RESTART, golden.drive(tier, BEFORE_RESTART)))
@@ -270,7 +271,7 @@
 
 
 def write_folders(target: Path) -> None:
-    """A member's versions as the storage leaves them at different moments."""
+    """Write folders as crashes at different moments leave them, or with damage, and the state loaded from each."""
     source = target / "members" / "10.0.0.1"
     batches = sorted(path.name for path in source.glob("batch-*"))
     folders = target / "folders"
@@ -287,7 +288,7 @@
     folded = copy("whole", batches[:FOLDED_AT])
     golden.fold(folded)
     whole = next(folded.glob("state-*"))
-    # Before the fold's removals; then after them, with later batches.
+    # Before superseded files are removed; then after that, with later batches.
     shutil.copytree(folded, folders / "whole-not-swept")
     VersionFiles(DurableFiles(str(folded))).remove_superseded(Store(DurableFiles(str(folded))).position)
     for one in [*batches[FOLDED_AT:], *marks]:
@@ -317,7 +318,7 @@
 
 
 def write_registers(target: Path) -> None:
-    """Registers with both files, and what they hold."""
+    """Write acceptor states with both of their files, and the values they hold."""
     rows = {}
     for name, (address, bootstrap, fields) in REGISTERS.items():
         register = golden.open_register(target / "registers" / name, address, bootstrap)
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -1,7 +1,8 @@
-"""Golden data of the control plane in ``tests/data/tier``: how it is loaded, and how a tier is run on a copy of it.
+"""Loads the golden data of the control plane in ``tests/data/tier``, and runs a tier on a copy of it.
 
-Stored and sent structures are looked up here and nowhere else in these tests: the tag tells a message's class,
-``STRUCTS`` the class of everything without a tag. Values are positional, so a renamed field changes the bytes alone.
+Tests of golden data look up the classes of stored and sent structs only here: ``WIRE`` has those of messages by tag,
+``STRUCTS`` those of structs without a tag. The data lists field values by position, so renaming a field changes only
+the encoded bytes.
 """
 
 from __future__ import annotations
@@ -28,10 +29,10 @@
 
 DATA = Path(__file__).parent / "data" / "tier" / "v1"
 SEED = 5
-CONTROLS = 4
+CONTROL_COUNT = 4
 RELAY = "10.9.0.1:7000"
 SETTLE_S = 2.0
-ANSWER_S = 4.0
+PRIMARY_TIMEOUT_S = 4.0
 SEEDS = ("10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000")
 REGISTER_SEED = 7
 
@@ -55,72 +56,72 @@
     "endpoint_status": relay_status.EndpointStatus,
     "relay_status": relay_status.RelayStatus,
 }
-WIRE: dict[str, type] = {kind.__struct_config__.tag: kind for kind in get_args(messages.Wire)}
+WIRE: dict[str, type] = {message.__struct_config__.tag: message for message in get_args(messages.Wire)}
 
 
-def lines(name: str) -> list[dict]:
-    """A golden JSON-lines file."""
+def read_lines(name: str) -> list[dict]:
+    """The rows of a golden JSON-lines file."""
     return [json.loads(line) for line in (DATA / name).read_text().splitlines()]
 
 
-def expected(name: str) -> dict:
-    """A golden JSON file."""
+def read_json(name: str) -> dict:
+    """The content of a golden JSON file."""
     return json.loads((DATA / name).read_text())
 
 
-def files_of(folder: Path) -> dict[str, bytes]:
-    """All files of a folder and those below, by path."""
+def read_files(folder: Path) -> dict[str, bytes]:
+    """The contents of all files in a folder and its subfolders, by relative path."""
     return {str(path.relative_to(folder)): path.read_bytes() for path in sorted(folder.rglob("*")) if path.is_file()}
 
 
-# Structures ------------------------------------------------------------------------------------------
+# Structs ---------------------------------------------------------------------------------------------
 
 
-def build(kind: Any, plain: Any) -> Any:
-    """A value of a type from plain JSON: structures are lists of their fields, tagged ones an object of one tag."""
-    origin, parts = get_origin(kind), get_args(kind)
+def build(annotation: Any, data: Any) -> Any:
+    """A value of a type from JSON: a struct is a list of its fields, a tagged one an object ``{tag: fields}``."""
+    origin, arguments = get_origin(annotation), get_args(annotation)
     if origin in (Union, types.UnionType):
-        return _build_one_of(parts, plain)
-    if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        fields = msgspec.structs.fields(kind)
-        return kind(*(build(field.type, value) for field, value in zip(fields, plain, strict=False)))
+        return _build_union(arguments, data)
+    if isinstance(annotation, type) and issubclass(annotation, msgspec.Struct):
+        fields = msgspec.structs.fields(annotation)
+        return annotation(*(build(field.type, value) for field, value in zip(fields, data, strict=False)))
     if origin in (tuple, list):
-        return origin(build(parts[0], one) for one in plain)
+        return origin(build(arguments[0], element) for element in data)
     if origin is dict:
-        return {key: build(parts[1], value) for key, value in plain.items()}
-    if kind is msgspec.Raw:
-        return msgspec.Raw(plain.encode())
-    return plain.encode() if kind is bytes else plain
+        return {key: build(arguments[1], value) for key, value in data.items()}
+    if annotation is msgspec.Raw:
+        return msgspec.Raw(data.encode())
+    return data.encode() if annotation is bytes else data
 
 
-def _build_one_of(kinds: tuple, plain: Any) -> Any:
-    if plain is None:
+def _build_union(members: tuple, data: Any) -> Any:
+    if data is None:
         return None
-    if isinstance(plain, dict):
-        ((tag, fields),) = plain.items()
-        return build({kind.__struct_config__.tag: kind for kind in kinds}[tag], fields)
-    return build(next(kind for kind in kinds if kind is not types.NoneType), plain)
+    if isinstance(data, dict):
+        ((tag, fields),) = data.items()
+        return build({member.__struct_config__.tag: member for member in members}[tag], fields)
+    return build(next(member for member in members if member is not types.NoneType), data)
 
 
 def positional(value: Any) -> Any:
-    """The fields of a structure as nested tuples, without their names."""
+    """The field values of a struct as nested tuples, without the field names."""
     if isinstance(value, msgspec.Struct):
-        return tuple(positional(one) for one in msgspec.structs.astuple(value))
+        return tuple(positional(item) for item in msgspec.structs.astuple(value))
     if isinstance(value, (tuple, list)):
-        return tuple(positional(one) for one in value)
+        return tuple(positional(item) for item in value)
     return value
 
 
-def tuples(plain: Any) -> Any:
+def to_tuples(data: Any) -> Any:
     """Nested JSON lists as tuples."""
-    return tuple(map(tuples, plain)) if isinstance(plain, list) else plain
+    return tuple(map(to_tuples, data)) if isinstance(data, list) else data
 
 
 # Storage ---------------------------------------------------------------------------------------------
 
 
 def told(store: Store) -> dict:
-    """What a store has loaded, as JSON."""
+    """The state that a store has loaded, as JSON."""
     return {
         "position": list(positional(store.position)),
         "held": list(positional(store.durable_position)),
@@ -131,7 +132,7 @@
 
 
 def fold(folder: Path) -> None:
-    """Write the version that a folder leads to whole, beside its batches."""
+    """Write a snapshot of the state that a folder's batches lead to, beside them."""
     files = DurableFiles(str(folder))
     store = Store(files)
     puts = [STRUCTS["put"](key, raw) for key, raw in store.values.items()]
@@ -141,35 +142,35 @@
 
 
 def open_register(folder: Path, address: str = SEEDS[0], bootstrap: bool = True) -> AcceptorStateFile:
-    """The register of a folder, written where there is none."""
+    """The acceptor state file in a folder; written if there is none."""
     return AcceptorStateFile(
         MemberIdentity(address, bootstrap, SEEDS), DurableFiles(str(folder)), Random(REGISTER_SEED)
     )
 
 
-# A whole control plane -------------------------------------------------------------------------------
+# A control plane -------------------------------------------------------------------------------------
 
 
 def start_tier(folder: Path) -> SimulatedTier:
-    """Control members without relays, each on its machine's folder below this one, and the primary serves."""
+    """A tier of control members without relays, each with its own subfolder; returns once the primary serves."""
     world = World(SEED)
-    for number in range(1, CONTROLS + 1):
+    for number in range(1, CONTROL_COUNT + 1):
         host = f"10.0.0.{number}"
         world.machine(f"{host}:{INTERNAL_PORT}").files = DurableFiles(str(folder / host))
-    tier = SimulatedTier(world, relays=0, controls=CONTROLS)
-    assert world.run_until(lambda: tier.primary() is not None, ANSWER_S), "no primary in time"
+    tier = SimulatedTier(world, relays=0, controls=CONTROL_COUNT)
+    assert world.run_until(lambda: tier.primary() is not None, PRIMARY_TIMEOUT_S), "no primary in time"
     world.run(world.time + SETTLE_S)
     return tier
 
 
 def drive(tier: SimulatedTier, steps: list[dict]) -> list[Any]:
-    """The answers to orders of the operator and messages of a relay, one after the other."""
-    return [_step(tier, step) for step in steps]
+    """Run the steps one after the other: operator requests, relay messages and waits; the answer to each."""
+    return [_run_step(tier, step) for step in steps]
 
 
-def _step(tier: SimulatedTier, step: dict) -> Any:
+def _run_step(tier: SimulatedTier, step: dict) -> Any:
     if "operator" in step:
-        answer = tier.operator_call(*_order(*step["operator"]))
+        answer = tier.operator_call(*_operator_arguments(*step["operator"]))
         return [answer.status, answer.body.decode()]
     if "send" in step:
         return _send(tier, json.dumps(step["send"]).encode())
@@ -177,12 +178,12 @@
     return None
 
 
-def _order(method: str, target: str, body: str, base: str | None) -> tuple[str, str, bytes, str | None]:
+def _operator_arguments(method: str, target: str, body: str, base: str | None) -> tuple[str, str, bytes, str | None]:
     return method, target, body.encode(), base
 
 
 def _send(tier: SimulatedTier, payload: bytes) -> list[str]:
-    """What the relay is answered to a message within the time for it, as sent."""
+    """The encoded messages that a relay gets within ``SETTLE_S / 4`` after it sends one."""
     answers: list[str] = []
     machine = tier.world.machine(RELAY)
     machine.receive = lambda message: answers.append(messages.encode(message).decode())
@@ -193,9 +194,9 @@
 
 
 def without_times(value: Any) -> Any:
-    """JSON without its fractions, which are all durations."""
+    """JSON with each float, always a duration, replaced by 0."""
     if isinstance(value, dict):
-        return {key: without_times(one) for key, one in value.items()}
+        return {key: without_times(element) for key, element in value.items()}
     if isinstance(value, list):
-        return [without_times(one) for one in value]
+        return [without_times(element) for element in value]
     return 0.0 if isinstance(value, float) else value
--- a/tests/simulated_tier.py
+++ b/tests/simulated_tier.py
@@ -1,4 +1,4 @@
-"""What tests on a simulated tier share: a tier that serves, and which endpoint ran what."""
+"""Helpers for tests on a simulated tier: start a tier, and find the requests that its endpoints executed."""
 
 from typing import Any
 
@@ -12,12 +12,12 @@
 
 
 def settled_tier(seed: int = 1, **sizes: Any) -> SimulatedTier:
-    """A tier with a first configuration at all of its relays."""
+    """A tier whose relays all have the first configuration and serve."""
     return SimulatedTier(World(seed), **sizes).start_serving()
 
 
 def endpoints_that_ran(tier: SimulatedTier, request_id: str) -> list[str]:
-    """The ids of the endpoints that executed a request, once for each execution."""
+    """The id of the executing endpoint for each execution of a request."""
     return [
         name
         for name, endpoint in tier.endpoints.items()
@@ -27,6 +27,6 @@
 
 
 def executed_request(tier: SimulatedTier, request_id: str) -> Request:
-    """The request of that id as an endpoint executed it."""
+    """The request with an id, as an endpoint received it."""
     executed = [request for endpoint in tier.endpoints.values() for request in endpoint.executed]
     return next(request for request in executed if request.head.text(REQUEST_ID) == request_id)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages for newcomers name modules that exist."""
+"""Checks the pages for newcomers: modules that they name exist, and the README links to them first."""
 
 import re
 from pathlib import Path
@@ -6,12 +6,12 @@
 import pytest
 
 ROOT = Path(__file__).parent.parent
-PATH = re.compile(r"`((?:[a-z_]+/)+[a-z_]+\.py)`")
+MODULE_PATH = re.compile(r"`((?:[a-z_]+/)+[a-z_]+\.py)`")
 
 
 @pytest.mark.parametrize("page", ["ARCHITECTURE.md", "GLOSSARY.md"])
 def test_modules_that_a_page_names_exist(page):
-    named = set(PATH.findall((ROOT / "docs" / page).read_text()))
+    named = set(MODULE_PATH.findall((ROOT / "docs" / page).read_text()))
     assert named
     assert not [
         path for path in sorted(named) if not (ROOT / path).exists() and not (ROOT / "lynxscale" / path).exists()
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -1,4 +1,4 @@
-"""The tool that upgrades a tier of real processes under load, on this checkout against itself."""
+"""Runs the rolling upgrade of a tier of real processes under load, from this checkout to itself."""
 
 import asyncio
 import sys
@@ -12,20 +12,20 @@
 SEED = 1
 
 
-async def replace_a_copy_and_a_relay(upgrade: Upgrade, group: asyncio.TaskGroup) -> None:
+async def replace_a_replica_and_a_relay(upgrade: Upgrade, group: asyncio.TaskGroup) -> None:
     await upgrade.start(group)
     primary = await upgrade.tier.primary()
-    copy = next(name for name in upgrade.tier.control_names if name != primary)
-    for name in (copy, "relay-1"):
+    replica = next(name for name in upgrade.tier.control_names if name != primary)
+    for name in (replica, "relay-1"):
         await upgrade.replace(name, upgrade.new)
     await upgrade.check()
 
 
-def test_a_copy_and_a_relay_are_replaced_under_load(tmp_path):
+def test_a_replica_and_a_relay_are_replaced_under_load(tmp_path):
     print(f"seed {SEED}")
     old, new = (Checkout(label, THIS_CHECKOUT, sys.executable) for label in ("old", "new"))
     upgrade = Upgrade(UpgradeTier(tmp_path, NETWORK, old), old, new, Random(SEED))
-    asyncio.run(run(upgrade, replace_a_copy_and_a_relay))
+    asyncio.run(run(upgrade, replace_a_replica_and_a_relay))
     print(upgrade.report())
     assert upgrade.reasons == []
     assert upgrade.pairs["old primary, new copy"] and upgrade.pairs["old primary, new relay"]
@@ -34,7 +34,7 @@
 
 
 def check_that_losses_are_found(upgrade: Upgrade) -> None:
-    """What the run left is right; each thing spoilt in it is told."""
+    """The observations of the run break no rule, and each loss or duplicate injected into them is reported."""
     load = upgrade.load
     assert judge_requests(upgrade.tier.endpoints, load) == []
     last = load.conversations[0].whole[-1]
@@ -46,8 +46,8 @@
 
 
 def check_request_losses_are_found(upgrade: Upgrade, load: Load) -> None:
-    ran = next(endpoint.executed for endpoint in upgrade.tier.endpoints if endpoint.executed)
-    ran.append(next(one for one in ran if one.target == "/kept/stream"))
+    executed = next(endpoint.executed for endpoint in upgrade.tier.endpoints if endpoint.executed)
+    executed.append(next(request for request in executed if request.target == "/kept/stream"))
     load.calls.append(("/book/1 nobody", ClientAnswer(200, b"done")))
     reasons = judge_requests(upgrade.tier.endpoints, load)
     assert reasons == ["rule answered_but_not_run broken 1 times", "rule twice broken 1 times"]
