--- a/Makefile
+++ b/Makefile
@@ -97,8 +97,8 @@
 		echo "$$nodes nodes, $$kind"; $(PYTHON) -m lynxscale lab cluster --nodes $$nodes --kinds $$kind --at-once 1 \
 		--minutes 0.3 --seed $${SEED:-$$(date +%j)} || exit 1; done; done
 
-# Repeats the tests of race conditions, restart rules, deadlines and connection limits with seeds counted up from SEED
-# (default 1), for MINUTES (default 60). Prints each seed before its run, and stops at the first failure.
+# Repeats the tests of race conditions, restart rules, the relay core, deadlines and the connection budget for MINUTES
+# (default 60), with seeds from SEED (default 1) upwards. Prints each seed before its run; stops at the first failure.
 soak-rare: build
 	seed=$${SEED:-1}; end=$$(($$(date +%s) + 60 * $${MINUTES:-60})); while [ $$(date +%s) -lt $$end ]; do \
 		echo "seed $$seed"; RARE_SEED=$$seed $(PYTHON) -m pytest -q -p no:cacheprovider -n 4 --hypothesis-seed=$$seed \
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -22,7 +22,7 @@
 
 
 def run_known_red(folder: Path, text: str | None):
-    """Runs the check in a folder with a failing and a passing test. ``text``: of KNOWN-RED.txt; None for no file."""
+    """Runs the check on a failing and a passing test. ``text``: the content of KNOWN-RED.txt, None for no file."""
     (folder / "test_it.py").write_text(TEST_FILE)
     if text is not None:
         (folder / "KNOWN-RED.txt").write_text(text)
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -12,20 +12,20 @@
 SEED = 1
 
 
-async def replace_a_replica_and_a_relay(upgrade: Upgrade, group: asyncio.TaskGroup) -> None:
+async def replace_a_backup_and_a_relay(upgrade: Upgrade, group: asyncio.TaskGroup) -> None:
     await upgrade.start(group)
     primary = await upgrade.tier.primary()
-    replica = next(name for name in upgrade.tier.control_names if name != primary)
-    for name in (replica, "relay-1"):
+    backup = next(name for name in upgrade.tier.control_names if name != primary)
+    for name in (backup, "relay-1"):
         await upgrade.replace(name, upgrade.new)
     await upgrade.check()
 
 
-def test_a_replica_and_a_relay_are_replaced_under_load(tmp_path):
+def test_a_backup_and_a_relay_are_replaced_under_load(tmp_path):
     print(f"seed {SEED}")
     old, new = (Checkout(label, THIS_CHECKOUT, sys.executable) for label in ("old", "new"))
     upgrade = Upgrade(UpgradeTier(tmp_path, NETWORK, old), old, new, Random(SEED))
-    asyncio.run(run(upgrade, replace_a_replica_and_a_relay))
+    asyncio.run(run(upgrade, replace_a_backup_and_a_relay))
     print(upgrade.report())
     assert upgrade.reasons == []
     assert upgrade.pairs["old primary, new copy"] and upgrade.pairs["old primary, new relay"]
