--- a/tests/controlplane/test_golden_state.py
+++ b/tests/controlplane/test_golden_state.py
@@ -9,7 +9,7 @@
 from lynxscale.coordination import proposer
 from tests import golden
 
-BEFORE, AFTER = golden.lines("before.jsonl"), golden.lines("after.jsonl")
+BEFORE, AFTER = golden.read_lines("before.jsonl"), golden.read_lines("after.jsonl")
 MAX_IDEMPOTENCY_RECORDS = 4  # the limit with which the golden files were written
 
 
@@ -48,7 +48,7 @@
     answers = golden.drive(tier, BEFORE)
     assert [compared(answer) for answer in answers] == [compared(step["answer"]) for step in BEFORE]
     tier.world.run(tier.world.time + golden.SETTLE_S)
-    assert golden.files_of(tmp_path) == golden.files_of(golden.DATA / "members")
+    assert golden.read_files(tmp_path) == golden.read_files(golden.DATA / "members")
 
 
 def test_the_golden_answers_are_what_they_are_meant_to_be():
@@ -57,7 +57,7 @@
     replies = {request: json.loads(answer)["body"] for request, answer in answers.items()}
     rejected = {request: body["status"] for request, body in replies.items() if body["type"] == "turn_refused"}
     assert rejected == {"t8": 404, "t9": 404, "too much": 402, "nothing more": 402, "other's end": 402}
-    entries = golden.expected("folders.json")["batches"]["entries"]
+    entries = golden.read_json("folders.json")["batches"]["entries"]
     assert json.loads(entries["program/agent-7"]) == {
         "budget": 1000,
         "spent": 210,
--- a/tests/coordination/test_golden_messages.py
+++ b/tests/coordination/test_golden_messages.py
@@ -6,8 +6,8 @@
 from lynxscale.coordination.messages import Wire, decode, encode
 from tests import golden
 
-MESSAGES = golden.lines("messages.jsonl")
-STRUCTS = golden.lines("structs.jsonl")
+MESSAGES = golden.read_lines("messages.jsonl")
+STRUCTS = golden.read_lines("structs.jsonl")
 
 
 def named(row: dict) -> str:
--- a/tests/coordination/test_golden_storage.py
+++ b/tests/coordination/test_golden_storage.py
@@ -14,8 +14,8 @@
 from lynxscale.runtime.durable_files import TEMPORARY_SUFFIX, DurableFiles
 from tests import golden
 
-FOLDERS = golden.expected("folders.json")
-REGISTERS = golden.expected("registers.json")
+FOLDERS = golden.read_json("folders.json")
+REGISTERS = golden.read_json("registers.json")
 LEASE_S = 1.5
 TORN = {"cut-off-batch", "cut-off-whole", "whole-not-swept"}
 DAMAGED = {"torn-batch", "missing-batch", "missing-newest"}
@@ -55,12 +55,12 @@
 
 
 def test_batches_are_stored_with_the_golden_bytes(tmp_path):
-    stored = golden.files_of(golden.DATA / "folders" / "batches")
+    stored = golden.read_files(golden.DATA / "folders" / "batches")
     versions = VersionFiles(DurableFiles(str(tmp_path)))
     batches = {name: content for name, content in stored.items() if name.startswith("batch-")}
     for name, content in batches.items():
         versions.save(msgspec.json.decode(strip_checksum(name, content), type=golden.STRUCTS["batch"]))
-    assert golden.files_of(tmp_path) == batches
+    assert golden.read_files(tmp_path) == batches
 
 
 def test_a_whole_version_is_stored_with_the_golden_bytes(copied):
@@ -69,7 +69,7 @@
     for path in folder.glob("state-*"):
         path.unlink()
     golden.fold(folder)
-    assert golden.files_of(folder) == golden.files_of(golden.DATA / "folders" / "whole-not-swept")
+    assert golden.read_files(folder) == golden.read_files(golden.DATA / "folders" / "whole-not-swept")
 
 
 def test_the_position_is_marked_with_the_golden_bytes(copied):
@@ -77,7 +77,7 @@
     for path in folder.glob("mark*"):
         path.unlink()
     Store(DurableFiles(str(folder))).save_watermark()
-    assert golden.files_of(folder) == golden.files_of(golden.DATA / "folders" / "batches")
+    assert golden.read_files(folder) == golden.read_files(golden.DATA / "folders" / "batches")
 
 
 # The register ----------------------------------------------------------------------------------------
@@ -93,8 +93,8 @@
     address, bootstrap, fields = REGISTERS[name]
     register = golden.open_register(folder, address, bootstrap)
     assert register.restored
-    assert golden.positional(register.state) == golden.tuples(fields)
-    assert golden.files_of(folder) == golden.files_of(golden.DATA / "registers" / name)
+    assert golden.positional(register.state) == golden.to_tuples(fields)
+    assert golden.read_files(folder) == golden.read_files(golden.DATA / "registers" / name)
 
 
 def damage(path, how: str) -> None:
@@ -112,14 +112,14 @@
     address, bootstrap, fields = REGISTERS[name]
     register = golden.open_register(tmp_path, address, bootstrap)
     register.save(golden.build(type(register.state), fields))
-    assert golden.files_of(tmp_path) == golden.files_of(golden.DATA / "registers" / name)
+    assert golden.read_files(tmp_path) == golden.read_files(golden.DATA / "registers" / name)
 
 
 @pytest.mark.parametrize("name", ["founder", "newcomer"])
 def test_a_first_register_is_the_golden_one(name, tmp_path):
     address, bootstrap, _ = REGISTERS[name]
     golden.open_register(tmp_path, address, bootstrap)
-    assert golden.files_of(tmp_path) == golden.files_of(golden.DATA / "registers" / name)
+    assert golden.read_files(tmp_path) == golden.read_files(golden.DATA / "registers" / name)
 
 
 def test_a_voter_restored_from_a_golden_register_is_bound_by_its_promise_and_lease(copied):
@@ -127,7 +127,7 @@
     register = golden.open_register(copied("registers/promised"))
     member, record, promised, candidate = REGISTERS["promised"][2]
     voter = Acceptor(register, World(golden.SEED).machine(golden.SEEDS[0]).clock(), LEASE_S)
-    assert voter.member == member and golden.positional(voter.record) == golden.tuples(record)
+    assert voter.member == member and golden.positional(voter.record) == golden.to_tuples(record)
     assert (voter.lease_left, voter.lease_left_for_other(record[1])) == (LEASE_S, 0.0)
     assert voter.lease_left_for_other(candidate) == LEASE_S
     assert golden.positional(voter.state)[2:] == (promised, candidate)
