--- a/lynxscale/cli/__init__.py
+++ b/lynxscale/cli/__init__.py
@@ -1,6 +1,6 @@
-"""The commands: one click program, one module a group, each of which imports its subject when it is called.
+"""The command-line interface: a click program with one module per command group, imported when it is used.
 
-Exit codes: 0 done, 1 failed (a plain line on standard error says why), 2 usage or configuration.
+Exit codes: 0 success, 1 failure (with the reason in one line on standard error), 2 invalid usage or configuration.
 """
 
 from __future__ import annotations
@@ -27,30 +27,30 @@
 }
 
 
-class Lazy(click.Group):
-    """A group whose members are imported when they are asked for."""
+class LazyGroup(click.Group):
+    """A group that imports a member when the member is used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """The names of all members."""
         return sorted(GROUPS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """Import one member; None where there is none of that name."""
+        """Import a member; None if there is none of that name."""
         if name not in GROUPS:
             return None
         module, _, attribute = GROUPS[name].partition(":")
         return getattr(importlib.import_module(module), attribute)
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command. Raises OutputClosedError where its output was closed."""
+        """Run the command. Raises OutputClosedError if the reader of its output has closed it."""
         try:
             return super().invoke(ctx)
         except BrokenPipeError as error:
-            raise OutputClosedError from error  # before click turns it into a failure
+            raise OutputClosedError from error  # click would report a failure
 
 
 def example(text: str) -> Any:
-    """Give a command's help an example, shown as it would be typed."""
+    """Decorator: add an example to the help of a command, shown as it would be typed."""
 
     def mark(command: click.Command) -> click.Command:
         command.epilog = "\b\nExample:\n  " + text.strip().replace("\n", "\n  ")
@@ -60,17 +60,17 @@
 
 
 @example("lynxscale conf check deploy/lynxscale.conf")
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"], "max_content_width": 100})
 @click.version_option(package_name="lynxscale", message="%(version)s")
 def program() -> None:
-    """A relay that delivers messages to partner systems, and the tools round it.
+    """A relay that delivers messages to partner systems, and its tools.
 
-    Without any words, `lynxscale` runs the relay as its platform starts it.
+    Without arguments, `lynxscale` runs the relay as its platform starts it.
     """
 
 
 def main(args: list[str] | None = None) -> NoReturn:
-    """Run the command in the words; ends the process with its exit code and never with a traceback."""
+    """Run the command in the arguments, and exit with its exit code, never with a traceback."""
     try:
         code = program.main(args, prog_name="lynxscale", standalone_mode=False) or 0
         sys.stdout.flush()
@@ -80,7 +80,7 @@
         error.show()
         code = error.exit_code
     except (BrokenPipeError, OutputClosedError):
-        # The reader has gone, which is no fault. Guards against a second error as the interpreter flushes.
+        # A reader that closes the pipe is no error. Standard output is replaced so that the flush at exit succeeds.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = 0
     except KeyboardInterrupt:
@@ -92,7 +92,7 @@
         name = f"{error.filename}: " if error.filename else ""
         click.echo(f"Error: {name}{error.strerror or error}", err=True)
         code = FAILED
-    except Exception as error:  # a fault of ours, reported in one line; with the variable set it shows where
+    except Exception as error:  # a defect of the program, in one line; LYNXSCALE_DEBUG shows the traceback
         if os.environ.get("LYNXSCALE_DEBUG"):
             raise
         click.echo(
--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -1,4 +1,4 @@
-"""``lynxscale cluster``: what relays that know each other say, their files against each other, one given up."""
+"""``lynxscale cluster``: the status of a cluster of relays, a check of their files, and the removal of a lost node."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
 from lynxscale.relay.conf.lexer import Fault
 from lynxscale.relay.conf.settings import Conf
 
-ANSWER_WITHIN = 3.0
-STALE_AFTER_S = 5.0  # age of a written status beyond which the relay does not run, or its disk stands still
+ANSWER_TIMEOUT_S = 3.0
+STALE_AFTER_S = 5.0  # an older status file means that the relay does not run or its disk is stuck
 COLUMNS = ("node", "at", "zone", "state", "for_s", "life", "in_view", "answered_ms", "others say", "slow", "differs")
 
 
 @example("lynxscale cluster status --conf lynxscale.conf")
 @click.group()
 def group() -> None:
-    """Relays that know each other: docs/operators/cluster.md."""
+    """A cluster of relays: its status, its configuration and its nodes; docs/operators/cluster.md."""
 
 
 def _call(at: str, method: str, path: str) -> tuple[int, dict]:
-    """Status and body of a call to an operators' door."""
+    """Call the admin server of a relay, and return the HTTP status and the body."""
     host, _, port = at.rpartition(":")
     if not (host and port.isdigit()):
         raise InvalidUsageError(f"{at}: want HOST:PORT, the admin-addr of a relay")
-    connection = http.client.HTTPConnection(host, int(port), timeout=ANSWER_WITHIN)
+    connection = http.client.HTTPConnection(host, int(port), timeout=ANSWER_TIMEOUT_S)
     try:
         connection.request(method, path)
         answer = connection.getresponse()
         return answer.status, orjson.loads(answer.read())
     except (OSError, http.client.HTTPException, orjson.JSONDecodeError) as error:
-        raise CommandFailedError(f"{at}: no answer of a relay's door: {error}") from error
+        raise CommandFailedError(f"{at}: no answer from the admin server of a relay: {error}") from error
     finally:
         connection.close()
 
 
-def _of_file(conf: str) -> dict:
-    """The status that a relay last wrote into its folder."""
+def _read_status_file(conf: str) -> dict:
+    """Read the status that a relay last wrote into its state folder."""
     from lynxscale.relay.cluster.component import STATUS_FILE
     from lynxscale.relay.cluster.durable_state import FOLDER
 
@@ -80,7 +80,7 @@
             "-" if row["life"] is None else row["life"],
             "yes" if row["in_view"] else "no",
             "-" if row["answered_ms"] is None else row["answered_ms"],
-            _others(row),
+            _seen_by_others(row),
             row["slow"] or "-",
             " ".join(row["differs"]) or "-",
         ]
@@ -88,53 +88,57 @@
     ]
 
 
-def _others(row: dict) -> str:
-    """What the others last told of a node; one word where they agree."""
+def _seen_by_others(row: dict) -> str:
+    """The state of a node as the other nodes report it; a single state if they agree."""
     said = {far: seen["state"] for far, seen in sorted(row["seen_as"].items()) if far != row["name"]}
     if len(set(said.values())) <= 1:
         return next(iter(said.values()), "-")
     return " ".join(f"{far}:{state}" for far, state in said.items())
 
 
-def _told(status: dict) -> str:
-    """One node in words."""
+def _describe(status: dict) -> str:
+    """Describe a node in a few lines."""
     view = status["view"]
-    words = [
+    lines = [
         f"{status['node']} of {status['cluster']}, life {status['life']}, up {status['up_ms'] / 1000:.0f} s: "
         f"{status['standing']}"
     ]
     if view is None:
-        words.append("no view yet: the first needs every node that the file names")
+        lines.append("no view yet: the first needs every node that the file names")
     else:
-        words.append(
+        lines.append(
             f"view {view['number']} ({view['digest']}) of "
             + " ".join(f"{one['name']}/{one['life']}" for one in view["members"])
             + f"; it can lose {view['can_lose']}"
         )
-        words.append(
+        lines.append(
             f"lease for {status['lease_ms']} ms; granted by {' '.join(status['grants']) or 'nobody'} of "
             f"{' '.join(view['asked_for_leases'])}"
         )
     if not status["votes"]:
-        words.append("it does not vote: its memory was lost or is older than what others heard from it")
+        lines.append("it does not vote: its durable state was lost or is older than what other nodes received from it")
     if status["split"]:
-        words.append(f"contradiction: {status['split']}")
+        lines.append(f"contradiction: {status['split']}")
     if status["doubt"]:
-        words.append(f"it doubts itself: {status['doubt']}")
-    return "\n".join(words)
+        lines.append(f"degraded local health score: {status['doubt']}")
+    return "\n".join(lines)
 
 
 @example(
     "lynxscale cluster status --conf lynxscale.conf\nlynxscale cluster status --at 127.0.0.1:9001 --at 127.0.0.1:9002"
 )
 @group.command()
-@click.option("--conf", type=click.Path(dir_okay=False), help="A relay's configuration file: what it last wrote.")
-@click.option("--at", multiple=True, help="HOST:PORT of a relay's operators' door; several show all of them.")
-@click.option("--json", "as_json", is_flag=True, help="Everything that the relays tell.")
+@click.option(
+    "--conf",
+    type=click.Path(dir_okay=False),
+    help="The configuration file of a relay: show the status that it last wrote.",
+)
+@click.option("--at", multiple=True, help="HOST:PORT of the admin server of a relay; may be given several times.")
+@click.option("--json", "as_json", is_flag=True, help="The full status as JSON.")
 def status(conf: str | None, at: tuple[str, ...], as_json: bool) -> None:
-    """Each node, its incarnation, its state and since when, as a relay sees it; view, majority and lease.
+    """Show the nodes as a relay sees them, with incarnation, state and its duration; and the view, majority and lease.
 
-    Exit code 1 where a relay that was asked is not a member of a view with a lease.
+    Exit code 1 if a relay does not answer, or is not a member of a view with a lease.
     """
     if bool(conf) == bool(at):
         raise InvalidUsageError("want --conf FILE, or --at HOST:PORT once or more")
@@ -153,15 +157,15 @@
 
 
 def _written_status(conf: str) -> dict[str, Any]:
-    """What a relay last wrote of itself, and how many seconds ago."""
+    """The status that a relay last wrote, with its age in seconds."""
     import time
 
-    status = _of_file(conf)
+    status = _read_status_file(conf)
     return status | {"age_s": round(time.time() - status["ts"], 1)}
 
 
 def _asked_statuses(addresses: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[str]]:
-    """What relays answer of themselves, and a line for each that does not."""
+    """The statuses that relays return, and a line for each relay that returns none."""
     found: list[dict[str, Any]] = []
     silent: list[str] = []
     for address in addresses:
@@ -178,9 +182,9 @@
 
 
 def _show_statuses(found: list[dict[str, Any]]) -> None:
-    """Each node in words; with the table of all nodes where there is one, else how each of them sees the others."""
+    """Describe each node; then show the table of nodes of a single status, or how several nodes see each other."""
     for number, one in enumerate(found):
-        click.echo(("\n" if number else "") + _told(one))
+        click.echo(("\n" if number else "") + _describe(one))
         if "age_s" in one:
             click.echo(_age_text(one["age_s"]))
     if len(found) == 1:
@@ -191,12 +195,12 @@
 
 
 def _age_text(age_s: float) -> str:
-    stale = "; the relay writes it every second: it does not run, or its disk stands still"
+    stale = "; the relay writes it every second: it does not run, or its disk is stuck"
     return f"as written {age_s} s ago" + (stale if age_s > STALE_AFTER_S else "")
 
 
 def _show_views(found: list[dict[str, Any]]) -> None:
-    """A table of what each node takes each other one for."""
+    """Show a table of the state of each node as seen by each node."""
     click.echo("\nWho is what, as each of them sees it:")
     names = sorted({row["name"] for one in found for row in one["nodes"]})
     rows = []
@@ -207,24 +211,24 @@
 
 
 def _differing(files: list[tuple[str, Conf]]) -> list[Fault]:
-    """What one file says otherwise than the first, or of another node than that node's own file does."""
+    """Return the differences between the first file and the others, and names or places that are used twice."""
     from lynxscale.relay.cluster import settings
 
     found = []
     first, one = files[0]
 
-    def differ(path: str, word: str, mine: Any, theirs: Any) -> None:
+    def compare(path: str, word: str, mine: Any, theirs: Any) -> None:
         if mine != theirs:
             found.append(Fault(path, _line(path, word), word, f"want {theirs}, as {first} has it, not {mine}"))
 
     for path, conf in files[1:]:
-        differ(path, "name", conf.cluster.name, one.cluster.name)
-        differ(path, "probe", conf.cluster.probe, one.cluster.probe)
+        compare(path, "name", conf.cluster.name, one.cluster.name)
+        compare(path, "probe", conf.cluster.probe, one.cluster.probe)
         mine = {setting.directive: setting for setting in settings.shared_settings(conf)}
         theirs = {setting.directive: setting for setting in settings.shared_settings(one)}
         for word in theirs | mine:
             none = f"no {word}"
-            differ(
+            compare(
                 path,
                 word if word in mine else word.split()[0],
                 mine[word].value if word in mine else none,
@@ -254,7 +258,7 @@
 
 
 def _line(path: str, word: str) -> int:
-    """The first line of a file, or of those that it includes, whose directive begins so; 0 where it is not told."""
+    """The number of the first line of a file whose directive begins with these words; 0 if there is none."""
     import os
 
     from lynxscale.relay.conf.lexer import Lexer
@@ -274,9 +278,9 @@
 @group.command()
 @click.argument("files", nargs=-1, required=True, type=click.Path(dir_okay=False))
 def check(files: tuple[str, ...]) -> None:
-    """Hold the configuration FILES of a cluster's relays against each other: names, addresses, classes and limits.
+    """Compare the configuration FILES of the relays of a cluster: names, addresses, classes and limits.
 
-    Exit code 1 where they do not fit, each difference with its file and line.
+    Exit code 1 if they do not match; each difference is shown with its file and line.
     """
     read = [(path, _read(path)) for path in files]
     without = [path for path, conf in read if conf.cluster.name is None]
@@ -297,12 +301,12 @@
 @example("lynxscale cluster forget r3 --at 127.0.0.1:9001")
 @group.command()
 @click.argument("name")
-@click.option("--at", required=True, help="HOST:PORT of the operators' door of a relay that is a member.")
-@click.option("--yes", is_flag=True, help="Do not ask.")
+@click.option("--at", required=True, help="HOST:PORT of the admin server of a relay that is a member.")
+@click.option("--yes", is_flag=True, help="Do not ask for confirmation.")
 def forget(name: str, at: str, yes: bool) -> None:
-    """Give up the node NAME, whose machine is gone for good: the next view is without it.
+    """Remove the node NAME, whose machine is lost for good, from the next view.
 
-    A node that is believed to be alive is refused, and so is one that is not in the view.
+    The command is refused for a node that is considered alive or is not in the view.
     """
     code, told = _call(at, "GET", "/admin/cluster")
     if code != 200:
@@ -312,9 +316,9 @@
     listed = view is not None and name in [one["name"] for one in view["members"]]
     state = row["state"] if row else "not in the file of " + told["node"]
     click.echo(
-        f"{name}: {state}, {'in' if listed else 'not in'} view {view['number'] if view else 0}. To forget it "
-        "says that this machine and its folder will not come back: what only it held is given up. Take its "
-        "line out of the files afterwards."
+        f"{name}: {state}, {'in' if listed else 'not in'} view {view['number'] if view else 0}. Forget it "
+        "only if this machine and its folder will not come back: data that only this node held is lost. Remove its "
+        "line from the files afterwards."
     )
     if not yes and not click.confirm(f"Forget {name}?"):
         raise CommandFailedError("nothing done")
--- a/lynxscale/cli/common.py
+++ b/lynxscale/cli/common.py
@@ -1,4 +1,4 @@
-"""What commands share: files and folders given by name, tables, progress, and losses told."""
+"""Helpers shared by the commands: file arguments, tables, JSON output, progress and reports of losses."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 from lynxscale.cli.exceptions import CommandFailedError, InvalidUsageError
 
-EVERY = 0.2  # seconds between two lines of progress
+PROGRESS_EVERY_S = 0.2  # interval between updates of the progress line
 
 
 def write_json(value: Any) -> None:
-    """One JSON document to standard output."""
+    """Write one JSON document to standard output."""
     click.echo(orjson.dumps(value, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
 
 
 def write_line(value: Any) -> None:
-    """One JSON object a line to standard output."""
+    """Write one JSON value and a newline to standard output."""
     sys.stdout.buffer.write(orjson.dumps(value, option=orjson.OPT_APPEND_NEWLINE | orjson.OPT_NON_STR_KEYS))
 
 
 def write_table(columns: list[str], rows: Iterable[list[Any]]) -> None:
-    """Columns under their names, numbers to the right."""
+    """Write a table with a heading; columns of numbers are aligned right."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max([len(name), *(len(row[k]) for row in cells)]) for k, name in enumerate(columns)]
-    right = [all(_number(row[k]) for row in cells) for k in range(len(columns))]
+    right = [all(_is_number(row[k]) for row in cells) for k in range(len(columns))]
 
     def line(row: list[str]) -> str:
         return "  ".join(
@@ -43,12 +43,12 @@
         click.echo(line(row))
 
 
-def _number(text: str) -> bool:
+def _is_number(text: str) -> bool:
     return text.replace(".", "", 1).replace("-", "", 1).isdigit() or text == "-"
 
 
 def trace_files(names: Iterable[str]) -> list[Path]:
-    """The files named, and of each folder its trace files, by name."""
+    """Return the named files, and the trace files of each named folder in order of name."""
     found: list[Path] = []
     for name in names:
         path = Path(name)
@@ -65,7 +65,7 @@
 
 
 def output_file(name: str, inputs: Iterable[Path]) -> Path:
-    """Where a tool writes: not over what it reads, and in a folder that is there."""
+    """Check an output path: its folder must exist, and it must not be one of the inputs."""
     path = Path(name)
     if not path.parent.is_dir():
         raise InvalidUsageError(f"{name}: no such folder: {path.parent}")
@@ -75,13 +75,13 @@
 
 
 class Losses:
-    """Tells each loss on standard error as it is found."""
+    """Reports each loss on standard error when it is found, and counts them."""
 
     def __init__(self) -> None:
         self.damaged = self.torn = 0
 
     def __call__(self, loss: Any) -> None:
-        """Tell one loss and count it."""
+        """Report and count one loss."""
         from lynxscale.trace.view import iso
 
         span = f"after {iso(loss.after)}" if loss.after is not None else "before any record"
@@ -95,7 +95,7 @@
 
 
 def progress(frames: Iterable[Any], label: str) -> Iterator[Any]:
-    """The same frames, with a count on standard error where that is a terminal."""
+    """Pass the frames through, and count records on standard error if that is a terminal."""
     if not sys.stderr.isatty():
         yield from frames
         return
@@ -103,7 +103,7 @@
     for frame in frames:
         yield frame
         count += len(frame.records)
-        if not count & 63 and time.monotonic() - at > EVERY:
+        if not count & 63 and time.monotonic() - at > PROGRESS_EVERY_S:
             at = time.monotonic()
             click.echo(f"\r{label}: {count:,} records", nl=False, err=True)
     click.echo(f"\r{label}: {count:,} records, done", err=True)
--- a/lynxscale/cli/conf.py
+++ b/lynxscale/cli/conf.py
@@ -1,4 +1,4 @@
-"""``lynxscale conf``: check a configuration file, show what is in force, print the manual page."""
+"""``lynxscale conf``: check a configuration file, show the effective settings, print the manual page."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 @example("lynxscale conf check deploy/lynxscale.conf")
 @click.group()
 def group() -> None:
-    """The configuration file: check it, show it, and its manual."""
+    """Check and show the configuration file, and print its manual page."""
 
 
 @example("lynxscale conf check deploy/lynxscale.conf")
@@ -40,7 +40,7 @@
 @click.option("--json", "as_json", is_flag=True, help="The faults as JSON.")
 @click.pass_context
 def check(ctx: click.Context, file: str | None, as_json: bool) -> None:
-    """Check FILE (else the one that LYNXSCALE_CONF names); exit code 2 with every fault it has."""
+    """Check FILE (default: the file named by LYNXSCALE_CONF). Exit code 2 if it has faults; all of them are shown."""
     path = _path(file)
     if path is None:
         raise InvalidUsageError(f"want a file, or {reader.VARIABLE} set")
@@ -62,9 +62,9 @@
 @example("lynxscale conf show --json deploy/lynxscale.conf")
 @group.command()
 @click.argument("file", required=False, type=click.Path())
-@click.option("--json", "as_json", is_flag=True, help="As JSON, sizes in bytes and times in µs.")
+@click.option("--json", "as_json", is_flag=True, help="As JSON, with sizes in bytes and times in µs.")
 def show(file: str | None, as_json: bool) -> None:
-    """Show every directive with the value in force, as a file that gives the same."""
+    """Show every directive with its effective value, in the format of a configuration file."""
     conf = _load(file)
     if as_json:
         click.echo(orjson.dumps(dataclasses.asdict(conf), option=orjson.OPT_INDENT_2))
@@ -109,7 +109,7 @@
 
 
 def manual_page() -> str:
-    """The manual page, from the directive table."""
+    """Build the manual page from the table of directives."""
     parts = [INTRODUCTION]
     for section in SECTIONS:
         parts.append(
--- a/lynxscale/cli/demo.py
+++ b/lynxscale/cli/demo.py
@@ -1,4 +1,4 @@
-"""``lynxscale demo``: a relay, a partner that has troubles, and what became of the messages."""
+"""``lynxscale demo``: run a relay against a faulty partner, and show the fate of the messages."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 @example("lynxscale demo --messages 400 --seed 7")
 @click.command()
 @click.option("--messages", default=400, show_default=True, type=click.IntRange(10, 5000))
-@click.option("--seed", default=1, show_default=True, type=int, help="Messages and troubles are drawn from it.")
+@click.option("--seed", default=1, show_default=True, type=int, help="Seed of the messages and faults.")
 @click.option("--json", "as_json", is_flag=True, help="The table as JSON.")
 @click.pass_context
 def command(ctx: click.Context, messages: int, seed: int, as_json: bool) -> None:
-    """Run a relay from deploy/lynxscale.conf against a stand-in partner on loopback that slows down, refuses, fails
-    and drains, for some ten seconds; print what became of each class. Nothing outside a temporary folder is touched.
+    """Run a relay with deploy/lynxscale.conf for about ten seconds against a simulated partner on loopback that slows
+    down, refuses, fails and drains, and print the outcomes by class. Only a temporary folder is written.
 
-    Exit code 1 where a rule was broken.
+    Exit code 1 if a delivery guarantee was broken.
     """
     import asyncio
     from pathlib import Path
--- a/lynxscale/cli/exceptions.py
+++ b/lynxscale/cli/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the commands. Their text is for the user; ``exit_code`` is the process's."""
+"""Errors of the commands. The message is shown to the user; ``exit_code`` is the exit code of the process."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class CommandFailedError(LynxscaleError, click.ClickException):
-    """The command could not do its work."""
+    """The command failed."""
 
     exit_code = FAILED
 
@@ -22,4 +22,4 @@
 
 
 class OutputClosedError(LynxscaleError):
-    """The process that reads our output has closed it."""
+    """The process that reads standard output has closed it."""
--- a/lynxscale/cli/fleet.py
+++ b/lynxscale/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``lynxscale fleet``: what many relays did together, from their logs. For traces there is ``trace summarise``."""
+"""``lynxscale fleet``: aggregate the logs of many relays. For traces use ``trace summarise``."""
 
 from __future__ import annotations
 
@@ -54,11 +54,14 @@
 @example("lynxscale fleet count --every 5s logs")
 @click.group()
 def group() -> None:
-    """Many relays together."""
+    """Aggregate the logs of many relays."""
 
 
 def _lines(names: tuple[str, ...], unread: UnreadableLines) -> Iterator[Line]:
-    """All relays' lines in order of time; a relay's own clock may lag at its start, so each file is sorted first."""
+    """Yield the lines of all logs in order of time.
+
+    The clock of a relay may lag at its start, so each file is sorted before the merge.
+    """
     from lynxscale.relay.fleet.lines import log_files, read
 
     try:
@@ -81,11 +84,16 @@
 @example("lynxscale fleet count --every 5s --json logs/n1.log logs/n2.log")
 @group.command()
 @click.argument("paths", nargs=-1, required=True, type=click.Path())
-@click.option("--every", default="5s", show_default=True, help="The span of a row; relays tell theirs every 5s.")
+@click.option(
+    "--every", default="5s", show_default=True, help="The time span of a row; relays log their counters every 5s."
+)
 @click.option("--json", "as_json", is_flag=True, help="As JSON, with every column.")
 def count(paths: tuple[str, ...], every: str, as_json: bool) -> None:
-    """Add up the logs in PATHS, a file each relay or folders of *.log: calls by result against each limit, by span and
-    destination; what relays hold; and how much later than the first each relay learned of something."""
+    """Aggregate the logs in PATHS, one file per relay or folders of *.log files.
+
+    Shows calls by result next to each limit, by time span and destination; the load of the relays; and how much later
+    than the first relay each of the others learned of a change.
+    """
     from lynxscale.relay.conf.directive import TIMES, amount
     from lynxscale.relay.fleet.lines import UnreadableLines
     from lynxscale.relay.fleet.report import FleetReport
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -1,7 +1,7 @@
-"""``lynxscale journal``: what a relay's journal holds and whether it stands; export, import, repair and compaction.
+"""``lynxscale journal``: check and show the journal of a relay; export, import, repair and compaction.
 
-``check``, ``show``, ``stats`` and ``export`` only read. ``import`` and ``compact`` need a relay that is stopped: its
-lock keeps them out. ``repair`` writes a new folder and leaves the old one as it is.
+``check``, ``show``, ``stats`` and ``export`` only read. ``import`` and ``compact`` require that the relay is stopped,
+and take its lock. ``repair`` writes a new folder and does not change the old one.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def _folder(state: str) -> Path:
-    """The newest of the journals: after an upgrade half way there are two."""
+    """Return the folder of the newest journal; there are two after an interrupted upgrade."""
     from lynxscale.relay.upgrade.journal_folders import folder_of, generations
 
     there = generations(Path(state)) if Path(state).is_dir() else []
@@ -37,7 +37,7 @@
 
 
 def _recovered(state: str) -> tuple[Manifest, RecoveryResult, dict[int, int]]:
-    """The manifest, what a start would find, and the sizes of the segments."""
+    """Return the manifest, the result of a recovery, and the sizes of the segments."""
     from lynxscale.relay.exceptions import JournalFormatError
     from lynxscale.relay.journal.layout import Manifest
     from lynxscale.relay.journal.manifest_store import load_manifest, read_segments
@@ -51,7 +51,7 @@
     names = storage.names()
     try:
         manifest = load_manifest(storage, names)
-        if manifest is None:  # nothing was ever taken on
+        if manifest is None:  # no message was ever accepted
             return Manifest(0, ()), RecoveryResult(), {}
         segments = read_segments(storage, manifest, names)
         return manifest, recover(manifest, segments), {number: len(data) for number, data in segments.items()}
@@ -59,15 +59,17 @@
         raise CommandFailedError(f"{folder}: {error}") from error
 
 
-def _when(unix: int) -> str:
+def _utc(unix: int) -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(unix / 1e6))
 
 
 @example("lynxscale journal check state")
 @click.group()
 def group() -> None:
-    """The journal of a relay: check, show, count, take out and bring in, repair. What only reads may be used while the
-    relay runs; its newest records may be missing then."""
+    """Check, show, count, export, import, repair and compact the journal of a relay.
+
+    Commands that only read may be used while the relay runs; they may miss its newest records.
+    """
 
 
 @example("lynxscale journal check state")
@@ -76,7 +78,7 @@
 @json_option
 @click.pass_context
 def check(ctx: click.Context, state: str, as_json: bool) -> None:
-    """Read all of it as a start would, in the state folder STATE; exit code 1 with every gap."""
+    """Read the whole journal in the state folder STATE as a start of the relay does; exit code 1 if there are gaps."""
     manifest, found, sizes = _recovered(state)
     if as_json:
         write_json(
@@ -106,8 +108,10 @@
 @click.option("--class", "cls", help="Only messages of this class.")
 @json_option
 def show(state: str, cls: str | None, as_json: bool) -> None:
-    """Show the open messages: their tries, whether one may have run, and the end that is owed. Bodies and keys are not
-    shown."""
+    """Show the open messages: their attempts, how many of them may have been executed, and the pending outcome.
+
+    Bodies and keys are not shown.
+    """
     _manifest, found, _sizes = _recovered(state)
     rows: list[dict[str, Any]] = [
         {
@@ -115,8 +119,8 @@
             "class": one.class_name,
             "tenant": one.tenant,
             "destination": one.dest,
-            "taken": _when(one.accepted_at),
-            "until": _when(one.expires),
+            "taken": _utc(one.accepted_at),
+            "until": _utc(one.expires),
             "bytes": len(one.body),
             "tries": one.attempts,
             "may_have_run": len(one.may_have_run),
@@ -138,7 +142,7 @@
 @click.argument("state", type=click.Path(file_okay=False))
 @json_option
 def stats(state: str, as_json: bool) -> None:
-    """Count what lies where: records by kind, live bytes, messages, for each segment."""
+    """Show the size, live bytes, state and number of records by kind of each segment."""
     from lynxscale.relay.journal.cleaning_plan import CleaningPlan
     from lynxscale.relay.journal.records import ATTEMPT, COMPLETED, MESSAGE, NOT_EXECUTED, OUTCOME
 
@@ -168,11 +172,11 @@
         click.echo("no segments")
 
 
-disk_option = click.option("--disk", default="64m", show_default=True, help="Bytes that the journal may take.")
+disk_option = click.option("--disk", default="64m", show_default=True, help="Maximum size of the journal.")
 
 
-def _open(state: str, disk: str, older: list[Entry]) -> Journal:
-    """The journal of a stopped relay, with these messages taken over."""
+def _open_journal(state: str, disk: str, older: list[Entry]) -> Journal:
+    """Open the journal of a stopped relay, and add these messages."""
     from lynxscale.relay.conf.directive import SIZES, amount
     from lynxscale.relay.exceptions import JournalFormatError, JournalFullError
     from lynxscale.relay.journal import Journal
@@ -196,7 +200,7 @@
 @group.command()
 @click.argument("state", type=click.Path(file_okay=False))
 def export(state: str) -> None:
-    """Write the open messages as JSON lines, with their bodies and keys: keep the output as you would the messages."""
+    """Write the open messages as JSON lines, with their bodies and keys. Protect the output like the messages."""
     _manifest, found, _sizes = _recovered(state)
     for one in found.entries.values():
         sys.stdout.buffer.write(
@@ -276,16 +280,16 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 @disk_option
 def import_(state: str, file: str, disk: str) -> None:
-    """Take the messages of FILE into the journal of a stopped relay; those whose id it holds already are passed over.
+    """Add the messages of FILE to the journal of a stopped relay, except those whose id it already holds.
 
-    A message that is open at two relays may take effect at both: remove the journal that it came from.
+    A message that is open at two relays may be executed by both: remove the journal that it came from.
     """
     with open(file, "rb") as source:
         entries = _imported(file, source)
-    journal = _open(state, disk, [])
+    journal = _open_journal(state, disk, [])
     before = len(journal.entries())
     journal.close()
-    journal = _open(state, disk, entries)
+    journal = _open_journal(state, disk, entries)
     click.echo(f"{len(journal.entries()) - before} of {len(entries)} messages taken over")
     journal.close()
 
@@ -296,12 +300,14 @@
 @click.argument("new", type=click.Path(file_okay=False))
 @disk_option
 def repair(state: str, new: str, disk: str) -> None:
-    """Copy what can be read of STATE's journal into the new state folder NEW; what is in doubt counts as one that may
-    have run. STATE is left as it is."""
+    """Copy the readable messages of the journal in STATE into the new state folder NEW.
+
+    A message in doubt is marked as possibly executed. STATE is not changed.
+    """
     if (Path(new) / "segments").exists():
         raise CommandFailedError(f"{new}: want a folder without a journal")
     _manifest, found, _sizes = _recovered(state)
-    journal = _open(new, disk, list(found.entries.values()))
+    journal = _open_journal(new, disk, list(found.entries.values()))
     journal.close()
     for gap in found.gaps:
         click.echo(str(gap), err=True)
@@ -313,11 +319,11 @@
 @click.argument("state", type=click.Path(file_okay=False))
 @disk_option
 def compact(state: str, disk: str) -> None:
-    """Carry what is live in the journal of a stopped relay into new segments, and remove the others."""
+    """Copy the live records in the journal of a stopped relay into new segments, and remove the old segments."""
     from lynxscale.relay.exceptions import JournalFullError
 
     _manifest, _found, before = _recovered(state)
-    journal = _open(state, disk, [])
+    journal = _open_journal(state, disk, [])
     try:
         journal.compact()
     except JournalFullError as error:
--- a/lynxscale/cli/lab.py
+++ b/lynxscale/cli/lab.py
@@ -1,4 +1,4 @@
-"""``lynxscale lab``: relays in trouble, on this machine."""
+"""``lynxscale lab``: fault injection for relays on this machine."""
 
 from __future__ import annotations
 
@@ -14,21 +14,23 @@
 @example("lynxscale lab cluster --nodes 5 --seed 7 --minutes 2")
 @click.group()
 def group() -> None:
-    """Relays in trouble: processes on loopback, faults by seed, a judge that looks from outside."""
+    """Run relays on loopback with seeded faults, and check their behaviour from outside."""
 
 
 @example("lynxscale lab cluster --nodes 5 --seed 7 --minutes 2\nlynxscale lab cluster --kinds halves,kill --at-once 2")
 @group.command()
 @click.option("--nodes", default=5, show_default=True, type=click.IntRange(1, 16))
-@click.option("--seed", default=1, show_default=True, type=int, help="All faults and messages are drawn from it.")
+@click.option("--seed", default=1, show_default=True, type=int, help="Seed of all faults and messages.")
 @click.option("--minutes", default=1.0, show_default=True, type=click.FloatRange(0.05, 600))
-@click.option("--at-once", default=2, show_default=True, type=click.IntRange(1, 5), help="Faults side by side.")
-@click.option("--kinds", default="", help="Only these kinds of fault, by comma; without it all.")
 @click.option(
-    "--rate", default=20.0, show_default=True, type=click.FloatRange(0, 400), help="Messages a second to each node."
+    "--at-once", default=2, show_default=True, type=click.IntRange(1, 5), help="Maximum number of concurrent faults."
 )
-@click.option("--keep", type=click.Path(file_okay=False), help="Work in this folder, and leave it there.")
-@click.option("--plot", type=click.Path(dir_okay=False), help="Draw who believed what of whom, as PNG or SVG.")
+@click.option("--kinds", default="", help="Only these kinds of fault, separated by commas (default: all).")
+@click.option(
+    "--rate", default=20.0, show_default=True, type=click.FloatRange(0, 400), help="Messages per second to each node."
+)
+@click.option("--keep", type=click.Path(file_okay=False), help="Use this folder, and keep it afterwards.")
+@click.option("--plot", type=click.Path(dir_okay=False), help="Plot how each node saw the others, as PNG or SVG.")
 @click.option("--json", "as_json", is_flag=True, help="The verdict as JSON.")
 @click.pass_context
 def cluster(
@@ -43,9 +45,9 @@
     plot: str | None,
     as_json: bool,
 ) -> None:
-    """Start relays that know each other, break links and processes by a seed, and judge what they say and do.
+    """Start a cluster of relays, inject seeded faults into links and processes, and check the cluster's guarantees.
 
-    Exit code 1 where something that is promised did not hold.
+    Exit code 1 if a guarantee was violated.
     """
     import asyncio
     import contextlib
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -1,4 +1,4 @@
-"""``lynxscale list``: check, show, compare, confirm and write lists of endpoints."""
+"""``lynxscale list``: check, show, compare, approve and write lists of endpoints."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     "--conf",
     "conf_path",
     type=click.Path(dir_okay=False),
-    help="The configuration file (else LYNXSCALE_CONF); its section members rules lists.",
+    help="The configuration file (default: LYNXSCALE_CONF); its section `members` has the rules for lists.",
 )
 json_option = click.option("--json", "as_json", is_flag=True, help="As JSON.")
 
@@ -55,7 +55,7 @@
 
 
 def _candidate(path: str, conf: Conf) -> CandidateList:
-    """A file's list; CommandFailedError with its faults where it has any."""
+    """Read the list in a file. Raises CommandFailedError with its faults if it has any."""
     reading = _read(path, conf)
     if not reading.complete:
         raise CommandFailedError(f"{path}: half-written: want a closing line, end COUNT, as its last")
@@ -79,7 +79,7 @@
 @example("lynxscale list check --conf deploy/lynxscale.conf lists/partners.list")
 @click.group()
 def group() -> None:
-    """Lists of endpoints in files: check, show, compare, confirm, write."""
+    """Check, show, compare, approve and write lists of endpoints in files."""
 
 
 @example("lynxscale list check lists/partners.list")
@@ -89,7 +89,7 @@
 @json_option
 @click.pass_context
 def check(ctx: click.Context, files: tuple[str, ...], conf_path: str | None, as_json: bool) -> None:
-    """Check FILES by themselves and against each other, as the relay would; exit code 1 with every fault."""
+    """Check FILES, also against each other, as the relay does. Exit code 1 if there are faults; all are shown."""
     from lynxscale.relay.conf.lexer import Fault
     from lynxscale.relay.upstream.model import run_to_end
     from lynxscale.relay.upstream.validation import OwnershipIndex, ownership_conflicts
@@ -157,7 +157,7 @@
 @state_option
 @json_option
 def show(file: str | None, destination: int | None, conf_path: str | None, state: str | None, as_json: bool) -> None:
-    """Show FILE, or else the last good lists that a relay keeps in its state folder, and what waits for a word."""
+    """Show FILE; without it, the last good lists in the state folder of a relay, and the versions awaiting approval."""
     conf = _conf(conf_path)
     units: list[tuple[str, Any]] = []
     held: list[str] = []
@@ -165,7 +165,7 @@
         units.append((file, _candidate(file, conf)))
     else:
         lists = _lists(conf, state)
-        units += _kept(lists, conf)
+        units += _last_good_lists(lists, conf)
         held = sorted(lists.load_awaiting())
     if as_json:
         write_json(
@@ -194,7 +194,7 @@
         click.echo(f"held: {digest}")
 
 
-def _kept(lists: ListStore, conf: Conf) -> list[tuple[str, CandidateList]]:
+def _last_good_lists(lists: ListStore, conf: Conf) -> list[tuple[str, CandidateList]]:
     from lynxscale.relay.exceptions import StoredListCorruptError
     from lynxscale.relay.upstream import files
     from lynxscale.relay.upstream.model import run_to_end
@@ -221,7 +221,7 @@
 @conf_option
 @json_option
 def diff(old: str, new: str, conf_path: str | None, as_json: bool) -> None:
-    """What NEW would change where OLD is in force, and which guard of the configuration would ask."""
+    """Show what NEW changes relative to OLD, and which guards of the configuration would require approval."""
     from lynxscale.relay.upstream.model import run_to_end
     from lynxscale.relay.upstream.rules import guards_of
     from lynxscale.relay.upstream.validation import compare, guard_faults
@@ -236,7 +236,7 @@
         )
         return
     rows = [
-        [name, id_, _told(before.entries.get(id_)), _told(after.entries.get(id_))]
+        [name, id_, _describe(before.entries.get(id_)), _describe(after.entries.get(id_))]
         for name in changes.counts()
         for id_ in getattr(changes, name)
     ]
@@ -248,7 +248,7 @@
         click.echo(f"guard: {fault}")
 
 
-def _told(entry: Endpoint | None) -> str:
+def _describe(entry: Endpoint | None) -> str:
     if entry is None:
         return "-"
     row = _row(entry)
@@ -257,12 +257,12 @@
 
 @example("lynxscale list log --state state --last 20")
 @group.command()
-@click.option("--last", default=20, type=click.IntRange(1), help="So many verdicts, the latest.")
+@click.option("--last", default=20, type=click.IntRange(1), help="Number of latest verdicts to show.")
 @conf_option
 @state_option
 @json_option
 def log(last: int, conf_path: str | None, state: str | None, as_json: bool) -> None:
-    """The verdicts on versions of lists, oldest first; with each rejection its reasons."""
+    """Show the verdicts on versions of lists, oldest first, with the reasons of each rejection."""
     rows = list(_lists(_conf(conf_path), state).read_verdicts())[-last:]
     if as_json:
         write_json(rows)
@@ -288,8 +288,10 @@
 @conf_option
 @state_option
 def approve(digest: str, conf_path: str | None, state: str | None) -> None:
-    """Confirm the version that a guard holds back; DIGEST or its first 8 digits or more. The relay takes it within a
-    second."""
+    """Approve the version that a guard holds, given by DIGEST or at least its first 8 digits.
+
+    The relay applies it within a second.
+    """
     lists = _lists(_conf(conf_path), state)
     held = lists.load_awaiting()
     found = [one for one in held if one.startswith(digest.lower())]
@@ -298,7 +300,7 @@
         raise CommandFailedError(f"{digest}: want 8 digits or more of one version that waits; waiting: {waiting}")
     try:
         by = getpass.getuser()
-    except (KeyError, OSError):  # no such user in the system's table
+    except (KeyError, OSError):  # the user id has no entry in the password database
         by = str(os.getuid())
     lists.approve(found[0], by)
     click.echo(f"approved {found[0]}")
@@ -306,19 +308,24 @@
 
 @example("lynxscale list generate --from lists/partners.list --drain s-0004 -o lists/partners.list")
 @group.command()
-@click.option("--from", "source", type=click.Path(), help="A list in lines or in discovery's JSON to begin with.")
+@click.option(
+    "--from",
+    "source",
+    type=click.Path(),
+    help="The list to start from, in the line format or in the JSON of discovery.",
+)
 @click.option(
     "--endpoint",
     "added",
     multiple=True,
     metavar="LINE",
-    help="An endpoint as in the file: ID ADDRESS:PORT destination NUMBER ... ready",
+    help="Add an endpoint, in the line format: ID ADDRESS:PORT destination NUMBER ... ready",
 )
 @click.option("--remove", multiple=True, metavar="ID")
 @click.option("--drain", multiple=True, metavar="ID")
 @click.option("--weight", "weights", multiple=True, metavar="ID=CALLS")
-@click.option("--generation", type=click.IntRange(0), help="Else one above that of --from, or 1.")
-@click.option("--output", "-o", type=click.Path(), help="Written whole or not at all (else to standard output).")
+@click.option("--generation", type=click.IntRange(0), help="Default: one above the generation of --from, or 1.")
+@click.option("--output", "-o", type=click.Path(), help="The file to write atomically (default: standard output).")
 @conf_option
 def generate(
     source: str | None,
@@ -330,7 +337,7 @@
     output: str | None,
     conf_path: str | None,
 ) -> None:
-    """Write a list, with its checksum, from another one and changes; it is checked before it is written."""
+    """Write a list, with its checksum, from another list and changes. The result is checked before it is written."""
     from lynxscale.relay.upstream import files
     from lynxscale.relay.upstream.model import Destination, run_to_end
     from lynxscale.scheduling.events import Lifecycle
@@ -343,17 +350,17 @@
         entries, destinations = dict(before.entries), before.destinations
         generation = before.version + 1 if generation is None else generation
     for id_ in remove:
-        entries.pop(_known(entries, id_), None)
+        entries.pop(_existing(entries, id_), None)
     for id_ in drain:
-        entries[id_] = entries[_known(entries, id_)]._replace(lifecycle=Lifecycle.DRAINING)
+        entries[id_] = entries[_existing(entries, id_)]._replace(lifecycle=Lifecycle.DRAINING)
     for pair in weights:
         id_, _, text = pair.rpartition("=")
         try:
-            entries[id_] = entries[_known(entries, id_)]._replace(weight=float(text))
+            entries[id_] = entries[_existing(entries, id_)]._replace(weight=float(text))
         except ValueError:
             raise InvalidUsageError(f"{pair}: want ID=CALLS, calls a second as a number") from None
-    told = [one for one in destinations.values() if one.rate is not None or one.kind is not None]
-    data = files.write(entries.values(), 1 if generation is None else generation, told)
+    kept_destinations = [one for one in destinations.values() if one.rate is not None or one.kind is not None]
+    data = files.write(entries.values(), 1 if generation is None else generation, kept_destinations)
     if added:
         head, _, _end = data.rpartition(b"end ")
         lines = "".join(f"endpoint {line}\n" for line in added)
@@ -362,7 +369,7 @@
     reading = run_to_end(files.read(data, output or "list", rules))
     if reading.candidate is None:
         raise CommandFailedError("\n".join(map(str, reading.faults)))
-    data = files.write(reading.candidate.entries.values(), reading.candidate.version, told)
+    data = files.write(reading.candidate.entries.values(), reading.candidate.version, kept_destinations)
     if output is None:
         click.echo(data.decode(), nl=False)
         return
@@ -372,7 +379,7 @@
     click.echo(f"{output}: generation {reading.candidate.version}, {len(reading.candidate.entries)} endpoints")
 
 
-def _known(entries: dict[str, Endpoint], id_: str) -> str:
+def _existing(entries: dict[str, Endpoint], id_: str) -> str:
     if id_ not in entries:
         raise InvalidUsageError(f"{id_}: no such endpoint in the list")
     return id_
--- a/lynxscale/cli/trace/shared.py
+++ b/lynxscale/cli/trace/shared.py
@@ -1,4 +1,4 @@
-"""The group, and what its commands share: files by name, and the words that say which records are wanted."""
+"""The command group, and the arguments and options that its commands share."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from lynxscale.cli.exceptions import CommandFailedError
 from lynxscale.trace.merge import Merge
 from lynxscale.trace.reader import NotATraceError, Reader
-from lynxscale.trace.select import TooManyMatchesError, Wanted, gather, unix_from
+from lynxscale.trace.select import RecordFilter, TooManyMatchesError, gather, unix_from
 
 
-class Plain(click.Group):
-    """Turns what files can be into plain lines."""
+class TraceGroup(click.Group):
+    """A group that reports errors of the input files in one line."""
 
     def invoke(self, ctx: click.Context) -> Any:
-        """Run the command. Raises CommandFailedError where a file is no trace or too much matches."""
+        """Run the command. Raises CommandFailedError if a file is not a trace or too many messages match."""
         try:
             return super().invoke(ctx)
         except NotATraceError as error:
@@ -34,15 +34,15 @@
 
 
 def open_reader(path: Path) -> Reader:
-    """The reader of a file. Raises NotATraceError, whose text names the file."""
+    """Open a reader. Raises NotATraceError with a message that names the file."""
     try:
         return Reader(path)
     except NotATraceError as error:
         raise NotATraceError(f"{path}: {error}") from error
 
 
-def checked(names: tuple[str, ...]) -> list[Path]:
-    """The files, each with a head that can be read."""
+def readable_files(names: tuple[str, ...]) -> list[Path]:
+    """Return the named files, each of which has a valid head."""
     paths = trace_files(names)
     for path in paths:
         open_reader(path).close()
@@ -57,11 +57,11 @@
     "output",
     required=True,
     type=click.Path(dir_okay=False),
-    help="The file to write; it appears whole or not at all.",
+    help="The file to write, atomically.",
 )
 
 
-def _moment(_ctx: click.Context, _option: click.Parameter, value: str | None) -> int | None:
+def _parse_time(_ctx: click.Context, _option: click.Parameter, value: str | None) -> int | None:
     if value is None:
         return None
     try:
@@ -72,23 +72,25 @@
 
 
 def selection(command: Callable) -> Callable:
-    """The options by which a tool is told which records are wanted."""
+    """Decorator: add the options that select records."""
     for option in reversed(
         (
-            click.option("--from", "since", callback=_moment, help="Unix seconds, or a date and time (UTC)."),
-            click.option("--to", "until", callback=_moment, help="As --from; not included."),
-            click.option("--class", "classes", multiple=True, help="Messages of this class; may be given again."),
+            click.option("--from", "since", callback=_parse_time, help="Unix seconds, or a date and time (UTC)."),
+            click.option("--to", "until", callback=_parse_time, help="In the same form as --from; excluded."),
+            click.option(
+                "--class", "classes", multiple=True, help="Messages of this class; may be given several times."
+            ),
             click.option("--tenant", "tenants", multiple=True, help="Messages of this tenant."),
             click.option(
                 "--dest", "dests", multiple=True, type=click.IntRange(0), help="Messages for this destination."
             ),
-            click.option("--endpoint", "endpoints", multiple=True, help="Messages that had a try at this endpoint."),
-            click.option("--id", "ids", multiple=True, help="The message of this id."),
+            click.option("--endpoint", "endpoints", multiple=True, help="Messages with an attempt at this endpoint."),
+            click.option("--id", "ids", multiple=True, help="The message with this id."),
             click.option(
                 "--outcome",
                 "outcomes",
                 multiple=True,
-                help="Messages with this verdict, end, or result of a try, such as undeliverable or timeout.",
+                help="Messages with this verdict, final status or attempt result, such as undeliverable or timeout.",
             ),
         )
     ):
@@ -96,26 +98,26 @@
     return command
 
 
-def wanted_from(since: int | None, until: int | None, **sets: tuple) -> Wanted:
-    """What the options of ``selection`` ask for."""
-    return Wanted(since, until, **{name: frozenset(values) for name, values in sets.items()})
+def filter_from(since: int | None, until: int | None, **sets: tuple) -> RecordFilter:
+    """Build a filter from the values of the options that ``selection`` adds."""
+    return RecordFilter(since, until, **{name: frozenset(values) for name, values in sets.items()})
 
 
-def gathered(wanted: Wanted, paths: list[Path]) -> Wanted:
-    """With the first pass made, where there must be one; what is lost is told in the second."""
-    if not wanted.two_passes:
+def with_first_pass(wanted: RecordFilter, paths: list[Path]) -> RecordFilter:
+    """Make the first pass if the filter needs one; losses are only reported by the second pass."""
+    if not wanted.needs_first_pass:
         return wanted
-    found = gather(wanted, progress(frames_of(paths, wanted, lambda _loss: None), "looking"))
+    found = gather(wanted, progress(selected_frames(paths, wanted, lambda _loss: None), "looking"))
     return replace(wanted, gathered=found)
 
 
-def frames_of(paths: list[Path], wanted: Wanted, losses: Callable) -> Merge:
-    """The frames of all files in the order of time; blocks without a wanted record are passed over."""
+def selected_frames(paths: list[Path], wanted: RecordFilter, losses: Callable) -> Merge:
+    """Merge the frames of all files in order of time, and skip blocks that hold no matching record."""
     one = next(iter(wanted.ids)) if len(wanted.ids) == 1 and wanted.ids else None
-    return Merge(paths, losses, wanted.block, one)
+    return Merge(paths, losses, wanted.may_match_block, one)
 
 
 @example("lynxscale trace summarise traces/")
-@click.group(cls=Plain)
+@click.group(cls=TraceGroup)
 def group() -> None:
     """Read, cut, join and replay trace files. A folder stands for the *.lxt files in it."""
--- a/lynxscale/cli/trace/show.py
+++ b/lynxscale/cli/trace/show.py
@@ -1,4 +1,4 @@
-"""Commands that show what traces hold: info, dump, message, summarise, verify."""
+"""Commands that show the contents of traces: info, dump, message, summarise, verify."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 )
 from lynxscale.cli.exceptions import FAILED, CommandFailedError, InvalidUsageError
 from lynxscale.cli.trace.shared import (
-    checked,
     files,
-    frames_of,
-    gathered,
+    filter_from,
     group,
     open_reader,
+    readable_files,
+    selected_frames,
     selection,
     to_json,
-    wanted_from,
+    with_first_pass,
 )
 from lynxscale.trace import records as r
 from lynxscale.trace.merge import Merge
 from lynxscale.trace.reader import NotATraceError, Reader, follow
-from lynxscale.trace.select import Wanted, kept, message_of
-from lynxscale.trace.view import iso, life, objects
+from lynxscale.trace.select import RecordFilter, matching_parts, message_of
+from lynxscale.trace.view import iso, message_history, objects
 
-FOLLOW_EVERY = 0.25  # seconds between two looks at a live file
+FOLLOW_EVERY_S = 0.25  # interval of reading a live file
 
 
 @example("lynxscale trace info relay-a.lxt")
@@ -44,14 +44,14 @@
 @files
 @to_json
 def info(files: tuple[str, ...], as_json: bool) -> None:
-    """Tell each file's version, size, times, relays, classes and tenants."""
-    losses, told = Losses(), []
-    for path in checked(files):
-        told.append(_info(path, losses))
+    """Show the version, size, times, relays, classes and tenants of each file."""
+    losses, rows = Losses(), []
+    for path in readable_files(files):
+        rows.append(_info(path, losses))
     if as_json:
-        write_json(told)
+        write_json(rows)
         return
-    for row in told:
+    for row in rows:
         click.echo(f"{row['file']}")
         for name, value in row.items():
             if name != "file":
@@ -109,24 +109,26 @@
 @group.command()
 @files
 @selection
-@click.option("--follow", "-f", "following", is_flag=True, help="Go on as one live file grows, until it is closed.")
-def dump(files: tuple[str, ...], following: bool, **words: Any) -> None:
-    """Print records in order of time, one JSON object a line."""
-    wanted, paths = wanted_from(**words), checked(files)
+@click.option(
+    "--follow", "-f", "following", is_flag=True, help="Follow one file that is being written, until it is closed."
+)
+def dump(files: tuple[str, ...], following: bool, **options: Any) -> None:
+    """Print records in order of time, as one JSON object per line."""
+    wanted, paths = filter_from(**options), readable_files(files)
     if following:
-        if len(paths) != 1 or wanted.two_passes:
+        if len(paths) != 1 or wanted.needs_first_pass:
             raise InvalidUsageError("--follow wants one file, and neither --endpoint nor --outcome")
 
         def wait() -> None:
             sys.stdout.flush()
-            time.sleep(FOLLOW_EVERY)
+            time.sleep(FOLLOW_EVERY_S)
 
         source: Any = follow(paths[0], wait)
     else:
-        wanted = gathered(wanted, paths)
-        source = frames_of(paths, wanted, Losses())
+        wanted = with_first_pass(wanted, paths)
+        source = selected_frames(paths, wanted, Losses())
     for frame in source:
-        for part in kept(frame, wanted):
+        for part in matching_parts(frame, wanted):
             for row in objects(part):
                 write_line(row)
 
@@ -137,23 +139,23 @@
 @files
 @to_json
 def message(id: str, files: tuple[str, ...], as_json: bool) -> None:
-    """Tell the life of one message over all the files, in order."""
-    paths = checked(files)
-    wanted = Wanted(ids=frozenset((id,)))
+    """Show the history of one message in all files, in order of time."""
+    paths = readable_files(files)
+    wanted = RecordFilter(ids=frozenset((id,)))
     found = [
         part
-        for frame in progress(Merge(paths, Losses(), wanted.block, id), "looking")
-        for part in kept(frame, wanted)
+        for frame in progress(Merge(paths, Losses(), wanted.may_match_block, id), "looking")
+        for part in matching_parts(frame, wanted)
         if any(message_of(*record) for record in part.records)
     ]
     if not found:
         raise CommandFailedError(f"{id}: no record of this message is in the files")
-    zero = found[0].unix
+    start = found[0].unix
     if as_json:
         write_json([row for part in found for row in objects(part) if row.get("id") == id])
         return
     for part in found:
-        for line in life(part, id, zero):
+        for line in message_history(part, id, start):
             click.echo(line)
 
 
@@ -162,28 +164,28 @@
 @files
 @selection
 @click.option("--by", default="class", help="Columns: some of class, tenant, destination.")
-@click.option("--window", default="", help="Rows for each stretch of this length, such as 10s.")
+@click.option("--window", default="", help="One set of rows per time window of this length, such as 10s.")
 @click.option("--plot", type=click.Path(dir_okay=False), help="Also draw a page: a .png or .svg file (plots extra).")
 @to_json
-def summarise(files: tuple[str, ...], by: str, window: str, plot: str | None, as_json: bool, **words: Any) -> None:
-    """Count messages, ends, tries and worth, with percentiles of latency (ms), by class, tenant and destination."""
+def summarise(files: tuple[str, ...], by: str, window: str, plot: str | None, as_json: bool, **options: Any) -> None:
+    """Count messages, final statuses, attempts and worth by class, tenant or destination, with latency percentiles."""
     from lynxscale.relay.conf.directive import TIMES, amount
-    from lynxscale.trace.summary import BY, Summariser, TooManyRowsError
+    from lynxscale.trace.summary import GROUP_COLUMNS, Summariser, TooManyRowsError
 
     columns = tuple(name for name in by.split(",") if name)
-    if not set(columns) <= set(BY):
-        raise InvalidUsageError(f"--by: want some of {', '.join(BY)}, not {by}")
+    if not set(columns) <= set(GROUP_COLUMNS):
+        raise InvalidUsageError(f"--by: want some of {', '.join(GROUP_COLUMNS)}, not {by}")
     try:
         span = amount(window, TIMES) if window else 0
     except ValueError as error:
         raise InvalidUsageError(f"--window: want a time such as 10s, not {window}") from error
     if plot is not None and Path(plot).suffix not in (".png", ".svg"):
         raise InvalidUsageError(f"--plot: want a .png or .svg file, not {plot}")
-    paths = checked(files)
-    wanted = gathered(wanted_from(**words), paths)
+    paths = readable_files(files)
+    wanted = with_first_pass(filter_from(**options), paths)
     summary = Summariser(columns, span, wanted)
     try:
-        for frame in progress(frames_of(paths, wanted, Losses()), "summarising"):
+        for frame in progress(selected_frames(paths, wanted, Losses()), "summarising"):
             summary.add(frame)
     except TooManyRowsError as error:
         raise InvalidUsageError(str(error)) from error
@@ -231,10 +233,10 @@
 
 def _plot(path: Path, rows: list[dict], columns: tuple[str, ...]) -> None:
     try:
-        from lynxscale.trace.plot import page
+        from lynxscale.trace.plot import draw_page
     except ImportError as error:
         raise InvalidUsageError("--plot: want the plots extra: pip install 'lynxscale[plots]'") from error
-    page(path, rows, columns)
+    draw_page(path, rows, columns)
 
 
 @example("lynxscale trace verify relay-a/*.lxt")
@@ -243,10 +245,10 @@
 @to_json
 @click.pass_context
 def verify(ctx: click.Context, files: tuple[str, ...], as_json: bool) -> None:
-    """Read every byte of each file; exit code 1 where something is damaged or missing.
+    """Read every byte of each file; exit code 1 if one is damaged or cannot be read.
 
-    An end that is cut off, as a crash leaves it, is told and is no damage. Numbers of records that are missing in the
-    middle of a file are told too: they are gone from a cut file, or were dropped by the recorder.
+    A truncated end, as left by a crash, is shown but is not damage. Gaps in the sequence numbers of a file are shown
+    too: those records were cut out, or dropped by the recorder.
     """
     rows, damaged = [], False
     for path in trace_files(files):
--- a/lynxscale/cli/trace/write.py
+++ b/lynxscale/cli/trace/write.py
@@ -14,20 +14,20 @@
 )
 from lynxscale.cli.exceptions import InvalidUsageError
 from lynxscale.cli.trace.shared import (
-    checked,
     files,
-    frames_of,
-    gathered,
+    filter_from,
     group,
     open_reader,
+    readable_files,
+    selected_frames,
     selection,
     to_file,
-    wanted_from,
+    with_first_pass,
 )
 from lynxscale.trace import anonymise as anon
 from lynxscale.trace.exceptions import InvalidKeyError
 from lynxscale.trace.merge import Merge
-from lynxscale.trace.select import kept
+from lynxscale.trace.select import matching_parts
 from lynxscale.trace.writer import Output
 
 
@@ -36,14 +36,14 @@
 @files
 @selection
 @to_file
-def cut(files: tuple[str, ...], output: str, **words: Any) -> None:
-    """Write the records that are wanted to a file; only blocks that may hold any are read."""
-    paths = checked(files)
+def cut(files: tuple[str, ...], output: str, **options: Any) -> None:
+    """Write the selected records to a file; blocks that hold none of them are not read."""
+    paths = readable_files(files)
     target, losses = output_file(output, paths), Losses()
-    wanted = gathered(wanted_from(**words), paths)
+    wanted = with_first_pass(filter_from(**options), paths)
     with Output(target) as out:
-        for frame in progress(frames_of(paths, wanted, losses), "cutting"):
-            for part in kept(frame, wanted):
+        for frame in progress(selected_frames(paths, wanted, losses), "cutting"):
+            for part in matching_parts(frame, wanted):
                 out.put(part)
     click.echo(f"{target}: {out.records} records in {out.frames} frames")
 
@@ -53,14 +53,14 @@
 @files
 @to_file
 def merge(files: tuple[str, ...], output: str) -> None:
-    """Join files into one, ordered by time; what several files hold is written once."""
-    paths = checked(files)
+    """Merge files into one, ordered by time; records that several files hold are written once."""
+    paths = readable_files(files)
     target, losses = output_file(output, paths), Losses()
     stream = Merge(paths, losses)
     with Output(target) as out:
         for frame in progress(stream, "merging"):
             out.put(frame)
-    click.echo(f"{target}: {out.records} records of {len(paths)} files, {stream.doubles} doubles left out")
+    click.echo(f"{target}: {out.records} records of {len(paths)} files, {stream.duplicates} duplicates left out")
 
 
 @example(
@@ -74,20 +74,20 @@
 def anonymise(files: tuple[str, ...], output: str, key_file: str) -> None:
     """Write files without the names of tenants, messages, endpoints, addresses, relays and destinations.
 
-    The same key gives the same name in every file. Keep the key: who has it can try names.
+    The same key gives the same name in every file. Keep the key secret: whoever has it can test guessed names.
     """
     try:
         key = anon.read_key(key_file)
     except InvalidKeyError as error:
         raise InvalidUsageError(str(error)) from error
-    paths = checked(files)
+    paths = readable_files(files)
     target, losses = output_file(output, paths), Losses()
     names = anon.Anonymiser(key)
     with Output(target) as out:
         for frame in progress(Merge(paths, losses), "anonymising"):
             for part in names.frames(frame):
                 out.put(part)
-    left = f", {names.left_out} of unknown form left out" if names.left_out else ""
+    left = f", {names.skipped} of unknown form left out" if names.skipped else ""
     click.echo(f"{target}: {out.records} records{left}")
 
 
@@ -97,8 +97,8 @@
 @to_file
 @click.option("--to-version", type=click.IntRange(1, 2), default=2, show_default=True)
 def convert(file: str, output: str, to_version: int) -> None:
-    """Write a file in another version of the format; nothing is lost either way."""
-    path = checked((file,))[0]
+    """Write a file in another version of the format, without loss in either direction."""
+    path = readable_files((file,))[0]
     target, losses = output_file(output, [path]), Losses()
     with open_reader(path) as reader:
         with Output(target, to_version, reader.head.created, reader.head.writer) as out:
@@ -113,11 +113,11 @@
 @group.command()
 @files
 def reindex(files: tuple[str, ...]) -> None:
-    """Write each file anew in its place, with every record that can be read and an index.
+    """Rewrite each file in place, with all readable records and an index.
 
-    A file that its relay still writes is left alone: this is for those that a crash left behind.
+    Use it for files left by a crash, not for a file that its relay still writes.
     """
-    for path in checked(files):
+    for path in readable_files(files):
         losses = Losses()
         with open_reader(path) as reader:
             if reader.head.major == 1:
--- a/lynxscale/trace/__init__.py
+++ b/lynxscale/trace/__init__.py
@@ -1,6 +1,7 @@
-"""Traces: what the relay saw and decided, in compact files, and the tools that read them.
+"""Compact binary traces of what the relay saw and decided, and the tools that read them.
 
-``fields`` and ``records`` turn values into bytes; ``frames`` gathers the records of one turn of the loop; ``v1`` and
-``v2`` are the two containers; ``reader`` opens either. ``recorder`` is the daemon's port and ``rotation`` its files.
-The format is specified to the byte in docs/design/trace.md. Nothing here is imported by a daemon without a trace.
+``fields`` encodes single values and ``records`` lists the record types; ``frames`` encodes the records of one turn of
+the event loop. ``head`` and ``v2`` hold the containers of versions 1 and 2; ``reader`` opens either. ``recorder``
+implements the trace port of the daemon, and ``rotation`` manages its files. docs/design/trace.md specifies the format
+byte by byte. A daemon without a trace imports none of these modules.
 """
--- a/lynxscale/trace/component.py
+++ b/lynxscale/trace/component.py
@@ -1,4 +1,4 @@
-"""The recorder as a part of a relay."""
+"""The relay component that owns the trace recorder."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class TraceComponent(Component):
-    """Owns the recorder, and stops it with the relay."""
+    """Creates the recorder, and stops it with the relay."""
 
     def __init__(self, context: ComponentContext) -> None:
         conf = context.conf
@@ -27,5 +27,5 @@
         )
 
     def stop(self) -> None:
-        """Part of Component: write what is pending and close the file."""
+        """Write the pending records and close the trace file."""
         self._recorder.stop(self._loop.now(), len(self._relay.pending))
--- a/lynxscale/trace/exceptions.py
+++ b/lynxscale/trace/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the trace's formats and tools."""
+"""Errors of the trace formats and tools."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class TraceError(LynxscaleError):
-    """Base of every error that the trace raises itself."""
+    """Base of all errors that this package raises."""
 
 
 class MalformedDataError(TraceError, ValueError):
-    """Bytes that end inside a field, or are no field, record or frame; the text says which."""
+    """Bytes that are truncated or are not a valid field, record or frame; the message says which."""
 
 
 class InvalidKeyError(TraceError):
-    """The key file is invalid; the text names it and what is wanted."""
+    """The key file is invalid; the message names the file and the required length."""
--- a/lynxscale/trace/frames.py
+++ b/lynxscale/trace/frames.py
@@ -1,8 +1,8 @@
-"""Frames: the records of one turn of one relay's loop, as bytes and back.
+"""Encodes and decodes frames: the records of one turn of the event loop of one relay.
 
-A frame's payload is the number of its source, its time and first record's sequence number (each from the base of
-the container), and records: a type, a length, fields. Names, anchors and messages that the reader cannot know yet
-go before the records that need them; they are context and have no sequence number.
+A payload holds the number of its source, its time and the sequence number of its first record (both relative to the
+base of the container), then records of a type, a length and fields. Names, clock anchors and message descriptions
+precede the first record that refers to them; these are context records and have no sequence number.
 """
 
 from __future__ import annotations
@@ -26,23 +26,23 @@
     put_uint,
 )
 
-FRAME_MOST = 1 << 24  # bytes of a payload: guards against a flipped length by which a reader would take all memory
-FLOATS_MOST = 1 << 16
+MAX_PAYLOAD_BYTES = 1 << 24  # keeps a corrupted length from exhausting the memory of a reader
+MAX_FLOATS = 1 << 16
 
 
 class Frame(NamedTuple):
-    """What one turn gave. ``offset`` is Unix time less ``time``, in µs; None where no anchor is known."""
+    """The records of one turn. ``offset`` is Unix time minus ``time``, in µs; None if no anchor is known."""
 
     source: str  # relay/process
-    time: int  # µs on that process's monotonic clock
-    seq: int  # of the first record, counted from the process's start
+    time: int  # µs on the monotonic clock of the process
+    seq: int  # sequence number of the first record, counted from the start of the process
     offset: int | None
     records: list[tuple[int, Any]]
-    names: dict[int, dict[int, Any]] | None = None  # where a record's type is unknown: all that it may refer to
+    names: dict[int, dict[int, Any]] | None = None  # if a record type is unknown: every name that it may refer to
 
     @property
     def unix(self) -> int:
-        """Unix time in µs; the monotonic time where there is no anchor."""
+        """Unix time in µs; the monotonic time if there is no anchor."""
         return self.time + (self.offset or 0)
 
 
@@ -50,23 +50,25 @@
 
 
 class Encoder:
-    """Makes payloads. What it has named since ``reset`` is not named again."""
+    """Encodes payloads. A name is written only once between two calls of ``reset``."""
 
     def __init__(self) -> None:
         self._sources: dict[str, int] = {}
         self.reset()
 
     def reset(self) -> None:
-        """What comes next may be read by itself."""
-        self._known: dict[int, list[dict[int, Any]]] = {}  # by source and table, messages last
+        """Forget the written names, so that the following payloads can be decoded on their own."""
+        self._known: dict[
+            int, list[dict[int, Any]]
+        ] = {}  # written names, by source and table; the last table holds messages
         self._anchors: dict[int, int] = {}
-        self.fresh: list[r.Msg] = []  # messages named since then
-        self.told_context = False  # of types that a block's summary tells of
+        self.new_messages: list[r.Msg] = []  # messages described since the last reset
+        self.has_context = False  # whether a record of a type in ``records.CONTEXT`` was encoded
 
     def payload(self, frame: Frame, base_time: int = 0, base_seq: int = 0) -> bytes:
-        """A frame's bytes.
+        """Encode a frame.
 
-        Raises ValueError where a value does not fit its field.
+        Raises ValueError if a value does not fit its field.
         """
         name, time, seq, offset, records, names = frame
         source = self._sources.get(name)
@@ -79,17 +81,17 @@
         known = self._known.get(source)
         if known is None:
             known = self._known[source] = [{} for _ in range(len(r.TABLES) + 1)]
-            self.name(r.SOURCE, (source, name), {})
+            self.write_name(r.SOURCE, (source, name), {})
         if offset is not None and self._anchors.get(source) != offset:
             self._anchors[source] = offset
             part = bytearray()
             put_int(part, offset)
-            self._context(r.ANCHOR, part)
+            self._write_context(r.ANCHOR, part)
         self.known = known
         if names is not None:
             for table, rows in names.items():
                 for row in rows.values():
-                    self.message(row) if table < 0 else self.name(table, row, known[table])
+                    self.write_message(row) if table < 0 else self.write_name(table, row, known[table])
         body = bytearray()
         for number, values in records:
             if number < 0x80:
@@ -112,35 +114,35 @@
                 body[start - 1 : start] = length
         return bytes(out + body)
 
-    def _context(self, number: int, part: bytearray) -> None:
+    def _write_context(self, number: int, part: bytearray) -> None:
         self.head.append(number)
         put_uint(self.head, len(part))
         self.head += part
 
-    def name(self, table: int, handle: r.Handle, known: dict[int, Any]) -> None:
-        """Tell a handle's text, if it has one and this is not known."""
+    def write_name(self, table: int, handle: r.Handle, known: dict[int, Any]) -> None:
+        """Write the name of a handle, if it has one that was not written yet."""
         number, text = handle
         if text and known.get(number, ("", ""))[1] != text:
             known[number] = handle
             part = bytearray([table])
             put_uint(part, number)
             put_text(part, text)
-            self._context(r.NAME, part)
+            self._write_context(r.NAME, part)
 
-    def message(self, msg: r.Msg) -> None:
-        """Tell a message's id and what it is, if it has an id and this is not known."""
+    def write_message(self, msg: r.Msg) -> None:
+        """Write the description of a message, if it has an id and was not described yet."""
         if msg.id and self.known[-1].get(msg.number) != msg:
             self.known[-1][msg.number] = msg
-            self.name(r.CLASS, msg.cls, self.known[r.CLASS])
-            self.name(r.TENANT, msg.tenant, self.known[r.TENANT])
+            self.write_name(r.CLASS, msg.cls, self.known[r.CLASS])
+            self.write_name(r.TENANT, msg.tenant, self.known[r.TENANT])
             part = bytearray()
             put_uint(part, msg.number)
             put_text(part, msg.id)
             put_uint(part, msg.cls[0])
             put_uint(part, msg.tenant[0])
             put_uint(part, msg.dest)
-            self._context(r.MSG, part)
-            self.fresh.append(msg)
+            self._write_context(r.MSG, part)
+            self.new_messages.append(msg)
 
 
 def _put_members(encoder: Encoder, out: bytearray, rows: Any) -> None:
@@ -148,7 +150,7 @@
     known = encoder.known
     for row in rows:
         for table, handle in ((r.ENDPOINT, row.endpoint), (r.ZONE, row.zone), (r.KIND, row.kind)):
-            encoder.name(table, handle, known[table])
+            encoder.write_name(table, handle, known[table])
         put_uint(out, row.endpoint[0])
         put_uint(out, row.lifecycle)
         put_uint(out, row.dest)
@@ -158,36 +160,36 @@
         put_text(out, row.address)
 
 
-# How a field of each kind is written, as source: a record's fields are one function, made once. The daemon writes
-# five records a message, and a call a field took half of the time. ``v`` is the value, ``n`` a number to write.
-_UINT = "if 0 <= n < 128: out.append(n)\nelse: put_uint(out, n)"
+# Source text that writes a field, by kind of field. One function per record type is compiled from it at import: the
+# daemon writes five records a message, and one call per field doubled the cost. ``v`` is the value, ``n`` a number.
+_PUT_UINT = "if 0 <= n < 128: out.append(n)\nelse: put_uint(out, n)"
 _PUT = {
-    "u": f"n = v\n{_UINT}",
+    "u": f"n = v\n{_PUT_UINT}",
     "i": "put_int(out, v)",
     "t": "put_text(out, v)",
     "b": "out.append(1 if v else 0)",
     "x": "if v: put_ms(out, v)\nelse: out.append(0)",
     "a": "put_ms(out, v, time)",
     "f": "put_float(out, v)",
-    "F": f"n = len(v)\n{_UINT}\nif n: out += PACK[n](*v) if n < 5 else pack(f'<{{n}}d', *v)",
+    "F": f"n = len(v)\n{_PUT_UINT}\nif n: out += PACK[n](*v) if n < 5 else pack(f'<{{n}}d', *v)",
     "L": "put_members(encoder, out, v)",
-    "M": f"n = v[0]\nif known[-1].get(n) is not v: encoder.message(v)\n{_UINT}",
+    "M": f"n = v[0]\nif known[-1].get(n) is not v: encoder.write_message(v)\n{_PUT_UINT}",
 } | {
-    kind: f"n = v[0]\nif known[{table}].get(n) is not v: encoder.name({table}, v, known[{table}])\n{_UINT}"
+    kind: f"n = v[0]\nif known[{table}].get(n) is not v: encoder.write_name({table}, v, known[{table}])\n{_PUT_UINT}"
     for kind, table in r.TABLE_OF.items()
 }
 
 
-def _compiled(one: r.Type) -> Callable:
-    """The function that writes one type's record: its known fields, as many as there are, then what is behind them."""
+def _compile_writer(record_type: r.Type) -> Callable:
+    """Compile the function that writes the fields of one record type, and then any unknown bytes after them."""
     lines = ["def put(encoder, out, values, known, time):", "    count = len(values)"]
-    if one.number in r.CONTEXT:
-        lines.append("    encoder.told_context = True")
-    for place, (_name, kind) in enumerate(one.fields):
-        lines += [f"    if count == {place}: return", f"    v = values[{place}]"]
+    if record_type.number in r.CONTEXT:
+        lines.append("    encoder.has_context = True")
+    for index, (_name, kind) in enumerate(record_type.fields):
+        lines += [f"    if count == {index}: return", f"    v = values[{index}]"]
         lines += [f"    {line}" for line in _PUT[kind].split("\n")]
-    lines.append(f"    if count > {len(one.fields)}: out += values[-1]")
-    space: dict[str, Any] = {
+    lines.append(f"    if count > {len(record_type.fields)}: out += values[-1]")
+    namespace: dict[str, Any] = {
         "put_uint": put_uint,
         "put_int": put_int,
         "put_text": put_text,
@@ -197,45 +199,45 @@
         "pack": struct.pack,
         "PACK": [struct.Struct(f"<{count}d").pack for count in range(5)],
     }
-    exec("\n".join(lines), space)  # the text is made of the constants above alone
-    return space["put"]
+    exec("\n".join(lines), namespace)  # built only from the constants above
+    return namespace["put"]
 
 
-PUT_RECORD = {one.number: _compiled(one) for one in r.TYPES}
+PUT_RECORD = {one.number: _compile_writer(one) for one in r.TYPES}
 
 
 # Reading ---------------------------------------------------------------------------------------------
 
 
 class Decoder:
-    """Takes payloads apart; keeps the names that they tell until ``reset``."""
+    """Decodes payloads, and keeps the names in them until ``reset``."""
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Forget all names: what comes next was written to be read by itself."""
+        """Forget all names; the following payloads do not depend on earlier ones."""
         self._tables: dict[int, dict[int, dict[int, Any]]] = {}
         self._anchors: dict[int, int] = {}
         self._names: dict[int, dict[int, Any]] = {}
         self._time = 0
 
     def head(self, payload: bytes, base_time: int = 0, base_seq: int = 0) -> tuple[int, int, int, int]:
-        """Source, time, sequence number and the offset of what follows."""
+        """Return the number of the source, the time, the sequence number and the offset of the first record."""
         source, at = get_uint(payload, 0)
         time, at = get_int(payload, at)
         seq, at = get_int(payload, at)
         return source, time + base_time, seq + base_seq, at
 
     def frame(self, payload: bytes, base_time: int = 0, base_seq: int = 0) -> Frame:
-        """The frame in these bytes.
+        """Decode a frame.
 
-        Raises MalformedDataError where they are none.
+        Raises MalformedDataError if the payload is invalid.
         """
         source, self._time, seq, at = self.head(payload, base_time, base_seq)
         names = self._names = self._tables.setdefault(source, {table: {} for table in range(-1, len(r.TABLES))})
         found: list[tuple[int, Any]] = []
-        strange = False
+        has_unknown = False
         size = len(payload)
         time = self._time
         while at < size:
@@ -260,29 +262,29 @@
                     values.append(payload[at:end])
                 found.append((number, values))
             elif number == r.NAME:
-                self._name(payload, at, source)
+                self._read_name(payload, at, source)
             elif number == r.MSG:
-                self._message(payload, at)
+                self._read_message(payload, at)
             elif number == r.ANCHOR:
                 self._anchors[source] = get_int(payload, at)[0]
             else:
-                strange = True
+                has_unknown = True
                 found.append((number, payload[at:end]))
             at = end
         if source not in names[r.SOURCE]:
-            raise MalformedDataError("its relay is not named, as what was before it is damaged")
+            raise MalformedDataError("its relay is not named, because the frames before it are damaged")
         origin = names[r.SOURCE][source][1]
-        kept = {table: dict(rows) for table, rows in names.items() if table != r.SOURCE} if strange else None
-        return Frame(origin, self._time, seq, self._anchors.get(source), found, kept)
+        tables = {table: dict(rows) for table, rows in names.items() if table != r.SOURCE} if has_unknown else None
+        return Frame(origin, self._time, seq, self._anchors.get(source), found, tables)
 
-    def _name(self, payload: bytes, at: int, source: int) -> None:
+    def _read_name(self, payload: bytes, at: int, source: int) -> None:
         table, at = get_uint(payload, at)
         number, at = get_uint(payload, at)
         text, at = get_text(payload, at)
         if table < len(r.TABLES):
             self._names[table][number] = (number, text)
 
-    def _message(self, payload: bytes, at: int) -> None:
+    def _read_message(self, payload: bytes, at: int) -> None:
         number, at = get_uint(payload, at)
         id_, at = get_text(payload, at)
         cls, at = get_uint(payload, at)
@@ -295,7 +297,7 @@
 
 
 def _get_floats(data: bytes, at: int, count: int) -> tuple[tuple[float, ...], int]:
-    if count > FLOATS_MOST:
+    if count > MAX_FLOATS:
         raise MalformedDataError("too many numbers")
     try:
         return struct.unpack_from(f"<{count}d", data, at), at + 8 * count
@@ -328,30 +330,33 @@
     return rows, at
 
 
-# How a field of each kind is read, as source: as with writing, one function a type. ``n`` is a number read.
-_NUMBER = "n = data[at]\nif n < 128: at += 1\nelse: n, at = get_uint(data, at)"
+# Source text that reads a field, by kind of field; compiled into one function per record type. ``n`` is the value read.
+_GET_UINT = "n = data[at]\nif n < 128: at += 1\nelse: n, at = get_uint(data, at)"
 _GET = {
-    "u": f"{_NUMBER}\nadd(n)",
+    "u": f"{_GET_UINT}\nadd(n)",
     "i": "n, at = get_int(data, at)\nadd(n)",
     "t": "n, at = get_text(data, at)\nadd(n)",
-    "b": f"{_NUMBER}\nadd(n != 0)",
+    "b": f"{_GET_UINT}\nadd(n != 0)",
     "x": "if data[at]: n, at = get_ms(data, at)\nelse: n = 0.0; at += 1\nadd(n)",
     "a": "n, at = get_ms(data, at, time)\nadd(n)",
     "f": "n, at = get_float(data, at)\nadd(n)",
-    "F": f"{_NUMBER}\nif n: n, at = get_floats(data, at, n)\nelse: n = ()\nadd(n)",
+    "F": f"{_GET_UINT}\nif n: n, at = get_floats(data, at, n)\nelse: n = ()\nadd(n)",
     "L": "n, at = get_members(data, at, names)\nadd(n)",
-    "M": f"{_NUMBER}\nadd(names[-1].get(n) or Msg(n, '', UNKNOWN, UNKNOWN, 0))",
-} | {kind: f"{_NUMBER}\nadd(names[{table}].get(n) or (n, ''))" for kind, table in r.TABLE_OF.items()}
+    "M": f"{_GET_UINT}\nadd(names[-1].get(n) or Msg(n, '', UNKNOWN, UNKNOWN, 0))",
+} | {kind: f"{_GET_UINT}\nadd(names[{table}].get(n) or (n, ''))" for kind, table in r.TABLE_OF.items()}
 
 
-def _compiled_get(one: r.Type) -> Callable:
-    """The function that reads one type's fields up to ``end``: fewer than are known where it was written before."""
+def _compile_reader(record_type: r.Type) -> Callable:
+    """Compile the function that reads the fields of one record type, up to ``end``.
+
+    A record of an earlier version may have fewer fields than this version knows.
+    """
     lines = ["def get(data, at, end, names, time):", "    values = []", "    add = values.append"]
-    for _name, kind in one.fields:
+    for _name, kind in record_type.fields:
         lines.append("    if at >= end: return values, at")
         lines += [f"    {line}" for line in _GET[kind].split("\n")]
     lines.append("    return values, at")
-    space: dict[str, Any] = {
+    namespace: dict[str, Any] = {
         "get_uint": get_uint,
         "get_int": get_int,
         "get_text": get_text,
@@ -362,8 +367,8 @@
         "Msg": r.Msg,
         "UNKNOWN": r.UNKNOWN,
     }
-    exec("\n".join(lines), space)  # the text is made of the constants above alone
-    return space["get"]
+    exec("\n".join(lines), namespace)  # built only from the constants above
+    return namespace["get"]
 
 
-GET_RECORD = {one.number: _compiled_get(one) for one in r.TYPES}
+GET_RECORD = {one.number: _compile_reader(one) for one in r.TYPES}
--- a/lynxscale/trace/reader.py
+++ b/lynxscale/trace/reader.py
@@ -1,6 +1,7 @@
-"""Opens a trace of either version, whole, cut off, damaged or still being written, and gives its frames in order.
+"""Reads the frames of a trace file of either version: complete, truncated, damaged or still being written.
 
-Memory is one block's, whatever the file's size. What cannot be read is a ``Loss``, with the times round it.
+A reader holds one block in memory, regardless of the size of the file. Each range that cannot be read is reported as a
+``Loss``, with the times of the readable frames around it.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from lynxscale.trace import head as h
 from lynxscale.trace import v2
 from lynxscale.trace.exceptions import MalformedDataError
-from lynxscale.trace.frames import FRAME_MOST, Decoder, Frame
+from lynxscale.trace.frames import MAX_PAYLOAD_BYTES, Decoder, Frame
 from lynxscale.trace.head import NotATraceError
 
-WINDOW = 1 << 18  # bytes read at once where a file is looked through
-# Looks at a live file in which something cannot be read, until what is behind that is given: guards against a block
-# that is being sealed just then, of which old and new bytes were seen. What is damaged stays so.
-PATIENCE = 8
+READ_BYTES = 1 << 18  # size of one read while a file is scanned
+# How often ``follow`` reads a live file again before it yields the frames after an unreadable range. A block that is
+# being sealed may be seen half old, half new, and is readable on a later attempt; real damage stays.
+MAX_RETRIES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """Bytes of a file that are no records: where, how many, and the Unix times (µs) of what is whole around them."""
+    """A range of a file that could not be read, and the Unix times (µs) of the readable frames around it."""
 
     path: str
     offset: int
@@ -32,32 +33,32 @@
     reason: str
     after: int | None = None
     before: int | None = None
-    torn: bool = False  # at the file's end, as a crash or a writer at work leaves it
+    torn: bool = False  # at the end of the file, as left by a crash or by a write in progress
 
 
 Select = Callable[[v2.Summary], bool]
 
 
 class Reader:
-    """One file. ``select`` may pass over blocks by their summary; a block without one is always read.
+    """Reads one file.
 
-    Raises NotATraceError where the file is none, OSError where it cannot be read.
+    Raises NotATraceError if the file is not a trace, OSError if it cannot be read.
     """
 
     def __init__(self, path: str | Path) -> None:
         self.path = str(path)
         self._file = open(path, "rb")  # noqa: SIM115 - closed by ``close``
         try:
-            self.head = h.read_head(os.pread(self._file.fileno(), h.HEAD_MOST, 0))
+            self.head = h.read_head(os.pread(self._file.fileno(), h.MAX_HEAD_BYTES, 0))
         except BaseException:
             self._file.close()
             raise
         self.losses: list[Loss] = []
-        self.lost = 0  # of them, also those beyond the list
+        self.loss_count = 0  # all losses, also those that ``losses`` has no room for
         self.indexed = False
-        self._last: int | None = None  # Unix time of the last frame that was whole
-        self._waiting: Loss | None = None  # the loss that what comes next is after
-        self.resume = (self.head.size, -1)  # offset of the latest block, and the number before it
+        self._last: int | None = None  # Unix time of the last readable frame
+        self._pending_loss: Loss | None = None  # the latest loss, until the next readable frame is known
+        self.resume = (self.head.size, -1)  # offset of the latest block, and the number of the block before it
 
     def close(self) -> None:
         """Close the file."""
@@ -71,94 +72,99 @@
 
     @property
     def size(self) -> int:
-        """The present size of the file, in bytes."""
+        """The current size of the file, in bytes."""
         return os.fstat(self._file.fileno()).st_size
 
     def frames(self, select: Select | None = None, id_: str | None = None) -> Iterator[Frame]:
-        """Every frame, in the file's order; with ``id_`` at least those that may name that message."""
-        self.losses, self.lost, self._last, self._waiting = [], 0, None, None
+        """Yield the frames in file order.
+
+        Blocks are skipped if ``select`` rejects their summary, or if they cannot hold the message ``id_``. A block
+        without a readable summary is always read.
+        """
+        self.losses, self.loss_count, self._last, self._pending_loss = [], 0, None, None
         self.resume = (self.head.size, -1)
-        source = self._frames1() if self.head.major == 1 else self._frames2(select, id_)
+        source = self._frames_v1() if self.head.major == 1 else self._frames_v2(select, id_)
         for frame in source:
-            self._settle(frame.unix)
+            self._finish_loss(frame.unix)
             self._last = frame.unix
             yield frame
-        self._settle(None)
+        self._finish_loss(None)
 
     @property
     def damaged(self) -> bool:
-        """Something could not be read so far."""
-        return self.lost > 0 or self._waiting is not None
+        """Whether any range could not be read so far."""
+        return self.loss_count > 0 or self._pending_loss is not None
 
     # Losses --------------------------------------------------------------------------------------
 
-    def _lose(
+    def _add_loss(
         self, offset: int, size: int, reason: str, torn: bool = False, span: tuple[int, int] | None = None
     ) -> None:
         if size <= 0:
             return
-        if (before := self._waiting) is not None and before.offset + before.size == offset:
-            # One hole, though its parts were found one after the other.
-            self._waiting = replace(before, size=before.size + size, torn=torn)
+        if (before := self._pending_loss) is not None and before.offset + before.size == offset:
+            # Adjacent unreadable ranges are one loss.
+            self._pending_loss = replace(before, size=before.size + size, torn=torn)
             return
-        self._settle(None)
+        self._finish_loss(None)
         after, before = span or (self._last, None)
-        self._waiting = Loss(self.path, offset, size, reason, after, before, torn)
+        self._pending_loss = Loss(self.path, offset, size, reason, after, before, torn)
 
-    def _settle(self, unix: int | None) -> None:
-        if self._waiting is not None:
-            loss, self._waiting = self._waiting, None
-            self.lost += 1
-            if len(self.losses) < 1000:  # guards against a list as long as a file of noise
+    def _finish_loss(self, unix: int | None) -> None:
+        if self._pending_loss is not None:
+            loss, self._pending_loss = self._pending_loss, None
+            self.loss_count += 1
+            if len(self.losses) < 1000:  # bounds the list for a file of random bytes
                 self.losses.append(replace(loss, before=unix) if loss.before is None else loss)
 
     # Version 1 -----------------------------------------------------------------------------------
 
-    def _frames1(self) -> Iterator[Frame]:
-        yield from self._plain(self.head.size, self.size, Decoder(), 0, 0)
+    def _frames_v1(self) -> Iterator[Frame]:
+        yield from self._frames_between(self.head.size, self.size, Decoder(), 0, 0)
 
-    def _plain(self, start: int, end: int, decoder: Decoder, base_time: int, base_seq: int) -> Iterator[Frame]:
-        """The frames between two offsets, as they stand in version 1 and in an open block."""
-        buffer, at, whole = b"", start, 0  # ``at``: the offset of the buffer's first byte
+    def _frames_between(self, start: int, end: int, decoder: Decoder, base_time: int, base_seq: int) -> Iterator[Frame]:
+        """Yield the uncompressed frames between two offsets, as in a file of version 1 or an open block."""
+        # ``at``: offset of the buffer in the file; ``position``: offset of the next frame in the buffer.
+        buffer, at, position = b"", start, 0
         read_to = start
         while True:
-            payload = h.whole_frame(buffer, whole)
+            payload = h.complete_frame(buffer, position)
             if payload is None:
-                want = h.FRAME.size
-                if buffer[whole : whole + 2] == h.FRAME_MARK and len(buffer) >= whole + h.FRAME.size:
-                    size = h.FRAME.unpack_from(buffer, whole)[1]
-                    want += min(size, FRAME_MOST)
-                if read_to < end and len(buffer) - whole < want:
-                    more = os.pread(self._file.fileno(), max(WINDOW, want), read_to)[: end - read_to]
+                needed = h.FRAME_HEADER.size
+                if buffer[position : position + 2] == h.FRAME_MARK and len(buffer) >= position + h.FRAME_HEADER.size:
+                    size = h.FRAME_HEADER.unpack_from(buffer, position)[1]
+                    needed += min(size, MAX_PAYLOAD_BYTES)
+                if read_to < end and len(buffer) - position < needed:
+                    more = os.pread(self._file.fileno(), max(READ_BYTES, needed), read_to)[: end - read_to]
                     if more:
-                        buffer, at, whole = buffer[whole:] + more, at + whole, 0
+                        buffer, at, position = buffer[position:] + more, at + position, 0
                         read_to += len(more)
                         continue
-                if whole >= len(buffer):
+                if position >= len(buffer):
                     return
-                found = h.next_frame(buffer, whole + 1)
+                found = h.next_frame(buffer, position + 1)
                 if found == len(buffer) and read_to < end:
-                    # Nothing whole in this window; a frame may begin in its last bytes.
-                    found = self._resume(buffer, whole + 1)
+                    # The buffer holds no complete frame, but one may begin in its last bytes.
+                    found = self._possible_frame(buffer, position + 1)
                 torn = found == len(buffer) and read_to >= end
-                self._lose(at + whole, found - whole, "the end is cut off" if torn else "damaged", torn)
-                whole = found
+                self._add_loss(at + position, found - position, "the end is cut off" if torn else "damaged", torn)
+                position = found
                 continue
             try:
                 yield decoder.frame(payload, base_time, base_seq)
             except MalformedDataError as error:
-                self._lose(at + whole, h.FRAME.size + len(payload), str(error))
-            whole += h.FRAME.size + len(payload)
+                self._add_loss(at + position, h.FRAME_HEADER.size + len(payload), str(error))
+            position += h.FRAME_HEADER.size + len(payload)
 
     @staticmethod
-    def _resume(buffer: bytes, at: int) -> int:
-        """The first mark of a frame that may go on behind the buffer's end."""
+    def _possible_frame(buffer: bytes, at: int) -> int:
+        """The offset of the first frame that may extend beyond the buffer, or the length of the buffer."""
         while (at := buffer.find(h.FRAME_MARK[:1], at)) >= 0:
             if buffer[at : at + 2] in (h.FRAME_MARK, h.FRAME_MARK[:1]):
-                if len(buffer) - at < h.FRAME.size:
+                if len(buffer) - at < h.FRAME_HEADER.size:
                     return at
-                size = h.FRAME.unpack_from(buffer, at)[1]
-                if size <= FRAME_MOST and at + h.FRAME.size + size > len(buffer):
+                size = h.FRAME_HEADER.unpack_from(buffer, at)[1]
+                if size <= MAX_PAYLOAD_BYTES and at + h.FRAME_HEADER.size + size > len(buffer):
                     return at
             at += 1
         return len(buffer)
@@ -166,7 +172,7 @@
     # Version 2 -----------------------------------------------------------------------------------
 
     def index(self) -> v2.IndexReader | None:
-        """The index at the file's end, if it has a whole one."""
+        """The index at the end of the file; None if it is missing or damaged."""
         size = self.size
         tail = os.pread(self._file.fileno(), v2.TRAILER.size, max(0, size - v2.TRAILER.size))
         offset = v2.index_offset(tail)
@@ -177,34 +183,34 @@
         except MalformedDataError:
             return None
 
-    def _frames2(self, select: Select | None, id_: str | None) -> Iterator[Frame]:
+    def _frames_v2(self, select: Select | None, id_: str | None) -> Iterator[Frame]:
         index = self.index()
         self.indexed = index is not None
         if index is not None:
             for place in index:
                 if select is None or select(place.summary):
-                    yield from self._indexed(place, id_)
+                    yield from self._indexed_block(place, id_)
         else:
-            yield from self._scanned(select, id_)
+            yield from self._scan_blocks(select, id_)
 
-    def _indexed(self, place: v2.Place, id_: str | None) -> Iterator[Frame]:
+    def _indexed_block(self, place: v2.Place, id_: str | None) -> Iterator[Frame]:
         head = self._block_head(place.offset)
         if head is None or head.number != place.number:
-            self._lose(
+            self._add_loss(
                 place.offset, place.size, "a block's head is damaged", span=(place.summary.first, place.summary.last)
             )
         elif head.state == v2.OPEN:
             yield from self._open_block(head, place.offset, place.offset + place.size)
         else:
-            yield from self._sealed(head, place.offset, None, id_, place.summary)
+            yield from self._sealed_block(head, place.offset, None, id_, place.summary)
 
     def _block_head(self, offset: int) -> v2.BlockHead | None:
-        return v2.read_block_head(os.pread(self._file.fileno(), v2.BLOCK.size, offset))
+        return v2.read_block_head(os.pread(self._file.fileno(), v2.BLOCK_HEAD.size, offset))
 
-    def _sealed(
+    def _sealed_block(
         self, head: v2.BlockHead, offset: int, select: Select | None, id_: str | None, known: v2.Summary | None = None
     ) -> Iterator[Frame]:
-        at = offset + v2.BLOCK.size
+        at = offset + v2.BLOCK_HEAD.size
         if select is not None or id_ is not None:
             data = os.pread(self._file.fileno(), head.summary, at)
             try:
@@ -214,7 +220,7 @@
                 if (select is not None and not select(summary)) or (id_ is not None and not summary.may_hold_id(id_)):
                     return
             except MalformedDataError:
-                pass  # it is read, as it may hold anything
+                pass  # without a valid summary the block may hold anything, so it is read
         stored = os.pread(self._file.fileno(), head.stored, at + head.summary)
         decoder = Decoder()
         try:
@@ -222,8 +228,8 @@
                 yield decoder.frame(payload, head.base_time, head.base_seq)
         except MalformedDataError as error:
             torn = len(stored) < head.stored
-            span = self._span(head, at) or (known and (known.first, known.last))
-            self._lose(
+            span = self._summary_times(head, at) or (known and (known.first, known.last))
+            self._add_loss(
                 offset,
                 min(head.size, self.size - offset),
                 "the end is cut off" if torn else f"a block is damaged: {error}",
@@ -231,8 +237,8 @@
                 span,
             )
 
-    def _span(self, head: v2.BlockHead, at: int) -> tuple[int, int] | None:
-        """The times that a block's summary tells, if that is whole."""
+    def _summary_times(self, head: v2.BlockHead, at: int) -> tuple[int, int] | None:
+        """The first and last time in the summary of a block; None if the summary is damaged."""
         data = os.pread(self._file.fileno(), head.summary, at)
         if len(data) < head.summary or v2.crc32c(data) != head.summary_checksum:
             return None
@@ -240,53 +246,60 @@
         return summary.first, summary.last
 
     def _open_block(self, head: v2.BlockHead, offset: int, end: int) -> Iterator[Frame]:
-        yield from self._plain(offset + v2.BLOCK.size, end, Decoder(), head.base_time, head.base_seq)
+        yield from self._frames_between(offset + v2.BLOCK_HEAD.size, end, Decoder(), head.base_time, head.base_seq)
 
-    def _scanned(self, select: Select | None, id_: str | None) -> Iterator[Frame]:
-        """Block by block. Where a writer was killed while it sealed one, that block stands there twice.
+    def _scan_blocks(self, select: Select | None, id_: str | None) -> Iterator[Frame]:
+        """Yield the frames of a file without an index, block by block.
 
-        Then what is no block lies before or between its copies, and is no loss: the numbers show that none is
-        missing.
+        A writer that was killed while it sealed a block leaves two copies of that block. The bytes before and between
+        the copies are not reported as a loss, because the block numbers show that no block is missing.
         """
         at, number = self.resume
-        given: set[tuple[str, int]] = set()  # frames of the latest block
-        hole = -1  # where bytes began that are no block
+        yielded: set[tuple[str, int]] = set()  # frames of the latest block that were yielded
+        gap_start = -1  # offset of the first byte after the last block that belongs to no block; -1 if there is none
         while at < self.size and not self._at_index(at):
             head = self._block_head(at)
             if head is None:
-                hole = at if hole < 0 else hole
+                gap_start = at if gap_start < 0 else gap_start
                 at = self._next_block(at + 1)
                 continue
-            if hole >= 0 and head.number > number + 1:
-                self._lose(hole, at - hole, f"blocks {number + 1} to {head.number - 1} are damaged")
-            hole = -1
+            if gap_start >= 0 and head.number > number + 1:
+                self._add_loss(gap_start, at - gap_start, f"blocks {number + 1} to {head.number - 1} are damaged")
+            gap_start = -1
             if head.number > number:
                 self.resume = (at, number)
-                given, number = set(), head.number
+                yielded, number = set(), head.number
             if head.state == v2.OPEN:
-                end = self._next_block(at + v2.BLOCK.size)
+                end = self._next_block(at + v2.BLOCK_HEAD.size)
                 source = self._open_block(head, at, end)
             else:
                 end = at + head.size
-                source = self._sealed(head, at, select, id_)
-            before = (self._waiting, self.lost, len(self.losses))
+                source = self._sealed_block(head, at, select, id_)
+            before = (self._pending_loss, self.loss_count, len(self.losses))
             for frame in source:
                 key = (frame.source, frame.seq)
-                if key not in given:
-                    given.add(key)
+                if key not in yielded:
+                    yielded.add(key)
                     yield frame
-            if (self._waiting, self.lost) != before[:2] and (copy := self._copy(at, end, head)) is not None:
-                self._waiting, self.lost = before[:2]  # the copy has all of it
+            if (self._pending_loss, self.loss_count) != before[:2] and (
+                copy := self._next_copy(at, end, head)
+            ) is not None:
+                self._pending_loss, self.loss_count = before[:2]  # the other copy of the block holds these frames
                 del self.losses[before[2] :]
                 end = copy
             at = end
-        if hole >= 0:
-            torn = self.size - hole < v2.BLOCK.size
-            self._lose(hole, min(at, self.size) - hole, "the end is cut off" if torn else "no block can be read", torn)
+        if gap_start >= 0:
+            torn = self.size - gap_start < v2.BLOCK_HEAD.size
+            self._add_loss(
+                gap_start,
+                min(at, self.size) - gap_start,
+                "the end is cut off" if torn else "no block can be read",
+                torn,
+            )
 
-    def _copy(self, at: int, end: int, head: v2.BlockHead) -> int | None:
-        """Where another copy of a block stands that is not whole."""
-        found = end if head.state == v2.OPEN else self._next_block(at + v2.BLOCK.size)
+    def _next_copy(self, at: int, end: int, head: v2.BlockHead) -> int | None:
+        """The offset of the next copy of a damaged block; None if there is none."""
+        found = end if head.state == v2.OPEN else self._next_block(at + v2.BLOCK_HEAD.size)
         copy = self._block_head(found)
         return found if copy is not None and copy.number == head.number else None
 
@@ -294,45 +307,45 @@
         return os.pread(self._file.fileno(), 8, at) == v2.INDEX_MARK
 
     def _next_block(self, at: int) -> int:
-        """The offset of the next whole block head or the index, else the file's end."""
+        """The offset of the next valid block head, or else of the index, or else the end of the file."""
         fd, size = self._file.fileno(), self.size
         while at < size:
-            data = os.pread(fd, WINDOW, at)
+            data = os.pread(fd, READ_BYTES, at)
             where = 0
             while (where := data.find(v2.BLOCK_MARK[:4], where)) >= 0:
-                mark = os.pread(fd, v2.BLOCK.size, at + where)
+                mark = os.pread(fd, v2.BLOCK_HEAD.size, at + where)
                 if v2.read_block_head(mark) is not None:
                     return at + where
                 where += 1
             if (found := data.find(v2.INDEX_MARK)) >= 0:
                 return at + found
-            if len(data) < WINDOW:
+            if len(data) < READ_BYTES:
                 break
             at += len(data) - 8
         return size
 
 
 def follow(path: str | Path, wait: Callable[[], None]) -> Iterator[Frame]:
-    """The frames of a file that is being written; ``wait`` is called where there are no more for now.
+    """Yield the frames of a file that is being written, and call ``wait`` when there are no more for now.
 
-    It ends when the file has its index.
+    It ends when the writer has closed the file with an index.
     """
-    given: dict[str, int] = {}  # the last sequence number that was given, by source
+    yielded: dict[str, int] = {}  # the last sequence number yielded, by source
     resume: tuple[int, int] | None = None
-    patience = PATIENCE
+    retries = MAX_RETRIES
     while True:
         with Reader(path) as reader:
             if reader.head.major > 1:
                 reader.resume = resume or reader.resume
             done = reader.index() is not None
-            for frame in reader._frames1() if reader.head.major == 1 else reader._scanned(None, None):
-                if reader.damaged and patience:
-                    patience -= 1
+            for frame in reader._frames_v1() if reader.head.major == 1 else reader._scan_blocks(None, None):
+                if reader.damaged and retries:
+                    retries -= 1
                     done = False
                     break
-                if frame.seq > given.get(frame.source, -1):
-                    given[frame.source] = frame.seq
-                    patience = PATIENCE
+                if frame.seq > yielded.get(frame.source, -1):
+                    yielded[frame.source] = frame.seq
+                    retries = MAX_RETRIES
                     yield frame
             resume = reader.resume
         if done:
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -1,7 +1,7 @@
-"""The daemon's recorder: a port on the relay's core that gathers the records of a turn and writes them at its end.
+"""The trace recorder of the daemon: implements the trace port of the relay, and writes records in batches.
 
-It decides only what is kept: by level, class and sample. Sampling is by the id alone, so that every relay keeps or
-drops the same messages, each whole. Bodies and idempotency keys are never seen here.
+It filters records by level, message class and sample. Sampling depends only on the message id, so every relay keeps
+the same messages, each with all its records. Bodies and idempotency keys are never recorded.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 from lynxscale.trace.frames import Frame
 from lynxscale.trace.rotation import Files
 
-ENDPOINTS_MOST = 8192  # names kept of endpoints; beyond them the oldest is forgotten
-STEPPED = 1000  # µs between the clocks from which on a new anchor is told
-LOOK_EVERY = 1_000_000  # µs between two looks at the wall clock
-AWAY = 1 << 40  # numbers of messages that were turned away before the core gave them one
-REASONS_MOST = 4096  # characters of why a list was rejected
-WORD_BYTES = 32  # of memory that each word told takes until it is written
-STARTED, GONE = 0, -1  # told, and no record: the process has started; a message is over
-# Words told of each: the time, what it is, and what the maker of its record takes.
-WORDS = {
+MAX_ENDPOINT_NAMES = 8192  # cached; beyond that the oldest is evicted
+CLOCK_STEP_US = 1000  # a larger change of the offset between the clocks is recorded as a new anchor
+CLOCK_CHECK_US = 1_000_000  # interval of reading the wall clock
+FIRST_REJECTED_NUMBER = 1 << 40  # numbers of messages rejected before the relay numbered them
+MAX_REASONS_CHARS = 4096  # of the reasons for the rejection of a list
+SLOT_BYTES = 32  # estimated memory of one slot of the queue
+STARTED, FORGOTTEN = 0, -1  # queue entries that make no record: the process started; a message is finished
+# Queue slots of an entry, by type: the time, the type, and the arguments of the method that builds its record.
+ENTRY_SLOTS = {
     STARTED: 2,
-    GONE: 3,
+    FORGOTTEN: 3,
     r.MESSAGE: 10,
     r.ADMIT: 5,
     r.END: 5,
@@ -56,12 +56,12 @@
 
 
 def sampled(id_: str, share: float) -> bool:
-    """Is a message of this id kept? The same answer wherever it is asked."""
+    """Whether a message with this id is recorded; the same on every relay."""
     return share >= 1 or crc32c(id_.encode("utf-8", "surrogatepass")) < share * (1 << 32)
 
 
 def policy_hash() -> str:
-    """Digest of the text of all scheduling modules: the same for the same decisions' code."""
+    """Digest of the source of all scheduling modules; it identifies the version of the decision code."""
     digest = hashlib.sha256()
     for path in sorted(Path(scheduling.__file__).parent.glob("*.py")):
         digest.update(path.name.encode() + b"\0" + path.read_bytes())
@@ -71,17 +71,17 @@
 def _version() -> str:
     try:
         return version("lynxscale")
-    except PackageNotFoundError:  # run from its folder
+    except PackageNotFoundError:  # run from a checkout without installation
         return "unknown"
 
 
 class Recorder:
-    """What the core tells, as records.
+    """Turns the calls of the trace port into records.
 
-    A hook does no more than keep what it was told: the records are made and written together, ``flush`` µs later
-    (at once where that is 0), as code that runs in one go costs less than half of what it costs a few lines at a time
-    between other work. ``later`` calls after so many µs; ``names`` gives an endpoint's id and address by its number;
-    ``told`` hears of what the files do.
+    Each hook only queues its arguments. The records are built and written together ``flush`` µs later (immediately if
+    that is 0): building them in one batch costs less than half of building them one by one between other work.
+    ``later`` schedules a call after a number of µs. ``names`` returns the id and address of an endpoint by its number.
+    ``report_event`` logs an event of the trace files.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         relay: str,
         seed: int,
         names: Callable[[int], tuple[str, str] | None],
-        told: Callable[..., None],
+        report_event: Callable[..., None],
         later: Callable[[int, Callable[[], None]], object],
         clock: Callable[[], int] = lambda: time.monotonic_ns() // 1000,
     ) -> None:
@@ -99,26 +99,26 @@
         self.decisions = conf.level == "decisions"
         process = os.urandom(6).hex()
         self._source = f"{relay}/{process}"
-        self._files = Files(conf, relay, told, clock)
+        self._files = Files(conf, relay, report_event, clock)
         self._classes = [(place, one.name) for place, one in enumerate(settings.classes)]
         self._tenants = [(place, one.name) for place, one in enumerate(settings.tenants)] or [r.UNKNOWN]
         self._kinds = list(enumerate(settings.kinds)) or [r.UNKNOWN]
         self._zones = list(enumerate(settings.zones)) or [r.UNKNOWN]
-        self._all = conf.sample >= 1 and not conf.classes
-        self._tries = conf.level != "ends"
+        self._keep_all = conf.sample >= 1 and not conf.classes
+        self._with_attempts = conf.level != "ends"
         self._endpoints: dict[int, r.Handle] = {}
-        self._kept: dict[int, r.Msg] = {}
-        self._over: list[int] = []  # ended in the frame that is being made
-        self._away = AWAY
-        # Time, what, and more, one behind the other, of the turns since the last flush. Flat, as the garbage collector
-        # would walk a tuple for each again and again until it is written: that cost as much as writing it.
-        self._told: list = []
-        self._tell = self._told.extend
-        self._planned = False
-        self._seq = self._look_at = 0
+        self._messages: dict[int, r.Msg] = {}
+        self._finished: list[int] = []  # numbers of messages that finished in the current frame
+        self._rejected_number = FIRST_REJECTED_NUMBER
+        # Entries since the last flush: time, type and arguments, one after the other. The list is flat: visits of the
+        # garbage collector to one tuple per entry cost as much as writing the entries.
+        self._queue: list = []
+        self._enqueue = self._queue.extend
+        self._flush_planned = False
+        self._seq = self._check_clock_at = 0
         self._offset = time.time_ns() // 1000 - clock()
-        self._most = conf.memory // WORD_BYTES
-        self._unkept = 0  # what was told beyond that, since the last flush
+        self._max_slots = conf.memory // SLOT_BYTES
+        self._overflowed = 0  # entries dropped since the last flush because the queue was full
         self._start = (
             r.START,
             [
@@ -133,7 +133,7 @@
                 policy_hash(),
             ],
         )
-        self._make = {
+        self._builders = {
             r.MESSAGE: self._message,
             r.ADMIT: self._admit,
             r.END: self._end,
@@ -147,38 +147,40 @@
             r.VERDICT: self._verdict,
             r.STEP: self._step,
             r.STOP: self._stop,
-            GONE: self._gone,
+            FORGOTTEN: self._forget,
         }
-        self._tell((clock(), STARTED))
+        self._enqueue((clock(), STARTED))
 
-    # What the core tells -------------------------------------------------------------------------
+    # Hooks of the trace port -------------------------------------------------------------------------
 
     def message(self, now: int, number: int, envelope: Any, cls: int, tenant: int, left: int, tries: int = 0) -> None:
-        """A message that the core has numbered. ``envelope``: its id, dest and body."""
-        self._tell((now, r.MESSAGE, number, envelope.id, envelope.dest, len(envelope.body), cls, tenant, left, tries))
+        """Record a message that the relay has numbered; ``envelope`` has its id, dest and body."""
+        self._enqueue(
+            (now, r.MESSAGE, number, envelope.id, envelope.dest, len(envelope.body), cls, tenant, left, tries)
+        )
 
     def rejected(self, now: int, envelope: Any, verdict: str, again_ms: float) -> None:
-        """A message that the core did not get as far as numbering."""
-        self._away += 1
-        self.message(now, self._away, envelope, envelope.cls, envelope.tenant, envelope.time_left)
-        self.admitted(now, self._away, verdict, again_ms)
+        """Record a message that was rejected before the relay numbered it."""
+        self._rejected_number += 1
+        self.message(now, self._rejected_number, envelope, envelope.cls, envelope.tenant, envelope.time_left)
+        self.admitted(now, self._rejected_number, verdict, again_ms)
 
     def admitted(self, now: int, number: int, verdict: str, again_ms: float) -> None:
-        """A message was answered: its verdict, and when the client may come again, in milliseconds."""
-        self._tell((now, r.ADMIT, number, verdict, again_ms))
+        """Record the admission verdict of a message, and after how many milliseconds the client may retry."""
+        self._enqueue((now, r.ADMIT, number, verdict, again_ms))
 
     def ended(self, now: int, number: int, status: str, again_ms: float = 0.0) -> None:
-        """A message came to its end."""
-        self._tell((now, r.END, number, status, again_ms))
+        """Record the final status of a message."""
+        self._enqueue((now, r.END, number, status, again_ms))
 
     def forgotten(self, now: int, number: int) -> None:
-        """Nothing more is owed."""
-        self._tell((now, GONE, number))
+        """Note that a message is finished, and nothing more is recorded of it."""
+        self._enqueue((now, FORGOTTEN, number))
 
     def attempt_started(self, now: int, number: int, attempt: int, endpoint: int, timeout: int, fresh: bool) -> None:
-        """An attempt was sent; ``timeout`` in µs, ``fresh``: on a new connection."""
-        if self._tries:
-            self._tell((now, r.TRY_START, number, attempt, endpoint, timeout, fresh))
+        """Record that an attempt was sent; ``timeout`` is in µs, ``fresh`` means on a new connection."""
+        if self._with_attempts:
+            self._enqueue((now, r.TRY_START, number, attempt, endpoint, timeout, fresh))
 
     def attempt_ended(
         self,
@@ -192,34 +194,34 @@
         over: bool,
         report: tuple[float, ...],
     ) -> None:
-        """An attempt came to its end; ``spent`` in µs, ``over``: the endpoint finished with it."""
-        if self._tries:
-            self._tell((now, r.TRY_END, number, attempt, endpoint, result, spent, wait_ms, over, report))
+        """Record the result of an attempt; ``spent`` is in µs, ``over`` means that the endpoint finished it."""
+        if self._with_attempts:
+            self._enqueue((now, r.TRY_END, number, attempt, endpoint, result, spent, wait_ms, over, report))
 
     def health_check_started(self, now: int, endpoint: int) -> None:
-        """A health check of an endpoint was sent."""
-        if self._tries:
-            self._tell((now, r.PROBE_START, endpoint))
+        """Record that a health check of an endpoint was sent."""
+        if self._with_attempts:
+            self._enqueue((now, r.PROBE_START, endpoint))
 
     def notice_queued(self, now: int, number: int, status: str, again_ms: int) -> None:
-        """A notice to the platform is to be sent."""
-        if self._tries:
-            self._tell((now, r.NOTICE, number, status, again_ms))
+        """Record that a notice to the platform was queued."""
+        if self._with_attempts:
+            self._enqueue((now, r.NOTICE, number, status, again_ms))
 
     def notice_acknowledged(self, now: int, number: int) -> None:
-        """The platform acknowledged a notice."""
-        if self._tries:
-            self._tell((now, r.NOTICE_HEARD, number))
+        """Record that the platform acknowledged a notice."""
+        if self._with_attempts:
+            self._enqueue((now, r.NOTICE_HEARD, number))
 
     def events(self, now: int, events: Iterable) -> None:
-        """What goes into the module; lists and probes are records of their own at lower levels too."""
+        """Record membership updates and health checks, which lower levels than ``decisions`` have too."""
         for event in events:
             kind = type(event)
             if kind is MembershipUpdate:
-                # Named at once: an endpoint that leaves has no name any more when the record is made.
-                self._tell((now, r.LIST, event, self._members(event)))
-            elif kind is HealthChecked and self._tries:
-                self._tell((now, r.PROBE_END, event))
+                # Look up the names now: an endpoint that leaves has no name any more when the record is built.
+                self._enqueue((now, r.LIST, event, self._members(event)))
+            elif kind is HealthChecked and self._with_attempts:
+                self._enqueue((now, r.PROBE_END, event))
 
     def verdict(
         self,
@@ -232,116 +234,118 @@
         counts: dict[str, int],
         reasons: str,
     ) -> None:
-        """What became of a version of a list."""
-        self._tell((now, r.VERDICT, source, unit, version, digest, outcome, counts, reasons))
+        """Record the verdict on a version of a list."""
+        self._enqueue((now, r.VERDICT, source, unit, version, digest, outcome, counts, reasons))
 
     def step(self, now: int, events: list, actions: list, failed: bool) -> None:
-        """One step of the module, to the last bit."""
-        self._tell((now, r.STEP, events, actions, failed))
+        """Record one step of the scheduler with all its events and actions, without loss."""
+        self._enqueue((now, r.STEP, events, actions, failed))
 
     def turn_ended(self) -> None:
-        """The end of a turn."""
-        if len(self._told) > self._most:
-            self._cut()
-        if not self._told or self._planned:
+        """End a turn: bound the queue, then flush it or schedule a flush."""
+        if len(self._queue) > self._max_slots:
+            self._drop_newest()
+        if not self._queue or self._flush_planned:
             return
         if self._conf.flush:
-            self._planned = True
+            self._flush_planned = True
             self._later(self._conf.flush, self.flush)
         else:
             self.flush()
 
-    def _cut(self) -> None:
-        """Guards the memory, should more come in until the next flush than is meant to wait: the latest goes."""
-        at, told = 0, self._told
-        while at + WORDS[told[at + 1]] <= self._most:
-            at += WORDS[told[at + 1]]
+    def _drop_newest(self) -> None:
+        """Drop the newest entries beyond the memory limit of the queue."""
+        at, queue = 0, self._queue
+        while at + ENTRY_SLOTS[queue[at + 1]] <= self._max_slots:
+            at += ENTRY_SLOTS[queue[at + 1]]
         end = at
-        while at < len(told):
-            at += WORDS[told[at + 1]]
-            self._unkept += 1
-        del told[end:]
+        while at < len(queue):
+            at += ENTRY_SLOTS[queue[at + 1]]
+            self._overflowed += 1
+        del queue[end:]
 
     def stop(self, now: int, left: int) -> None:
-        """Write the last record, with the number of messages that are left, and close the file."""
-        self._tell((now, r.STOP, left))
+        """Write the last record, with the number of open messages, and close the file."""
+        self._enqueue((now, r.STOP, left))
         self.flush()
         self._files.close()
 
     # Writing -------------------------------------------------------------------------------------
 
     def flush(self) -> None:
-        """Make records of what was told and write them, a frame a turn."""
-        self._planned = False
-        if not self._told:
+        """Build the records of all queued entries and write them, one frame per turn."""
+        self._flush_planned = False
+        if not self._queue:
             return
-        told = self._told.copy()
-        self._told.clear()
+        queue = self._queue.copy()
+        self._queue.clear()
         now = self._clock()
-        if now >= self._look_at:
-            self._look_at = now + LOOK_EVERY
+        if now >= self._check_clock_at:
+            self._check_clock_at = now + CLOCK_CHECK_US
             offset = time.time_ns() // 1000 - now
-            if abs(offset - self._offset) > STEPPED:
+            if abs(offset - self._offset) > CLOCK_STEP_US:
                 self._offset = offset
         files, frames = self._files, []
-        time_ = told[0]
-        records: list[tuple[int, list]] = [self._start] if files.begins else []  # each file tells whose it is
+        time_ = queue[0]
+        records: list[tuple[int, list]] = (
+            [self._start] if files.starts_file else []
+        )  # each file begins with the start record
         dropped = files.dropped
         if dropped.records and not files.failing:
             records.append(
                 (r.DROPPED, [dropped.records, dropped.bytes, dropped.first, dropped.last, r.reason(dropped.reason)])
             )
-        at, end, make = 0, len(told), self._make
+        at, end, builders = 0, len(queue), self._builders
         while at < end:
-            if told[at] != time_:
+            if queue[at] != time_:
                 self._frame(frames, time_, records)
-                time_, records = told[at], []
-            what = told[at + 1]
-            behind = at + WORDS[what]
-            if what != STARTED:
-                make[what](records, *told[at + 2 : behind])
-            at = behind
+                time_, records = queue[at], []
+            kind = queue[at + 1]
+            next_at = at + ENTRY_SLOTS[kind]
+            if kind != STARTED:
+                builders[kind](records, *queue[at + 2 : next_at])
+            at = next_at
         self._frame(frames, time_, records)
         failing = files.failing
         if files.put(frames) and dropped.records and not failing:
             files.recovered()
-        if self._unkept:
-            files.drop(self._unkept, time_, "memory")
-            self._unkept = 0
+        if self._overflowed:
+            files.drop(self._overflowed, time_, "memory")
+            self._overflowed = 0
 
     def _frame(self, frames: list[Frame], time_: int, records: list[tuple[int, list]]) -> None:
         if records:
             frames.append(Frame(self._source, time_, self._seq, self._offset, records))
             self._seq += len(records)
-        for number in self._over:
-            self._kept.pop(number, None)
-        self._over.clear()
+        for number in self._finished:
+            self._messages.pop(number, None)
+        self._finished.clear()
 
     # Records -------------------------------------------------------------------------------------
 
     def _message(
         self, records: list, number: int, id_: str, dest: int, size: int, cls: int, tenant: int, left: int, tries: int
     ) -> None:
-        if not self._all and not self._wanted(id_, cls):
+        if not self._keep_all and not self._wanted(id_, cls):
             return
-        msg = self._kept[number] = r.Msg(number, id_, self._classes[cls], self._tenants[tenant], dest)
+        msg = self._messages[number] = r.Msg(number, id_, self._classes[cls], self._tenants[tenant], dest)
         records.append((r.MESSAGE, [msg, left if left > 0 else 0, size, tries]))
 
     def _admit(self, records: list, number: int, verdict: str, again_ms: float) -> None:
-        if (msg := self._kept.get(number)) is not None:
+        if (msg := self._messages.get(number)) is not None:
             records.append((r.ADMIT, [msg, r.reason(verdict), again_ms]))
             if verdict != "taken":
-                self._over.append(number)
+                self._finished.append(number)
 
     def _end(self, records: list, number: int, status: str, again_ms: float) -> None:
-        if (msg := self._kept.get(number)) is not None:
+        if (msg := self._messages.get(number)) is not None:
             records.append((r.END, [msg, r.reason(status), again_ms]))
 
-    def _gone(self, _records: list, number: int) -> None:
-        self._over.append(number)
+    def _forget(self, _records: list, number: int) -> None:
+        self._finished.append(number)
 
     def _try_start(self, records: list, number: int, attempt: int, endpoint: int, timeout: int, fresh: bool) -> None:
-        if (msg := self._kept.get(number)) is not None:
+        if (msg := self._messages.get(number)) is not None:
             left = timeout if timeout > 0 else 0
             records.append((r.TRY_START, [msg, attempt, self._endpoint(endpoint), left, fresh]))
 
@@ -357,7 +361,7 @@
         over: bool,
         report: tuple[float, ...],
     ) -> None:
-        if (msg := self._kept.get(number)) is not None:
+        if (msg := self._messages.get(number)) is not None:
             records.append(
                 (
                     r.TRY_END,
@@ -391,16 +395,16 @@
         )
 
     def _notice(self, records: list, number: int, status: str, again_ms: int) -> None:
-        if (msg := self._kept.get(number)) is not None:
+        if (msg := self._messages.get(number)) is not None:
             records.append((r.NOTICE, [msg, r.reason(status), max(0, int(again_ms))]))
 
     def _notice_heard(self, records: list, number: int) -> None:
-        if (msg := self._kept.get(number)) is not None:
+        if (msg := self._messages.get(number)) is not None:
             records.append((r.NOTICE_HEARD, [msg]))
 
     def _list(self, records: list, event: MembershipUpdate, rows: list[r.Member]) -> None:
         records.append((r.LIST, [int(event.kind), event.version, len(rows)]))
-        if self._tries and rows:
+        if self._with_attempts and rows:
             records.append((r.MEMBERS, [rows]))
 
     def _verdict(
@@ -415,7 +419,7 @@
         reasons: str,
     ) -> None:
         changed = [counts[name] for name in ("added", "drained", "resumed", "gone", "reweighted", "moved")]
-        records.append((r.VERDICT, [source, unit, version, digest, outcome, *changed, reasons[:REASONS_MOST]]))
+        records.append((r.VERDICT, [source, unit, version, digest, outcome, *changed, reasons[:MAX_REASONS_CHARS]]))
 
     def _step(self, records: list, events: list, actions: list, failed: bool) -> None:
         records.append((r.STEP, [len(events), len(actions), failed]))
@@ -436,7 +440,7 @@
             if name is None:
                 return (number, "")
             handle = self._endpoints[number] = (number, name[0])
-            if len(self._endpoints) > ENDPOINTS_MOST:
+            if len(self._endpoints) > MAX_ENDPOINT_NAMES:
                 del self._endpoints[next(iter(self._endpoints))]
         return handle
 
@@ -458,7 +462,7 @@
         return rows
 
     def _msg(self, number: int) -> r.Msg:
-        return self._kept.get(number) or r.Msg(number, "", r.UNKNOWN, r.UNKNOWN, 0)
+        return self._messages.get(number) or r.Msg(number, "", r.UNKNOWN, r.UNKNOWN, 0)
 
     def _event(self, event: Any) -> tuple[int, list]:
         kind = type(event)
--- a/lynxscale/trace/records.py
+++ b/lynxscale/trace/records.py
@@ -1,8 +1,8 @@
-"""What a trace says: the types of record and their fields; docs/design/trace.md, "Records".
+"""The record types of a trace and their fields; docs/design/trace.md, "Records".
 
-A record in memory is ``(type, values)``, with ``values`` a list in the order of the type's fields. What the relay
-knows by a number is a handle: ``(number, text)``, or a ``Msg`` for a message. A record of a type that this version
-does not know is ``(type, bytes)``; fields behind the known ones are kept as one bytes object at the list's end.
+A record in memory is ``(type, values)``, with ``values`` a list in the order of the fields of the type. An object that
+the relay numbers is a handle: ``(number, text)``, or a ``Msg`` for a message. A record of an unknown type is
+``(type, bytes)``; unknown fields after the known ones are kept as one bytes object at the end of the list.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 Handle = tuple[int, str]
 
-# Tables of names.
+# Tables of names, by number.
 SOURCE, CLASS, TENANT, ENDPOINT, KIND, ZONE, REASON = range(7)
 TABLES = ("source", "class", "tenant", "endpoint", "kind", "zone", "reason")
 
-# Context: not counted, and written where a block first needs them.
+# Context records: without a sequence number, written before the first record of a block that refers to them.
 NAME, ANCHOR, MSG = 1, 2, 3
 
 
 class Msg(NamedTuple):
-    """A message as every record of it knows it, so that none needs another to be read."""
+    """The description of a message; every record of the message carries it."""
 
-    number: int  # in its process
+    number: int  # unique in its process
     id: str
     cls: Handle
     tenant: Handle
@@ -30,7 +30,7 @@
 
 
 class Member(NamedTuple):
-    """A row of a list."""
+    """An endpoint in a membership list."""
 
     endpoint: Handle
     lifecycle: int  # 0 gone, 1 ready, 2 draining
@@ -45,8 +45,11 @@
 
 
 class Type(NamedTuple):
-    """A type of record. Kinds of field: u count, i signed, t text, b yes or no, x milliseconds, a milliseconds on
-    the module's clock, f float, F floats, L members, M message, and tables of names c e n r."""
+    """A record type.
+
+    Kinds of field: u unsigned integer, i signed integer, t text, b boolean, x milliseconds, a milliseconds on the clock
+    of the scheduler, f float, F floats, L members, M message; c e n r k z are handles of the tables in ``TABLE_OF``.
+    """
 
     number: int
     name: str
@@ -54,7 +57,7 @@
     fields: tuple[tuple[str, str], ...]
 
     def row(self, values: list) -> dict[str, Any]:
-        """The values by name."""
+        """Return the values by field name."""
         return dict(zip((name for name, _ in self.fields), values, strict=False))
 
 
@@ -113,11 +116,11 @@
 OUT_ATTEMPT, OUT_CANCEL, OUT_REFUSE, OUT_FAIL, OUT_TIMER, OUT_SUBSCRIBE, OUT_FETCH = 48, 49, 50, 51, 52, 53, 54
 OUT_CLOSE_IDLE, OUT_PROBE, OUT_NOTE = 55, 56, 57
 
-CONTEXT = (START, STOP, DROPPED, LIST, VERDICT)  # of no message, and kept whatever a tool is asked for
+CONTEXT = (START, STOP, DROPPED, LIST, VERDICT)  # about no single message; kept by every selection
 
 TABLE_OF = {"c": CLASS, "e": ENDPOINT, "n": TENANT, "r": REASON, "k": KIND, "z": ZONE}
 
-# The codes that the relay itself writes, by their place: the same in every process.
+# The reason codes of the relay. A code's index is its number in every process.
 REASONS = (
     "taken",
     "rejected",
@@ -143,7 +146,7 @@
 
 
 def reason(text: str) -> Handle:
-    """The handle of a reason code; one outside the table has a number made of its text."""
+    """The handle of a reason code; the number of a code outside ``REASONS`` is derived from its text."""
     known = REASON_OF.get(text)
     if known is None:
         import zlib
--- a/lynxscale/trace/replay.py
+++ b/lynxscale/trace/replay.py
@@ -1,8 +1,8 @@
-"""A recorded process played again: the same events into a fresh decision module, each action compared. No I/O.
+"""Replays a recorded process: steps a new scheduler with the recorded events and compares its actions. No I/O.
 
-At level ``decisions`` a trace that begins at a process's start holds all that went into the module: seed, settings,
-and each step with its time and events, to the last bit. The module has no clock and no state outside itself, so it
-must do the same again.
+A trace of level ``decisions`` that begins at the start of a process holds every input of the scheduler without loss:
+seed, settings, and each step with its time and events. The scheduler has no clock and no external state, so a replay
+must give the same actions.
 """
 
 from __future__ import annotations
@@ -43,18 +43,18 @@
 from lynxscale.trace.exceptions import TraceError
 from lynxscale.trace.frames import Frame
 
-LED_UP = 12  # steps shown before the first difference
-MESSAGES_MOST = 200_000  # whose orders are compared; beyond them the oldest is let go
+MAX_LED_UP_STEPS = 12  # shown before the first difference
+MAX_COMPARED_MESSAGES = 200_000  # tracked at once; beyond that the oldest is counted as it is
 
 
 class NotReplayableError(TraceError):
-    """The trace does not hold what a replay needs; the text says what is missing."""
+    """The trace lacks something that a replay needs; the message says what."""
 
 
 def settings_from_json(text: str) -> Settings:
-    """The settings as the recorder wrote them.
+    """Parse the settings that the recorder wrote.
 
-    Raises NotReplayableError.
+    Raises NotReplayableError if they are invalid.
     """
     try:
         table = orjson.loads(text)
@@ -66,13 +66,13 @@
 
 
 def event_from(number: int, values: list) -> Any:
-    """An event of the module from its record; None where the record is none."""
+    """Build a scheduler event from its record; None if the record is not an event."""
     if number == r.IN_OUTCOME:
         msg, attempt, endpoint, result, spent, finished, wait, report = values[:8]
         return Outcome(msg.number, attempt, endpoint[0], Result(result), spent, finished, wait, report)
     if number == r.IN_MESSAGE:
         msg, expires, attempts, maybe = values[:4]
-        inherited = len(values) > 4 and bool(values[4])  # not told by older ones
+        inherited = len(values) > 4 and bool(values[4])  # absent in traces of earlier versions
         return Message(
             msg.number,
             msg.dest,
@@ -103,7 +103,7 @@
 
 
 def action_from(number: int, values: list) -> Any:
-    """An action of the module from its record; None where the record is none."""
+    """Build a scheduler action from its record; None if the record is not an action."""
     make: dict[int, Callable[[], Any]] = {
         r.OUT_ATTEMPT: lambda: Attempt(values[0].number, values[1][0], values[2], values[3]),
         r.OUT_CANCEL: lambda: Cancel(values[0].number, values[1]),
@@ -121,7 +121,7 @@
 
 @dataclass(slots=True)
 class Difference:
-    """Where the module did something else: the step, what led to it, and both actions."""
+    """The first difference: its step, the steps before it, and the recorded and the replayed action."""
 
     source: str
     step: int
@@ -133,8 +133,8 @@
 
 
 @dataclass(slots=True)
-class Played:
-    """One process, played again."""
+class ReplayResult:
+    """The result of the replay of one process."""
 
     source: str
     policy: str
@@ -142,15 +142,15 @@
     events: int = 0
     actions: int = 0
     messages: int = 0
-    whole: bool = False  # its stop is in the trace
+    whole: bool = False  # whether the trace holds the stop of the process
     anonymised: bool = False
     difference: Difference | None = None
-    recorded: Counter = field(default_factory=Counter)  # actions by kind, of the trace and of the module
+    recorded: Counter = field(default_factory=Counter)  # actions by kind, in the trace and in the replay
     replayed: Counter = field(default_factory=Counter)
-    moved: Counter = field(default_factory=Counter)  # messages that another module ended otherwise or sent elsewhere
+    moved: Counter = field(default_factory=Counter)  # messages by how another version of the scheduler decided on them
 
     def table(self) -> dict[str, Any]:
-        """As a JSON object."""
+        """Return the result as a JSON object."""
         first = self.difference
         return {
             "source": self.source,
@@ -177,17 +177,19 @@
 
 
 class _Process:
-    def __init__(self, frame: Frame, values: list, make: Callable[[Settings, int], Any], strict: bool) -> None:
+    def __init__(
+        self, frame: Frame, values: list, make_scheduler: Callable[[Settings, int], Any], strict: bool
+    ) -> None:
         if values[3] != "decisions":
             raise NotReplayableError(f"{frame.source}: it was recorded at level {values[3]}; a replay needs decisions")
         if not values[7]:
             raise NotReplayableError(f"{frame.source}: its settings are not in the trace")
-        self.scheduler = make(settings_from_json(values[7]), int(values[6]))
-        self.played = Played(frame.source, values[8])
+        self.scheduler = make_scheduler(settings_from_json(values[7]), int(values[6]))
+        self.result = ReplayResult(frame.source, values[8])
         self.next = frame.seq
         self.strict = strict
-        self.led_up: deque[str] = deque(maxlen=LED_UP)
-        self.did: dict[int, list[str]] = {}  # by message: what the trace, then the module decided last
+        self.led_up: deque[str] = deque(maxlen=MAX_LED_UP_STEPS)
+        self.choices: dict[int, list[str]] = {}  # by message: the decisions in the trace and in the replay
 
     def frame(self, frame: Frame) -> None:
         if frame.seq != self.next:
@@ -198,86 +200,89 @@
             number, values = records[at]
             at += 1
             if number == r.STOP:
-                self.played.whole = True
+                self.result.whole = True
             elif number == r.DROPPED:
                 raise NotReplayableError(f"{frame.source}: its recorder dropped {values[0]} records")
             elif number == r.STEP:
-                count, most, failed = values[:3]
-                events = [event_from(*records[at + k]) for k in range(count)]
-                recorded = [action_from(*records[at + count + k]) for k in range(most)]
-                at += count + most
+                event_count, action_count, failed = values[:3]
+                events = [event_from(*records[at + k]) for k in range(event_count)]
+                recorded = [action_from(*records[at + event_count + k]) for k in range(action_count)]
+                at += event_count + action_count
                 self._step(frame, events, recorded, failed)
 
     def _step(self, frame: Frame, events: list, recorded: list, failed: bool) -> None:
-        played = self.played
-        played.steps += 1
-        played.events += len(events)
-        played.actions += len(recorded)
-        played.messages += sum(type(event) is Message for event in events)
+        result = self.result
+        result.steps += 1
+        result.events += len(events)
+        result.actions += len(recorded)
+        result.messages += sum(type(event) is Message for event in events)
         try:
-            replayed, broke = list(self.scheduler.step(frame.time / 1000, events)), False
-        except Exception:  # as the relay does: what it did before counts
-            replayed, broke = list(self.scheduler.actions), True
+            replayed, raised = list(self.scheduler.step(frame.time / 1000, events)), False
+        except Exception:  # as in the relay, the actions before the exception count
+            replayed, raised = list(self.scheduler.actions), True
         if self.strict:
-            self.led_up.append(f"step {played.steps} at {frame.time / 1000:.3f} ms: {events} -> {recorded}")
-            if played.difference is None:
-                self._compare(frame, recorded, replayed, failed != broke)
+            self.led_up.append(f"step {result.steps} at {frame.time / 1000:.3f} ms: {events} -> {recorded}")
+            if result.difference is None:
+                self._compare(frame, recorded, replayed, failed != raised)
             return
-        for told, actions, place in ((played.recorded, recorded, 0), (played.replayed, replayed, 1)):
+        for counter, actions, side in ((result.recorded, recorded, 0), (result.replayed, replayed, 1)):
             for action in actions:
-                told[type(action).__name__] += 1
-                self._keep(action, place)
+                counter[type(action).__name__] += 1
+                self._note_decision(action, side)
 
-    def _compare(self, frame: Frame, recorded: list, replayed: list, fault: bool) -> None:
-        if recorded == replayed and not fault:
+    def _compare(self, frame: Frame, recorded: list, replayed: list, raised_differs: bool) -> None:
+        if recorded == replayed and not raised_differs:
             return
         for place in range(max(len(recorded), len(replayed), 1)):
             one = recorded[place] if place < len(recorded) else None
             other = replayed[place] if place < len(replayed) else None
             if type(one) is Note and type(other) is Note and not one.text:
-                self.played.anonymised = True
+                self.result.anonymised = True
                 continue
-            if one != other or fault:
-                self.played.difference = Difference(
-                    frame.source, self.played.steps, frame.unix, place, one, other, list(self.led_up)
+            if one != other or raised_differs:
+                self.result.difference = Difference(
+                    frame.source, self.result.steps, frame.unix, place, one, other, list(self.led_up)
                 )
                 return
 
-    def _keep(self, action: Any, place: int) -> None:
-        """What was decided of a message: where it went first, and whether it was given up."""
+    def _note_decision(self, action: Any, side: int) -> None:
+        """Note what was decided on a message: its first endpoint, or that it was refused or failed."""
         kind = type(action)
         if kind not in (Attempt, Refuse, Fail):
             return
-        did = self.did.setdefault(action.id, ["", ""])
+        choice = self.choices.setdefault(action.id, ["", ""])
         if kind is not Attempt:
-            did[place] = "refused" if kind is Refuse else "failed"
-        elif not did[place]:
-            did[place] = f"sent to endpoint {action.endpoint}"
-        if len(self.did) > MESSAGES_MOST:
-            self._count(self.did.pop(next(iter(self.did))))
-
-    def _count(self, did: list[str]) -> None:
-        if did[0] == did[1]:
-            self.played.moved["as recorded"] += 1
+            choice[side] = "refused" if kind is Refuse else "failed"
+        elif not choice[side]:
+            choice[side] = f"sent to endpoint {action.endpoint}"
+        if len(self.choices) > MAX_COMPARED_MESSAGES:
+            self._count_change(self.choices.pop(next(iter(self.choices))))
+
+    def _count_change(self, choice: list[str]) -> None:
+        if choice[0] == choice[1]:
+            self.result.moved["as recorded"] += 1
         else:
-            one, other = (text.split(" to ")[0] or "held" for text in did)
-            self.played.moved[f"{one}, now {other}" if one != other else "sent elsewhere first"] += 1
+            one, other = (text.split(" to ")[0] or "held" for text in choice)
+            self.result.moved[f"{one}, now {other}" if one != other else "sent elsewhere first"] += 1
 
-    def end(self) -> Played:
-        for did in self.did.values():
-            self._count(did)
-        self.did.clear()
-        return self.played
+    def end(self) -> ReplayResult:
+        for choice in self.choices.values():
+            self._count_change(choice)
+        self.choices.clear()
+        return self.result
 
 
-def replay(frames: Iterable[Frame], make: Callable[[Settings, int], Any], strict: bool = True) -> list[Played]:
-    """Play every process in these frames, which must be whole from each one's start.
+def replay(
+    frames: Iterable[Frame], make_scheduler: Callable[[Settings, int], Any], strict: bool = True
+) -> list[ReplayResult]:
+    """Replay every process in these frames, which must be complete from the start of each process.
 
-    ``make`` gives a module from settings and seed. ``strict`` compares action by action up to the first difference;
-    otherwise it is another version, and what it decides is counted beside what was recorded. Both get the recorded
-    outcomes, also of tries that the other version would not have made.
+    ``make_scheduler`` creates a scheduler from settings and a seed. With ``strict``, actions are compared one by one
+    up to the first difference. Otherwise the scheduler is another version, and its decisions are counted next to the
+    recorded ones. In both cases the scheduler receives the recorded outcomes, also those of attempts that the other
+    version would not have made.
 
-    Raises NotReplayableError.
+    Raises NotReplayableError if the trace is incomplete or was recorded at a lower level.
     """
     processes: dict[str, _Process] = {}
     for frame in frames:
@@ -286,6 +291,6 @@
             start = next((values for number, values in frame.records if number == r.START), None)
             if start is None or frame.seq != 0:
                 raise NotReplayableError(f"{frame.source}: the trace does not begin at the process's start")
-            process = processes[frame.source] = _Process(frame, start, make, strict)
+            process = processes[frame.source] = _Process(frame, start, make_scheduler, strict)
         process.frame(frame)
     return [process.end() for process in processes.values()]
--- a/lynxscale/trace/rotation.py
+++ b/lynxscale/trace/rotation.py
@@ -1,10 +1,10 @@
-"""The recorder's files: one that grows, closed by size and age, and the oldest taken away within a total.
+"""The files of the recorder: the open file is closed by size or age, and the oldest are removed to keep a total size.
 
-A frame is one append. A full block is sealed in place: its compressed copy is appended, then written over the open
-block, then the file is cut behind it. A kill at any byte of that leaves one whole copy (docs/design/trace.md).
+Frames are appended. A full block is sealed in place: its compressed copy is appended, then written over the open block,
+then the file is truncated after it. A kill at any byte of that leaves one complete copy (docs/design/trace.md).
 
-A disk that is full, fails or is slow costs records, which are counted, and nothing else: the file is left as it is,
-and a new one is tried after a pause that doubles.
+A full, failing or slow disk costs only records, which are counted: the file is left as it is, and a new one is opened
+after a pause that doubles with each failure.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 from lynxscale.trace.writer import FILE_MODE
 
 SUFFIX = ".lxt"
-FIRST_PAUSE, LONGEST_PAUSE = 1_000_000, 60_000_000  # µs until a new file is tried after a failure
-SLOW = 250_000  # µs of one write from which on the disk is held for failing
+MIN_PAUSE_US, MAX_PAUSE_US = 1_000_000, 60_000_000  # until a new file is opened after a failure
+SLOW_WRITE_US = 250_000  # a longer write is handled as a failure of the disk
 
 
 @dataclass(slots=True)
 class Dropped:
-    """What could not be written, until that is told in the trace itself."""
+    """Records that could not be written, until the trace itself has a record of them."""
 
     records: int = 0
     bytes: int = 0
@@ -39,80 +39,83 @@
 
 
 class Files:
-    """Where frames go. Nothing here raises for what the disk does; ``told`` is called with an event and its fields."""
+    """Writes frames to rotating files.
+
+    No method raises for an error of the disk; ``report_event`` is called with the name of a log event and its fields.
+    """
 
     def __init__(
         self,
         conf: TraceConf,
         name: str,
-        told: Callable[..., None],
+        report_event: Callable[..., None],
         clock: Callable[[], int] = lambda: time.monotonic_ns() // 1000,
     ) -> None:
         assert conf.folder is not None
-        self._conf, self._folder, self._told, self._clock = conf, Path(conf.folder), told, clock
+        self._conf, self._folder, self._report_event, self._clock = conf, Path(conf.folder), report_event, clock
         self._name = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:80]
         self._packer, self._index = v2.Packer(conf.block), v2.IndexBuilder()
         self._fd, self._path, self._count = -1, Path(), 0
-        self._end = self._block_at = 0  # offsets of the file's end and of the block that is open
+        self._end = self._block_at = 0  # offsets of the end of the file and of the open block
         self._opened = 0
-        self._older: list[tuple[Path, int]] = []  # the oldest first
-        self._older_bytes = 0
-        self._try_at, self._pause = 0, FIRST_PAUSE
+        self._closed_files: list[tuple[Path, int]] = []  # path and size, oldest first
+        self._closed_bytes = 0
+        self._try_at, self._pause = 0, MIN_PAUSE_US
         self.dropped = Dropped()
 
     @property
     def failing(self) -> bool:
-        """The last write failed, and the pause after it is not over."""
+        """Whether the pause after a failed write is not over."""
         return self._fd < 0 and self._clock() < self._try_at
 
     @property
-    def begins(self) -> bool:
-        """The next frame is the first of a file."""
+    def starts_file(self) -> bool:
+        """Whether the next frame is the first of a file."""
         return self._fd < 0 and self._clock() >= self._try_at
 
     def put(self, frames: list[Frame]) -> bool:
-        """Write frames to one file; false where any was dropped, and counted."""
+        """Write frames to one file; return False if any was dropped, and count its records."""
         now = self._clock()
         if self._fd < 0 and now < self._try_at:
-            self._drop(frames)
+            self._drop_frames(frames)
             return False
-        written = 0  # so many frames are in the file
+        written = 0  # number of frames that are in the file
         try:
             if self._fd < 0:
                 self._open(now)
             data, packer = bytearray(), self._packer
-            for place, frame in enumerate(frames, 1):
+            for count, frame in enumerate(frames, 1):
                 first = not packer.raw
                 payload = packer.add(frame)
                 if first:
                     self._block_at = self._end
                     data += packer.head()
                 data += h.pack_frame(payload)
-                if packer.full or place == len(frames):
+                if packer.full or count == len(frames):
                     self._write(data, self._end)
                     self._end += len(data)
-                    written = place
+                    written = count
                     data.clear()
                     if packer.full:
                         self._seal()
             if self._end >= self._conf.file_size or now - self._opened >= self._conf.file_age:
                 self.close()
-            self._make_room()
+            self._remove_oldest()
         except (OSError, ValueError) as error:
-            self._failed(error, now)
-            self._drop(frames[written:])
+            self._handle_failure(error, now)
+            self._drop_frames(frames[written:])
             return False
-        if (spent := self._clock() - now) > SLOW:
-            self._told("trace_slow", spent_ms=spent // 1000)
-            self._leave(self._clock())
+        if (spent := self._clock() - now) > SLOW_WRITE_US:
+            self._report_event("trace_slow", spent_ms=spent // 1000)
+            self._pause_writing(self._clock())
         return True
 
-    def _drop(self, frames: list[Frame]) -> None:
+    def _drop_frames(self, frames: list[Frame]) -> None:
         for frame in frames:
             self.drop(len(frame.records), frame.time, "disk")
 
     def drop(self, records: int, time_: int, reason: str) -> None:
-        """Count records of that time which are not written."""
+        """Count records that are not written, and the time of the latest."""
         one = self.dropped
         one.first = one.first if one.records else time_
         one.last, one.reason = time_, reason
@@ -122,7 +125,7 @@
 
     def _open(self, now: int) -> None:
         self._folder.mkdir(parents=True, exist_ok=True)
-        self._look()
+        self._scan_folder()
         stamp = time.strftime("%Y%m%dT%H%M%S", time.gmtime())
         self._count += 1
         self._path = self._folder / f"{self._name}-{stamp}-{os.getpid()}-{self._count:04d}{SUFFIX}"
@@ -134,29 +137,29 @@
         self._write(head, 0)
         self._end = len(head)
 
-    def _look(self) -> None:
-        """The files that are there; those of an earlier process or of another relay count too."""
+    def _scan_folder(self) -> None:
+        """List the files in the folder, including those of earlier processes and of other relays."""
         found = []
         for path in self._folder.glob(f"*{SUFFIX}"):
             with suppress(OSError):
                 state = path.stat()
                 found.append((state.st_mtime_ns, path, state.st_size))
-        self._older = [(path, size) for _at, path, size in sorted(found)]
-        self._older_bytes = sum(size for _path, size in self._older)
+        self._closed_files = [(path, size) for _at, path, size in sorted(found)]
+        self._closed_bytes = sum(size for _path, size in self._closed_files)
 
-    def _make_room(self) -> None:
-        """Guards the total: the oldest file goes while there is too little room for one more block, twice."""
+    def _remove_oldest(self) -> None:
+        """Remove the oldest files until the total leaves room for two copies of a block, as sealing needs."""
         reserve = 2 * self._conf.block
-        while self._older and self._older_bytes + self._end + reserve > self._conf.total:
-            path, size = self._older.pop(0)
-            self._older_bytes -= size
+        while self._closed_files and self._closed_bytes + self._end + reserve > self._conf.total:
+            path, size = self._closed_files.pop(0)
+            self._closed_bytes -= size
             path.unlink(missing_ok=True)
-            self._told("trace_file_removed", file=path.name, bytes=size)
+            self._report_event("trace_file_removed", file=path.name, bytes=size)
 
     def _write(self, data: bytes | bytearray, at: int) -> None:
         written = os.pwrite(self._fd, data, at)
         if written != len(data):
-            raise OSError("the disk took only part of it")
+            raise OSError("short write: only part of the data was written")
 
     def _seal(self) -> None:
         data, size = self._packer.seal(), self._end - self._block_at
@@ -164,9 +167,9 @@
             try:
                 self._write(data, self._end)
             except OSError:
-                os.ftruncate(self._fd, self._end)  # no room for the copy: the block stays as it is
+                os.ftruncate(self._fd, self._end)  # no space for the copy: the block stays uncompressed
             else:
-                self._end += len(data)  # should the next step fail, the copy stays
+                self._end += len(data)  # if the next step fails, the copy stays in the file
                 self._write(data, self._block_at)
                 os.ftruncate(self._fd, self._block_at + len(data))
                 self._end = self._block_at + len(data)
@@ -177,7 +180,7 @@
         self._packer.next()
 
     def close(self) -> None:
-        """End the file that is open with its index."""
+        """Write the index and close the open file."""
         if self._fd < 0:
             return
         try:
@@ -187,39 +190,39 @@
             try:
                 self._write(index, self._end)
             except OSError:
-                os.ftruncate(self._fd, self._end)  # it is read by a scan
+                os.ftruncate(self._fd, self._end)  # a file without an index is read by a scan
         except OSError as error:
-            self._told("trace_failed", file=self._path.name, error=str(error))
-        self._shut()
+            self._report_event("trace_failed", file=self._path.name, error=str(error))
+        self._close_fd()
 
-    def _shut(self) -> None:
+    def _close_fd(self) -> None:
         fd, self._fd = self._fd, -1
         with suppress(OSError):
             os.close(fd)
         with suppress(OSError):
             if not self._end:
-                self._path.unlink()  # not even its head could be written
+                self._path.unlink()  # not even the head was written
                 return
             size = self._path.stat().st_size
-            self._older.append((self._path, size))
-            self._older_bytes += size
+            self._closed_files.append((self._path, size))
+            self._closed_bytes += size
 
-    def _failed(self, error: Exception, now: int) -> None:
+    def _handle_failure(self, error: Exception, now: int) -> None:
         if self._fd >= 0:
             with suppress(OSError):
-                os.ftruncate(self._fd, self._end)  # what was written of the last frame
-        self._told("trace_failed", file=self._path.name, error=str(error), pause_ms=self._pause // 1000)
-        self._leave(now)
+                os.ftruncate(self._fd, self._end)  # remove the partly written frame
+        self._report_event("trace_failed", file=self._path.name, error=str(error), pause_ms=self._pause // 1000)
+        self._pause_writing(now)
 
-    def _leave(self, now: int) -> None:
-        """Write nothing for a while, and then to a new file."""
+    def _pause_writing(self, now: int) -> None:
+        """Close the file and write nothing for a while; the next frames go to a new file."""
         if self._fd >= 0:
-            self._shut()
+            self._close_fd()
         self._packer.next()
         self._try_at = now + self._pause
-        self._pause = min(self._pause * 2, LONGEST_PAUSE)
+        self._pause = min(self._pause * 2, MAX_PAUSE_US)
 
     def recovered(self) -> None:
-        """What was dropped has been told in the trace."""
+        """Reset the counts after the trace has recorded what was dropped."""
         self.dropped = Dropped()
-        self._pause = FIRST_PAUSE
+        self._pause = MIN_PAUSE_US
--- a/lynxscale/trace/select.py
+++ b/lynxscale/trace/select.py
@@ -1,8 +1,9 @@
-"""Which records a tool wants: by time, class, tenant, destination, endpoint, id and outcome. No I/O.
+"""Selects records by time, class, tenant, destination, endpoint, id and outcome. No I/O.
 
-A message matches as a whole: ``endpoint`` and ``outcome`` ask for those that had a try there, or an end, verdict or
-result so named, and take a first pass over the files (``Gather``). Records that concern no message are kept where only
-times were asked for; of the others a file keeps what tells whose it is.
+All records of a message match, or none. The criteria ``endpoints`` and ``outcomes`` select messages with an attempt at
+one of the endpoints, or with one of the final statuses, verdicts or results; they need a first pass over the files
+(``gather``). Records about no single message match if only a time range is selected; otherwise only those of the types
+in ``records.CONTEXT`` do.
 """
 
 from __future__ import annotations
@@ -17,17 +18,17 @@
 from lynxscale.trace.frames import Frame
 from lynxscale.trace.v2 import Summary
 
-GATHER_MOST = 1_000_000  # messages found in a first pass: guards the memory of a tool
+MAX_GATHERED_MESSAGES = 1_000_000  # messages found in a first pass; bounds the memory of a tool
 
 
 class TooManyMatchesError(TraceError):
-    """The first pass found more messages than memory is meant for."""
+    """The first pass found more than ``MAX_GATHERED_MESSAGES`` messages."""
 
 
 def unix_from(text: str) -> int:
-    """Unix µs from seconds, or from a date and time in ISO 8601 (UTC where it names no zone).
+    """Parse Unix seconds, or an ISO 8601 date and time (UTC if it has no zone), into Unix µs.
 
-    Raises ValueError.
+    Raises ValueError if the text is neither.
     """
     try:
         return round(float(text) * 1_000_000)
@@ -37,8 +38,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What is asked for; an empty set asks for anything. Times are Unix µs, ``until`` not included."""
+class RecordFilter:
+    """The selection criteria. An empty set matches anything; times are Unix µs, and ``until`` is excluded."""
 
     since: int | None = None
     until: int | None = None
@@ -48,20 +49,20 @@
     endpoints: frozenset[str] = frozenset()
     outcomes: frozenset[str] = frozenset()
     ids: frozenset[str] = frozenset()
-    gathered: frozenset[str] | None = field(default=None, repr=False)  # ids, of a first pass
+    gathered: frozenset[str] | None = field(default=None, repr=False)  # ids found by the first pass
 
     @property
     def by_message(self) -> bool:
-        """Is more asked for than a span of time?"""
+        """Whether the filter has other criteria than the time range."""
         return bool(self.classes or self.tenants or self.dests or self.ids or self.endpoints or self.outcomes)
 
     @property
-    def two_passes(self) -> bool:
-        """Must the messages be gathered in a first pass?"""
+    def needs_first_pass(self) -> bool:
+        """Whether the messages must be gathered in a first pass."""
         return bool(self.endpoints or self.outcomes)
 
-    def block(self, summary: Summary) -> bool:
-        """May this block hold any of it?"""
+    def may_match_block(self, summary: Summary) -> bool:
+        """Whether a block with this summary may hold a matching record."""
         if self.since is not None and summary.last < self.since:
             return False
         if self.until is not None and summary.first >= self.until:
@@ -75,12 +76,12 @@
             return summary.context
         return True
 
-    def timely(self, unix: int) -> bool:
-        """Is that time, in Unix µs, within the span?"""
+    def in_span(self, unix: int) -> bool:
+        """Whether a time in Unix µs is in the time range."""
         return (self.since is None or unix >= self.since) and (self.until is None or unix < self.until)
 
-    def message(self, msg: r.Msg) -> bool:
-        """Is this message asked for?"""
+    def matches_message(self, msg: r.Msg) -> bool:
+        """Whether this message matches."""
         if self.classes and msg.cls[1] not in self.classes:
             return False
         if self.tenants and msg.tenant[1] not in self.tenants:
@@ -91,45 +92,45 @@
             return False
         return self.gathered is None or msg.id in self.gathered
 
-    def record(self, number: int, values: Any) -> bool:
-        """Is this record kept?"""
+    def matches_record(self, number: int, values: Any) -> bool:
+        """Whether this record matches; its time is not checked."""
         if not self.by_message:
             return True
         msg = message_of(number, values)
-        return number in r.CONTEXT if msg is None else self.message(msg)
+        return number in r.CONTEXT if msg is None else self.matches_message(msg)
 
 
 def message_of(number: int, values: Any) -> r.Msg | None:
-    """The message that a record concerns; None where it is none, or its type is unknown."""
+    """The message that a record is about; None if there is none or the record type is unknown."""
     return values[0] if type(values) is list and values and isinstance(values[0], r.Msg) else None
 
 
-def gather(wanted: Wanted, frames: Iterable[Frame]) -> frozenset[str]:
-    """The ids of messages that had a wanted outcome and a try at a wanted endpoint.
+def gather(wanted: RecordFilter, frames: Iterable[Frame]) -> frozenset[str]:
+    """Return the ids of the messages with a selected outcome and an attempt at a selected endpoint.
 
-    Raises TooManyMatchesError.
+    Raises TooManyMatchesError if there are too many.
     """
     at_endpoint: set[str] = set()
-    came_out: set[str] = set()
+    with_outcome: set[str] = set()
     for frame in frames:
-        if not wanted.timely(frame.unix):
+        if not wanted.in_span(frame.unix):
             continue
         for number, values in frame.records:
             msg = message_of(number, values)
-            if msg is None or not wanted.message(msg):
+            if msg is None or not wanted.matches_message(msg):
                 continue
             row = r.BY_NUMBER[number].row(values)
             if wanted.endpoints and (row.get("endpoint") or r.UNKNOWN)[1] in wanted.endpoints:
                 at_endpoint.add(msg.id)
             if wanted.outcomes and _outcome(row) in wanted.outcomes:
-                came_out.add(msg.id)
-        if len(at_endpoint) + len(came_out) > GATHER_MOST:
+                with_outcome.add(msg.id)
+        if len(at_endpoint) + len(with_outcome) > MAX_GATHERED_MESSAGES:
             raise TooManyMatchesError(
-                f"more than {GATHER_MOST} messages match; ask for a shorter time or fewer classes"
+                f"more than {MAX_GATHERED_MESSAGES} messages match; ask for a shorter time or fewer classes"
             )
     if wanted.endpoints and wanted.outcomes:
-        return frozenset(at_endpoint & came_out)
-    return frozenset(at_endpoint or came_out)
+        return frozenset(at_endpoint & with_outcome)
+    return frozenset(at_endpoint or with_outcome)
 
 
 def _outcome(row: dict[str, Any]) -> str:
@@ -140,19 +141,19 @@
     return ""
 
 
-def kept(frame: Frame, wanted: Wanted) -> Iterator[Frame]:
-    """The frame's wanted records; each run of them without a gap is a frame, as their numbers must tell."""
-    if not wanted.timely(frame.unix):
+def matching_parts(frame: Frame, wanted: RecordFilter) -> Iterator[Frame]:
+    """Yield the matching records of a frame, each run without a gap as a frame with the right sequence number."""
+    if not wanted.in_span(frame.unix):
         return
     if not wanted.by_message:
         yield frame
         return
     run: list = []
     start = frame.seq
-    for place, (number, values) in enumerate(frame.records):
-        if wanted.record(number, values):
+    for index, (number, values) in enumerate(frame.records):
+        if wanted.matches_record(number, values):
             if not run:
-                start = frame.seq + place
+                start = frame.seq + index
             run.append((number, values))
         elif run:
             yield frame._replace(seq=start, records=run)
--- a/lynxscale/trace/summary.py
+++ b/lynxscale/trace/summary.py
@@ -1,7 +1,7 @@
-"""Counts and latencies of a trace: per class, tenant, destination and window. No I/O.
+"""Summarises a trace: counts and latencies by class, tenant, destination and time window. No I/O.
 
-Memory is that of the rows and of the messages that are open; a message whose end is not in the trace leaves when too
-many are.
+Memory grows with the rows and the open messages. When there are too many open messages, the oldest is counted as
+unfinished.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 from lynxscale.trace import records as r
 from lynxscale.trace.exceptions import TraceError
 from lynxscale.trace.frames import Frame
-from lynxscale.trace.select import Wanted
+from lynxscale.trace.select import RecordFilter
 
-OPEN_MOST = 200_000  # messages without an end: beyond them the oldest is counted as unfinished
-ROWS_MOST = 5_000  # of a summary: guards against a window of a millisecond over a day
-LONGEST_MS = 3_600_000  # of a latency; two digits
-DIGITS = 2
-BY = ("class", "tenant", "destination")
+MAX_OPEN_MESSAGES = 200_000  # messages without a final status
+MAX_ROWS = 5_000  # bounds the summary of a long trace by a short window
+MAX_LATENCY_MS = 3_600_000
+LATENCY_DIGITS = 2  # significant digits of the latency histogram
+GROUP_COLUMNS = ("class", "tenant", "destination")
 
 
 class TooManyRowsError(TraceError):
-    """The words ask for more rows than a summary is meant for."""
+    """The summary would have more than ``MAX_ROWS`` rows."""
 
 
 @dataclass(slots=True)
-class Grade:
-    """What a class's messages are worth, by when; ms."""
+class WorthCurve:
+    """The worth of a message of a class as a function of its age; times in ms."""
 
     aim: float
     deadline: float
@@ -41,7 +41,7 @@
     halves: bool
 
     def worth_at(self, spent_ms: float) -> float:
-        """Worth of a delivery so long after the client sent it (docs/design.md; the operators' counting)."""
+        """The worth of a delivery ``spent_ms`` after the client sent the message (docs/design.md)."""
         if spent_ms <= self.aim:
             return self.worth
         if spent_ms >= self.deadline:
@@ -54,11 +54,11 @@
 
 @dataclass(slots=True)
 class Row:
-    """One line of the summary. Latencies are from the relay taking a message in to its delivery."""
+    """One row of the summary. Latencies run from the admission of a message to its delivery."""
 
     key: tuple
     messages: int = 0
-    replayed: int = 0  # of them, taken over from an earlier process
+    replayed: int = 0  # messages taken over from an earlier process
     verdicts: Counter = field(default_factory=Counter)
     ends: Counter = field(default_factory=Counter)
     tries: int = 0
@@ -67,11 +67,11 @@
     worth_asked: float = 0.0
     worth_in_aim: float = 0.0
     worth_late: float = 0.0
-    latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, LONGEST_MS, DIGITS))
+    latencies: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, MAX_LATENCY_MS, LATENCY_DIGITS))
 
     def table(self, by: tuple[str, ...]) -> dict[str, Any]:
-        """As a JSON object: percentiles in ms, worth in the settings' units."""
-        spread = (
+        """Return the row as a JSON object: percentiles in ms, worth in the unit of the settings."""
+        percentiles = (
             {
                 f"p{str(share).replace('.0', '')}_ms": self.latencies.get_value_at_percentile(share)
                 for share in (50.0, 90.0, 99.0)
@@ -88,7 +88,7 @@
             "tries": self.tries,
             "tries_each": round(self.tries / self.messages, 3) if self.messages else 0.0,
             "results": dict(sorted(self.results.items())),
-            **spread,
+            **percentiles,
             "worth_asked": round(self.worth_asked, 3),
             "worth_in_aim": round(self.worth_in_aim, 3),
             "worth_late": round(self.worth_late, 3),
@@ -96,7 +96,7 @@
 
 
 @dataclass(slots=True)
-class _Open:
+class _OpenMessage:
     row: Row
     unix: int
     left: int
@@ -104,31 +104,31 @@
 
 
 class Summariser:
-    """Takes frames in order of time; ``rows`` and ``totals`` tell what they hold.
+    """Aggregates frames that are added in order of time; ``rows`` returns the summary.
 
-    ``by``: some of ``class``, ``tenant``, ``destination``; ``window``: µs, 0 for the whole time.
+    ``by`` holds some of ``class``, ``tenant`` and ``destination``; ``window`` is in µs, 0 for a single window.
     """
 
-    def __init__(self, by: Iterable[str] = ("class",), window: int = 0, wanted: Wanted | None = None) -> None:
-        self._by, self._window, self._wanted = tuple(by), window, wanted or Wanted()
+    def __init__(self, by: Iterable[str] = ("class",), window: int = 0, wanted: RecordFilter | None = None) -> None:
+        self._by, self._window, self._wanted = tuple(by), window, wanted or RecordFilter()
         self._rows: dict[tuple, Row] = {}
-        self._open: OrderedDict[tuple[str, int], _Open] = OrderedDict()
-        self._grades: dict[str, Grade] = {}
+        self._open: OrderedDict[tuple[str, int], _OpenMessage] = OrderedDict()
+        self._curves: dict[str, WorthCurve] = {}
         self.first: int | None = None
         self.last: int | None = None
         self.sources: set[str] = set()
         self.types: Counter = Counter()
-        self.dropped = 0  # records that a recorder says it could not write
+        self.dropped = 0  # records that a recorder could not write
 
     @property
     def columns(self) -> tuple[str, ...]:
-        """The names of a row's key."""
+        """The names of the parts of a row key."""
         return (("window",) if self._window else ()) + self._by
 
     def add(self, frame: Frame) -> None:
-        """Count the records of a frame."""
+        """Add the records of a frame."""
         unix = frame.unix
-        if not self._wanted.timely(unix):
+        if not self._wanted.in_span(unix):
             return
         self.first = unix if self.first is None else min(self.first, unix)
         self.last = unix if self.last is None else max(self.last, unix)
@@ -139,11 +139,11 @@
                 self._settings(values)
             elif number == r.DROPPED:
                 self.dropped += values[0]
-            elif number in HANDLED and self._wanted.message(values[0]):
-                HANDLED[number](self, frame.source, unix, values)
+            elif number in HANDLERS and self._wanted.matches_message(values[0]):
+                HANDLERS[number](self, frame.source, unix, values)
 
     def rows(self) -> Iterator[Row]:
-        """The rows, in the order of their keys; what is still open counts as unfinished."""
+        """Yield the rows in order of their keys; messages that are still open count as unfinished."""
         for one in self._open.values():
             one.row.unfinished += 1
         self._open.clear()
@@ -160,11 +160,11 @@
         try:
             table = orjson.loads(values[7])
             for row in table["classes"]:
-                self._grades[row["name"]] = Grade(
+                self._curves[row["name"]] = WorthCurve(
                     row["aim_ms"], row["deadline_ms"], row["worth"], row["late_worth"], table["late_halves"]
                 )
         except (ValueError, KeyError, TypeError, IndexError):
-            pass  # without them there is no worth in the summary, and all else is
+            pass  # without settings the summary lacks the worth
 
     def _row(self, unix: int, msg: r.Msg) -> Row:
         parts = {"class": msg.cls[1], "tenant": msg.tenant[1], "destination": msg.dest}
@@ -173,8 +173,8 @@
             key = (unix - unix % self._window, *key)
         row = self._rows.get(key)
         if row is None:
-            if len(self._rows) >= ROWS_MOST:
-                raise TooManyRowsError(f"more than {ROWS_MOST} rows: ask for a longer window or fewer columns")
+            if len(self._rows) >= MAX_ROWS:
+                raise TooManyRowsError(f"more than {MAX_ROWS} rows: ask for a longer window or fewer columns")
             row = self._rows[key] = Row(key)
         return row
 
@@ -183,10 +183,10 @@
         row = self._row(unix, msg)
         row.messages += 1
         row.replayed += tries > 0
-        grade = self._grades.get(msg.cls[1])
-        row.worth_asked += grade.worth if grade else 0.0
-        self._open[source, msg.number] = _Open(row, unix, left)
-        if len(self._open) > OPEN_MOST:
+        curve = self._curves.get(msg.cls[1])
+        row.worth_asked += curve.worth if curve else 0.0
+        self._open[source, msg.number] = _OpenMessage(row, unix, left)
+        if len(self._open) > MAX_OPEN_MESSAGES:
             self._open.popitem(last=False)[1].row.unfinished += 1
 
     def _admit(self, source: str, _unix: int, values: list) -> None:
@@ -196,12 +196,12 @@
             if values[1][1] != "taken":
                 del self._open[source, values[0].number]
 
-    def _try(self, source: str, _unix: int, values: list) -> None:
+    def _try_start(self, source: str, _unix: int, values: list) -> None:
         one = self._open.get((source, values[0].number))
         if one is not None:
             one.row.tries += 1
 
-    def _tried(self, source: str, _unix: int, values: list) -> None:
+    def _try_end(self, source: str, _unix: int, values: list) -> None:
         one = self._open.get((source, values[0].number))
         if one is not None:
             one.row.results[values[3][1]] += 1
@@ -209,27 +209,27 @@
     def _end(self, source: str, unix: int, values: list) -> None:
         one = self._open.pop((source, values[0].number), None)
         if one is None:
-            return  # it came in before the trace begins
+            return  # the message was admitted before the trace begins
         one.row.ends[values[1][1]] += 1
         if values[1][1] != "delivered":
             return
         spent = max(0, unix - one.unix) / 1000
-        one.row.latencies.record_value(max(1, min(LONGEST_MS, round(spent))))
-        grade = self._grades.get(values[0].cls[1])
-        if grade is not None:
-            # The time left tells how long ago the client sent it.
-            since = spent + max(0.0, grade.deadline - one.left / 1000)
-            worth = grade.worth_at(since)
-            if since <= grade.aim:
+        one.row.latencies.record_value(max(1, min(MAX_LATENCY_MS, round(spent))))
+        curve = self._curves.get(values[0].cls[1])
+        if curve is not None:
+            # The deadline minus the time left at admission is the age of the message at admission.
+            since = spent + max(0.0, curve.deadline - one.left / 1000)
+            worth = curve.worth_at(since)
+            if since <= curve.aim:
                 one.row.worth_in_aim += worth
             else:
                 one.row.worth_late += worth
 
 
-HANDLED = {
+HANDLERS = {
     r.MESSAGE: Summariser._message,
     r.ADMIT: Summariser._admit,
-    r.TRY_START: Summariser._try,
-    r.TRY_END: Summariser._tried,
+    r.TRY_START: Summariser._try_start,
+    r.TRY_END: Summariser._try_end,
     r.END: Summariser._end,
 }
