--- a/lynxscale/trace/v2.py
+++ b/lynxscale/trace/v2.py
@@ -1,8 +1,9 @@
-"""Version 2: blocks. A block can be read by itself, has a summary, and is compressed once it is full.
+"""The container of version 2: blocks of frames, and an index.
 
-An open block is its head and frames as in version 1, each appended whole, so that a crash costs what was being
-written and no more. ``seal`` gives the same frames compressed, with the summary that tools choose blocks by. The index
-at a file's end repeats the summaries. docs/design/trace.md has the bytes, and how a block is sealed in place.
+A block can be decoded on its own. An open block is a head followed by frames as in version 1; each frame is one append,
+so a crash loses only the frame that was being written. A full block is sealed: its frames are compressed, and a summary
+lets tools skip the block. The index at the end of the file repeats the summaries. docs/design/trace.md specifies the
+bytes, and how a block is sealed in place.
 """
 
 from __future__ import annotations
@@ -23,27 +24,30 @@
 from lynxscale.trace.records import Msg
 
 BLOCK_MARK = b"\xa7LXB\r\n\x1a\n"
-# mark, state, number, base time, base seq, stored, raw and summary length, their checksums, the head's own
-BLOCK = struct.Struct("<8sB3xIQQIIIIII")
+# mark, state, number, base time, base seq, lengths of stored data, raw data and summary, checksums of stored data,
+# summary and head
+BLOCK_HEAD = struct.Struct("<8sB3xIQQIIIIII")
 OPEN, ZSTD, PLAIN = 0, 1, 2
 INDEX_MARK = b"\xa7LXI\r\n\x1a\n"
-INDEX = struct.Struct("<8sQQI")  # mark, blocks, length, checksum of these and of the rows behind them
-TRAILER = struct.Struct("<QI8s")  # offset of the index, checksum of these eight bytes, mark
+INDEX_HEAD = struct.Struct(
+    "<8sQQI"
+)  # mark, number of blocks, length of the rows, checksum of the preceding fields and the rows
+TRAILER = struct.Struct("<QI8s")  # offset of the index, checksum of that offset, mark
 TRAILER_MARK = b"LXT2END\n"
 
 BLOCK_BYTES = 64 << 10  # before compression
-RAW_MOST = 1 << 27  # guards against a length by which a reader would take all memory
-SUMMARY_MOST = 1 << 20
-NAMES_MOST = 1024  # destinations, classes, tenants or sources named in a summary; beyond them it names none
-IDS_MOST = 8192  # of 65,536 marks: beyond so many the filter tells nothing
+MAX_RAW_BYTES = 1 << 27  # keeps a corrupted length from exhausting the memory of a reader
+MAX_SUMMARY_BYTES = 1 << 20
+MAX_SUMMARY_NAMES = 1024  # of destinations, classes, tenants or sources each; a larger set is stored as empty
+MAX_ID_HASHES = 8192  # of 65,536 possible values; a larger set is not stored, because it excludes too few ids
 INDEX_CHUNK = 64 << 10
 CRC_BYTES = 4
-LEVEL = 3  # of zstandard: 0.4 us a message, a tenth smaller than level 1
+ZSTD_LEVEL = 3  # 0.4 µs a message, and a tenth smaller than level 1
 
 
 @dataclass(slots=True)
 class Summary:
-    """What a block holds. An empty set where there were too many to name: then any may be in it."""
+    """What a block holds. An empty set means that there were too many values to list, so any may be in the block."""
 
     frames: int = 0
     records: int = 0
@@ -53,13 +57,13 @@
     classes: set[str] = field(default_factory=set)
     tenants: set[str] = field(default_factory=set)
     dests: set[int] = field(default_factory=set)
-    ids: set[int] = field(default_factory=set)  # marks of the messages' ids
+    ids: set[int] = field(default_factory=set)  # 16-bit hashes of the message ids
     any_dest: bool = False
     any_id: bool = False
-    context: bool = False  # it tells whose file it is, of lists or of what was dropped
+    context: bool = False  # the block has records of a type in ``records.CONTEXT``
 
-    def add(self, frame: Frame, fresh: list[Msg]) -> None:
-        """Take in a frame, and the messages that its block names for the first time."""
+    def add(self, frame: Frame, new_messages: list[Msg]) -> None:
+        """Add a frame, and the messages that the block describes for the first time in it."""
         unix = frame.time + (frame.offset or 0)
         if not self.frames:
             self.first = self.last = unix
@@ -70,26 +74,26 @@
         self.frames += 1
         self.records += len(frame.records)
         self.sources.add(frame.source)
-        for msg in fresh:
+        for msg in new_messages:
             self.classes.add(msg.cls[1])
             self.tenants.add(msg.tenant[1])
             self.dests.add(msg.dest)
-            self.ids.add(id_mark(msg.id))
+            self.ids.add(id_hash(msg.id))
 
     def pack(self, ids: bool = True) -> bytes:
-        """Its bytes; the index's rows are without the ids' marks."""
+        """Encode the summary; ``ids`` is False for the rows of the index, which omit the hashes of ids."""
         out = bytearray()
         put_uint(out, self.frames)
         put_uint(out, self.records)
         put_int(out, self.first)
         put_uint(out, self.last - self.first)
         for names in (self.sources, self.classes, self.tenants):
-            shown = sorted(names) if len(names) <= NAMES_MOST else []
+            shown = sorted(names) if len(names) <= MAX_SUMMARY_NAMES else []
             put_uint(out, len(shown))
             for name in shown:
                 put_text(out, name)
-        any_dest = self.any_dest or len(self.dests) > NAMES_MOST
-        any_id = not ids or self.any_id or len(self.ids) > IDS_MOST
+        any_dest = self.any_dest or len(self.dests) > MAX_SUMMARY_NAMES
+        any_id = not ids or self.any_id or len(self.ids) > MAX_ID_HASHES
         out.append(any_dest | any_id << 1 | self.context << 2)
         dests = [] if any_dest else sorted(self.dests)
         put_uint(out, len(dests))
@@ -97,20 +101,20 @@
         for dest in dests:
             put_uint(out, dest - before)
             before = dest
-        marks = _little(array("H", [] if any_id else sorted(self.ids)))
-        put_uint(out, len(marks))
-        out += marks.tobytes()
+        hashes = _little_endian(array("H", [] if any_id else sorted(self.ids)))
+        put_uint(out, len(hashes))
+        out += hashes.tobytes()
         return bytes(out)
 
     def may_hold_id(self, id_: str) -> bool:
-        """May the block hold a record of that message? Never False where it does."""
-        return self.any_id or id_mark(id_) in self.ids
+        """Whether the block may hold a record of that message; no false negatives."""
+        return self.any_id or id_hash(id_) in self.ids
 
 
 def read_summary(data: bytes) -> Summary:
-    """The summary in these bytes; fields behind the known ones are passed over.
+    """Decode a summary; unknown fields after the known ones are ignored.
 
-    Raises MalformedDataError where they are none.
+    Raises MalformedDataError if the bytes are not a summary.
     """
     one = Summary()
     one.frames, at = get_uint(data, 0)
@@ -135,45 +139,45 @@
     raw = data[at : at + 2 * count]
     if len(raw) < 2 * count:
         raise MalformedDataError("a summary is cut short")
-    one.ids = set(_little(array("H", raw)))
+    one.ids = set(_little_endian(array("H", raw)))
     return one
 
 
-def _little(marks: array) -> array:
-    """Least byte first, whatever the machine's order is."""
+def _little_endian(hashes: array) -> array:
+    """Convert in place between native and little-endian byte order."""
     if sys.byteorder == "big":
-        marks.byteswap()
-    return marks
+        hashes.byteswap()
+    return hashes
 
 
-def id_mark(id_: str) -> int:
-    """Sixteen bits of an id: two ids share them once in 65,536 times."""
+def id_hash(id_: str) -> int:
+    """Return a 16-bit hash of a message id."""
     return crc32c(id_.encode("utf-8", "surrogatepass")) & 0xFFFF
 
 
 @dataclass(frozen=True, slots=True)
 class BlockHead:
-    """The head of a block: its state, number and bases, and sizes and checksums once it is sealed."""
+    """The head of a block: state, number and bases; once the block is sealed, also lengths and checksums."""
 
     state: int
     number: int
     base_time: int
     base_seq: int
-    stored: int = 0
-    raw: int = 0
-    summary: int = 0
-    checksum: int = 0  # of what is stored
+    stored: int = 0  # length of the stored data
+    raw: int = 0  # length of the data before compression
+    summary: int = 0  # length of the summary
+    checksum: int = 0  # of the stored data
     summary_checksum: int = 0
 
     @property
     def size(self) -> int:
-        """Of the whole block; of an open one, of its head."""
-        return BLOCK.size + self.summary + self.stored
+        """The size of a sealed block; for an open one, the size of its head."""
+        return BLOCK_HEAD.size + self.summary + self.stored
 
 
 def pack_block_head(head: BlockHead) -> bytes:
-    """The bytes of a block's head."""
-    data = BLOCK.pack(
+    """Encode the head of a block."""
+    data = BLOCK_HEAD.pack(
         BLOCK_MARK,
         head.state,
         head.number,
@@ -190,24 +194,29 @@
 
 
 def read_block_head(data: bytes, at: int = 0) -> BlockHead | None:
-    """The head at an offset; None where no whole one stands there."""
-    if len(data) < at + BLOCK.size or data[at : at + 8] != BLOCK_MARK:
+    """Decode the block head at an offset; None if there is no valid one."""
+    if len(data) < at + BLOCK_HEAD.size or data[at : at + 8] != BLOCK_MARK:
         return None
-    _mark, *values, checksum = BLOCK.unpack_from(data, at)
-    if crc32c(data[at : at + BLOCK.size - 4]) != checksum:
+    _mark, *values, checksum = BLOCK_HEAD.unpack_from(data, at)
+    if crc32c(data[at : at + BLOCK_HEAD.size - 4]) != checksum:
         return None
     head = BlockHead(*values)
-    if head.state > PLAIN or head.raw > RAW_MOST or head.stored > RAW_MOST or head.summary > SUMMARY_MOST:
+    if (
+        head.state > PLAIN
+        or head.raw > MAX_RAW_BYTES
+        or head.stored > MAX_RAW_BYTES
+        or head.summary > MAX_SUMMARY_BYTES
+    ):
         return None
     return head
 
 
 class Packer:
-    """Gathers the frames of one block after the other."""
+    """Builds blocks one after the other from frames."""
 
     def __init__(self, block_bytes: int = BLOCK_BYTES) -> None:
         self._block_bytes, self._encoder = block_bytes, Encoder()
-        self._compressor = zstandard.ZstdCompressor(level=LEVEL)
+        self._compressor = zstandard.ZstdCompressor(level=ZSTD_LEVEL)
         self.number = 0
         self._begin()
 
@@ -220,30 +229,30 @@
 
     @property
     def full(self) -> bool:
-        """Has the block reached its size?"""
+        """Whether the block has reached its target size."""
         return self.raw >= self._block_bytes
 
     def add(self, frame: Frame) -> bytes:
-        """Take in a frame; its payload, relative to the block's base."""
+        """Add a frame and return its payload, relative to the base of the block."""
         if not self._payloads:
             self.base_time, self.base_seq = max(0, frame.time), frame.seq
         payload = self._encoder.payload(frame, self.base_time, self.base_seq)
-        fresh = self._encoder.fresh
-        self.summary.add(frame, fresh)
-        if fresh:
-            fresh.clear()
-        if self._encoder.told_context:
+        new_messages = self._encoder.new_messages
+        self.summary.add(frame, new_messages)
+        if new_messages:
+            new_messages.clear()
+        if self._encoder.has_context:
             self.summary.context = True
         self._payloads.append(payload)
         self.raw += len(payload) + 2
         return payload
 
     def head(self) -> bytes:
-        """The head of the block that is open, once it has a frame."""
+        """Encode the head of the open block, which must have a frame."""
         return pack_block_head(BlockHead(OPEN, self.number, self.base_time, self.base_seq))
 
     def seal(self) -> bytes:
-        """The whole block, compressed where that is shorter. ``next`` begins another."""
+        """Return the sealed block, compressed if that is shorter. Call ``next`` to begin another one."""
         raw = bytearray()
         for payload in self._payloads:
             put_uint(raw, len(payload))
@@ -272,9 +281,9 @@
 
 
 def payloads_in(head: BlockHead, stored: bytes) -> Iterator[bytes]:
-    """The payloads of a sealed block.
+    """Yield the payloads of a sealed block.
 
-    Raises MalformedDataError where what is stored is not what its head says.
+    Raises MalformedDataError if the stored data does not match the head.
     """
     if crc32c(stored) != head.checksum or len(stored) != head.stored:
         raise MalformedDataError("its checksum is wrong")
@@ -301,7 +310,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A block's row of the index; its summary is without the ids, which stand before the block itself."""
+    """The row of a block in the index. Its summary omits the hashes of ids, which only the block itself has."""
 
     offset: int
     size: int
@@ -310,7 +319,7 @@
 
 
 class IndexBuilder:
-    """Gathers the rows; keeps them compressed, so that a file of many GB needs little memory."""
+    """Collects the rows of the index in compressed form, so that a file of many GB needs little memory."""
 
     def __init__(self) -> None:
         self._rows = bytearray()
@@ -332,15 +341,15 @@
 
     def _flush(self) -> None:
         if self._rows:
-            self._stored += zstandard.ZstdCompressor(level=LEVEL).compress(bytes(self._rows))
+            self._stored += zstandard.ZstdCompressor(level=ZSTD_LEVEL).compress(bytes(self._rows))
             self._rows.clear()
 
     def pack(self, offset: int) -> bytes:
-        """The index and the trailer behind it, to stand at that offset."""
+        """Encode the index and the trailer, to be written at that offset."""
         self._flush()
         stored = bytes(self._stored)
         where = offset.to_bytes(8, "little")
-        head = INDEX.pack(INDEX_MARK, self._count, len(stored), 0)[:-CRC_BYTES]
+        head = INDEX_HEAD.pack(INDEX_MARK, self._count, len(stored), 0)[:-CRC_BYTES]
         return (
             head
             + crc32c(stored, crc32c(head)).to_bytes(CRC_BYTES, "little")
@@ -350,7 +359,7 @@
 
 
 def index_offset(tail: bytes) -> int | None:
-    """Where the index stands, by the last bytes of a file; None where the file has no trailer."""
+    """Return the offset of the index from the last bytes of a file; None if the file has no valid trailer."""
     if len(tail) < TRAILER.size:
         return None
     offset, checksum, mark = TRAILER.unpack_from(tail, len(tail) - TRAILER.size)
@@ -359,18 +368,18 @@
 
 
 class IndexReader:
-    """The index at an offset of an open file, read as it is used.
+    """Reads the rows of the index at an offset of an open file, on demand.
 
-    Raises MalformedDataError where no whole one stands there.
+    Raises MalformedDataError if there is no valid index.
     """
 
     def __init__(self, file: BinaryIO, offset: int) -> None:
         file.seek(offset)
-        head = file.read(INDEX.size)
-        if len(head) < INDEX.size or head[:8] != INDEX_MARK:
-            raise MalformedDataError("no index stands there")
-        _mark, self.count, self._left, checksum = INDEX.unpack(head)
-        self._file, self._start = file, offset + INDEX.size
+        head = file.read(INDEX_HEAD.size)
+        if len(head) < INDEX_HEAD.size or head[:8] != INDEX_MARK:
+            raise MalformedDataError("there is no index at this offset")
+        _mark, self.count, self._left, checksum = INDEX_HEAD.unpack(head)
+        self._file, self._start = file, offset + INDEX_HEAD.size
         found, left = crc32c(head[:-CRC_BYTES]), self._left
         while left:
             data = file.read(min(left, INDEX_CHUNK))
@@ -410,7 +419,7 @@
 
 
 def _row_size(buffer: bytearray) -> tuple[int, int] | None:
-    """Where the buffer's first row begins and ends; None where it is not whole."""
+    """Return where the first row of the buffer begins and ends; None if the row is incomplete."""
     try:
         size, at = get_uint(buffer, 0)
     except MalformedDataError:
--- a/lynxscale/trace/view.py
+++ b/lynxscale/trace/view.py
@@ -1,4 +1,4 @@
-"""Records as people and other programs read them: JSON objects, and the life of one message in words."""
+"""Renders records: as JSON objects, and as a text history of one message."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def iso(unix: int) -> str:
-    """Unix µs as ISO 8601 in UTC."""
+    """Format Unix µs as ISO 8601 in UTC."""
     try:
         return datetime.fromtimestamp(unix / 1e6, UTC).strftime("%Y-%m-%dT%H:%M:%S") + f".{unix % 1_000_000:06d}Z"
     except (OverflowError, ValueError, OSError):
@@ -19,21 +19,21 @@
 
 
 def objects(frame: Frame) -> Iterator[dict[str, Any]]:
-    """One JSON-ready object a record; docs/design/trace.md, "As JSON"."""
+    """Yield one JSON-ready object per record; docs/design/trace.md, "As JSON"."""
     relay, _, process = frame.source.rpartition("/")
     stem = {"time": iso(frame.unix), "unix": frame.unix, "mono": frame.time, "relay": relay, "process": process}
-    for place, (number, values) in enumerate(frame.records):
+    for index, (number, values) in enumerate(frame.records):
         one = r.BY_NUMBER.get(number)
-        row = stem | {"seq": frame.seq + place, "type": one.name if one else f"type_{number}"}
+        row = stem | {"seq": frame.seq + index, "type": one.name if one else f"type_{number}"}
         if one is None:
             yield row | {"bytes": len(values)}
             continue
         for (name, kind), value in zip(one.fields, values, strict=False):
-            row |= _shown(name, kind, value)
+            row |= _as_json(name, kind, value)
         yield row
 
 
-def _shown(name: str, kind: str, value: Any) -> dict[str, Any]:
+def _as_json(name: str, kind: str, value: Any) -> dict[str, Any]:
     if kind == "M":
         return {
             "id": value.id,
@@ -69,20 +69,20 @@
     return f"{micros / 1000:.1f} ms"
 
 
-def life(frame: Frame, id_: str, zero: int) -> Iterator[str]:
-    """A line for each record of a message; ``zero``: Unix µs of the first, by which the times are told."""
+def message_history(frame: Frame, id_: str, start: int) -> Iterator[str]:
+    """Yield a line for each record of a message, with times relative to ``start`` (Unix µs)."""
     relay = frame.source.rpartition("/")[0]
     for number, values in frame.records:
         if type(values) is not list or not values or not isinstance(values[0], r.Msg) or values[0].id != id_:
             continue
-        text = _told(number, r.BY_NUMBER[number].row(values))
+        text = _describe(number, r.BY_NUMBER[number].row(values))
         if text:
-            yield f"{iso(frame.unix)}  {(frame.unix - zero) / 1000:+10.1f} ms  {relay}  {text}"
+            yield f"{iso(frame.unix)}  {(frame.unix - start) / 1000:+10.1f} ms  {relay}  {text}"
 
 
-def _told(number: int, row: dict[str, Any]) -> str:
+def _describe(number: int, row: dict[str, Any]) -> str:
     msg = row["msg"]
-    again = f", come again in {row.get('again', 0):g} ms" if row.get("again") else ""
+    again = f", retry after {row.get('again', 0):g} ms" if row.get("again") else ""
     where = (row.get("endpoint") or (0, ""))[1] or f"#{(row.get('endpoint') or (0, ''))[0]}"
     if number == r.MESSAGE:
         earlier = f", {row['tries']} tries by an earlier process" if row.get("tries") else ""
@@ -94,27 +94,27 @@
         return f"answered: {row['verdict'][1]}{again}"
     if number == r.TRY_START:
         fresh = " on a new connection" if row["fresh"] else ""
-        return f"try {row['attempt']} begins at {where}, for {_ms(row['timeout'])}{fresh}"
+        return f"attempt {row['attempt']} starts at {where}, for {_ms(row['timeout'])}{fresh}"
     if number == r.TRY_END:
-        wait = f", told to wait {row['wait']:g} ms" if row.get("wait") else ""
+        wait = f", asked to wait {row['wait']:g} ms" if row.get("wait") else ""
         report = f", report {' '.join(f'{v:g}' for v in row['report'])}" if row.get("report") else ""
-        return f"try {row['attempt']} at {where}: {row['result'][1]} after {_ms(row['latency'])}{wait}{report}"
+        return f"attempt {row['attempt']} at {where}: {row['result'][1]} after {_ms(row['latency'])}{wait}{report}"
     if number == r.END:
         return f"end: {row['status'][1]}{again}"
     if number == r.NOTICE:
-        return f"notice owed: {row['status'][1]}{again}"
+        return f"notice queued: {row['status'][1]}{again}"
     if number == r.NOTICE_HEARD:
-        return "notice heard by the platform"
+        return "notice acknowledged by the platform"
     if number == r.IN_MESSAGE:
-        return "the module is given it"
+        return "the scheduler receives it"
     if number == r.OUT_ATTEMPT:
-        return f"the module orders a try at {where}"
+        return f"the scheduler orders an attempt at {where}"
     if number == r.OUT_CANCEL:
-        return f"the module cuts try {row['attempt']}"
+        return f"the scheduler cancels attempt {row['attempt']}"
     if number == r.OUT_REFUSE:
-        return f"the module refuses it{again}"
+        return f"the scheduler refuses it{again}"
     if number == r.OUT_FAIL:
-        return "the module fails it"
+        return "the scheduler fails it"
     if number == r.IN_WITHDRAWN:
-        return "the module is told that it was withdrawn"
+        return "the scheduler learns that it was withdrawn"
     return ""
--- a/lynxscale/trace/writer.py
+++ b/lynxscale/trace/writer.py
@@ -1,4 +1,4 @@
-"""Trace files that tools write: whole or not at all, in either version."""
+"""Writes trace files of either version for the tools: complete, or not at all."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Output:
-    """One file, taken over by its name when it is whole. Used by ``with``; an exception leaves nothing behind."""
+    """A context manager that writes a temporary file and renames it on success; an exception leaves no file."""
 
     def __init__(
         self, path: str | Path, version: int = 2, created: int | None = None, writer: str = "lynxscale"
@@ -41,7 +41,7 @@
         self.frames += 1
         self.records += len(frame.records)
         if self._version == 1:
-            self._encoder.reset()  # each frame is read by itself
+            self._encoder.reset()  # version 1 frames are decoded on their own
             self._write(h.pack_frame(self._encoder.payload(frame)))
             return
         self._packer.add(frame)
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -1,4 +1,4 @@
-"""The bytes of a trace: both versions, cut off anywhere, damaged anywhere, older and newer than this program."""
+"""The trace format: both versions, truncated or damaged at any byte, and written by older or newer programs."""
 
 import os
 from pathlib import Path
@@ -25,7 +25,7 @@
 
 
 def values_of(one: r.Type):
-    """Values of a type's fields. A number of a table has one text, as a relay's own has."""
+    """Strategy for records of a type. Each number in a table of names always has the same text, as in a relay."""
 
     def handle(table):
         return counts.map(lambda number: (number, f"{table}{number}"))
@@ -93,11 +93,11 @@
         put_uint(bytearray(), -1)
 
 
-# Cut off ------------------------------------------------------------------------------------------
+# Truncated ----------------------------------------------------------------------------------------
 
 
-def assert_prefix(path: Path, data: bytes, told: list[Frame], least: int) -> None:
-    """A file of these bytes gives the first of the frames, at least so many, and tells what it leaves out."""
+def assert_prefix(path: Path, data: bytes, written: list[Frame], least: int) -> None:
+    """A file of these bytes yields a prefix of at least ``least`` frames, and reports the rest as torn."""
     path.write_bytes(data)
     try:
         with Reader(path) as reader:
@@ -106,7 +106,7 @@
     except NotATraceError:
         assert least == 0
         return
-    assert got == told[: len(got)]
+    assert got == written[: len(got)]
     assert len(got) >= least
     assert all(loss.torn for loss in losses)
     if losses:
@@ -114,57 +114,57 @@
 
 
 def test_version_1_cut_at_every_byte(tmp_path):
-    told = traces.frames(8)
-    data = traces.write(tmp_path / "whole", told, 1).read_bytes()
+    written = traces.frames(8)
+    data = traces.write(tmp_path / "whole", written, 1).read_bytes()
     ends = [
-        offset + h.FRAME.size + len(payload)
+        offset + h.FRAME_HEADER.size + len(payload)
         for offset, payload in h.frames_in(data, h.read_head(data).size)
         if payload is not None
     ]
-    assert len(ends) == len(told)
+    assert len(ends) == len(written)
     for cut in range(len(data) + 1):
-        assert_prefix(tmp_path / "cut", data[:cut], told, sum(end <= cut for end in ends))
+        assert_prefix(tmp_path / "cut", data[:cut], written, sum(end <= cut for end in ends))
 
 
 def test_version_2_cut_at_every_byte(tmp_path, monkeypatch):
     monkeypatch.setattr(v2.Packer.__init__, "__defaults__", (250,))
-    told = traces.frames(9)
-    path = traces.write(tmp_path / "whole", told)
+    written = traces.frames(9)
+    path = traces.write(tmp_path / "whole", written)
     data = path.read_bytes()
     with Reader(path) as reader:
         places = list(reader.index())
     assert len(places) > 3
     for cut in range(len(data) + 1):
         least = sum(place.summary.frames for place in places if place.offset + place.size <= cut)
-        assert_prefix(tmp_path / "cut", data[:cut], told, least)
+        assert_prefix(tmp_path / "cut", data[:cut], written, least)
 
 
-def recorded(folder: Path, told: list[Frame], **changes) -> tuple[rotation.Files, list[int]]:
-    """These frames written singly by the daemon's own files, still open; the file's size after each."""
+def recorded(folder: Path, written: list[Frame], **changes) -> tuple[rotation.Files, list[int]]:
+    """Write the frames one by one as the daemon does; return the files, still open, and the size after each frame."""
     files = rotation.Files(TraceConf(folder=str(folder), **changes), "a", lambda *_a, **_k: None)
     sizes = []
-    for frame in told:
+    for frame in written:
         assert files.put([frame])
         sizes.append(files._end)
     return files, sizes
 
 
 def test_an_open_block_cut_at_every_byte(tmp_path):
-    told = traces.frames(8)
-    files, sizes = recorded(tmp_path / "live", told)
+    written = traces.frames(8)
+    files, sizes = recorded(tmp_path / "live", written)
     data = files._path.read_bytes()
     assert len(data) == sizes[-1]
     for cut in range(len(data) + 1):
-        assert_prefix(tmp_path / "cut", data[:cut], told, sum(size <= cut for size in sizes))
+        assert_prefix(tmp_path / "cut", data[:cut], written, sum(size <= cut for size in sizes))
 
 
 class Killed(BaseException):
-    """The process ended here."""
+    """Stands for a kill of the process at this point."""
 
 
 def test_a_kill_at_every_byte_of_sealing_a_block_loses_nothing(tmp_path, monkeypatch):
-    """Appended, written over and cut behind: after any number of bytes of that, all that was told is read."""
-    told = traces.frames(14)
+    """Guards against a loss when a writer is killed while it appends, overwrites or truncates to seal a block."""
+    written = traces.frames(14)
     write, cut = os.pwrite, os.ftruncate
     budget = None
 
@@ -190,8 +190,8 @@
     for at in range(0, 1_000_000):
         budget = None
         folder = tmp_path / str(at)
-        files, _sizes = recorded(folder, told[:-1], block=1 << 20)
-        files._packer.add(told[-1])
+        files, _sizes = recorded(folder, written[:-1], block=1 << 20)
+        files._packer.add(written[-1])
         files._end += files._write(h.pack_frame(files._packer._payloads[-1]), files._end) or 0
         files._end = os.fstat(files._fd).st_size
         budget = at
@@ -200,10 +200,10 @@
         except Killed:
             kills += 1
             os.close(files._fd)
-            assert traces.read(files._path) == told
+            assert traces.read(files._path) == written
             continue
         os.close(files._fd)
-        assert traces.read(files._path) == told
+        assert traces.read(files._path) == written
         break
     assert kills > 1000
 
@@ -212,10 +212,10 @@
 
 
 def read_flipped(path: Path, data: bytes, at: int, bit: int) -> tuple[list, list]:
-    """Which frames are read, and what is lost, of these bytes with one bit turned."""
-    spoilt = bytearray(data)
-    spoilt[at] ^= 1 << bit
-    path.write_bytes(spoilt)
+    """Flip one bit of the data; return the keys of the frames that are read, and the losses."""
+    damaged = bytearray(data)
+    damaged[at] ^= 1 << bit
+    path.write_bytes(damaged)
     with Reader(path) as reader:
         return [(frame.source, frame.seq) for frame in reader.frames()], reader.losses
 
@@ -224,8 +224,8 @@
 @pytest.mark.parametrize("version", [1, 2])
 def test_a_flipped_bit_costs_one_block_and_is_told(tmp_path, version, closed, monkeypatch):
     monkeypatch.setattr(v2.Packer.__init__, "__defaults__", (600,))
-    told = traces.frames(30)
-    data = bytearray(traces.write(tmp_path / "whole", told, version).read_bytes())
+    written = traces.frames(30)
+    data = bytearray(traces.write(tmp_path / "whole", written, version).read_bytes())
     start, most = h.read_head(bytes(data)).size, 1
     if version == 2:
         with Reader(tmp_path / "whole") as reader:
@@ -233,14 +233,14 @@
         most = max(place.summary.frames for place in places)
         if not closed:
             del data[places[-1].offset + places[-1].size :]
-    keys = [(frame.source, frame.seq) for frame in told]
+    keys = [(frame.source, frame.seq) for frame in written]
     path = tmp_path / "flipped"
 
     @given(st.integers(start, len(data) - 1), st.integers(0, 7))
     @settings(max_examples=200, deadline=None, derandomize=True)
     def flip(at, bit):
         found, losses = read_flipped(path, data, at, bit)
-        missing = [frame for frame, key in zip(told, keys, strict=True) if key not in set(found)]
+        missing = [frame for frame, key in zip(written, keys, strict=True) if key not in set(found)]
         assert found == [key for key in keys if key in set(found)]
         assert len(missing) <= most
         if missing:
@@ -253,13 +253,13 @@
 
 
 def test_a_flipped_bit_in_an_open_block_costs_no_more_than_that_block(tmp_path):
-    told = traces.frames(40)
-    files, _sizes = recorded(tmp_path / "live", told, block=4096)
+    written = traces.frames(40)
+    files, _sizes = recorded(tmp_path / "live", written, block=4096)
     data, path = files._path.read_bytes(), tmp_path / "flipped"
-    start, keys = files._block_at, [(frame.source, frame.seq) for frame in told]
+    start, keys = files._block_at, [(frame.source, frame.seq) for frame in written]
     path.write_bytes(data[:start])
     sealed = len(traces.read(path))
-    assert 0 < sealed < len(told) - 5
+    assert 0 < sealed < len(written) - 5
 
     @given(st.integers(start, len(data) - 1), st.integers(0, 7))
     @settings(max_examples=200, deadline=None, derandomize=True)
@@ -274,7 +274,7 @@
 
 def test_noise_is_no_trace_and_a_newer_one_is_refused_plainly(tmp_path):
     path = tmp_path / "x"
-    for data, told in (
+    for data, expected in (
         (b"", "no trace"),
         (b"\x89LX", "within its head"),
         (os.urandom(99), "no trace"),
@@ -282,43 +282,43 @@
         (h.pack_head(h.Head(2, 0, 1, "w"))[:-1] + b"?", "damaged"),
     ):
         path.write_bytes(data)
-        with pytest.raises(NotATraceError, match=told):
+        with pytest.raises(NotATraceError, match=expected):
             Reader(path)
 
 
-# Of other versions of this program ----------------------------------------------------------------
+# Other versions of this program -------------------------------------------------------------------
 
 
 def test_unknown_records_and_added_fields_go_through(tmp_path):
-    """A later minor version's records are passed over by their length, and tools that copy keep them."""
+    """Records of a later minor version are skipped by their length, and tools that copy a trace keep them."""
     msg = r.Msg(5, "feedbeef00112233", traces.CLASSES[0], traces.TENANTS[0], 3)
     strange = (120, bytes([5, 1, 2]))
-    told = [
+    written = [
         Frame("a/1", 10, 0, 7, [(r.MESSAGE, [msg, 1, 2, 0]), strange]),
         Frame("a/1", 11, 2, 7, [(r.END, [msg, r.reason("over"), 0.0, b"more"]), strange]),
     ]
     for version in (1, 2):
-        once = traces.read(traces.write(tmp_path / "one", told, version))
+        once = traces.read(traces.write(tmp_path / "one", written, version))
         again = traces.read(traces.write(tmp_path / "two", once, 3 - version))
-        assert traces.flat(once) == traces.flat(told) == traces.flat(again)
-    # The names that an unknown record may refer to come with it, into a block that had not told them.
+        assert traces.flat(once) == traces.flat(written) == traces.flat(again)
+    # The names that an unknown record may refer to are copied with it into a block that did not hold them yet.
     copied = traces.read(traces.write(tmp_path / "three", once[1:]))
     assert copied[0].names[-1][5] == msg
 
 
 def test_a_record_with_fewer_fields_reads_as_far_as_it_goes(tmp_path):
-    told = [Frame("a/1", 10, 0, 7, [(r.LIST, [3, 41])])]
-    assert traces.read(traces.write(tmp_path / "x", told)) == told
+    written = [Frame("a/1", 10, 0, 7, [(r.LIST, [3, 41])])]
+    assert traces.read(traces.write(tmp_path / "x", written)) == written
 
 
 @pytest.mark.parametrize("name", ["v1.lxt", "v2.lxt", "v2-open.lxt"])
 def test_golden_files_of_every_version_read_for_good(name):
-    """These files are never made anew: they are what the first release wrote."""
+    """The files were written by the first release, and are never regenerated."""
     assert traces.flat(traces.read(DATA / name)) == traces.flat(traces.frames(30, seed=99))
 
 
 def test_a_clock_that_is_stepped_moves_only_unix_time(tmp_path):
-    told = traces.frames(5)
-    stepped = [frame._replace(offset=frame.offset - 3_600_000_000 * (place > 6)) for place, frame in enumerate(told)]
+    written = traces.frames(5)
+    stepped = [frame._replace(offset=frame.offset - 3_600_000_000 * (place > 6)) for place, frame in enumerate(written)]
     for version in (1, 2):
         assert traces.read(traces.write(tmp_path / "x", stepped, version)) == stepped
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -1,4 +1,4 @@
-"""The recorder in the real relay: kills, restarts, replay, sampling, and disks that fill or fail."""
+"""The recorder in a real relay: kills, restarts, replay, sampling, and full or failing disks."""
 
 import errno
 import json
@@ -39,7 +39,7 @@
     def files(self) -> list[Path]:
         return sorted(self.traces.glob("*.lxt"), key=lambda path: path.stat().st_mtime_ns)
 
-    def told(self, name: str) -> list[list]:
+    def recorded(self, name: str) -> list[list]:
         number = r.BY_NAME[name].number
         return [values for frame in Merge(self.files()) for kind, values in frame.records if kind == number]
 
@@ -66,13 +66,13 @@
             for _ in range(150):
                 number += 1
                 one = f"{number:016x}", ("safe", "keyed", "once")[number % 3], 4.0, b"hello", 1 + number % 2
-                # As many are held as may be: the rest comes again once there is room, so that the module sees all.
+                # At capacity the relay answers 503; the client retries, so that the scheduler receives every message.
                 until(lambda client=client, one=one: client.hand_in(*one)[0] != 503, "room")
                 if number % 60 == 0:
                     self.discovery.change(row(f"s-{number}", self.peer.at, 1), row("s-2", self.peer.at, 2, "draining"))
             if life < 2:
                 self.kill()
-        # Quick answers and then none: what may be repeated is cut and restarted.
+        # Fast answers and then none: an idempotent call is cancelled and restarted.
         self.act = lambda call: reply(200)
         self.discovery.change(row("s-9", self.peer.at, 9))
         until(lambda: client.hand_in("0" * 15 + "9", dest=9)[0] == 202, "the new destination")
@@ -92,8 +92,8 @@
     def restart_one(self, client) -> None:
         """Have a call cancelled and restarted.
 
-        A route that is slow just then restarts nothing, which a busy machine brings about at any moment: then the same
-        is tried with further calls.
+        The relay restarts nothing while the route is slow, which can happen at any moment on a busy machine. In that
+        case the attempt is repeated with further calls.
         """
         for trial in range(4):
             self.act = lambda call: reply(200)
@@ -111,7 +111,7 @@
         self.fail("no call was cancelled for a restart")
 
     def other_modules(self) -> None:
-        """A module that does something else once is found there, and as another version it is counted."""
+        """A scheduler that differs in one step is reported at that step, and is counted as another version."""
         path = Path(self.folder.name, "other.py")
         path.write_text(
             "from lynxscale.scheduling import scheduler\nfrom lynxscale.scheduling.actions import Note\n\n"
@@ -123,20 +123,20 @@
         command = [sys.executable, "-m", "lynxscale", "trace", "replay"]
         done = subprocess.run([*command, "--json", "--module", path, self.traces], cwd=ROOT, capture_output=True)
         self.assertEqual(done.returncode, 0, done.stderr)
-        told = json.loads(done.stdout)
-        self.assertEqual({one["replayed"].get("Note", 0) - one["recorded"].get("Note", 0) for one in told}, {1})
+        results = json.loads(done.stdout)
+        self.assertEqual({one["replayed"].get("Note", 0) - one["recorded"].get("Note", 0) for one in results}, {1})
         space: dict = {}
         exec(path.read_text(), space)
         for one in replay(Merge(self.files()), space["Scheduler"]):
             self.assertEqual((one.difference.step, one.difference.replayed.text), (40, "odd"))
             self.assertEqual(len(one.difference.led_up), 12)
         frames = list(Merge(self.files()[:1]))
-        for part, why in ((frames[1:], "does not begin"), (frames[:5] + frames[6:], "records .* are missing")):
-            with self.assertRaisesRegex(NotReplayableError, why):
+        for part, reason in ((frames[1:], "does not begin"), (frames[:5] + frames[6:], "records .* are missing")):
+            with self.assertRaisesRegex(NotReplayableError, reason):
                 replay(part, Scheduler)
 
     def test_a_kill_loses_nothing_of_what_was_written_before(self):
-        """The same six times here; fifty in ``make soak-trace``."""
+        """Six kills; ``make soak-trace`` sets TRACE_KILLS to fifty."""
         self.record("level tries", "block 4k", "flush 0us")
         for life in range(int(os.environ.get("TRACE_KILLS", "6"))):
             self.start()
@@ -150,7 +150,7 @@
                 frames = list(reader.frames())
                 self.assertEqual([loss for loss in reader.losses if not loss.torn], [])
             ends = {values[0].id for frame in frames for kind, values in frame.records if kind == r.END}
-            # The counters told of each end, after the turn in which it was written.
+            # The counters show an end only after the turn in which it was written.
             self.assertEqual(len(ends), number + 1)
             self.assertEqual(
                 [frame.seq for frame in frames],
@@ -213,7 +213,7 @@
         self.id, self.cls, self.tenant, self.dest, self.body, self.time_left = id_, cls, 0, 1, b"secret body", 1000
 
 
-def tell(one: Recorder, count: int, first: int = 0) -> None:
+def record_messages(one: Recorder, count: int, first: int = 0) -> None:
     for number in range(first, first + count):
         now = 1_000_000 + number * 1000
         one.message(now, number, Envelope(f"{number:016x}", number % 3), number % 3, 0, 1000)
@@ -223,7 +223,7 @@
         one.turn_ended()
 
 
-def kept(folder: Path) -> list[tuple]:
+def read_records(folder: Path) -> list[tuple]:
     return [(kind, values) for frame in Merge(sorted(folder.glob("*.lxt"))) for kind, values in frame.records]
 
 
@@ -231,10 +231,10 @@
     found = []
     for name in "ab":
         one = recorder(tmp_path / name, sample=0.25, classes=("safe", "once"))
-        tell(one, 600)
+        record_messages(one, 600)
         one.stop(1, 0)
         by_id: dict = {}
-        for kind, values in kept(tmp_path / name):
+        for kind, values in read_records(tmp_path / name):
             if isinstance(values[0], r.Msg):
                 by_id.setdefault(values[0].id, []).append(kind)
         found.append(by_id)
@@ -246,38 +246,38 @@
 
 def test_bodies_and_keys_are_never_written(tmp_path):
     one = recorder(tmp_path, level="decisions")
-    tell(one, 50)
+    record_messages(one, 50)
     one.stop(1, 0)
     assert all(b"secret" not in path.read_bytes() for path in tmp_path.iterdir())
-    assert "secret" not in repr(kept(tmp_path))
+    assert "secret" not in repr(read_records(tmp_path))
 
 
 def test_a_disk_that_fills_drops_records_counts_them_and_is_used_again(tmp_path):
     now = [0]
     one = recorder(tmp_path, lambda: now[0])
-    tell(one, 20)
+    record_messages(one, 20)
     write, full = os.pwrite, [True]
 
     def pwrite(fd, data, at):
         if not full[0]:
             return write(fd, data, at)
-        write(fd, data[:3], at)  # as much as there is room for
+        write(fd, data[:3], at)  # as much as there is space for
         raise OSError(errno.ENOSPC, "No space left on device")
 
     with patch.object(os, "pwrite", pwrite):
-        tell(one, 30, 20)
+        record_messages(one, 30, 20)
         now[0] += 10_000_000
-        tell(one, 5, 50)  # tried again, and full still
+        record_messages(one, 5, 50)  # retried while the disk is still full
         full[0] = False
         now[0] += 100_000_000
-        tell(one, 10, 55)
+        record_messages(one, 10, 55)
     one.stop(1, 0)
-    told = kept(tmp_path)
-    dropped = [values for kind, values in told if kind == r.DROPPED]
+    records = read_records(tmp_path)
+    dropped = [values for kind, values in records if kind == r.DROPPED]
     assert len(dropped) == 1
     assert dropped[0][0] >= 35 * 3
     assert dropped[0][4][1] == "disk"
-    ids = [int(values[0].id, 16) for kind, values in told if kind == r.END]
+    ids = [int(values[0].id, 16) for kind, values in records if kind == r.END]
     assert ids == [*range(20), *range(55, 65)]
 
 
@@ -286,13 +286,13 @@
     for number in range(200):
         one.message(5, number, Envelope(f"{number:016x}"), 0, 0, 1000)
     one.turn_ended()
-    tell(one, 1, 900)
+    record_messages(one, 1, 900)
     one.stop(9, 0)
-    told = kept(tmp_path)
-    most = (16 << 10) // 32 // 10  # of the recorder's words, and those of a message
-    assert most - 1 <= sum(kind == r.MESSAGE for kind, _ in told) - 1 <= most
-    dropped = [values[0] for kind, values in told if kind == r.DROPPED]
-    assert dropped == [201 - sum(kind == r.MESSAGE for kind, _ in told)]
+    records = read_records(tmp_path)
+    most = (16 << 10) // 32 // 10  # slots of the queue, divided by the slots of a message
+    assert most - 1 <= sum(kind == r.MESSAGE for kind, _ in records) - 1 <= most
+    dropped = [values[0] for kind, values in records if kind == r.DROPPED]
+    assert dropped == [201 - sum(kind == r.MESSAGE for kind, _ in records)]
 
 
 def test_files_stay_within_their_total_and_the_oldest_go(tmp_path):
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -1,4 +1,4 @@
-"""The commands on trace files: what they keep, join, hide and count, and how they fail."""
+"""The trace commands: selecting, merging, anonymising and counting records, and their errors."""
 
 import json
 import os
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def run(capfd):
-    """Runs a command in this process: exit code, standard output, standard error."""
+    """A function that runs a command in this process; returns exit code, standard output and standard error."""
 
     def run(*words):
         with pytest.raises(SystemExit) as ended:
@@ -52,7 +52,7 @@
 
 
 def test_every_chain_of_tools_that_loses_nothing_gives_the_same_records(tmp_path, run, whole):
-    told = traces.flat(traces.read(whole))
+    expected = traces.flat(traces.read(whole))
     half = traces.ZERO / 1e6 + 5 + 2.5
     for words in (
         ["cut", "--to", half, "-o", tmp_path / "a", whole],
@@ -63,7 +63,7 @@
         ["convert", "-o", tmp_path / "f", tmp_path / "e"],
     ):
         assert run("trace", *words)[0] == 0
-    assert traces.flat(traces.read(tmp_path / "f")) == told
+    assert traces.flat(traces.read(tmp_path / "f")) == expected
     assert len(traces.read(tmp_path / "a")) > 20 < len(traces.read(tmp_path / "b"))
 
 
@@ -100,7 +100,7 @@
 
 
 def test_merge_orders_relays_by_time_and_leaves_out_doubles(tmp_path, run):
-    """Two relays of one name, clocks apart by their anchors, one stepped back an hour; files in any order."""
+    """Two processes with different anchors, one of them stepped back an hour; the order of files does not matter."""
     one = traces.frames(60, relay="n", process="0" * 12)
     two = traces.frames(60, relay="n", process="1" * 12, seed=2, start=900_000_000, offset=traces.ZERO - 894_000_000)
     two = [frame._replace(offset=frame.offset - 3_600_000_000 * (place > 50)) for place, frame in enumerate(two)]
@@ -116,11 +116,11 @@
     ]
     merge = Merge(reversed(parts))
     got = list(merge)
-    for told in (one, two):
-        mine = [frame for frame in got if frame.source == told[0].source]
-        assert traces.flat(mine) == traces.flat(told)
-    assert merge.doubles == sum(len(frame.records) for frame in one[20:90])
-    # By one anchor a process: the latest file's, which for the second is the one that was set back.
+    for expected in (one, two):
+        mine = [frame for frame in got if frame.source == expected[0].source]
+        assert traces.flat(mine) == traces.flat(expected)
+    assert merge.duplicates == sum(len(frame.records) for frame in one[20:90])
+    # Each process uses the anchor of its latest file; for the second process that is the anchor after the step.
     keys = [frame.time + (traces.ZERO if frame.source == one[0].source else two[-1].offset) for frame in got]
     assert keys == sorted(keys)
 
@@ -147,14 +147,14 @@
 
 
 def raw_bytes(path) -> bytes:
-    """All that a file holds: as it stands, and every block and the index decompressed."""
+    """All bytes of a file, followed by the index and every block in decompressed form."""
     data = path.read_bytes()
     with Reader(path) as reader:
         index = reader.index()
         data += b"".join(index._raw())
         for place in index:
             head = reader._block_head(place.offset)
-            at = place.offset + v2.BLOCK.size + head.summary
+            at = place.offset + v2.BLOCK_HEAD.size + head.summary
             data += b"".join(v2.payloads_in(head, path.read_bytes()[at : at + head.stored]))
     return data
 
@@ -191,12 +191,12 @@
 def test_summary_counts_what_a_dump_counts(run, whole):
     rows = dump(run, whole)
     code, out, _err = run("trace", "summarise", "--json", "--by", "class,destination", "--window", "1s", whole)
-    told = json.loads(out)["rows"]
+    summary_rows = json.loads(out)["rows"]
     assert code == 0
-    assert sum(row["messages"] for row in told) == sum(row["type"] == "message" for row in rows) == 120
+    assert sum(row["messages"] for row in summary_rows) == sum(row["type"] == "message" for row in rows) == 120
     for kind, where in (("end", "ends"), ("try_end", "results"), ("admit", "verdicts")):
         total = Counter()
-        for row in told:
+        for row in summary_rows:
             total.update(row[where])
         seen = Counter(
             row.get("status") or row.get("result") or row.get("verdict") for row in rows if row["type"] == kind
@@ -212,7 +212,7 @@
     )
     assert row["p50_ms"] == pytest.approx(spans[(len(spans) - 1) // 2], rel=0.05, abs=1)
     assert row["worth_asked"] == len(begun)
-    assert row["worth_in_aim"] == len(spans)  # each was handed in 1 s after it was sent, and the aim is 3 s
+    assert row["worth_in_aim"] == len(spans)  # each was admitted 1 s after it was sent, and the latency target is 3 s
 
 
 def test_a_page_is_drawn(tmp_path, run, whole):
@@ -222,7 +222,7 @@
 
 
 def test_a_crashed_file_is_verified_and_indexed_anew(tmp_path, run, whole):
-    told, data = traces.flat(traces.read(whole)), whole.read_bytes()
+    expected, data = traces.flat(traces.read(whole)), whole.read_bytes()
     with Reader(whole) as reader:
         end = list(reader.index())[-1]
     crashed = tmp_path / "crashed.lxt"
@@ -231,14 +231,14 @@
     assert (code, json.loads(out)[0]["state"]) == (0, "cut off")
     assert run("trace", "reindex", crashed)[0] == 0
     assert json.loads(run("trace", "verify", "--json", crashed)[1])[0]["state"] == "whole"
-    assert traces.flat(traces.read(crashed)) == told
-    spoilt = bytearray(data)
-    spoilt[end.offset + end.size // 2] ^= 4
-    crashed.write_bytes(spoilt)
+    assert traces.flat(traces.read(crashed)) == expected
+    damaged = bytearray(data)
+    damaged[end.offset + end.size // 2] ^= 4
+    crashed.write_bytes(damaged)
     code, out, err = run("trace", "verify", crashed)
     assert (code, "damaged" in out) == (1, True)
     assert "not read: a block is damaged" in err
-    assert ", before 20" in err  # with the times round it
+    assert ", before 20" in err  # with the times around the loss
 
 
 def test_users_get_plain_lines_and_exit_codes(tmp_path, run, whole):
@@ -246,7 +246,7 @@
     noise.write_bytes(zlib.compress(b"x" * 1000))
     broken = tmp_path / "broken.py"
     broken.write_text("import nothing_of_this_name")
-    for words, code, told in (
+    for words, code, expected in (
         (["info", noise], 1, "it is no trace file"),
         (["info", tmp_path / "none"], 1, "no such file"),
         (["dump", "--from", "soon", whole], 2, "want Unix seconds"),
@@ -260,7 +260,7 @@
         (["nothing"], 2, "No such command"),
     ):
         got = run("trace", *words)
-        assert (got[0], told in got[2], "Traceback" in got[2]) == (code, True, False), got
+        assert (got[0], expected in got[2], "Traceback" in got[2]) == (code, True, False), got
 
 
 def test_a_tool_that_fails_leaves_no_file(tmp_path, whole, monkeypatch, run):
@@ -309,34 +309,34 @@
             assert process.stdout.readline()
             if words:
                 process.send_signal(signal.SIGINT)
-                process.stdout.read()  # not closed: a process that hears of both at once may take either first
+                process.stdout.read()  # kept open: SIGINT and a closed pipe could each end the process
             else:
-                process.stdout.close()  # what is still to come is more than a pipe holds
+                process.stdout.close()  # the remaining output is larger than the pipe buffer
             assert (process.wait(20), process.stderr.read().strip()) == (code, b"")
 
 
 def test_follow_gives_each_record_once_while_blocks_are_sealed(tmp_path):
-    told = traces.frames(200)
-    files, _sizes = recorded(tmp_path, told[:1], block=4096)
-    rest = iter(range(1, len(told), 7))
+    expected = traces.frames(200)
+    files, _sizes = recorded(tmp_path, expected[:1], block=4096)
+    rest = iter(range(1, len(expected), 7))
 
     def wait():
         place = next(rest, None)
         if place is None:
             files.close()
         else:
-            files.put(told[place : place + 7])
+            files.put(expected[place : place + 7])
 
-    assert traces.flat(list(follow(files._path, wait))) == traces.flat(told)
+    assert traces.flat(list(follow(files._path, wait))) == traces.flat(expected)
 
 
 def test_follow_waits_for_a_block_of_which_it_sees_old_and_new_bytes(tmp_path):
-    told = traces.frames(40)
-    files, _sizes = recorded(tmp_path, told)
+    expected = traces.frames(40)
+    files, _sizes = recorded(tmp_path, expected)
     path, middle = files._path, files._end // 2
     files.close()
     whole = path.read_bytes()
-    files, _sizes = recorded(tmp_path / "open", told)
+    files, _sizes = recorded(tmp_path / "open", expected)
     half = files._path.read_bytes()
     path.write_bytes(half[:middle] + bytes(300) + half[middle + 300 :])
     looks = []
@@ -345,14 +345,14 @@
         looks.append(1)
         path.write_bytes(whole)
 
-    assert traces.flat(list(follow(path, wait))) == traces.flat(told)
+    assert traces.flat(list(follow(path, wait))) == traces.flat(expected)
     assert looks
 
 
 def test_replay_takes_a_module_with_the_class_name_of_earlier_versions(tmp_path):
-    from lynxscale.cli.trace.replay import _module
+    from lynxscale.cli.trace.replay import _load_scheduler
 
     for name in ("Scheduler", "Sender"):
         path = tmp_path / f"{name}.py"
         path.write_text(f"class {name}:\n    pass\n")
-        assert _module(str(path)).__name__ == name
+        assert _load_scheduler(str(path)).__name__ == name
--- a/tests/traces.py
+++ b/tests/traces.py
@@ -1,4 +1,4 @@
-"""Frames for the tests of traces: seeded, with every type of record, as a relay would tell them."""
+"""Helpers for the trace tests: seeded frames as a relay records them at level ``tries``."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     start: int = 5_000_000,
     offset: int = ZERO,
 ) -> list[Frame]:
-    """So many messages of one process, each with a try and an end, three turns a message."""
+    """Generate frames of one process: ``count`` messages, each with one attempt and a final status in three turns."""
     chance, found, seq = random.Random(seed), [], 0
     source = f"{relay}/{process}"
 
@@ -88,7 +88,7 @@
 
 
 def flat(given: list[Frame]) -> list[tuple]:
-    """Records by their numbers, whatever frames they stand in."""
+    """List records with their sequence numbers, regardless of how they are split into frames."""
     return [
         (frame.source, frame.seq + place, frame.time, frame.offset, number, values)
         for frame in given
