--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -143,16 +143,16 @@
     if bool(conf) == bool(at):
         raise InvalidUsageError("want --conf FILE, or --at HOST:PORT once or more")
     if conf:
-        found, silent = [_written_status(conf)], []
+        found, unavailable = [_written_status(conf)], []
     else:
-        found, silent = _asked_statuses(at)
+        found, unavailable = _asked_statuses(at)
     if as_json:
-        write_json({"nodes": found, "silent": silent})
+        write_json({"nodes": found, "silent": unavailable})
     else:
         _show_statuses(found)
-    for line in silent:
+    for line in unavailable:
         click.echo(line, err=True)
-    if silent or any(one["standing"] != "member" for one in found):
+    if unavailable or any(one["standing"] != "member" for one in found):
         click.get_current_context().exit(FAILED)
 
 
@@ -167,18 +167,18 @@
 def _asked_statuses(addresses: tuple[str, ...]) -> tuple[list[dict[str, Any]], list[str]]:
     """The statuses that relays return, and a line for each relay that returns none."""
     found: list[dict[str, Any]] = []
-    silent: list[str] = []
+    unavailable: list[str] = []
     for address in addresses:
         try:
             code, answer = _call(address, "GET", "/admin/cluster")
         except CommandFailedError as error:
-            silent.append(error.message)
+            unavailable.append(error.message)
             continue
         if code == HTTPStatus.OK:
             found.append(answer)
         else:
-            silent.append(f"{address}: {answer.get('said', code)}")
-    return found, silent
+            unavailable.append(f"{address}: {answer.get('said', code)}")
+    return found, unavailable
 
 
 def _show_statuses(found: list[dict[str, Any]]) -> None:
@@ -215,17 +215,17 @@
     from lynxscale.relay.cluster import settings
 
     found = []
-    first, one = files[0]
+    first_path, first_conf = files[0]
 
     def compare(path: str, word: str, mine: Any, theirs: Any) -> None:
         if mine != theirs:
-            found.append(Fault(path, _line(path, word), word, f"want {theirs}, as {first} has it, not {mine}"))
+            found.append(Fault(path, _line(path, word), word, f"want {theirs}, as {first_path} has it, not {mine}"))
 
     for path, conf in files[1:]:
-        compare(path, "name", conf.cluster.name, one.cluster.name)
-        compare(path, "probe", conf.cluster.probe, one.cluster.probe)
+        compare(path, "name", conf.cluster.name, first_conf.cluster.name)
+        compare(path, "probe", conf.cluster.probe, first_conf.cluster.probe)
         mine = {setting.directive: setting for setting in settings.shared_settings(conf)}
-        theirs = {setting.directive: setting for setting in settings.shared_settings(one)}
+        theirs = {setting.directive: setting for setting in settings.shared_settings(first_conf)}
         for word in theirs | mine:
             none = f"no {word}"
             compare(
@@ -251,9 +251,11 @@
                     f"want {members}, as many as there are members, not {conf.relay.relays}",
                 )
             )
-    missing = sorted({row["name"] for row in one.cluster.member} - set(names))
+    missing = sorted({row["name"] for row in first_conf.cluster.member} - set(names))
     if missing:
-        found.append(Fault(first, _line(first, "member"), "member", f"no file was given for {' '.join(missing)}"))
+        found.append(
+            Fault(first_path, _line(first_path, "member"), "member", f"no file was given for {' '.join(missing)}")
+        )
     return found
 
 
@@ -308,13 +310,13 @@
 
     The command is refused for a node that is considered alive or is not in the view.
     """
-    code, told = _call(at, "GET", "/admin/cluster")
+    code, cluster_status = _call(at, "GET", "/admin/cluster")
     if code != 200:
-        raise CommandFailedError(f"{at}: {told.get('said', code)}")
-    view = told["view"]
-    row = next((row for row in told["nodes"] if row["name"] == name), None)
+        raise CommandFailedError(f"{at}: {cluster_status.get('said', code)}")
+    view = cluster_status["view"]
+    row = next((row for row in cluster_status["nodes"] if row["name"] == name), None)
     listed = view is not None and name in [one["name"] for one in view["members"]]
-    state = row["state"] if row else "not in the file of " + told["node"]
+    state = row["state"] if row else "not in the file of " + cluster_status["node"]
     click.echo(
         f"{name}: {state}, {'in' if listed else 'not in'} view {view['number'] if view else 0}. Forget it "
         "only if this machine and its folder will not come back: data that only this node held is lost. Remove its "
@@ -322,7 +324,7 @@
     )
     if not yes and not click.confirm(f"Forget {name}?"):
         raise CommandFailedError("nothing done")
-    code, said = _call(at, "POST", f"/admin/cluster/forget?name={name}")
+    code, answer = _call(at, "POST", f"/admin/cluster/forget?name={name}")
     if code != 200:
-        raise CommandFailedError(f"{at}: {said['said']}")
-    click.echo(said["said"])
+        raise CommandFailedError(f"{at}: {answer['said']}")
+    click.echo(answer["said"])
--- a/lynxscale/cli/demo.py
+++ b/lynxscale/cli/demo.py
@@ -30,20 +30,20 @@
     from lab.traffic import fresh_folder
 
     with fresh_folder() as folder:
-        judged = asyncio.run(play(Path(folder), messages, seed, lambda text: click.echo(text, err=as_json)))
+        result = asyncio.run(play(Path(folder), messages, seed, lambda text: click.echo(text, err=as_json)))
     if as_json:
-        write_json({"classes": judged.table, "breaches": judged.breaches})
+        write_json({"classes": result.table, "breaches": result.breaches})
     else:
         click.echo()
         write_table(
-            ["class", *COLUMNS], [[cls, *(row[name] for name in COLUMNS)] for cls, row in sorted(judged.table.items())]
+            ["class", *COLUMNS], [[cls, *(row[name] for name in COLUMNS)] for cls, row in sorted(result.table.items())]
         )
         click.echo()
         click.echo(
             "deferred: given up with a time to come again; undeliverable: given up for good; twice: an effect "
             "more than once, which only a class that is safe to repeat may have"
         )
-    for breach in judged.breaches:
+    for breach in result.breaches:
         click.echo(f"rule broken: {breach}", err=True)
-    if judged.breaches:
+    if result.breaches:
         ctx.exit(FAILED)
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -223,7 +223,7 @@
         )
 
 
-def _imported(path: str, source: BinaryIO) -> list[Entry]:
+def _read_export(path: str, source: BinaryIO) -> list[Entry]:
     from lynxscale.relay.journal import Entry
 
     found, kinds = (
@@ -285,7 +285,7 @@
     A message that is open at two relays may be executed by both: remove the journal that it came from.
     """
     with open(file, "rb") as source:
-        entries = _imported(file, source)
+        entries = _read_export(file, source)
     journal = _open_journal(state, disk, [])
     before = len(journal.entries())
     journal.close()
--- a/lynxscale/cli/lab.py
+++ b/lynxscale/cli/lab.py
@@ -65,24 +65,24 @@
         Path(keep).mkdir(parents=True, exist_ok=True)
     with contextlib.nullcontext(keep) if keep else fresh_folder() as folder:
         click.echo(f"seed {seed}, {nodes} nodes, {len(faults)} faults", err=as_json)
-        played = asyncio.run(play(Path(folder), nodes, seed, faults, lambda text: click.echo(text, err=as_json), rate))
+        result = asyncio.run(play(Path(folder), nodes, seed, faults, lambda text: click.echo(text, err=as_json), rate))
         if plot:
             from lab.cluster.plot import draw_sight
 
-            draw_sight(played, Path(plot))
-    verdict = played.verdict
+            draw_sight(result, Path(plot))
+    verdict = result.verdict
     if as_json:
         write_json(
             {
                 "seed": seed,
-                "formed_s": played.formed_s,
-                "settled_s": played.settled_s,
+                "formed_s": result.formed_s,
+                "settled_s": result.settled_s,
                 "views": verdict.views,
                 "removals": verdict.removals,
-                "messages": played.messages,
+                "messages": result.messages,
                 "breaches": verdict.breaches,
-                "bytes_per_s": played.sent_bytes,
-                "datagrams_per_s": played.sent_datagrams,
+                "bytes_per_s": result.sent_bytes,
+                "datagrams_per_s": result.sent_datagrams,
             }
         )
     else:
@@ -95,11 +95,11 @@
             ],
         )
         click.echo(
-            f"\n{len(verdict.views)} views; formed in {played.formed_s:.1f} s, one view again "
-            f"{played.settled_s:.1f} s after the last fault; {played.sent_bytes:.0f} bytes and "
-            f"{played.sent_datagrams:.1f} datagrams a second from each node"
+            f"\n{len(verdict.views)} views; formed in {result.formed_s:.1f} s, one view again "
+            f"{result.settled_s:.1f} s after the last fault; {result.sent_bytes:.0f} bytes and "
+            f"{result.sent_datagrams:.1f} datagrams a second from each node"
         )
-        for cls, row in sorted(played.messages.items()):
+        for cls, row in sorted(result.messages.items()):
             click.echo(f"{cls}: " + ", ".join(f"{name} {number}" for name, number in row.items()))
     for breach in verdict.breaches:
         click.echo(f"breach: {breach}", err=True)
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -64,7 +64,7 @@
     return reading.candidate
 
 
-def _lists(conf: Conf, state: str | None) -> ListStore:
+def _list_store(conf: Conf, state: str | None) -> ListStore:
     from lynxscale.relay.upstream.list_store import ListStore
 
     folder = Path(state or conf.relay.state)
@@ -164,7 +164,7 @@
     if file is not None:
         units.append((file, _candidate(file, conf)))
     else:
-        lists = _lists(conf, state)
+        lists = _list_store(conf, state)
         units += _last_good_lists(lists, conf)
         held = sorted(lists.load_awaiting())
     if as_json:
@@ -263,7 +263,7 @@
 @json_option
 def log(last: int, conf_path: str | None, state: str | None, as_json: bool) -> None:
     """Show the verdicts on versions of lists, oldest first, with the reasons of each rejection."""
-    rows = list(_lists(_conf(conf_path), state).read_verdicts())[-last:]
+    rows = list(_list_store(_conf(conf_path), state).read_verdicts())[-last:]
     if as_json:
         write_json(rows)
         return
@@ -292,7 +292,7 @@
 
     The relay applies it within a second.
     """
-    lists = _lists(_conf(conf_path), state)
+    lists = _list_store(_conf(conf_path), state)
     held = lists.load_awaiting()
     found = [one for one in held if one.startswith(digest.lower())]
     if len(digest) < 8 or len(found) != 1:
@@ -359,8 +359,8 @@
             entries[id_] = entries[_existing(entries, id_)]._replace(weight=float(text))
         except ValueError:
             raise InvalidUsageError(f"{pair}: want ID=CALLS, calls a second as a number") from None
-    kept_destinations = [one for one in destinations.values() if one.rate is not None or one.kind is not None]
-    data = files.write(entries.values(), 1 if generation is None else generation, kept_destinations)
+    configured_destinations = [one for one in destinations.values() if one.rate is not None or one.kind is not None]
+    data = files.write(entries.values(), 1 if generation is None else generation, configured_destinations)
     if added:
         head, _, _end = data.rpartition(b"end ")
         lines = "".join(f"endpoint {line}\n" for line in added)
@@ -369,7 +369,7 @@
     reading = run_to_end(files.read(data, output or "list", rules))
     if reading.candidate is None:
         raise CommandFailedError("\n".join(map(str, reading.faults)))
-    data = files.write(reading.candidate.entries.values(), reading.candidate.version, kept_destinations)
+    data = files.write(reading.candidate.entries.values(), reading.candidate.version, configured_destinations)
     if output is None:
         click.echo(data.decode(), nl=False)
         return
--- a/lynxscale/cli/trace/show.py
+++ b/lynxscale/cli/trace/show.py
@@ -192,16 +192,16 @@
     rows = [row.table(summary.columns) for row in summary.rows()]
     if plot is not None:
         _plot(Path(plot), rows, summary.columns)
-    whole = {
+    overview = {
         "from": _iso(summary.first),
         "to": _iso(summary.last),
         "relays": sorted(summary.sources),
         "dropped_records": summary.dropped,
     }
     if as_json:
-        write_json(whole | {"rows": rows})
+        write_json(overview | {"rows": rows})
         return
-    click.echo("  ".join(f"{name}: {', '.join(v) if isinstance(v, list) else v}" for name, v in whole.items()))
+    click.echo("  ".join(f"{name}: {', '.join(v) if isinstance(v, list) else v}" for name, v in overview.items()))
     shown = (
         "messages",
         "ends",
@@ -296,11 +296,11 @@
 
 
 def _verify(reader: Reader, row: dict[str, Any]) -> None:
-    following: dict[str, int] = {}
+    next_seq: dict[str, int] = {}
     for frame in progress(reader.frames(), Path(reader.path).name):
         row["records"] += len(frame.records)
-        row["gaps"] += frame.seq != following.get(frame.source, frame.seq)
-        following[frame.source] = frame.seq + len(frame.records)
+        row["gaps"] += frame.seq != next_seq.get(frame.source, frame.seq)
+        next_seq[frame.source] = frame.seq + len(frame.records)
     row["index"] = "yes" if reader.indexed else "no"
     row["losses"] = reader.losses
     for loss in reader.losses:
--- a/lynxscale/trace/frames.py
+++ b/lynxscale/trace/frames.py
@@ -58,11 +58,10 @@
 
     def reset(self) -> None:
         """Forget the written names, so that the following payloads can be decoded on their own."""
-        self._known: dict[
-            int, list[dict[int, Any]]
-        ] = {}  # written names, by source and table; the last table holds messages
+        # Written names, by source and table; the last table holds messages.
+        self._known: dict[int, list[dict[int, Any]]] = {}
         self._anchors: dict[int, int] = {}
-        self.new_messages: list[r.Msg] = []  # messages described since the last reset
+        self.new_messages: list[r.Msg] = []  # messages described for the first time; the caller may clear the list
         self.has_context = False  # whether a record of a type in ``records.CONTEXT`` was encoded
 
     def payload(self, frame: Frame, base_time: int = 0, base_seq: int = 0) -> bytes:
@@ -84,9 +83,9 @@
             self.write_name(r.SOURCE, (source, name), {})
         if offset is not None and self._anchors.get(source) != offset:
             self._anchors[source] = offset
-            part = bytearray()
-            put_int(part, offset)
-            self._write_context(r.ANCHOR, part)
+            fields = bytearray()
+            put_int(fields, offset)
+            self._write_context(r.ANCHOR, fields)
         self.known = known
         if names is not None:
             for table, rows in names.items():
@@ -114,20 +113,20 @@
                 body[start - 1 : start] = length
         return bytes(out + body)
 
-    def _write_context(self, number: int, part: bytearray) -> None:
+    def _write_context(self, number: int, fields: bytearray) -> None:
         self.head.append(number)
-        put_uint(self.head, len(part))
-        self.head += part
+        put_uint(self.head, len(fields))
+        self.head += fields
 
     def write_name(self, table: int, handle: r.Handle, known: dict[int, Any]) -> None:
         """Write the name of a handle, if it has one that was not written yet."""
         number, text = handle
         if text and known.get(number, ("", ""))[1] != text:
             known[number] = handle
-            part = bytearray([table])
-            put_uint(part, number)
-            put_text(part, text)
-            self._write_context(r.NAME, part)
+            fields = bytearray([table])
+            put_uint(fields, number)
+            put_text(fields, text)
+            self._write_context(r.NAME, fields)
 
     def write_message(self, msg: r.Msg) -> None:
         """Write the description of a message, if it has an id and was not described yet."""
@@ -135,13 +134,13 @@
             self.known[-1][msg.number] = msg
             self.write_name(r.CLASS, msg.cls, self.known[r.CLASS])
             self.write_name(r.TENANT, msg.tenant, self.known[r.TENANT])
-            part = bytearray()
-            put_uint(part, msg.number)
-            put_text(part, msg.id)
-            put_uint(part, msg.cls[0])
-            put_uint(part, msg.tenant[0])
-            put_uint(part, msg.dest)
-            self._write_context(r.MSG, part)
+            fields = bytearray()
+            put_uint(fields, msg.number)
+            put_text(fields, msg.id)
+            put_uint(fields, msg.cls[0])
+            put_uint(fields, msg.tenant[0])
+            put_uint(fields, msg.dest)
+            self._write_context(r.MSG, fields)
             self.new_messages.append(msg)
 
 
--- a/lynxscale/trace/recorder.py
+++ b/lynxscale/trace/recorder.py
@@ -100,8 +100,8 @@
         process = os.urandom(6).hex()
         self._source = f"{relay}/{process}"
         self._files = Files(conf, relay, report_event, clock)
-        self._classes = [(place, one.name) for place, one in enumerate(settings.classes)]
-        self._tenants = [(place, one.name) for place, one in enumerate(settings.tenants)] or [r.UNKNOWN]
+        self._classes = [(index, one.name) for index, one in enumerate(settings.classes)]
+        self._tenants = [(index, one.name) for index, one in enumerate(settings.tenants)] or [r.UNKNOWN]
         self._kinds = list(enumerate(settings.kinds)) or [r.UNKNOWN]
         self._zones = list(enumerate(settings.zones)) or [r.UNKNOWN]
         self._keep_all = conf.sample >= 1 and not conf.classes
@@ -287,9 +287,8 @@
                 self._offset = offset
         files, frames = self._files, []
         time_ = queue[0]
-        records: list[tuple[int, list]] = (
-            [self._start] if files.starts_file else []
-        )  # each file begins with the start record
+        # Each file begins with the start record.
+        records: list[tuple[int, list]] = [self._start] if files.starts_file else []
         dropped = files.dropped
         if dropped.records and not files.failing:
             records.append(
--- a/lynxscale/trace/replay.py
+++ b/lynxscale/trace/replay.py
@@ -233,15 +233,15 @@
     def _compare(self, frame: Frame, recorded: list, replayed: list, raised_differs: bool) -> None:
         if recorded == replayed and not raised_differs:
             return
-        for place in range(max(len(recorded), len(replayed), 1)):
-            one = recorded[place] if place < len(recorded) else None
-            other = replayed[place] if place < len(replayed) else None
-            if type(one) is Note and type(other) is Note and not one.text:
+        for index in range(max(len(recorded), len(replayed), 1)):
+            expected = recorded[index] if index < len(recorded) else None
+            actual = replayed[index] if index < len(replayed) else None
+            if type(expected) is Note and type(actual) is Note and not expected.text:
                 self.result.anonymised = True
                 continue
-            if one != other or raised_differs:
+            if expected != actual or raised_differs:
                 self.result.difference = Difference(
-                    frame.source, self.result.steps, frame.unix, place, one, other, list(self.led_up)
+                    frame.source, self.result.steps, frame.unix, index, expected, actual, list(self.led_up)
                 )
                 return
 
@@ -262,8 +262,8 @@
         if choice[0] == choice[1]:
             self.result.moved["as recorded"] += 1
         else:
-            one, other = (text.split(" to ")[0] or "held" for text in choice)
-            self.result.moved[f"{one}, now {other}" if one != other else "sent elsewhere first"] += 1
+            expected, actual = (text.split(" to ")[0] or "held" for text in choice)
+            self.result.moved[f"{expected}, now {actual}" if expected != actual else "sent elsewhere first"] += 1
 
     def end(self) -> ReplayResult:
         for choice in self.choices.values():
--- a/lynxscale/trace/rotation.py
+++ b/lynxscale/trace/rotation.py
@@ -116,10 +116,10 @@
 
     def drop(self, records: int, time_: int, reason: str) -> None:
         """Count records that are not written, and the time of the latest."""
-        one = self.dropped
-        one.first = one.first if one.records else time_
-        one.last, one.reason = time_, reason
-        one.records += records
+        dropped = self.dropped
+        dropped.first = dropped.first if dropped.records else time_
+        dropped.last, dropped.reason = time_, reason
+        dropped.records += records
 
     # The file ------------------------------------------------------------------------------------
 
--- a/lynxscale/trace/select.py
+++ b/lynxscale/trace/select.py
@@ -67,8 +67,8 @@
             return False
         if self.until is not None and summary.first >= self.until:
             return False
-        for wanted, held in ((self.classes, summary.classes), (self.tenants, summary.tenants)):
-            if wanted and held and not wanted & held:
+        for wanted, present in ((self.classes, summary.classes), (self.tenants, summary.tenants)):
+            if wanted and present and not wanted & present:
                 return summary.context
         if self.dests and not summary.any_dest and not self.dests & summary.dests:
             return summary.context
--- a/lynxscale/trace/summary.py
+++ b/lynxscale/trace/summary.py
@@ -144,8 +144,8 @@
 
     def rows(self) -> Iterator[Row]:
         """Yield the rows in order of their keys; messages that are still open count as unfinished."""
-        for one in self._open.values():
-            one.row.unfinished += 1
+        for open_message in self._open.values():
+            open_message.row.unfinished += 1
         self._open.clear()
         yield from (
             self._rows[key]
@@ -190,40 +190,40 @@
             self._open.popitem(last=False)[1].row.unfinished += 1
 
     def _admit(self, source: str, _unix: int, values: list) -> None:
-        one = self._open.get((source, values[0].number))
-        if one is not None:
-            one.row.verdicts[values[1][1]] += 1
+        open_message = self._open.get((source, values[0].number))
+        if open_message is not None:
+            open_message.row.verdicts[values[1][1]] += 1
             if values[1][1] != "taken":
                 del self._open[source, values[0].number]
 
     def _try_start(self, source: str, _unix: int, values: list) -> None:
-        one = self._open.get((source, values[0].number))
-        if one is not None:
-            one.row.tries += 1
+        open_message = self._open.get((source, values[0].number))
+        if open_message is not None:
+            open_message.row.tries += 1
 
     def _try_end(self, source: str, _unix: int, values: list) -> None:
-        one = self._open.get((source, values[0].number))
-        if one is not None:
-            one.row.results[values[3][1]] += 1
+        open_message = self._open.get((source, values[0].number))
+        if open_message is not None:
+            open_message.row.results[values[3][1]] += 1
 
     def _end(self, source: str, unix: int, values: list) -> None:
-        one = self._open.pop((source, values[0].number), None)
-        if one is None:
+        open_message = self._open.pop((source, values[0].number), None)
+        if open_message is None:
             return  # the message was admitted before the trace begins
-        one.row.ends[values[1][1]] += 1
+        open_message.row.ends[values[1][1]] += 1
         if values[1][1] != "delivered":
             return
-        spent = max(0, unix - one.unix) / 1000
-        one.row.latencies.record_value(max(1, min(MAX_LATENCY_MS, round(spent))))
+        spent = max(0, unix - open_message.unix) / 1000
+        open_message.row.latencies.record_value(max(1, min(MAX_LATENCY_MS, round(spent))))
         curve = self._curves.get(values[0].cls[1])
         if curve is not None:
             # The deadline minus the time left at admission is the age of the message at admission.
-            since = spent + max(0.0, curve.deadline - one.left / 1000)
+            since = spent + max(0.0, curve.deadline - open_message.left / 1000)
             worth = curve.worth_at(since)
             if since <= curve.aim:
-                one.row.worth_in_aim += worth
+                open_message.row.worth_in_aim += worth
             else:
-                one.row.worth_late += worth
+                open_message.row.worth_late += worth
 
 
 HANDLERS = {
--- a/lynxscale/trace/v2.py
+++ b/lynxscale/trace/v2.py
@@ -116,31 +116,31 @@
 
     Raises MalformedDataError if the bytes are not a summary.
     """
-    one = Summary()
-    one.frames, at = get_uint(data, 0)
-    one.records, at = get_uint(data, at)
-    one.first, at = get_int(data, at)
+    summary = Summary()
+    summary.frames, at = get_uint(data, 0)
+    summary.records, at = get_uint(data, at)
+    summary.first, at = get_int(data, at)
     span, at = get_uint(data, at)
-    one.last = one.first + span
-    for names in (one.sources, one.classes, one.tenants):
+    summary.last = summary.first + span
+    for names in (summary.sources, summary.classes, summary.tenants):
         count, at = get_uint(data, at)
         for _ in range(count):
             name, at = get_text(data, at)
             names.add(name)
     flags, at = get_uint(data, at)
-    one.any_dest, one.any_id, one.context = bool(flags & 1), bool(flags & 2), bool(flags & 4)
+    summary.any_dest, summary.any_id, summary.context = bool(flags & 1), bool(flags & 2), bool(flags & 4)
     count, at = get_uint(data, at)
     dest = 0
     for _ in range(count):
         step, at = get_uint(data, at)
         dest += step
-        one.dests.add(dest)
+        summary.dests.add(dest)
     count, at = get_uint(data, at)
     raw = data[at : at + 2 * count]
     if len(raw) < 2 * count:
         raise MalformedDataError("a summary is cut short")
-    one.ids = set(_little_endian(array("H", raw)))
-    return one
+    summary.ids = set(_little_endian(array("H", raw)))
+    return summary
 
 
 def _little_endian(hashes: array) -> array:
