--- a/lynxscale/cli/cluster.py
+++ b/lynxscale/cli/cluster.py
@@ -90,10 +90,10 @@
 
 def _seen_by_others(row: dict) -> str:
     """The state of a node as the other nodes report it; a single state if they agree."""
-    said = {far: seen["state"] for far, seen in sorted(row["seen_as"].items()) if far != row["name"]}
-    if len(set(said.values())) <= 1:
-        return next(iter(said.values()), "-")
-    return " ".join(f"{far}:{state}" for far, state in said.items())
+    reported = {observer: seen["state"] for observer, seen in sorted(row["seen_as"].items()) if observer != row["name"]}
+    if len(set(reported.values())) <= 1:
+        return next(iter(reported.values()), "-")
+    return " ".join(f"{observer}:{state}" for observer, state in reported.items())
 
 
 def _describe(status: dict) -> str:
--- a/lynxscale/cli/demo.py
+++ b/lynxscale/cli/demo.py
@@ -1,4 +1,4 @@
-"""``lynxscale demo``: run a relay against a faulty partner, and show the fate of the messages."""
+"""``lynxscale demo``: run a relay against a faulty partner, and show the outcomes of the messages."""
 
 from __future__ import annotations
 
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -290,7 +290,7 @@
     before = len(journal.entries())
     journal.close()
     journal = _open_journal(state, disk, entries)
-    click.echo(f"{len(journal.entries()) - before} of {len(entries)} messages taken over")
+    click.echo(f"{len(journal.entries()) - before} of {len(entries)} messages imported")
     journal.close()
 
 
--- a/lynxscale/cli/lists.py
+++ b/lynxscale/cli/lists.py
@@ -203,7 +203,7 @@
     found = []
     for good in lists.load_good():
         if isinstance(good, StoredListCorruptError):
-            click.echo(f"spoilt: {good}", err=True)
+            click.echo(f"corrupt: {good}", err=True)
             continue
         reading = run_to_end(files.read(good.data, good.unit, rules, digest=good.digest))
         if reading.candidate is None:
--- a/lynxscale/trace/head.py
+++ b/lynxscale/trace/head.py
@@ -13,9 +13,8 @@
 from lynxscale.trace.frames import MAX_PAYLOAD_BYTES
 
 MAGIC = b"\x89LXT\r\n\x1a\n"  # like the PNG signature, it exposes text-mode conversions
-FIXED_FIELDS = struct.Struct(
-    "<8sHHI"
-)  # magic, major, minor, length of the variable part; then that part, then a crc32c of both
+# magic, major, minor, length of the variable part; then that part, then a crc32c of both
+FIXED_FIELDS = struct.Struct("<8sHHI")
 CRC = struct.Struct("<I")
 MAX_HEAD_BYTES = 1 << 16
 MAX_MAJOR_VERSION = 2
@@ -55,11 +54,11 @@
     """
     if len(data) < FIXED_FIELDS.size:
         raise NotATraceError(
-            "it ends within its head" if MAGIC.startswith(data[:8]) and data else "it is no trace file"
+            "it ends within its head" if MAGIC.startswith(data[:8]) and data else "it is not a trace file"
         )
     magic, major, minor, size = FIXED_FIELDS.unpack_from(data)
     if magic != MAGIC:
-        raise NotATraceError("it is no trace file")
+        raise NotATraceError("it is not a trace file")
     if major > MAX_MAJOR_VERSION:
         raise NotATraceError(f"it is of version {major}; this program reads versions 1 to {MAX_MAJOR_VERSION}")
     end = FIXED_FIELDS.size + size
--- a/lynxscale/trace/v2.py
+++ b/lynxscale/trace/v2.py
@@ -29,9 +29,8 @@
 BLOCK_HEAD = struct.Struct("<8sB3xIQQIIIIII")
 OPEN, ZSTD, PLAIN = 0, 1, 2
 INDEX_MARK = b"\xa7LXI\r\n\x1a\n"
-INDEX_HEAD = struct.Struct(
-    "<8sQQI"
-)  # mark, number of blocks, length of the rows, checksum of the preceding fields and the rows
+# mark, number of blocks, length of the rows, checksum of the preceding fields and the rows
+INDEX_HEAD = struct.Struct("<8sQQI")
 TRAILER = struct.Struct("<QI8s")  # offset of the index, checksum of that offset, mark
 TRAILER_MARK = b"LXT2END\n"
 
--- a/tests/test_trace_format.py
+++ b/tests/test_trace_format.py
@@ -275,9 +275,9 @@
 def test_noise_is_no_trace_and_a_newer_one_is_refused_plainly(tmp_path):
     path = tmp_path / "x"
     for data, expected in (
-        (b"", "no trace"),
+        (b"", "it is not a trace file"),
         (b"\x89LX", "within its head"),
-        (os.urandom(99), "no trace"),
+        (os.urandom(99), "it is not a trace file"),
         (h.pack_head(h.Head(3, 0, 1, "w")), "version 3; this program reads versions 1 to 2"),
         (h.pack_head(h.Head(2, 0, 1, "w"))[:-1] + b"?", "damaged"),
     ):
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -247,7 +247,7 @@
     broken = tmp_path / "broken.py"
     broken.write_text("import nothing_of_this_name")
     for words, code, expected in (
-        (["info", noise], 1, "it is no trace file"),
+        (["info", noise], 1, "it is not a trace file"),
         (["info", tmp_path / "none"], 1, "no such file"),
         (["dump", "--from", "soon", whole], 2, "want Unix seconds"),
         (["summarise", "--by", "club", whole], 2, "want some of class"),
