--- a/lab/bench_trace.py
+++ b/lab/bench_trace.py
@@ -190,7 +190,7 @@
             while at < size:
                 for place in places:
                     head = v2.read_block_head(data, place.offset)
-                    begin = place.offset + v2.BLOCK.size
+                    begin = place.offset + v2.BLOCK_HEAD.size
                     summary = v2.read_summary(data[begin : begin + head.summary])
                     stored = data[begin + head.summary : begin + head.summary + head.stored]
                     summary.first += again * span
--- a/tests/relay/cluster/test_configuration.py
+++ b/tests/relay/cluster/test_configuration.py
@@ -108,7 +108,7 @@
     done = run_command("status", "--conf", write_file("a.conf", TEXT))
     assert done.returncode == 1 and "status.json: not there" in done.stderr
     assert run_command("status").returncode == 2
-    assert "no answer of a relay's door" in run_command("status", "--at", "127.0.0.1:1").stderr
+    assert "no answer from the admin server of a relay" in run_command("status", "--at", "127.0.0.1:1").stderr
 
 
 class Platform(NodeCase):
--- a/tests/relay/cluster/test_live_cluster.py
+++ b/tests/relay/cluster/test_live_cluster.py
@@ -423,7 +423,7 @@
         assert code == 1 and "r3 is alive; stop it first" in err
         await cluster.nodes["r3"].stop(signal.SIGKILL)
         code, _, err = await command("status", *admin_options)
-        assert code == 1 and "no answer of a relay's door" in err
+        assert code == 1 and "no answer from the admin server of a relay" in err
 
     run(folder, 3, scene)
 
