--- a/lynxscale/relay/conf/__init__.py
+++ b/lynxscale/relay/conf/__init__.py
@@ -1,6 +1,6 @@
-"""Settings: the line-based file of this product, and what the platform tells in JSON and variables.
+"""Settings of the relay: the line-based configuration file, and the platform's JSON file and environment variables.
 
-``lexer`` splits a file into words, ``table`` says which directives there are and ``settings`` what they fill,
-``reader`` parses the one by the other; ``platform`` reads ``NODE_CONFIG`` and the environment. Nothing else in the
-relay reads a setting.
+``lexer`` splits a file into words, ``table`` defines the directives, ``settings`` the classes that hold their values,
+and ``reader`` parses a file into these classes. ``platform`` reads ``NODE_CONFIG`` and the environment. No other module
+of the relay reads settings.
 """
--- a/lynxscale/relay/conf/checks.py
+++ b/lynxscale/relay/conf/checks.py
@@ -1,15 +1,18 @@
-"""Checks of a complete section: what is wrong with its directives together, as directive and what is wanted."""
+"""Checks of the combined directives of a section.
+
+Each check returns a list of faults: the name of a directive, and a text that says what is wanted instead.
+"""
 
 from __future__ import annotations
 
 from lynxscale.relay.conf.settings import ClusterConf, FinalsConf, MembersConf, NamesConf, TraceConf
 
-MAX_RELAYS = 256  # of one cluster
-MAX_NAME_CHARS = 63  # of a relay; as the frames between relays have it
+MAX_RELAYS = 256  # in one cluster
+MAX_NAME_CHARS = 63  # a relay's name, as limited by the frames between relays
 
 
 def check_trace(conf: TraceConf) -> list[tuple[str, str]]:
-    """What is wrong with section trace beyond single directives."""
+    """The faults of section trace."""
     faults = []
     if conf.file_size > conf.total // 2:
         faults.append(("file-size", "want at most half of total, so that an older file can go while one grows"))
@@ -19,8 +22,8 @@
 
 
 def check_members(conf: MembersConf) -> list[tuple[str, str]]:
-    """What is wrong with section members beyond single directives."""
-    # Guards the start of relays that watch no files: netaddr is imported only for them.
+    """The faults of section members."""
+    # Imported here because netaddr, which it uses, would slow the start of relays that watch no files.
     from lynxscale.relay.conf.networks import nets
 
     faults = []
@@ -35,7 +38,7 @@
 
 
 def check_cluster(conf: ClusterConf) -> list[tuple[str, str]]:
-    """What is wrong with section cluster beyond single directives."""
+    """The faults of section cluster."""
     if conf.name is None:
         return [(word, "want name, of the cluster") for word in ("listen", "member") if getattr(conf, word)]
     faults = []
@@ -58,12 +61,12 @@
 
 
 def check_names(conf: NamesConf) -> list[tuple[str, str]]:
-    """What is wrong with section names beyond single directives."""
+    """The faults of section names."""
     faults = []
-    for what in ("cls", "tenant", "kind", "zone"):
-        names = [row["name"] for row in getattr(conf, what)]
+    for field in ("cls", "tenant", "kind", "zone"):
+        names = [row["name"] for row in getattr(conf, field)]
         for name in sorted({name for name in names if names.count(name) > 1}):
-            faults.append(("class" if what == "cls" else what, f"want {name} once"))
+            faults.append(("class" if field == "cls" else field, f"want {name} once"))
     for row in conf.cls:
         faults += [
             ("class", f"want {needed} for {row['name']}")
@@ -76,5 +79,5 @@
 
 
 def check_finals(conf: FinalsConf) -> list[tuple[str, str]]:
-    """What is wrong with section finals beyond single directives."""
+    """The faults of section finals."""
     return [("file", "want a file or http, not both")] if conf.file and conf.http else []
--- a/lynxscale/relay/conf/lexer.py
+++ b/lynxscale/relay/conf/lexer.py
@@ -1,9 +1,9 @@
-"""Words of a line-based configuration file: the syntax, without any meaning.
+"""Lexer of the line-based configuration file: splits it into words and knows no directive but ``include``.
 
 A line is a directive and its words, separated by blanks. ``#`` begins a comment where a word could begin. Double
-quotes hold blanks, with ``\\"`` and ``\\\\`` inside; single quotes hold anything but themselves. Outside single
-quotes ``${NAME}`` is a variable of the environment. ``include PATH`` stands for the lines of another file;
-the path is taken from the folder of the file that names it, and may hold ``*``.
+quotes enclose blanks, with the escapes ``\\"`` and ``\\\\``; single quotes enclose any text without single quotes.
+Outside single quotes ``${NAME}`` is replaced by an environment variable. ``include PATH`` is replaced by the lines of
+another file; the path is relative to the folder of the including file and may contain ``*``.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 from lynxscale.relay.exceptions import RelayError
 
-MAX_FILE_BYTES = 1 << 20  # of one file: guards against a device or a log named by mistake
-MAX_DEPTH = 8  # of files that include files
+MAX_FILE_BYTES = 1 << 20  # guards against a device or a log file that is named by mistake
+MAX_INCLUDE_DEPTH = 8  # nesting of includes
 VARIABLE = re.compile(r"\$\{([A-Za-z_][A-Za-z0-9_]*)\}")
 WORD = re.compile(r"""(?:"(?:[^"\\]|\\.)*"|'[^']*'|[^\s"'])+""")
-PART = re.compile(r""""((?:[^"\\]|\\.)*)"|'([^']*)'|([^"']+)""")
+WORD_PART = re.compile(r""""((?:[^"\\]|\\.)*)"|'([^']*)'|([^"']+)""")
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Something wrong, with its place; ``line`` is 0 where it concerns the complete file."""
+    """A fault and its location; ``line`` is 0 if the fault concerns the complete file."""
 
     file: str
     line: int
@@ -39,52 +39,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """The words of one line, with its place."""
+    """The words of one line, and its location."""
 
     file: str
     number: int
     words: tuple[str, ...]
 
     def fault(self, word: str, wanted: str) -> Fault:
-        """Something wrong with this line."""
+        """A fault in this line."""
         return Fault(self.file, self.number, word, wanted)
 
 
 class UnclosedQuoteError(RelayError, ValueError):
-    """A quote is not closed; the text is what follows it."""
+    """A quote is not closed; the message is the text from that quote on."""
 
 
-def split(raw: str, fill: Callable[[str], str] = str) -> list[str]:
-    """The words of a line; ``fill`` is given what stands outside single quotes. Raises UnclosedQuoteError."""
-    words, at = [], 0
-    while at < len(raw):
-        if raw[at].isspace():
-            at += 1
+def split(raw: str, substitute: Callable[[str], str] = str) -> list[str]:
+    """The words of a line; ``substitute`` is applied to text outside single quotes. Raises UnclosedQuoteError."""
+    words, position = [], 0
+    while position < len(raw):
+        if raw[position].isspace():
+            position += 1
             continue
-        if raw[at] == "#":
+        if raw[position] == "#":
             break
-        match = WORD.match(raw, at)
+        match = WORD.match(raw, position)
         if match is None or (match.end() < len(raw) and not raw[match.end()].isspace()):
-            raise UnclosedQuoteError(raw[at : at + 20])
+            raise UnclosedQuoteError(raw[position : position + 20])
         words.append(
             "".join(
-                literal or fill(re.sub(r"\\(.)", r"\1", quoted) if quoted else plain)
-                for quoted, literal, plain in PART.findall(match.group())
+                literal or substitute(re.sub(r"\\(.)", r"\1", quoted) if quoted else plain)
+                for quoted, literal, plain in WORD_PART.findall(match.group())
             )
         )
-        at = match.end()
+        position = match.end()
     return words
 
 
 class Lexer:
-    """Lines of a file and of all that it includes; what is wrong is collected in ``faults``."""
+    """Reads the lines of a file and of the files that it includes; collects errors in ``faults``."""
 
     def __init__(self, env: Mapping[str, str]) -> None:
         self._env = env
         self.faults: list[Fault] = []
 
     def lines(self, path: str | Path, *, _includers: tuple[Path, ...] = ()) -> Iterator[Line]:
-        """Every line with words in it, in order. A file that cannot be read is a fault, not an exception."""
+        """Every non-empty line, in order. A file that cannot be read is added to the faults, not raised."""
         path = Path(path)
         try:
             if path.stat().st_size > MAX_FILE_BYTES:
@@ -114,8 +114,8 @@
         for name in found:
             if Path(name).resolve() in including:
                 self.faults.append(line.fault(line.words[1], "want a file that does not include itself"))
-            elif len(including) >= MAX_DEPTH:
-                self.faults.append(line.fault(line.words[1], f"want at most {MAX_DEPTH} files within files"))
+            elif len(including) >= MAX_INCLUDE_DEPTH:
+                self.faults.append(line.fault(line.words[1], f"want at most {MAX_INCLUDE_DEPTH} files within files"))
             else:
                 yield from self.lines(name, _includers=including)
 
--- a/lynxscale/relay/conf/networks.py
+++ b/lynxscale/relay/conf/networks.py
@@ -1,4 +1,4 @@
-"""Allowed networks, as ranges of addresses that are cheap to search."""
+"""Sets of IPv4 addresses as sorted ranges, which are searched in logarithmic time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Nets:
-    """Allowed addresses as ranges of integers, both ends inclusive; ``nets`` makes them from networks."""
+    """Sorted ranges of addresses as integers, both ends inclusive. Created by ``nets``."""
 
     firsts: tuple[int, ...]
     lasts: tuple[int, ...]
@@ -20,7 +20,7 @@
 
 
 def nets(allow: Iterable[str], deny: Iterable[str]) -> Nets:
-    """The addresses of ``allow`` that are not in ``deny``; ValueError names a network that is none."""
+    """The addresses of ``allow`` that are not in ``deny``. Raises ValueError with the first invalid network."""
     from netaddr import AddrFormatError, IPNetwork, IPSet
 
     def networks(texts: Iterable[str]) -> IPSet:
--- a/lynxscale/relay/conf/platform.py
+++ b/lynxscale/relay/conf/platform.py
@@ -1,4 +1,4 @@
-"""The platform's side of the settings: NODE_CONFIG and the environment, read, checked and given defaults."""
+"""Reads and checks the platform's configuration: the file NODE_CONFIG and environment variables, with defaults."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class PlatformError(RelayError):
-    """A key is missing or invalid; the text names it."""
+    """A key is missing or invalid; the message names the key."""
 
 
 Address = tuple[str, int]
@@ -31,9 +31,9 @@
 
 @dataclass(slots=True)
 class Config:
-    """The configuration of a relay, whichever side it comes from.
+    """The configuration of a relay, from the platform or from the settings file.
 
-    ``known``: the endpoint list of the last run, as discovery gives it.
+    ``known``: the endpoint list of the last run, in the form of a discovery response.
     """
 
     name: str
@@ -46,13 +46,13 @@
     known: dict
     settings: Settings
     by_platform: bool = True
-    admin: Address | None = None  # for operators alone
+    admin: Address | None = None  # the admin server's address
     memory_bytes: int = 64_000_000
-    accept_fd: int | None = None  # the clients' listening socket, where the platform opens it
+    accept_fd: int | None = None  # a listening socket for clients that the platform has opened
 
 
 def address(text: Any, key: str) -> Address:
-    """A host and a port from ``host:port``."""
+    """Parse ``host:port``. Raises PlatformError, which names ``key``."""
     host, colon, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not (colon and host and port.isascii() and port.isdigit() and 0 < int(port) < 65536):
         raise PlatformError(f"{key}: want host:port, not {text!r}")
@@ -66,15 +66,15 @@
     return value
 
 
-def _limit(limits: dict, key: str, default: float, least: float) -> float:
+def _limit(limits: dict, key: str, default: float, minimum: float) -> float:
     value = limits.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not least <= value < float("inf"):
-        raise PlatformError(f"limits.{key}: want a number of at least {least:g}, not {value!r}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < float("inf"):
+        raise PlatformError(f"limits.{key}: want a number of at least {minimum:g}, not {value!r}")
     return value
 
 
 def seed(value: Any) -> int:
-    """A number from a text or a number."""
+    """The random seed: a number, a hexadecimal text, or the checksum of another text."""
     if isinstance(value, str):
         try:
             return int(value, 16)
@@ -85,31 +85,32 @@
     raise PlatformError(f"seed: want a text or a whole number, not {value!r}")
 
 
-def _inherited(text: str, listen: Address) -> int:
-    """The descriptor of a listening TCP socket at that address."""
+def _inherited_listener(text: str, listen: Address) -> int:
+    """The descriptor of a TCP socket that listens on ``listen``. Raises PlatformError."""
     key = "NODE_ACCEPT_FD"
     if not (text.isascii() and text.isdigit() and 2 < int(text) < 1 << 20):
         raise PlatformError(f"{key}: want the number of a descriptor, 3 or above, not {text!r}")
-    handle = int(text)
+    descriptor = int(text)
     try:
-        with socket.socket(fileno=os.dup(handle)) as inherited:
+        with socket.socket(fileno=os.dup(descriptor)) as inherited:
             listens = inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)
-            form, at = (inherited.family, inherited.type & socket.SOCK_STREAM), inherited.getsockname()
+            socket_kind, bound_to = (inherited.family, inherited.type & socket.SOCK_STREAM), inherited.getsockname()
     except OSError as error:
-        raise PlatformError(f"{key}: descriptor {handle} is no socket: {error.strerror}") from error
-    if form != (socket.AF_INET, socket.SOCK_STREAM) or not listens:
-        raise PlatformError(f"{key}: descriptor {handle} is no listening TCP socket")
-    if at != listen and (at[0] != "0.0.0.0" or at[1] != listen[1]):
+        raise PlatformError(f"{key}: descriptor {descriptor} is not a socket: {error.strerror}") from error
+    if socket_kind != (socket.AF_INET, socket.SOCK_STREAM) or not listens:
+        raise PlatformError(f"{key}: descriptor {descriptor} is not a listening TCP socket")
+    if bound_to != listen and (bound_to[0] != "0.0.0.0" or bound_to[1] != listen[1]):
         raise PlatformError(
-            f"{key}: descriptor {handle} listens on {at[0]}:{at[1]}, NODE_LISTEN says {listen[0]}:{listen[1]}"
+            f"{key}: descriptor {descriptor} listens on {bound_to[0]}:{bound_to[1]}, "
+            f"NODE_LISTEN says {listen[0]}:{listen[1]}"
         )
-    return handle
+    return descriptor
 
 
-def load(env: Mapping[str, str] = os.environ, *, again: bool = False) -> Config:
-    """The relay's configuration; a variable of its own takes precedence over the same key in the file.
+def load(env: Mapping[str, str] = os.environ, *, reloading: bool = False) -> Config:
+    """The relay's configuration. An environment variable takes precedence over the same key in the file.
 
-    Read ``again`` the file may name another discovery than at the start, and takes precedence then. Raises
+    With ``reloading`` the file's discovery address takes precedence, as it may have changed since the start. Raises
     PlatformError.
     """
     table = _read_table(env)
@@ -117,7 +118,7 @@
     state = _state(env, table)
     settings = _settings(table)
     discovery = env.get("NODE_DISCOVERY")
-    if not discovery or (again and "discovery" in table):
+    if not discovery or (reloading and "discovery" in table):
         discovery = table.get("discovery")
     descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = int(_limit(limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS))
@@ -126,7 +127,7 @@
     return Config(
         name=str(env.get("NODE_NAME") or table.get("name") or "relay"),
         listen=listen,
-        discovery=address(discovery, "discovery" if again else "NODE_DISCOVERY"),
+        discovery=address(discovery, "discovery" if reloading else "NODE_DISCOVERY"),
         state=state,
         seed=seed(table.get("seed", 0)),
         sockets=sockets if descriptors == resource.RLIM_INFINITY else min(sockets, descriptors),
@@ -135,7 +136,7 @@
         settings=settings,
         admin=admin,
         memory_bytes=int(_limit(limits, "memory_mb", DEFAULT_MEMORY_MB, 1) * 1_000_000),
-        accept_fd=_inherited(env["NODE_ACCEPT_FD"], listen) if env.get("NODE_ACCEPT_FD") else None,
+        accept_fd=_inherited_listener(env["NODE_ACCEPT_FD"], listen) if env.get("NODE_ACCEPT_FD") else None,
     )
 
 
@@ -157,7 +158,7 @@
 def _state(env: Mapping[str, str], table: dict) -> Path:
     state = env.get("NODE_STATE") or table.get("state")
     if not isinstance(state, str) or not Path(state).is_dir():
-        raise PlatformError(f"NODE_STATE: want a folder that is there, not {state!r}")
+        raise PlatformError(f"NODE_STATE: want an existing folder, not {state!r}")
     if not os.access(state, os.W_OK | os.X_OK):
         raise PlatformError(f"NODE_STATE: {state} is not writable")
     return Path(state)
--- a/lynxscale/relay/conf/product_settings.py
+++ b/lynxscale/relay/conf/product_settings.py
@@ -1,6 +1,6 @@
-"""The configuration of a relay without the platform, from the settings of lynxscale itself.
+"""Builds the configuration of a relay that runs without the platform from the lynxscale settings file.
 
-The directives become the object that the platform would give in JSON, so that one reader checks both.
+The directives are converted to the JSON object that the platform would provide, so that one reader checks both.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def platform_settings(conf: Conf) -> dict[str, Any]:
-    """The platform's object of settings, with the values of these directives."""
+    """The settings object in the platform's format, with the values of these directives."""
     limits, names, relay = conf.limits, conf.names, conf.relay
     return {
         "allowed": {
@@ -79,10 +79,11 @@
     )
 
 
-def faults(conf: Conf, place_of: Callable[[str, str], tuple[str, int]]) -> list[Fault]:
-    """What keeps a relay from running with these sections, beyond the faults of single directives.
+def faults(conf: Conf, location_of: Callable[[str, str], tuple[str, int]]) -> list[Fault]:
+    """The faults across sections with which a relay cannot run.
 
-    ``place_of``: file and line of a section's directive, or of the section where it is absent; line 0 without either.
+    ``location_of`` returns the file and line of a section's directive, or of the section if the directive is absent, or
+    line 0 if both are.
     """
     if conf.relay.listen is None:
         return []
@@ -93,13 +94,13 @@
         ("file or http in finals", conf.finals.file or conf.finals.http),
     ):
         if not given:
-            found.append(Fault(*place_of("relay", ""), "relay", f"want {wanted}"))
+            found.append(Fault(*location_of("relay", ""), "relay", f"want {wanted}"))
     if conf.relay.place >= conf.relay.relays:
-        found.append(Fault(*place_of("relay", "place"), "place", "want a number below relays"))
+        found.append(Fault(*location_of("relay", "place"), "place", "want a number below relays"))
     if conf.cluster.name is not None and conf.relay.name not in [row["name"] for row in conf.cluster.member]:
         found.append(
             Fault(
-                *place_of("cluster", "member"),
+                *location_of("cluster", "member"),
                 "member",
                 f"want a line for {conf.relay.name} too, this relay's own name",
             )
@@ -108,12 +109,12 @@
         try:
             settings_from(platform_settings(conf))
         except SettingsError as error:
-            found.append(Fault(*place_of("", ""), "settings", str(error)))
+            found.append(Fault(*location_of("", ""), "settings", str(error)))
     return found
 
 
 def load(conf: Conf) -> Config:
-    """The relay's configuration. Raises PlatformError where the state folder cannot be written."""
+    """The relay's configuration. Raises PlatformError if the state folder is not writable."""
     relay = conf.relay
     state = Path(relay.state)
     try:
--- a/lynxscale/relay/conf/reader.py
+++ b/lynxscale/relay/conf/reader.py
@@ -1,4 +1,4 @@
-"""Parses a configuration file into settings; all faults are reported at once."""
+"""Parses a configuration file into settings and reports all its faults together."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 
 class ConfigurationError(RelayError):
-    """The file is invalid; ``faults`` has each reason with its place."""
+    """The file is invalid; ``faults`` lists each reason with its location."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
         self.faults = faults
 
 
-def _near(word: str, known: Iterable[str]) -> str:
+def _suggestion(word: str, known: Iterable[str]) -> str:
     found = get_close_matches(word, list(known), 1)
     return f", perhaps {found[0]}" if found else ""
 
 
 class _Parser:
-    """Takes the lines of a file in order."""
+    """Collects values and faults from the lines of a file, which are added in order."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
@@ -40,10 +40,10 @@
         self.seen: dict[tuple[str, str], Line] = {}
         self.sections: dict[str, Line] = {}
         self.section: Section | None = None
-        self.unknown: Line | None = None  # an unknown section, whose lines are skipped
+        self.unknown: Line | None = None  # the begin of an unknown section, whose lines are skipped
 
-    def take(self, line: Line) -> None:
-        """One line."""
+    def add_line(self, line: Line) -> None:
+        """Parse the next line."""
         first = line.words[0]
         if first in ("begin", "end"):
             self._begin_or_end(line)
@@ -71,10 +71,10 @@
         self.section, self.unknown = known.get(names[0]), None
         if self.section is None:
             wanted = "want a section: " + ", ".join(known)
-            self.faults.append(line.fault(names[0], wanted + _near(names[0], known)))
+            self.faults.append(line.fault(names[0], wanted + _suggestion(names[0], known)))
             self.unknown = line
         elif names[0] in self.sections:
-            self.faults.append(line.fault(names[0], f"want it once: {_place(self.sections[names[0]])}"))
+            self.faults.append(line.fault(names[0], f"want it once: {_location_text(self.sections[names[0]])}"))
         else:
             self.sections[names[0]] = line
             self.values[names[0]] = {}
@@ -85,28 +85,28 @@
         directive = known.get(name)
         if directive is None:
             wanted = f"want a directive of {section.name}: " + ", ".join(known)
-            self.faults.append(line.fault(name, wanted + _near(name, known)))
+            self.faults.append(line.fault(name, wanted + _suggestion(name, known)))
             return
         rows = directive.kind == "row"
-        if (before := self.seen.get((section.name, name))) is not None and not rows:
-            self.faults.append(line.fault(name, f"want it once: {_place(before)}"))
+        if (earlier := self.seen.get((section.name, name))) is not None and not rows:
+            self.faults.append(line.fault(name, f"want it once: {_location_text(earlier)}"))
             return
         self.seen[section.name, name] = line
         try:
-            value = directive.read(tuple(words))
+            value = directive.parse(tuple(words))
             values, field = self.values[section.name], field_of(name)
             values[field] = (*values.get(field, ()), value) if rows else value
         except (ValueError, KeyError):
             given = " ".join(words) or "nothing"
             self.faults.append(line.fault(name, f"want {directive.wanted()}, not {given}"))
 
-    def place(self, section: str, name: str, file: str) -> tuple[str, int]:
-        """The place of a directive, else of its section, else the file."""
+    def location(self, section: str, name: str, file: str) -> tuple[str, int]:
+        """The location of a directive, or of its section if the directive is absent, or of the file."""
         line = self.seen.get((section, name)) or self.sections.get(section)
         return (line.file, line.number) if line is not None else (file, 0)
 
     def finish(self) -> Conf:
-        """The settings, after the last line."""
+        """Check the sections after the last line, and return the settings."""
         unclosed = self.unknown or (self.section and self.sections[self.section.name])
         if unclosed:
             self.faults.append(unclosed.fault(unclosed.words[1], f"want end {unclosed.words[1]} before the file's end"))
@@ -122,21 +122,18 @@
         return conf
 
 
-def _place(line: Line) -> str:
+def _location_text(line: Line) -> str:
     return f"it stands at {line.file}:{line.number}"
 
 
 def read(path: str | Path, env: Mapping[str, str] = os.environ) -> Conf:
-    """The settings in a file.
-
-    Raises ConfigurationError with every fault that it has.
-    """
+    """The settings in a file. Raises ConfigurationError with all faults of the file."""
     lexer, parser = Lexer(env), _Parser()
     for line in lexer.lines(path):
-        parser.take(line)
+        parser.add_line(line)
     conf = parser.finish()
     if not (lexer.faults or parser.faults):
-        parser.faults += product_settings.faults(conf, lambda section, name: parser.place(section, name, str(path)))
+        parser.faults += product_settings.faults(conf, lambda section, name: parser.location(section, name, str(path)))
     faults = sorted(lexer.faults + parser.faults, key=lambda fault: (fault.file, fault.line))
     if faults:
         raise ConfigurationError(faults)
@@ -144,6 +141,6 @@
 
 
 def from_environment(env: Mapping[str, str] = os.environ, path: str | Path | None = None) -> Conf:
-    """The settings in ``path``, else in the file that ``LYNXSCALE_CONF`` names, else the defaults."""
+    """The settings in ``path``, or in the file that ``LYNXSCALE_CONF`` names, or the defaults."""
     path = path or env.get(VARIABLE)
     return read(path, env) if path else Conf()
--- a/lynxscale/relay/conf/settings.py
+++ b/lynxscale/relay/conf/settings.py
@@ -1,6 +1,6 @@
-"""The settings of lynxscale itself, one class for each section of the file; times are whole µs, sizes bytes.
+"""The settings of the lynxscale configuration file, one class for each section. Times are whole µs, sizes bytes.
 
-Field names are those of the directives that fill them, and defaults are those of the file.
+Fields are named like the directives that set them, and their defaults are those of the directives.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogConf:
-    """How the daemon's log is written."""
+    """Section log: the format of the daemon's log."""
 
     format: str = "logfmt"
     level: str = "info"
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TraceConf:
-    """What the recorder keeps; without a folder nothing is recorded."""
+    """Section trace: the recorder's settings. Without ``folder`` nothing is recorded."""
 
     folder: str | None = None
     level: str = "tries"
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembersConf:
-    """Watched files of endpoints; without ``files`` nothing is watched."""
+    """Section members: watched files with endpoint lists. Without ``files`` nothing is watched."""
 
     files: tuple[str, ...] = ()
     precedence: str = "files"
@@ -53,7 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterConf:
-    """Relays that know each other; without ``name`` there is no cluster. ``member``: name, at, zone."""
+    """Section cluster: the relays of a cluster. Without ``name`` there is no cluster.
+
+    Rows of ``member`` have the keys name, at and zone.
+    """
 
     name: str | None = None
     listen: str | None = None
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayConf:
-    """A relay without the platform; without ``listen`` the platform's variables tell all of this."""
+    """Section relay: a relay without the platform. Without ``listen`` the platform's configuration is used."""
 
     listen: str | None = None
     admin_addr: str | None = None
@@ -79,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalsConf:
-    """Where the ends of messages go that were not delivered."""
+    """Section finals: the destination of final outcomes of undelivered messages."""
 
     file: str | None = None
     size: int = 16 << 20
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitsConf:
-    """Bounds on what is held and under way, and what peers allow."""
+    """Section limits: limits of pending messages and attempts, and what peers permit."""
 
     slots: int = 64
     held: int = 400
@@ -110,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NamesConf:
-    """Classes, tenants, kinds and zones, in their order."""
+    """Section names: classes, tenants, kinds of endpoints and zones. Their order is significant."""
 
     cls: tuple[dict, ...] = ()
     tenant: tuple[dict, ...] = ()
@@ -121,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conf:
-    """The whole of the product's own settings."""
+    """All sections of the configuration file."""
 
     log: LogConf = LogConf()
     trace: TraceConf = TraceConf()
--- a/lynxscale/relay/conf/table.py
+++ b/lynxscale/relay/conf/table.py
@@ -1,6 +1,6 @@
-"""Which directives there are: kind, default, range and meaning of each, by section of the file.
+"""The directives of the configuration file by section, each with its kind, range and description.
 
-The manual page (docs/operators/configuration.md) is made from this table, and a test holds it to that.
+The manual page (docs/operators/configuration.md) is generated from this table; a test checks that both match.
 """
 
 from __future__ import annotations
--- a/tests/relay/test_conf.py
+++ b/tests/relay/test_conf.py
@@ -1,4 +1,4 @@
-"""The configuration file: every fault is told with its place, and the manual page is the table's."""
+"""The configuration file: each fault is reported with its location, and the manual page matches the table."""
 
 import json
 from pathlib import Path
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(
-    "text, told",
+    "text, expected",
     [
         ("begin trace\nfoldr x\nend trace", "2: foldr: want a directive of trace"),
         (
@@ -82,11 +82,11 @@
         ("include", "1: include: want one path"),
     ],
 )
-def test_each_fault_is_told_with_line_and_word(tmp_path, text, told):
-    assert [fault for fault in faults(tmp_path, text) if fault.startswith(told)], faults(tmp_path, text)
+def test_each_fault_is_reported_with_line_and_word(tmp_path, text, expected):
+    assert [fault for fault in faults(tmp_path, text) if fault.startswith(expected)], faults(tmp_path, text)
 
 
-def test_all_faults_are_told_at_once_and_by_the_command(tmp_path, capfd):
+def test_all_faults_are_reported_together_and_by_the_command(tmp_path, capfd):
     text = "begin trace\nblock 1\nfolder x y\nend trace\nbegin log\nlevel loud\nend log\n"
     assert [line.split(":")[0] for line in faults(tmp_path, text)] == ["2", "3", "6"]
     with pytest.raises(SystemExit) as ended:
@@ -95,7 +95,7 @@
     assert [row["line"] for row in json.loads(capfd.readouterr().out)] == [2, 3, 6]
 
 
-def test_what_is_shown_gives_the_same_when_it_is_read(tmp_path, capfd):
+def test_shown_configuration_reads_back_unchanged(tmp_path, capfd):
     path = tmp_path / "a.conf"
     path.write_text("begin trace\nfolder 'a b/c'\nclasses 'one two' three\nsample 0.25\nflush 250ms\nend trace\n")
     with pytest.raises(SystemExit):
@@ -105,7 +105,7 @@
     assert reader.read(again, {}) == reader.read(path, {}) != Conf()
 
 
-def test_the_deployed_file_gives_the_defaults_and_the_manual_is_the_tables():
+def test_deployed_file_has_the_defaults_and_the_manual_page_is_generated_from_the_table():
     conf = reader.read(ROOT / "deploy" / "lynxscale.conf", {})
     assert (conf.log, conf.trace) == (Conf().log, Conf().trace)
     assert [row["name"] for row in conf.names.cls] == ["aviso-ronda", "inscripcion", "pago-premio"]
