--- a/lynxscale/relay/__init__.py
+++ b/lynxscale/relay/__init__.py
@@ -1,1 +1,1 @@
-"""The relay in service: messages in, calls to endpoints out, nothing lost or done twice."""
+"""The relay: accepts messages from clients and delivers each to an endpoint, without loss and without duplicates."""
--- a/lynxscale/relay/backpressure.py
+++ b/lynxscale/relay/backpressure.py
@@ -1,4 +1,4 @@
-"""Waits that peers ask for (Retry-After): for so long nothing may be sent to a destination, or on a single route."""
+"""Pauses that peers request by Retry-After, during which nothing is sent to a destination or on a route."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 
 class Backpressure:
-    """Waits by key: a destination's number, or below 0 a route of its own.
+    """The pauses in force, by key: a destination's number, or a negative number for a route with its own limit.
 
-    ``board`` shares them with another process of this relay while there is one.
+    ``board`` shares them with another process of this relay while such a process exists.
     """
 
     def __init__(self, deadlines: Deadlines) -> None:
         self._deadlines = deadlines
         self.board: BoardPort | None = None
-        self._until: dict[int, int] = {}  # µs of the loop's clock
+        self._until: dict[int, int] = {}  # µs on the loop's clock
 
     def wait_ms(self, key: int) -> float:
-        """For how many ms more nothing may be sent there, by any process of this relay; 0 where something may."""
+        """The remaining pause in ms, which holds for every process of this relay; 0 if sending is allowed."""
         until = self._until.get(key, 0)
         if self.board is not None:
             until = max(until, self.board.wait_until(key))
         return max(0.0, (until - self._deadlines.now()) / 1000)
 
     def received(self, key: int, wait_ms: float) -> None:
-        """A peer asked to send nothing there for so long. A longer wait received earlier stays in force."""
+        """Record a pause that a peer requested. A longer one that was received earlier stays in force."""
         now = self._deadlines.now()
         until = now + int(wait_ms * 1000)
         if until > self._until.get(key, 0):
--- a/lynxscale/relay/bundle.py
+++ b/lynxscale/relay/bundle.py
@@ -1,9 +1,9 @@
-"""Several messages in one call: the request body that carries them, and the response that says how each one ended.
+"""Codec for calls that carry several messages: the request body, and the response with an outcome per message.
 
     ID KEY-OR-DASH LENGTH CRLF BYTES CRLF        in the request body, for each message
     ID ok|error|later|gone|exhausted CRLF        in a response with 200, for each message
 
-No I/O. What a response does not say for certain may have run.
+The module does no I/O. A message whose outcome is unclear from the response is treated as possibly executed.
 """
 
 from __future__ import annotations
@@ -20,46 +20,47 @@
     b"gone": Result.MOOT,
     b"exhausted": Result.MOOT,
 }
-GONE = b"gone"  # nothing more is owed
+GONE = b"gone"  # the peer needs no further attempt for the message
 MAX_LINE_BYTES = 512
 
 
-def size_of(id_: str, key: str, body: bytes) -> int:
-    """Bytes that a message takes in a request body."""
+def encoded_size(id_: str, key: str, body: bytes) -> int:
+    """The number of bytes that a message takes in a request body."""
     return len(id_) + len(key or "-") + len(str(len(body))) + len(body) + 6
 
 
-def body(messages: Iterable[tuple[str, str, bytes]]) -> bytes:
-    """The request body for messages, each an id, a key or an empty one, and its bytes."""
+def encode_request(messages: Iterable[tuple[str, str, bytes]]) -> bytes:
+    """The request body for ``messages``, each given as id, idempotency key (may be empty) and payload."""
     return b"".join(
         f"{id_} {key or '-'} {len(data)}\r\n".encode("latin-1") + data + b"\r\n" for id_, key, data in messages
     )
 
 
-def ends(response: bytes, ids: Sequence[str]) -> tuple[dict[str, tuple[Result, bool]], bool]:
-    """How each message ended, with whether nothing more is owed, and whether the response was well-formed.
+def parse_response(response: bytes, ids: Sequence[str]) -> tuple[dict[str, tuple[Result, bool]], bool]:
+    """The outcome of each message by id, and whether the response was well-formed.
 
-    A message whose line is missing, cut short, duplicated or unreadable may have run: an error.
+    An outcome is a result and whether that is final for the message. A message whose line is missing, truncated,
+    contradictory or malformed may have been executed, so its result is an error.
     """
-    found: dict[str, tuple[Result, bool]] = {}
+    outcomes: dict[str, tuple[Result, bool]] = {}
     expected, well_formed = set(ids), True
     *lines, tail = response.split(b"\r\n")
     if tail:
-        well_formed = False  # a last line without its end may have been cut short
+        well_formed = False  # the last line has no line end, so it may be truncated
     for line in lines:
         id_, _, word = line.partition(b" ")
         name = id_.decode("latin-1")
         if len(line) > MAX_LINE_BYTES or name not in expected or word not in RESULT_BY_WORD:
             well_formed = False
             if name in expected:
-                found[name] = (Result.ERROR, False)
-        elif name in found:
+                outcomes[name] = (Result.ERROR, False)
+        elif name in outcomes:
             well_formed = False
-            if found[name] != (RESULT_BY_WORD[word], word == GONE):
-                found[name] = (Result.ERROR, False)  # two lines that contradict each other: neither counts
+            if outcomes[name] != (RESULT_BY_WORD[word], word == GONE):
+                outcomes[name] = (Result.ERROR, False)  # the two lines contradict each other
         else:
-            found[name] = (RESULT_BY_WORD[word], word == GONE)
-    missing = [name for name in ids if name not in found]
+            outcomes[name] = (RESULT_BY_WORD[word], word == GONE)
+    missing = [name for name in ids if name not in outcomes]
     for name in missing:
-        found[name] = (Result.ERROR, False)
-    return found, well_formed and not missing
+        outcomes[name] = (Result.ERROR, False)
+    return outcomes, well_formed and not missing
--- a/lynxscale/relay/components.py
+++ b/lynxscale/relay/components.py
@@ -1,7 +1,7 @@
-"""The optional parts of a relay around its core, each behind the same small interface.
+"""The optional components of a relay around its core, all behind one interface.
 
-The daemon starts, reloads and stops components alike and knows none of them by name. A component's module is imported
-only where the settings switch it on.
+The daemon starts, reloads and stops every component through that interface. A component's module is imported only if
+the settings enable it.
 """
 
 from __future__ import annotations
@@ -26,45 +26,45 @@
 
 log = structlog.get_logger()
 
-# An admin call: its HTTP method, and what gives its status and body by the text of the query.
+# An admin call: its HTTP method, and a function from the query string to the response's status and body.
 AdminCall = tuple[str, Callable[[str], tuple[int, dict]]]
 
 
 class Component:
-    """One component of a relay; a subclass overrides what it needs.
+    """Base class of the components; a subclass overrides the methods that it needs.
 
-    ``sockets``: file descriptors that it reserves, beside those of clients and peers.
+    ``sockets``: the number of file descriptors that it reserves, in addition to those of clients and peers.
     """
 
     sockets = 0
 
     def start(self) -> None:
-        """Begin. No client is served yet, and no message of an earlier process is recovered yet.
+        """Start, before any client is served and before messages of an earlier process are recovered.
 
-        Raises OSError or CannotListenError where the machine is at fault, PlatformError where a setting is.
+        Raises OSError or CannotListenError if the operating system refuses, PlatformError if a setting is invalid.
         """
 
     def reload(self, conf: Config, product: Conf) -> Collection[str]:
-        """Apply new settings, already validated; called at every SIGHUP, also where nothing differs.
+        """Apply new settings, which are already validated; called at every SIGHUP, even if nothing has changed.
 
-        Returns the keys and sections that are in force from now on without a restart.
+        Returns the keys and sections that are now in force without a restart.
         """
         return ()
 
     def stop(self) -> None:
-        """Release everything; the process ends in this turn of the loop."""
+        """Release all resources; the process exits in this turn of the loop."""
 
     def counters(self) -> Mapping[str, Mapping[str, int]]:
-        """Groups of counters beside those that it adds to the relay's own table."""
+        """Groups of counters in addition to those that the component adds to the relay's table."""
         return {}
 
 
 @dataclass(frozen=True, slots=True)
 class ComponentContext:
-    """What a component may use of the relay.
+    """The objects of the relay that a component may use.
 
-    ``conf`` is the configuration in force, ``product`` the settings file of lynxscale itself. ``calls`` are further
-    calls of the admin server by path, to which components add their own.
+    ``conf`` is the relay's configuration in force, ``product`` the contents of the lynxscale settings file. ``calls``
+    holds additional calls of the admin server by path; components add theirs to it.
     """
 
     conf: Config
@@ -84,10 +84,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ComponentSpec:
-    """One kind of component and when it is enabled.
+    """Names the class of a component and says when the component is enabled.
 
-    ``factory`` is ``module:class``, called with a ComponentContext. ``standalone_only``: the platform does not provide
-    what it needs, so it stays disabled there.
+    ``factory`` is ``module:class``, called with a ComponentContext. ``standalone_only``: the component needs something
+    that the platform does not provide, so it stays disabled in a relay that the platform runs.
     """
 
     factory: str
@@ -95,12 +95,12 @@
     standalone_only: bool = False
 
     def load(self) -> Callable[[ComponentContext], Component]:
-        """Import its module and return its factory."""
+        """Import the component's module and return its factory."""
         module, _, name = self.factory.partition(":")
         return getattr(importlib.import_module(module), name)
 
 
-# In the order in which they start; they stop in reverse.
+# In start order; components stop in reverse order.
 COMPONENTS = (
     ComponentSpec("lynxscale.trace.component:TraceComponent", lambda conf, product: product.trace.folder is not None),
     ComponentSpec("lynxscale.relay.net.components:NoticesComponent", lambda conf, product: True),
@@ -120,7 +120,7 @@
 
 
 def build_components(context: ComponentContext) -> list[Component]:
-    """The components that the settings enable, in the order in which they start."""
+    """Create the components that the settings enable, in start order."""
     components = []
     for spec in COMPONENTS:
         if not spec.enabled(context.conf, context.product):
--- a/lynxscale/relay/connection_budget.py
+++ b/lynxscale/relay/connection_budget.py
@@ -1,8 +1,8 @@
-"""Which client connections are evicted when connections or buffered bytes run short: a policy without I/O.
+"""Chooses the client connections to evict when connections or buffered bytes exceed their limits. Does no I/O.
 
-A connection without a complete request so far is *new*; one that waits for its next request is *idle*; one with a
-request under way is neither, and is never evicted for capacity. An incomplete request counts by its buffered bytes.
-Times are µs on the loop's clock.
+A connection that has not sent a complete request yet is *new*; one that waits for its next request is *idle*. A
+connection with a request in progress is neither, and is never evicted to free a slot. Incomplete requests count by
+their buffered bytes. Times are µs on the loop's clock.
 """
 
 from __future__ import annotations
@@ -10,23 +10,23 @@
 from collections import OrderedDict
 from collections.abc import Iterator
 
-# A connection that is silent or idle for longer is evicted before all others, in µs.
-SILENT_GRACE, IDLE_GRACE = 50_000, 500_000
+# Connections that have sent no request, or have been idle, for longer than this are evicted before all others.
+SILENT_GRACE_US, IDLE_GRACE_US = 50_000, 500_000
 
 
 class ConnectionBudget:
-    """Client connections by slot number.
+    """Tracks the state of client connections, by slot number.
 
-    ``max_connections``: how many there may be. ``idle_limit``: beyond so many, those idle for long are evicted.
-    ``max_bytes``: what all incomplete requests together may buffer.
+    ``max_connections``: the maximum number of connections. ``idle_limit``: above this number, connections that have
+    been idle for long are evicted. ``max_bytes``: the limit on the bytes of all incomplete requests together.
     """
 
     def __init__(self, max_bytes: int) -> None:
         self.max_connections = self.idle_limit = 0
         self.max_bytes, self.buffered = max_bytes, 0
-        self._new: OrderedDict[int, int] = OrderedDict()  # since when, the oldest first
-        self._idle: OrderedDict[int, int] = OrderedDict()  # since when, the longest idle first
-        self._bytes: OrderedDict[int, int] = OrderedDict()  # of incomplete requests, the oldest first
+        self._new: OrderedDict[int, int] = OrderedDict()  # accepted at, oldest first
+        self._idle: OrderedDict[int, int] = OrderedDict()  # idle since, longest idle first
+        self._bytes: OrderedDict[int, int] = OrderedDict()  # size of the incomplete requests, oldest first
 
     # State of the connections --------------------------------------------------------------------
 
@@ -35,7 +35,7 @@
         self._new[slot] = now
 
     def idle(self, slot: int, now: int) -> None:
-        """It has its response, and no further request."""
+        """The connection has received its response and sent no further request."""
         self._new.pop(slot, None)
         self._idle[slot] = now
         self._idle.move_to_end(slot)
@@ -45,13 +45,13 @@
         self._idle.pop(slot, None)
 
     def closing(self, slot: int) -> None:
-        """It frees its slot soon: it is no candidate for eviction."""
+        """The connection is closing and frees its slot soon, so it is no longer a candidate for eviction."""
         self._idle.pop(slot, None)
         self._new.pop(slot, None)
         self.buffer(slot, 0)
 
     def buffer(self, slot: int, size: int) -> None:
-        """Its incomplete requests take so many bytes now."""
+        """Set the number of bytes that the connection's incomplete requests take."""
         self.buffered += size - self._bytes.get(slot, 0)
         if size:
             self._bytes[slot] = size
@@ -61,18 +61,18 @@
     # Candidates for eviction ---------------------------------------------------------------------
 
     def all_idle(self) -> list[int]:
-        """All idle connections, the longest idle first."""
+        """All idle connections, longest idle first."""
         return list(self._idle)
 
     def long_idle(self, now: int) -> Iterator[int]:
-        """Idle for so long that a usual client has no more use for the connection."""
+        """Connections idle for so long that a well-behaved client is unlikely to reuse them."""
         for slot, since in list(self._idle.items()):
-            if since > now - IDLE_GRACE:
+            if since > now - IDLE_GRACE_US:
                 return
             yield slot
 
-    def silent(self, now: int, age: int = 0) -> Iterator[int]:
-        """Without a complete request for ``age`` or longer; never the youngest, which has only just been accepted."""
+    def without_request(self, now: int, age: int = 0) -> Iterator[int]:
+        """New connections that are at least ``age`` old, except the youngest, which has only just been accepted."""
         youngest = next(reversed(self._new), None)
         for slot, since in list(self._new.items()):
             if since > now - age or slot == youngest:
@@ -80,17 +80,18 @@
             yield slot
 
     def eviction_candidates(self, now: int) -> Iterator[int]:
-        """Whom to evict for a new connection at the limit, in order.
+        """The connections to evict at the limit, in order of preference.
 
-        Usual clients send at once and come back soon, so those that are silent or idle for longer go before them.
+        Well-behaved clients send immediately and return soon, so connections that have sent no request, or have been
+        idle, for longer are evicted first.
         """
-        yield from self.silent(now, SILENT_GRACE)
+        yield from self.without_request(now, SILENT_GRACE_US)
         yield from self.long_idle(now)
-        yield from self.silent(now)
+        yield from self.without_request(now)
         yield from self.all_idle()
 
     def over_buffered(self) -> Iterator[int]:
-        """Whom to evict while incomplete requests take too many bytes: those that began to buffer first."""
+        """The connections to evict while incomplete requests exceed ``max_bytes``, oldest incomplete request first."""
         for slot in list(self._bytes):
             if self.buffered <= self.max_bytes:
                 return
--- a/lynxscale/relay/core.py
+++ b/lynxscale/relay/core.py
@@ -1,9 +1,9 @@
-"""The relay's core: events go into the scheduler, its actions go out to ports.
+"""The relay's core: passes events to the scheduler and the scheduler's actions to ports.
 
-It knows neither HTTP nor sockets: a protocol submits messages and is told what became of them, and the ports of
-``lynxscale.relay.ports`` carry out what the scheduler decides. All events of one turn of the loop go into one step of
-the scheduler. Times are whole µs on the loop's clock; only here are they turned into the scheduler's milliseconds and
-the journal's Unix time.
+The core is independent of HTTP and sockets. A protocol adapter submits messages and receives the admission result by
+callback; the ports of ``lynxscale.relay.ports`` carry out the scheduler's actions. All events of one turn of the loop
+go into one step of the scheduler. Times are whole µs on the loop's clock; this module converts them to the scheduler's
+milliseconds and to the journal's Unix time.
 """
 
 from __future__ import annotations
@@ -43,16 +43,17 @@
 
 log = structlog.get_logger()
 
-BUSY_RETRY_MS = 1000.0  # when to submit again what was rejected without the scheduler, for want of capacity
-BACKSTOP = 100_000  # µs after a message's end time; the scheduler has ended it by then
-SPAN_SHARE = 0.95  # of the time for which a key is remembered: a repeat that is written later may arrive too late
-NEVER_RAN = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
+BUSY_RETRY_MS = 1000.0  # Retry-After of a rejection for lack of capacity, which the scheduler does not decide
+BACKSTOP_DELAY_US = 100_000  # after a message's end time, by which the scheduler should have ended it
+# Repeats are sent within this fraction of the time for which peers remember a key: a later one may arrive too late.
+MAX_SPAN_FRACTION = 0.95
+NOT_EXECUTED_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
 
 
 class Relay:
-    """One relay: its pending messages, from their admission to their final outcome.
+    """Holds the pending messages of a relay, from admission to the final outcome.
 
-    ``unix`` gives the Unix time, in µs, of the journal's times.
+    ``unix`` returns the Unix time in µs; the journal's times are based on it.
     """
 
     def __init__(
@@ -76,17 +77,17 @@
         self.trace: TracePort | None = None
         self.board: BoardPort | None = None
         self.backpressure = Backpressure(deadlines)
-        self.released: set[str] = set()  # ids that another process of this relay has from now on
+        self.released: set[str] = set()  # ids of messages that another process of this relay has taken over
         self.tally = Tally(loop.now())
-        self.in_flight = 0  # attempts under way
-        self.sending = True  # attempts may still start
+        self.in_flight = 0  # number of attempts in flight
+        self.sending = True  # new attempts may start
         self._events: list = []
-        self._submitted: list[PendingMessage] = []  # in this turn
+        self._submitted: list[PendingMessage] = []  # messages submitted in this turn
         self._classes = {one.name: index for index, one in enumerate(settings.classes)}
         self._tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         self._max_pending = settings.most_held
-        self._unix_zero = unix() - loop.now()
-        self.end_times = EndTimes(settings, self._unix_zero)
+        self._unix_offset = unix() - loop.now()
+        self.end_times = EndTimes(settings, self._unix_offset)
         self.recovery = Recovery(self)
         self._handlers: dict[type, Callable[[Any, int], None]] = {
             Attempt: self._start_attempt,
@@ -102,27 +103,27 @@
         }
 
     def attach_board(self, board: BoardPort) -> None:
-        """Share waits and pending ids with another process of this relay."""
+        """Share Retry-After pauses and the ids of pending messages with another process of this relay."""
         self.board = self.backpressure.board = board
 
     def unix_now(self) -> int:
-        """This turn's time as Unix time in µs, for what outlives the process."""
-        return self._unix_zero + self.loop.now()
+        """This turn's time as Unix time in µs, for records that outlive the process."""
+        return self._unix_offset + self.loop.now()
 
     # Names ---------------------------------------------------------------------------------------
 
     def class_number(self, name: str) -> int | None:
-        """A class's index in the settings, None where there is none of that name."""
+        """The index of a class in the settings, None for an unknown name."""
         return self._classes.get(name)
 
     def tenant_number(self, name: str) -> int | None:
-        """A tenant's index in the settings; where these name no tenants, all are alike."""
+        """The index of a tenant in the settings, None for an unknown name; always 0 if the settings have no tenants."""
         return self._tenants.get(name) if self._tenants else 0
 
     # Admission -----------------------------------------------------------------------------------
 
     def submit(self, envelope: Envelope, callback: AdmissionCallback) -> None:
-        """A new message; ``callback`` is called in this turn, before any attempt starts."""
+        """Submit a new message; ``callback`` is called in this turn, before any attempt starts."""
         if self._is_duplicate(envelope, callback):
             return
         self.tally.add(envelope.dest, "offered")
@@ -145,7 +146,7 @@
         self.put(Message(message.number, envelope.dest, envelope.cls, envelope.tenant, end_ms))
 
     def _is_duplicate(self, envelope: Envelope, callback: AdmissionCallback) -> bool:
-        """A request sent again because its connection broke: the message is pending, or about to be."""
+        """Answer a request whose message is already pending or being admitted, as after a lost connection."""
         if (known := self.pending.get(self.by_id.get(envelope.id, -1))) is not None:
             self.counters.add("taken", "again")
             if known.admission_callbacks is None:
@@ -154,7 +155,7 @@
                 known.admission_callbacks.append(callback)
             return True
         if self.board is not None and (envelope.id in self.released or self.board.owns(envelope.id)):
-            # The other process of this relay has it: a second one would be delivered twice.
+            # The other process of this relay holds this message: accepting it here would deliver it twice.
             self.counters.add("taken", "again")
             callback(Verdict.ACCEPTED, 0.0)
             return True
@@ -179,12 +180,12 @@
         )
 
     def register(self, message: PendingMessage) -> None:
-        """Give a message its number."""
+        """Add a message to the table of pending messages, which assigns its number."""
         message.number = self.pending.add(message)
         self.by_id[message.entry.id] = message.number
 
     def _admit(self, submitted: list[PendingMessage], actions: list, now: int) -> None:
-        """Answer each new message before anything else is done: rejected, or in the journal and accepted."""
+        """Reject each new message, or write it to the journal and accept it, before other actions are carried out."""
         ended = {action.id: action for action in actions if type(action) in (Refuse, Fail)}
         for message in submitted:
             callbacks, message.admission_callbacks = message.admission_callbacks or (), None
@@ -192,7 +193,7 @@
             if self.trace is not None:
                 self.trace.admitted(now, message.number, verdict.value, retry_after_ms)
             for callback in callbacks:
-                self._guarded(callback, verdict, retry_after_ms)
+                self._call_logging_errors(callback, verdict, retry_after_ms)
 
     def _verdict(self, message: PendingMessage, end: Refuse | Fail | None) -> tuple[Verdict, float]:
         if end is not None:
@@ -210,7 +211,7 @@
         return Verdict.ACCEPTED, 0.0
 
     def _discard(self, message: PendingMessage, reason: str) -> None:
-        """A message that is not accepted."""
+        """Drop a message that is not accepted."""
         self.counters.add("reject", reason)
         self.tally.add(message.entry.dest, "rejected")
         message.ended = True
@@ -219,12 +220,12 @@
     # A turn of the loop --------------------------------------------------------------------------
 
     def put(self, event: object) -> None:
-        """An event for the scheduler, at the end of this turn."""
+        """Queue an event for the scheduler's step at the end of this turn."""
         self._events.append(event)
-        self.loop.wake()
+        self.loop.schedule_end()
 
     def turn(self) -> None:
-        """The end of a turn: all its events, in one step of the scheduler."""
+        """End a turn of the loop: pass all its events to the scheduler in one step."""
         if self._events:
             events, self._events = self._events, []
             submitted, self._submitted = self._submitted, []
@@ -242,14 +243,14 @@
         if submitted:
             self._admit(submitted, actions, now)
         for action in actions:
-            self._guarded(self._perform, action, now)
+            self._call_logging_errors(self._perform, action, now)
         self.peers.flush()
 
     def _step(self, now_ms: float, events: list) -> tuple[list, bool]:
-        """The scheduler's actions, and whether it failed.
+        """The scheduler's actions, and whether the step failed.
 
-        Guards against a fault in it: what it decided before counts, and service goes on. A message that it lost track
-        of that way is ended by its backstop.
+        If the scheduler raises, the actions that it decided on before are carried out and the relay goes on. The
+        backstop timer ends any message that the scheduler lost track of.
         """
         try:
             return self.scheduler.step(now_ms, events), False
@@ -258,8 +259,8 @@
             self.counters.add("module", "failed")
             return list(self.scheduler.actions), True
 
-    def _guarded(self, call: Callable[..., None], *args: Any) -> None:
-        """Guards against a fault in one action or response of a turn that would skip all those after it."""
+    def _call_logging_errors(self, call: Callable[..., None], *args: Any) -> None:
+        """Call and log any exception, so that one failing action or response does not skip the rest of the turn."""
         try:
             call(*args)
         except Exception:
@@ -276,13 +277,13 @@
     def _start_attempt(self, action: Attempt, _now: int) -> None:
         message = self.pending.get(action.id)
         if message is None or message.ended:
-            # Rejected in this very turn, as the journal is full: its first and only attempt gives back its slot.
+            # Rejected in this turn because the journal is full: end the attempt, so that the scheduler frees its slot.
             self.in_flight += 1
             self.attempt_ended(action.id, 0, action.endpoint, Result.MOOT, 0, False)
             return
         index, message.attempts = message.attempts, message.attempts + 1
         if not self.sending:
-            return  # left in the journal for the next process
+            return  # the message stays in the journal for the next process
         self.in_flight += 1
         message.in_flight = True
         timeout = int(action.timeout * 1000)
@@ -292,12 +293,12 @@
             self.peers.start(action.id, index, message, action.endpoint, timeout, action.fresh)
         except Exception:
             if not self.peers.is_in_flight(action.id, index):
-                # Guards against a slot, and a message, that wait for an outcome that nothing is left to bring.
+                # Without this outcome the slot and the message would never be released.
                 self.attempt_ended(action.id, index, action.endpoint, Result.CONNECT_FAILED, 0, False)
             raise
 
     def _set_timer(self, action: SetTimer, _now: int) -> None:
-        # Rounded up: the scheduler ignores what comes before its time.
+        # Rounded up, as the scheduler ignores a timer that fires early.
         self.deadlines.at(int(action.at * 1000) + 1, self.put, TimerDue(action.timer_id))
 
     def _defer(self, action: Refuse, _now: int) -> None:
@@ -329,9 +330,9 @@
     # Attempts ------------------------------------------------------------------------------------
 
     def record_attempt(self, number: int) -> bool:
-        """An attempt is about to be written: put it in the journal first. Where that fails, it must not be sent."""
+        """Journal an attempt before it is written to a connection; False if it must not be sent."""
         if (message := self.pending.get(number)) is None or not self.sending:
-            # Guards against a connection that comes up as the process ends: there is no time left for its response.
+            # A connection that is established while the process exits leaves no time for the response.
             return False
         if not self.may_repeat(message):
             self.counters.add("tries", "too_late_to_repeat")
@@ -345,14 +346,15 @@
         return True
 
     def may_repeat(self, message: PendingMessage) -> bool:
-        """May another attempt be sent, although an earlier one may have run?
+        """May another attempt be sent, given the earlier ones that may have been executed?
 
-        Guards against a repeat that was in its key's span when it was ordered and is not when its connection is up.
+        Checked again when the attempt is written, because its key's span may have ended while the connection was being
+        established.
         """
         cls, may_have_run = self.settings.classes[message.cls], message.entry.may_have_run
         if not may_have_run or cls.effect == Effect.IDEMPOTENT:
             return True
-        span = SPAN_SHARE * 1000 * (cls.memory_span_ms or 0.0) if cls.effect == Effect.KEYED else 0.0
+        span = MAX_SPAN_FRACTION * 1000 * (cls.memory_span_ms or 0.0) if cls.effect == Effect.KEYED else 0.0
         return self.unix_now() - min(may_have_run) < span
 
     def attempt_ended(
@@ -361,17 +363,18 @@
         index: int,
         endpoint: int,
         result: Result,
-        spent: int,
+        elapsed: int,
         recorded: bool,
         *,
-        over: bool = False,
+        final: bool = False,
         wait_ms: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """An attempt has its outcome.
+        """Handle the outcome of an attempt.
 
-        ``spent``: µs since it was ordered. ``recorded``: it is in the journal. ``over``: nothing more is owed for the
-        message. ``wait_ms``: the peer asked to wait so long. ``report``: its load report.
+        ``elapsed``: µs since the scheduler ordered the attempt. ``recorded``: the attempt is in the journal. ``final``:
+        the peer needs no further attempt for the message. ``wait_ms``: the pause that the peer requested. ``report``:
+        the peer's load report.
         """
         self.in_flight -= 1
         self.counters.add("tries", result.name.lower())
@@ -381,13 +384,13 @@
             message.in_flight = False
             self._count_outcome(message.entry.dest, result, wait_ms, report)
         if self.trace is not None:
-            self.trace.attempt_ended(self.loop.now(), number, index, endpoint, result, spent, wait_ms, over, report)
-        if not finished and (result == Result.OK or over):
+            self.trace.attempt_ended(self.loop.now(), number, index, endpoint, result, elapsed, wait_ms, final, report)
+        if not finished and (result == Result.OK or final):
             self._complete(message, "delivered" if result == Result.OK else "over")
             finished = True
-        elif not finished and result in NEVER_RAN:
+        elif not finished and result in NOT_EXECUTED_RESULTS:
             self.write_journal(self.journal.record_not_executed, number, recorded)
-        self.put(Outcome(number, index, endpoint, result, spent / 1000, finished, wait_ms, report))
+        self.put(Outcome(number, index, endpoint, result, elapsed / 1000, finished, wait_ms, report))
 
     def _count_outcome(self, dest: int, result: Result, wait_ms: float, report: tuple[float, ...]) -> None:
         self.tally.add(dest, result.name.lower())
@@ -398,7 +401,7 @@
             self.tally.report(dest, report[left], report[limit])
 
     def delivered_late(self, number: int) -> None:
-        """An attempt that had been given up turns out to have delivered its message."""
+        """Handle a delivery by an attempt that had already timed out or been cancelled."""
         message = self.pending.get(number)
         if message is None or message.ended:
             return
@@ -408,7 +411,7 @@
     # Final outcomes ------------------------------------------------------------------------------
 
     def _complete(self, message: PendingMessage, status: str) -> None:
-        """Delivered, or over for the peer: nothing more is owed."""
+        """End a message that was delivered, or that the peer declared final. No notice is sent."""
         self.counters.add("ends", status)
         message.ended = True
         if self.trace is not None:
@@ -416,7 +419,7 @@
         self._forget(message)
 
     def _give_up(self, number: int, status: str, again_ms: int) -> None:
-        """Given up: a notice is owed."""
+        """End a message that was not delivered, and queue the notice of that."""
         message = self.pending.get(number)
         if message is None or message.ended:
             return
@@ -432,22 +435,22 @@
         self.notices.enqueue(number, message.entry.id, status, again_ms)
 
     def notified(self, number: int) -> None:
-        """The notice is acknowledged: nothing more is owed."""
+        """Forget a message whose notice has been acknowledged."""
         if (message := self.pending.get(number)) is not None:
             if self.trace is not None:
                 self.trace.notice_acknowledged(self.loop.now(), number)
             self._forget(message)
 
     def arm_backstop(self, message: PendingMessage) -> None:
-        """Whatever happens, a message gets its end once its time is up."""
+        """Start the timer that ends a message after its end time if the scheduler does not."""
         end_time = self.end_times.end_time(message, self.loop.now())
-        message.backstop = self.deadlines.at(end_time + BACKSTOP, self._overdue, message.number)
+        message.backstop = self.deadlines.at(end_time + BACKSTOP_DELAY_US, self._overdue, message.number)
 
-    def _overdue(self, number: int, second_look: bool = False) -> None:
+    def _overdue(self, number: int, rechecked: bool = False) -> None:
         message = self.pending.get(number)
-        if message is not None and message.in_flight and not second_look:
-            # Guards against a loop that was delayed: the outcome of its attempt is due by now, too, and goes first.
-            message.backstop = self.deadlines.after(BACKSTOP, self._overdue, number, True)
+        if message is not None and message.in_flight and not rechecked:
+            # If the loop was delayed, the outcome of the attempt may be waiting to be read: it takes precedence.
+            message.backstop = self.deadlines.after(BACKSTOP_DELAY_US, self._overdue, number, True)
         elif message is not None and not message.ended:
             self.counters.add("module", "overdue")
             log.error("message_overdue", id=message.entry.id)
@@ -466,18 +469,18 @@
         self.by_id.pop(message.entry.id, None)
 
     def write_journal(self, write: Callable[..., None], *args: Any) -> None:
-        """Call a method of the journal that need not succeed now."""
+        """Call a method of the journal whose failure is tolerable now."""
         try:
             write(*args)
         except JournalFullError as error:
-            # Nothing is lost in this process; the next rewrite of the file brings it in.
+            # This process still holds the state, and the next rewrite of the file includes it.
             log.warning("journal_not_written", error=str(error))
             self.counters.add("journal", "not_written")
 
     # Statistics ----------------------------------------------------------------------------------
 
     def traffic(self) -> list[tuple]:
-        """What there was since the last call, as events and their fields for the log."""
+        """Traffic since the last call, as log events with their fields."""
         now = self.loop.now()
         oldest = min((message.accepted_at for message in self.pending.items() if not message.ended), default=now)
         load = {
--- a/lynxscale/relay/counters.py
+++ b/lynxscale/relay/counters.py
@@ -7,26 +7,26 @@
 
 
 class Counters:
-    """Groups of counts: a group is what was done, a reason is how it came out."""
+    """Counts by group and reason: the group names an activity, the reason its result."""
 
     def __init__(self) -> None:
         self._counts: Counter[tuple[str, str]] = Counter()
         self._sources: list[Callable[[], Mapping[str, Mapping[str, int]]]] = []
 
     def attach(self, source: Callable[[], Mapping[str, Mapping[str, int]]]) -> None:
-        """Add a source with counts of its own, which is called whenever the table is read."""
+        """Add a source of further counts, which is called whenever the table is read."""
         self._sources.append(source)
 
     def add(self, group: str, reason: str, by: int = 1) -> None:
-        """Count ``by`` more."""
+        """Increase a count by ``by``."""
         self._counts[group, reason] += by
 
-    def most(self, group: str, reason: str, value: int) -> None:
-        """Keep the largest value so far."""
+    def record_max(self, group: str, reason: str, value: int) -> None:
+        """Raise a count to ``value`` if it is lower."""
         self._counts[group, reason] = max(self._counts[group, reason], value)
 
     def table(self) -> dict[str, dict[str, int]]:
-        """All counts by group and reason, those of the sources included."""
+        """All counts by group and reason, including those of the attached sources."""
         table: dict[str, dict[str, int]] = {}
         for (group, reason), number in sorted(self._counts.items()):
             table.setdefault(group, {})[reason] = number
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -26,7 +26,7 @@
 from lynxscale.relay.journal import Entry, Journal
 from lynxscale.relay.journal.legacy_format import FILE_NAME, read_legacy_journal
 from lynxscale.relay.journal.storage import FolderStorage
-from lynxscale.relay.lifecycle import CHECK_INTERVAL, Lifecycle, LifecycleAction
+from lynxscale.relay.lifecycle import CHECK_INTERVAL_US, Lifecycle, LifecycleAction
 from lynxscale.relay.net.clients import Clients
 from lynxscale.relay.net.close_reason import CloseReason
 from lynxscale.relay.net.peers import Peers
@@ -38,25 +38,27 @@
 
 log = structlog.get_logger()
 
-reactor: Any = twisted_reactor  # its methods are those of whichever reactor is installed
+reactor: Any = twisted_reactor  # typed as Any: its methods depend on the installed reactor
 
-LOCK_TIMEOUT_S = 5.0  # to wait for a process that holds the state folder
-RESERVED_SOCKETS = 32  # discovery, notices, the journal's files, the loop's own, the standard streams
-MIN_CLIENTS = 8  # connections, whatever the other limits leave
-# One in so many of the descriptors: with more clients than that, long idle ones are evicted; peers at most.
-IDLE_LIMIT_FRACTION, PEER_FRACTION = 6, 3
-BUFFER_FRACTION = 20  # one in so many bytes of memory is for incomplete requests
-SUCCESSOR_JOURNAL_SHARE = 0.5  # of the disk: where a successor may come its journal always has the rest
-RESTART_KEYS = ("name", "listen", "admin", "state", "sockets", "disk_bytes", "settings")  # in force after a restart
+LOCK_TIMEOUT_S = 5.0  # how long to wait for another process to release the state folder
+RESERVED_SOCKETS = 32  # for discovery, notices, the journal's files, the event loop and the standard streams
+MIN_CLIENTS = 8  # client connections, even if the other limits leave fewer descriptors
+# Divisors of the number of descriptors: the number of client connections above which long idle ones are evicted, and
+# the maximum number of peer connections.
+IDLE_LIMIT_DIVISOR, PEER_DIVISOR = 6, 3
+BUFFER_DIVISOR = 20  # divisor of the memory size: the limit of the bytes of incomplete requests
+SUCCESSOR_JOURNAL_SHARE = 0.5  # fraction of the disk limit; the rest is kept for a successor's journal
+# Keys whose changes take effect only after a restart.
+RESTART_KEYS = ("name", "listen", "admin", "state", "sockets", "disk_bytes", "settings")
 
 SIGNALS = {signal.SIGTERM: "stop", signal.SIGINT: "stop", signal.SIGHUP: "reload", signal.SIGUSR1: "print_counters"}
 
 
 class Daemon:
-    """The core of one relay, and the components around it.
+    """Runs the core of one relay and the components around it.
 
-    ``conf`` is the configuration in force, ``product`` the settings file of lynxscale itself; ``reread`` reads both
-    anew, with the reader's errors. Raises OSError where the state folder is not to be had.
+    ``conf`` is the relay's configuration in force, ``product`` the contents of the lynxscale settings file; ``reread``
+    reads both again and raises the readers' errors. Raises OSError if the state folder cannot be locked.
     """
 
     def __init__(
@@ -80,7 +82,7 @@
         self.components = self._create_components(group)
         for component in self.components:
             self.counters.attach(component.counters)
-        self.clients = Clients(self.deadlines, self.relay, self.lifecycle, conf.memory_bytes // BUFFER_FRACTION)
+        self.clients = Clients(self.deadlines, self.relay, self.lifecycle, conf.memory_bytes // BUFFER_DIVISOR)
         self._limit_sockets(1.0)
         self.handover = Handover(
             self.claim,
@@ -94,7 +96,7 @@
         )
         self._check_timer: Deadline | None = None
         self._logged_state = self.lifecycle.state
-        self._traffic_interval = product.log.traffic  # µs; 0: no such lines
+        self._traffic_interval = product.log.traffic  # µs; 0 disables these log lines
 
     def _create_group(self) -> Group:
         members = self.product.members
@@ -139,12 +141,12 @@
         )
 
     def _limit_sockets(self, share: float) -> None:
-        """Limit the descriptors: that share of them is this process's."""
+        """Limit this process to a fraction ``share`` of the relay's descriptors."""
         sockets = int(self.conf.sockets * share)
-        peers = max(self.conf.settings.slots, sockets // PEER_FRACTION)
+        peers = max(self.conf.settings.slots, sockets // PEER_DIVISOR)
         reserved = RESERVED_SOCKETS + sum(component.sockets for component in self.components)
         self.peers.limit(peers)
-        self.clients.limit(max(MIN_CLIENTS, sockets - peers - reserved), sockets // IDLE_LIMIT_FRACTION)
+        self.clients.limit(max(MIN_CLIENTS, sockets - peers - reserved), sockets // IDLE_LIMIT_DIVISOR)
 
     def _accept(self) -> None:
         if self.conf.accept_fd is None:
@@ -153,11 +155,11 @@
             self.clients.adopt(reactor, self.conf.accept_fd)
 
     def start(self, started: int) -> None:
-        """Ready only once all that an earlier process left open is recovered.
+        """Recover the messages that earlier processes left open, then accept clients.
 
-        ``started``: when the process began to start, in µs of the monotonic clock. Raises PlatformError where a
-        setting is at fault, OSError, CannotListenError, JournalFullError or JournalFormatError where the machine or
-        its files are.
+        ``started``: when the process began to start, in µs of the monotonic clock. Raises PlatformError if a setting is
+        invalid, and OSError, CannotListenError, JournalFullError or JournalFormatError if the machine or its files
+        cause the failure.
         """
         entries = self._open_journal()
         for component in self.components:
@@ -174,13 +176,16 @@
         log.info("ready", name=self.conf.name, open=len(entries))
 
     def _open_journal(self) -> list[Entry]:
-        """What earlier processes left open, also those that kept one file; it is removed once its messages are kept."""
+        """The messages that earlier processes left open.
+
+        A journal file of the legacy format is removed once its messages are in the new journal.
+        """
         file = self.conf.state / FILE_NAME
         older = list(read_legacy_journal(file.read_bytes())[0].values()) if file.is_file() else []
         remove_leftovers(self.conf.state)
         entries = self.journal.open(older)
         if file.is_file():
-            file.unlink()  # before anything can end: else a message that has ended would be recovered again
+            file.unlink()  # before any message can end, so that no ended message is recovered again
         for gap in self.journal.gaps:
             log.error("journal_damaged", gap=str(gap))
         return entries
@@ -188,12 +193,12 @@
     # Reload --------------------------------------------------------------------------------------
 
     def reload(self) -> None:
-        """Read the settings anew. What may change without a restart does, at once; an invalid file changes nothing."""
+        """Read the settings again and apply those that need no restart. Invalid settings are rejected as a whole."""
         try:
             conf, product = self._reread()
         except (platform.PlatformError, reader.ConfigurationError) as error:
             log.error("not_reloaded", error=str(error))
-            self._reload_components(self.conf, self.product)  # they still look at the files that they watch
+            self._reload_components(self.conf, self.product)  # components still check the files that they watch
             return
         applied = self._reload_components(conf, product)
         if conf.by_platform:
@@ -205,8 +210,8 @@
         return {name for component in self.components for name in component.reload(conf, product)}
 
     def _reloaded_by_platform(self, conf: platform.Config) -> None:
-        kept = [key for key in RESTART_KEYS if getattr(conf, key) != getattr(self.conf, key)]
-        log.info("reloaded", discovery="{}:{}".format(*conf.discovery), for_a_restart=" ".join(kept))
+        for_a_restart = [key for key in RESTART_KEYS if getattr(conf, key) != getattr(self.conf, key)]
+        log.info("reloaded", discovery="{}:{}".format(*conf.discovery), for_a_restart=" ".join(for_a_restart))
         self.conf = replace(self.conf, discovery=conf.discovery)
 
     def _reloaded_product(self, product: Conf, applied: set[str]) -> None:
@@ -223,12 +228,12 @@
     # Drain and stop ------------------------------------------------------------------------------
 
     def drain(self) -> None:
-        """An operator wants this relay to get no more clients."""
+        """Drain on an operator's request: the relay reports that it is not ready and closes idle clients."""
         self.lifecycle.drain(self.loop.now())
         self._advance_lifecycle()
 
     def resume(self) -> bool:
-        """An operator wants it back; False where the process is stopping."""
+        """Serve again on an operator's request; False if the process is stopping."""
         resumed = self.lifecycle.resume()
         self._advance_lifecycle()
         return resumed
@@ -241,7 +246,7 @@
         self._advance_lifecycle()
 
     def _advance_lifecycle(self) -> None:
-        """Carry out what a drain or a stop asks for by now."""
+        """Carry out the actions of a drain or a stop that are due."""
         self.deadlines.cancel(self._check_timer)
         before = self._logged_state
         for action in self.lifecycle.advance(self.loop.now(), self.clients.open_count(), self._is_working()):
@@ -259,10 +264,10 @@
                 clients=self.clients.open_count(),
             )
         if not self.lifecycle.serving:
-            self._check_timer = self.deadlines.after(CHECK_INTERVAL, self._advance_lifecycle)
+            self._check_timer = self.deadlines.after(CHECK_INTERVAL_US, self._advance_lifecycle)
 
     def _is_working(self) -> bool:
-        """Are there pending messages that this process can still end?"""
+        """Does this process still have pending messages that it can end?"""
         relay = self.relay
         return bool(len(relay.pending) and (relay.sending or relay.in_flight or len(relay.notices)))
 
@@ -278,7 +283,7 @@
             self.relay.sending = False
 
     def exit(self) -> None:
-        """The loop has stopped: close everything."""
+        """Close everything after the loop has stopped."""
         self.peers.stop()
         for component in reversed(self.components):
             component.stop()
@@ -294,32 +299,33 @@
         self.deadlines.after(self._traffic_interval, self._log_traffic)
 
     def print_counters(self) -> None:
-        """All counters, a line for each group."""
+        """Log all counters, one line per group."""
         for group, row in self.counters.table().items():
             log.info("counters", group=group, **row)
 
 
-def _read_settings(conf_path: str | None, again: bool = False) -> tuple[platform.Config, Conf]:
-    """The platform's configuration where there is a platform, else the file's."""
+def _read_settings(conf_path: str | None, reloading: bool = False) -> tuple[platform.Config, Conf]:
+    """The platform's configuration if the platform runs the relay, otherwise that of the settings file."""
     product = reader.from_environment(path=conf_path)
     if product.relay.listen is not None and not os.environ.get("NODE_CONFIG"):
         return product_settings.load(product), product
-    return platform.load(again=again), product
+    return platform.load(reloading=reloading), product
 
 
 def main(conf_path: str | None = None, begun: int | None = None) -> int:
-    """Run one relay until it is told to stop; the exit code: 0, 1 where it cannot start, 2 for settings.
+    """Run one relay until a signal stops it.
 
-    ``begun``: when the process began to start, in µs of the monotonic clock.
+    Returns the exit code: 0, 1 if the relay cannot start, 2 if the settings are invalid. ``begun``: when the process
+    began to start, in µs of the monotonic clock.
     """
     begun = time.monotonic_ns() // 1000 if begun is None else begun
-    # Guards against a stepped wall clock, by which the loop would keep its timers: they would stand still.
+    # The reactor's default is the wall clock: if that were set back, timers would be delayed by the step.
     reactor.seconds = time.monotonic
     daemon: Daemon | None = None
 
     def on_signal(name: str) -> None:
-        # Signals come between two instructions of anything, also while the daemon is created: only a call from the
-        # loop may touch it.
+        # A signal can interrupt any code, including the daemon's constructor, so the daemon is called from the loop
+        # only.
         reactor.callFromThread(lambda: getattr(daemon, name)())
 
     for number, name in SIGNALS.items():
@@ -327,7 +333,7 @@
     try:
         conf, product = _read_settings(conf_path)
         logs.configure(product.log)
-        daemon = Daemon(conf, product, lambda: _read_settings(conf_path, again=True))
+        daemon = Daemon(conf, product, lambda: _read_settings(conf_path, reloading=True))
     except (platform.PlatformError, reader.ConfigurationError) as error:
         return _startup_failed(error, 2)
     except OSError as error:
--- a/lynxscale/relay/deadlines.py
+++ b/lynxscale/relay/deadlines.py
@@ -1,4 +1,4 @@
-"""All deadlines of the process in one heap, on one timer of the event loop. Times are whole µs."""
+"""The loop's clock and all deadlines of the process, in one heap with one event-loop timer. Times are whole µs."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 from itertools import count
 from typing import Any
 
-PURGE_SIZE = 256  # below this many entries the cancelled ones are left to come up by themselves
+MIN_PURGE_ENTRIES = 256  # a smaller heap is not purged: its cancelled entries are skipped when they fall due
 
 
 class Loop:
-    """The clock, read once a turn, and the end of the turn, at which the turn's events are handled.
+    """A clock that is read once per turn of the event loop, and a callback at the end of the turn.
 
-    ``call_later`` is the event loop's, in seconds; ``at_end`` is called at the end of each turn.
+    ``call_later`` is the event loop's function, with the delay in seconds; ``at_end`` is called at the end of each
+    turn.
     """
 
     def __init__(self, call_later: Callable, at_end: Callable[[], None] | None = None) -> None:
@@ -24,20 +25,20 @@
         self._longest = 0
 
     def now(self) -> int:
-        """Whole µs on the monotonic clock; the same for the rest of this turn."""
+        """The monotonic time in whole µs, which is constant within a turn."""
         if self._now is None:
             self._now = time.monotonic_ns() // 1000
-            self.wake()
+            self.schedule_end()
         return self._now
 
-    def wake(self) -> None:
-        """Let a turn end soon. What is added while one ends is handled at the end of the next."""
+    def schedule_end(self) -> None:
+        """Schedule the end of the current turn. Events added during the end of a turn belong to the next one."""
         if not self._end_scheduled:
             self._end_scheduled = True
             self._call_later(0, self._end)
 
     def longest(self) -> int:
-        """The longest turn since the last call, in µs: no input was read meanwhile."""
+        """The longest turn since the last call, in µs. No input is read during a turn."""
         longest, self._longest = self._longest, 0
         return longest
 
@@ -53,7 +54,7 @@
 
 
 class Deadline:
-    """A call that falls due at ``at``; ``callback`` is None once it was made or cancelled."""
+    """A callback due at ``at``; ``callback`` is None once it has been called or cancelled."""
 
     __slots__ = ("at", "callback", "args")
 
@@ -62,7 +63,7 @@
 
 
 class Deadlines:
-    """Calls by the time at which they fall due; those of the same time in the order in which they were added."""
+    """Calls callbacks when they are due, in order of their time; those of the same time in order of insertion."""
 
     def __init__(self, loop: Loop, call_later: Callable) -> None:
         self._loop, self._call_later = loop, call_later
@@ -70,34 +71,34 @@
         self._order = count()
         self._timer: Any = None
         self._timer_at = 0
-        self._cancelled = 0  # entries of the heap
+        self._cancelled = 0  # cancelled entries that are still in the heap
 
     def __len__(self) -> int:
         return len(self._heap) - self._cancelled
 
     def now(self) -> int:
-        """The loop's clock."""
+        """The time on the loop's clock."""
         return self._loop.now()
 
     def at(self, when: int, callback: Callable, *args: Any) -> Deadline:
-        """Call at that time of the loop's clock, at once where it is past."""
+        """Call at time ``when`` on the loop's clock, or as soon as possible if it has passed."""
         entry = Deadline(when, callback, args)
         heappush(self._heap, (when, next(self._order), entry))
         self._arm()
         return entry
 
     def after(self, delay: int, callback: Callable, *args: Any) -> Deadline:
-        """Call after so many µs."""
+        """Call after ``delay`` µs."""
         return self.at(self._loop.now() + delay, callback, *args)
 
     def cancel(self, entry: Deadline | None) -> None:
-        """Nothing where it is None, was made or is cancelled."""
+        """Cancel a deadline. Does nothing if it is None, has been called or is already cancelled."""
         if entry is None or entry.callback is None:
             return
         entry.callback, entry.args = None, ()
         self._cancelled += 1
-        # Guards against a heap of long deadlines that were met long ago: attempts end well before theirs.
-        if len(self._heap) > PURGE_SIZE and self._cancelled * 2 > len(self._heap):
+        # Most attempts end well before their deadline, so cancelled entries would fill the heap without this purge.
+        if len(self._heap) > MIN_PURGE_ENTRIES and self._cancelled * 2 > len(self._heap):
             self._heap = [row for row in self._heap if row[2].callback is not None]
             heapify(self._heap)
             self._cancelled = 0
--- a/lynxscale/relay/exceptions.py
+++ b/lynxscale/relay/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the relay in service. Each says what was wrong, and whose fault it was where that decides what follows."""
+"""Errors of the relay. Their attributes carry what the handler needs to decide how to go on."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class HttpParseError(RelayError):
-    """The remote side's bytes are not HTTP/1.1 within the parser's bounds; ``status`` is the response that fits."""
+    """The received bytes are not HTTP/1.1 within the parser's limits; ``status`` is the status to respond with."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -18,7 +18,10 @@
 
 
 class InvalidMessageError(RelayError):
-    """A well-formed request that is no message; the text names the header at fault, ``status`` is the response."""
+    """A well-formed request that is not a valid message.
+
+    The text names the invalid header; ``status`` is the status to respond with.
+    """
 
     def __init__(self, text: str, status: int = 400) -> None:
         super().__init__(text)
@@ -28,8 +31,8 @@
 class CallFailedError(RelayError):
     """A call ended without a complete response.
 
-    ``written``: the last byte of the request had left, so the call may have run. ``malformed``: bytes came that are
-    no response. ``status_ok``: the status line was read, and says 200.
+    ``written``: the complete request was sent, so the call may have been executed. ``malformed``: bytes were received
+    that are not a valid response. ``status_ok``: a status line with 200 was received.
     """
 
     def __init__(self, written: bool, malformed: bool = False, status_ok: bool = False) -> None:
@@ -38,11 +41,11 @@
 
 
 class CallTimedOutError(CallFailedError):
-    """No response within the time that the caller allowed for the call."""
+    """No response arrived within the caller's timeout."""
 
 
 class InvalidListError(RelayError):
-    """A line or row of an endpoint list is invalid: the word at fault, and what is wanted in its place."""
+    """A line or row of an endpoint list is invalid; ``word`` is the invalid word, ``wanted`` describes a valid one."""
 
     def __init__(self, word: str, wanted: str) -> None:
         super().__init__(f"{word}: {wanted}")
@@ -50,16 +53,19 @@
 
 
 class StoredListCorruptError(RelayError):
-    """A list in the state folder is not what was written; the text names the file and what is wrong."""
+    """A list stored in the state folder is corrupt; the text names the file and the fault."""
 
 
 class JournalFullError(RelayError):
-    """The record could not be stored, and nothing of it is in the files; the text says why."""
+    """A record could not be stored, and no part of it is in the files; the text gives the reason."""
 
 
 class JournalFormatError(RelayError):
-    """Bytes that are not of the journal's format, or are damaged; the text names the file or segment."""
+    """Bytes are not in the journal's format, or are corrupt; the text names the file or segment."""
 
 
 class JournalVersionError(JournalFormatError):
-    """A newer version wrote the journal's files. They stay as they are, as nothing in them may be taken for damage."""
+    """The journal's files were written by a newer version.
+
+    They are left unchanged, as records of an unknown format must not be treated as corrupt.
+    """
--- a/lynxscale/relay/http_parser.py
+++ b/lynxscale/relay/http_parser.py
@@ -1,7 +1,7 @@
-"""Incremental HTTP/1.1 parsers (RFC 9110, RFC 9112) with limits on all that they buffer, and their counterparts.
+"""Incremental HTTP/1.1 parsers (RFC 9110, RFC 9112) with limits on everything that they buffer, and serializers.
 
-A parser fed with bytes returns the messages that are complete with them. What is not HTTP/1.1 within the limits sets
-its ``fault``, after which it reads nothing more; messages that were complete before count.
+A parser that is fed bytes returns the messages that they complete. Input that is not HTTP/1.1 within the limits sets
+the parser's ``fault``; it then ignores all further input. Messages that were complete before the fault are returned.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
-MAX_LIST_BYTES = 1024 * 1024  # discovery's complete list
-MAX_SKIPPED_BYTES = 1024 * 1024  # of a body over the limit, discarded to keep the connection
+MAX_LIST_BYTES = 1024 * 1024  # body of a complete endpoint list from discovery
+MAX_SKIPPED_BYTES = 1024 * 1024  # larger than MAX_BODY_BYTES: such a body is discarded to keep the connection usable
 MAX_HEADERS = 100
-MAX_LINE_BYTES = 1024  # a chunk's size line
+MAX_CHUNK_LINE_BYTES = 1024  # a chunk's size line or a trailer line
 MAX_BLANK_LINES = 4
 MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
-MAX_PIPELINED = 16  # messages in one read: either side has one call on a connection at a time
+MAX_PIPELINED = 16  # messages completed by one read; well-behaved peers have one call per connection in progress
 
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-FORBIDDEN_IN_VALUE = re.compile(rb"[\0\r\n]")  # another parser may take it for a line's end
-HEX = re.compile(rb"[0-9A-Fa-f]{1,8}")  # Python's own int() takes signs, 0x and underscores besides
+FORBIDDEN_IN_VALUE = re.compile(rb"[\0\r\n]")  # another parser may treat these as the end of the line
+HEX = re.compile(rb"[0-9A-Fa-f]{1,8}")  # int() would also accept signs, 0x and underscores
 STATUS_LINE = re.compile(r"HTTP/1\.[01] ([1-5][0-9][0-9])(?:\s.*)?")
 FRAMING = frozenset(("content-length", "transfer-encoding"))
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     400: "Bad Request",
@@ -49,19 +49,19 @@
 
 @dataclass(slots=True)
 class Request:
-    """A complete request. Header names are in lower case; ``close``: the connection ends after the response."""
+    """A complete request. Header names are in lower case; ``close``: close the connection after the response."""
 
     method: str
     target: str
     headers: dict[str, str]
     close: bool
     body: bytes = b""
-    too_large: bool = False  # its body was over the limit, and discarded
+    too_large: bool = False  # the body exceeded the limit and was discarded
 
 
 @dataclass(slots=True)
 class Response:
-    """A complete response. Header names are in lower case; ``close``: the connection ends with it."""
+    """A complete response. Header names are in lower case; ``close``: the connection closes after it."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
@@ -76,12 +76,12 @@
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not TOKEN.fullmatch(name) or FORBIDDEN_IN_VALUE.search(value):
-            raise HttpParseError(400, "a header line is malformed")
+            raise HttpParseError(400, "malformed header line")
         key, text = name.decode("latin-1").lower(), value.strip(b" \t").decode("latin-1")
         if key in headers:
             if key in single_headers:
-                # Guards against request smuggling: another parser may take the other one.
-                raise HttpParseError(400, f"{key} is there twice")
+                # Guards against request smuggling: another parser may use the other value.
+                raise HttpParseError(400, f"duplicate header {key}")
             text = f"{headers[key]}, {text}"
         headers[key] = text
     return headers
@@ -92,7 +92,7 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()) or len(text) > 18:
-        raise HttpParseError(400, "the content length is not a number")
+        raise HttpParseError(400, "Content-Length is not a number")
     return int(text)
 
 
@@ -102,26 +102,26 @@
 
 
 class _Parser:
-    """Head, then a body; subclasses read the first line and choose the body's framing.
+    """Parses a head, then a body; subclasses parse the first line and choose the body's framing.
 
-    ``_step`` is the state: a method that consumes what it can and returns a complete message, True where it has made
-    progress, or None where it needs more bytes.
+    ``_step`` is the parser's state: a method that consumes bytes from the buffer and returns a complete message, True
+    if it made progress, or None if it needs more bytes.
     """
 
     def __init__(self, single_headers: frozenset[str] = FRAMING) -> None:
-        self._single_headers = single_headers  # headers that may occur once only
+        self._single_headers = single_headers  # headers that must not be repeated
         self._data = bytearray()
-        self._scanned = 0  # bytes of the buffer without the end of a head
-        self._needed = 0  # bytes of a body or chunk of known length
-        self._skip_left = 0  # bytes of a body over the limit
+        self._scanned = 0  # bytes of the buffer already searched for the end of the head
+        self._needed = 0  # length of the body or chunk that is being read
+        self._skip_left = 0  # bytes still to discard of a body over the limit
         self._blank_lines = 0
-        self.first_line: str | None = None  # of the message that is being read
-        self.message: Any = None  # whose head has been read
-        self.fault: HttpParseError | None = None  # why nothing more can be read
+        self.first_line: str | None = None  # of the message that is being parsed
+        self.message: Any = None  # the message whose head has been parsed and whose body is being read
+        self.fault: HttpParseError | None = None  # the error that stopped the parser
         self._step: Callable[[], Any] = self._read_head
 
     def feed(self, data: bytes) -> list:
-        """The messages that are complete with these bytes; they count whatever ``fault`` follows them."""
+        """Parse more bytes and return the messages that they complete, including those before a ``fault``."""
         if self.fault is not None:
             return []
         self._data += data
@@ -131,33 +131,33 @@
                 if message is not True:
                     done.append(message)
                     if len(done) > MAX_PIPELINED:
-                        raise HttpParseError(429, "too many at once")
+                        raise HttpParseError(429, "too many pipelined messages")
         except HttpParseError as error:
             self.fault = error
             self._data.clear()
         return done
 
     def discard_buffer(self) -> None:
-        """Nothing more is read: free the buffer now, not when the garbage collector finds it."""
+        """Free the buffer immediately instead of at garbage collection; nothing more is parsed."""
         self._data = bytearray()
 
     @property
     def buffered(self) -> int:
-        """Bytes of an incomplete message."""
+        """The number of buffered bytes of an incomplete message."""
         return len(self._data)
 
     @property
     def idle(self) -> bool:
-        """Between messages, with nothing of the next one read."""
+        """True if no message has been started."""
         return self.message is None and not self._data
 
     def _read_head(self) -> Any:
-        # An empty line or two before a first line is ignored, as RFC 9112 asks; no endless row of them.
+        # RFC 9112 asks to ignore empty lines before the first line; their number is limited here.
         while self._data[:2] == b"\r\n":
             del self._data[:2]
             self._blank_lines += 1
             if self._blank_lines > MAX_BLANK_LINES:
-                raise HttpParseError(400, "nothing but empty lines")
+                raise HttpParseError(400, "too many empty lines before the first line")
         line = self._data.find(b"\n", 0, MAX_HEAD_BYTES) if self.first_line is None else -1
         if line >= 0:
             self.first_line = self._data[:line].rstrip(b"\r").decode("latin-1")
@@ -176,7 +176,7 @@
         return True
 
     def _begin(self, first_line: str, headers: dict[str, str]) -> Any:
-        """The message of a head; sets ``_step`` to what reads its body."""
+        """Create the message from its head, and set ``_step`` to the method that reads the body."""
         raise NotImplementedError
 
     def _finish(self) -> Any:
@@ -199,28 +199,31 @@
 
 
 class RequestParser(_Parser):
-    """Requests with a Content-Length; a body somewhat over the limit is discarded and marked as too large."""
+    """Parses requests with a Content-Length.
+
+    A body over MAX_BODY_BYTES, up to MAX_SKIPPED_BYTES, is discarded and the request marked as too large.
+    """
 
     expects_continue = False
 
     def _begin(self, first_line: str, headers: dict[str, str]) -> Request:
         fields = first_line.split(" ")
         if len(fields) != 3 or not fields[0].isalpha() or not fields[1]:
-            raise HttpParseError(400, "the request line is malformed")
+            raise HttpParseError(400, "malformed request line")
         method, target, version = fields
         if version not in ("HTTP/1.1", "HTTP/1.0"):
             raise HttpParseError(505 if version.startswith("HTTP/") else 400, "not HTTP/1.1")
         if "transfer-encoding" in headers and "content-length" in headers:
-            # Guards against a request hidden in the body: nothing that follows is read.
-            raise HttpParseError(400, "both Content-Length and Transfer-Encoding")
+            # Guards against request smuggling: the body could hide a request, so nothing after the head is parsed.
+            raise HttpParseError(400, "both Content-Length and Transfer-Encoding are set")
         if "transfer-encoding" in headers:
-            raise HttpParseError(411, "a body needs a Content-Length")
+            raise HttpParseError(411, "a request body requires Content-Length")
         length = _length(headers) or 0
         if length > MAX_SKIPPED_BYTES:
-            raise HttpParseError(413, "the body is too long")  # guards against reading it to the end for nothing
+            raise HttpParseError(413, "the body is too long")  # too much to read only to discard it
         message = Request(method, target, headers, _wants_close(version, headers))
         if length > MAX_BODY_BYTES:
-            # Guards against a response lost to a reset: the sender gets 413 after its last byte.
+            # Read to its end before the 413: closing with unread bytes would reset the connection and lose the 413.
             message.too_large, self._skip_left, self._step = True, length, self._skip_body
         else:
             self._needed, self._step = length, self._read_fixed_body
@@ -229,28 +232,30 @@
 
 
 class ResponseParser(_Parser):
-    """Responses with a Content-Length, in chunks, or up to the end of the connection."""
+    """Parses responses framed by Content-Length, by chunked encoding or by the end of the connection."""
 
     def __init__(self, max_body: int = MAX_BODY_BYTES) -> None:
         super().__init__()
         self._max_body, self._interim_count = max_body, 0
-        self._body = bytearray()  # of the chunks so far
+        self._body = bytearray()  # the chunks received so far
 
     @property
     def status_ok(self) -> bool:
-        """The status line says 200, whatever becomes of the rest."""
+        """True if the status line says 200, even if the rest is malformed or missing."""
         match = STATUS_LINE.fullmatch(self.first_line or "")
         return match is not None and match[1] == "200"
 
     def _begin(self, first_line: str, headers: dict[str, str]) -> Response:
         match = STATUS_LINE.fullmatch(first_line)
         if match is None:
-            raise HttpParseError(400, "the status line is malformed")
+            raise HttpParseError(400, "malformed status line")
         message = Response(int(match[1]), headers, _wants_close(first_line[:8], headers))
         if "transfer-encoding" in headers and (
             "content-length" in headers or headers["transfer-encoding"].lower() != "chunked"
         ):
-            raise HttpParseError(400, "the body's form is not clear")
+            raise HttpParseError(
+                400, "unsupported Transfer-Encoding, or both Content-Length and Transfer-Encoding are set"
+            )
         length = _length(headers)
         self._body = bytearray()
         if message.status < 200:
@@ -270,7 +275,7 @@
     def _skip_interim(self) -> Any:
         self._interim_count += 1
         if self._interim_count > MAX_INTERIM_RESPONSES or self.message.status == 101:
-            raise HttpParseError(400, "no response behind the interim ones")
+            raise HttpParseError(400, "too many interim responses, or an upgrade of the protocol")
         self._finish()
         return True
 
@@ -281,9 +286,9 @@
 
     def _take_line(self) -> bytes | None:
         end = self._data.find(b"\r\n")
-        if end < 0 or end > MAX_LINE_BYTES:
-            if len(self._data) > MAX_LINE_BYTES:
-                raise HttpParseError(400, "a chunk's line is too long")
+        if end < 0 or end > MAX_CHUNK_LINE_BYTES:
+            if len(self._data) > MAX_CHUNK_LINE_BYTES:
+                raise HttpParseError(400, "a chunk size line or trailer line is too long")
             return None
         line = bytes(self._data[:end])
         del self._data[: end + 2]
@@ -295,7 +300,7 @@
             return None
         digits = line.partition(b";")[0].rstrip(b" \t")
         if not HEX.fullmatch(digits):
-            raise HttpParseError(400, "a chunk's size is malformed")
+            raise HttpParseError(400, "malformed chunk size")
         size = int(digits, 16)
         if len(self._body) + size > self._max_body:
             raise HttpParseError(413, "the response is too long")
@@ -307,7 +312,7 @@
         if len(self._data) < self._needed + 2:
             return None
         if self._data[self._needed : self._needed + 2] != b"\r\n":
-            raise HttpParseError(400, "a chunk does not end where it says")
+            raise HttpParseError(400, "a chunk does not have the length of its size line")
         self._body += self._data[: self._needed]
         del self._data[: self._needed + 2]
         self._step = self._read_chunk_size
@@ -323,7 +328,7 @@
         return self._finish()
 
     def end(self) -> Response | None:
-        """The remote side has closed: the response that this completes, None where it is cut short."""
+        """Handle the end of the connection: the response that it completes, or None if it is truncated."""
         if self.fault is not None or self._step != self._read_until_end:
             return None
         self.message.body = bytes(self._data)
@@ -331,12 +336,17 @@
 
 
 def response_bytes(
-    status: int, *, body: bytes = b"", kind: str = "text/plain", close: bool = False, retry_after_ms: float = 0.0
+    status: int,
+    *,
+    body: bytes = b"",
+    content_type: str = "text/plain",
+    close: bool = False,
+    retry_after_ms: float = 0.0,
 ) -> bytes:
-    """The bytes of a response to a client; ``kind`` is the content type."""
-    lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", f"Content-Length: {len(body)}"]
+    """Serialize a response to a client; ``content_type`` is sent only with a body."""
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES.get(status, 'Unknown')}", f"Content-Length: {len(body)}"]
     if body:
-        lines.append(f"Content-Type: {kind}")
+        lines.append(f"Content-Type: {content_type}")
     if retry_after_ms > 0:
         lines.append(f"Retry-After: {retry_after_ms / 1000:.3f}")
     if close:
@@ -347,7 +357,7 @@
 def request_bytes(
     method: str, target: str, host: str, headers: tuple[tuple[str, str], ...] = (), body: bytes = b""
 ) -> bytes:
-    """The bytes of a request to a peer or to discovery."""
+    """Serialize a request to a peer or to discovery."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body or method == "POST":
--- a/lynxscale/relay/logs.py
+++ b/lynxscale/relay/logs.py
@@ -1,7 +1,7 @@
-"""The daemon's log: one event a line, a name and its fields, by structlog.
+"""Configures the daemon's log, written by structlog: one event per line, a name with fields.
 
 Modules write ``log = structlog.get_logger()`` and ``log.info("connection", kind=..., reason=...)``. Until
-``configure`` is called structlog's own defaults hold, as in tests.
+``configure`` is called, as in tests, structlog's defaults apply.
 """
 
 from __future__ import annotations
@@ -18,17 +18,18 @@
 
 
 def _one_line(_logger: Any, _method: str, event: dict) -> dict:
-    """Guards against a value with a line break in it, by which a remote side could write lines of its own."""
+    """Escape unprintable characters, so that no remote side can inject log lines by a value with a line break."""
     for key, value in event.items():
         if isinstance(value, str) and not value.isprintable():
             event[key] = value.encode("unicode_escape").decode("ascii")
-    for key in [key for key in event if not key.isprintable() or " " in key]:  # a class's name, in counters
+    # Such a key may be the name of a message class, which is a key in the counters.
+    for key in [key for key in event if not key.isprintable() or " " in key]:
         event["_".join(key.split())] = event.pop(key)
     return event
 
 
 def _repr_others(_logger: Any, _method: str, event: dict) -> dict:
-    """What is neither text nor number is written as its repr."""
+    """Replace values that are neither text nor number by their repr."""
     for key, value in event.items():
         if value is not None and not isinstance(value, (str, int, float)):
             event[key] = repr(value)
--- a/lynxscale/relay/message.py
+++ b/lynxscale/relay/message.py
@@ -1,4 +1,4 @@
-"""A message in the relay: as a client submits it, and as the relay keeps it until nothing more is owed for it."""
+"""A message as a client submits it, and as the relay holds it until its final outcome has been reported."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 
 
 class Verdict(Enum):
-    """What became of a submitted message. The values stand in traces."""
+    """The admission result of a submitted message. The values appear in traces."""
 
     ACCEPTED = "taken"
     REJECTED = "rejected"  # by the scheduler
-    AT_CAPACITY = "no_room"  # as many messages are pending as may be
-    DISK_FULL = "disk_full"
+    AT_CAPACITY = "no_room"  # the limit of pending messages is reached
+    DISK_FULL = "disk_full"  # the journal has no space
 
 
-# Called with the verdict and, where the message was not accepted, after how many ms to submit it again.
+# Called with the verdict and, if the message was not accepted, the time in ms after which to submit it again.
 AdmissionCallback = Callable[[Verdict, float], None]
 
 
 @dataclass(slots=True)
 class Envelope:
-    """A message as a client submits it, free of any protocol."""
+    """A message as a client submits it, independent of the protocol."""
 
     id: str
     cls: int  # index of its class in the settings
     tenant: int  # index of its tenant in the settings
     key: str  # idempotency key, or empty
     dest: int
-    time_left: int  # µs
+    time_left: int  # µs until the deadline
     body: bytes
 
 
 @dataclass(slots=True)
 class PendingMessage:
-    """A message that the relay has accepted, or is about to, until nothing more is owed for it."""
+    """A message that the relay has accepted or is admitting, until its final outcome has been reported."""
 
     entry: Entry
-    number: int = 0  # in the table of pending messages
+    number: int = 0  # its key in the table of pending messages
     cls: int = 0
     tenant: int = 0
-    admission_callbacks: list[AdmissionCallback] | None = None  # None once admission is decided
-    ended: bool = False  # the scheduler has given it up, or it is delivered
-    attempts: int = 0  # started so far
+    admission_callbacks: list[AdmissionCallback] | None = None  # None once the message is admitted or rejected
+    ended: bool = False  # delivered, or failed by the scheduler
+    attempts: int = 0  # number of attempts started so far
     backstop: Deadline | None = None
-    in_flight: bool = False  # an attempt is under way
-    accepted_at: int = 0  # µs of the loop's clock
+    in_flight: bool = False  # an attempt is in flight
+    accepted_at: int = 0  # µs on the loop's clock
--- a/lynxscale/relay/net/__init__.py
+++ b/lynxscale/relay/net/__init__.py
@@ -1,1 +1,1 @@
-"""The sockets of the relay: client connections, peers, discovery and notices."""
+"""Network I/O of the relay: client connections, peers, discovery, notices and the admin server."""
--- a/lynxscale/relay/net/admin_server.py
+++ b/lynxscale/relay/net/admin_server.py
@@ -1,8 +1,8 @@
-"""The admin server: a listener of its own for operators, one call to a connection.
+"""The admin server: a separate HTTP listener for operators, with one call per connection.
 
-Its connections are few and short, so that neither a crowd of clients nor slow callers keep an operator out:
-descriptors are reserved for them, a call must be complete within a second, and beyond the limit the connection that
-has waited longest without a complete call is evicted.
+Neither many clients nor slow callers can lock an operator out: descriptors are reserved for admin connections, a call
+must be complete within a second, and at the connection limit the connection that has waited longest without a complete
+call is evicted.
 """
 
 from __future__ import annotations
@@ -24,22 +24,22 @@
 from lynxscale.relay.http_parser import Request, RequestParser, response_bytes
 from lynxscale.relay.lifecycle import Lifecycle
 from lynxscale.relay.net.close_reason import CloseReason
-from lynxscale.relay.net.connection import SECOND_LOOK_MS, unread_byte
+from lynxscale.relay.net.connection import RECHECK_DELAY_MS, unread_byte
 
 log = structlog.get_logger()
 
-MAX_CONNECTIONS = 12  # at once; more wait in the listen queue for a turn of the loop at most
+MAX_CONNECTIONS = 12  # a further connection evicts the oldest one
 LISTEN_BACKLOG = 128
-CALL_MS = 1000  # from connecting to the call's last byte
-LINGER_MS = 500  # after our last byte, for the caller to read it and close
-MAX_LINGER_BYTES = 64 * 1024  # discarded after our last byte
+CALL_TIMEOUT_MS = 1000  # from accepting the connection to the last byte of the call
+LINGER_TIMEOUT_MS = 500  # after the response, for the caller to read it and close
+MAX_LINGER_BYTES = 64 * 1024  # received after the response and discarded
 HEALTH, QUIESCE, RESUME = "/admin/health", "/admin/quiesce", "/admin/resume"
 METHODS = {HEALTH: "GET", QUIESCE: "POST", RESUME: "POST"}
 
 
 @implementer(interfaces.IHalfCloseableProtocol)
 class AdminConnection(Protocol):
-    """One call, one response."""
+    """An admin connection, which carries one call and its response."""
 
     transport: Any  # a TCP transport of Twisted
 
@@ -49,14 +49,14 @@
         self.calls = 0
         self._parser = RequestParser()
         self._deadline: Deadline | None = None
-        self._reason: str | None = None  # set once the response is written
-        self._discarded = 0  # bytes read since our last
-        self._read_closed = False  # the caller sends no more
+        self._reason: str | None = None  # why the connection closes; set once the response is written
+        self._discarded = 0  # bytes received after the response
+        self._read_closed = False  # the caller has closed its sending side
 
     def connectionMade(self) -> None:
         """Part of Protocol."""
         self.transport.setTcpNoDelay(True)
-        self._deadline = self._server.deadlines.after(CALL_MS * 1000, self._timed_out)
+        self._deadline = self._server.deadlines.after(CALL_TIMEOUT_MS * 1000, self._timed_out)
         self._server.opened(self)
 
     def dataReceived(self, data: bytes) -> None:
@@ -64,7 +64,7 @@
         if self._reason is not None:
             self._discarded += len(data)
             if self._discarded > MAX_LINGER_BYTES:
-                self.transport.abortConnection()  # guards against one that sends without end
+                self.transport.abortConnection()  # guards against a caller that never stops sending
             return
         calls, fault = self._parser.feed(data), self._parser.fault
         if calls:
@@ -77,24 +77,24 @@
         self._server.counters.add("door", f"status_{status}")
         fields = {"said": content} if isinstance(content, str) else content
         body = orjson.dumps({"state": self._server.lifecycle.state.value, **fields}) + b"\n"
-        self.transport.write(response_bytes(status, body=body, kind="application/json", close=True))
+        self.transport.write(response_bytes(status, body=body, content_type="application/json", close=True))
         self._reason = reason
         self._server.responded(self)
         self.transport.loseWriteConnection()
         self._server.deadlines.cancel(self._deadline)
-        self._deadline = self._server.deadlines.after(LINGER_MS * 1000, self.transport.abortConnection)
+        self._deadline = self._server.deadlines.after(LINGER_TIMEOUT_MS * 1000, self.transport.abortConnection)
 
-    def _timed_out(self, second_look: bool = False) -> None:
-        if not second_look and unread_byte(self.transport):
-            # Guards against a call that has arrived, and that the loop has still to read: that goes first, once.
-            self._deadline = self._server.deadlines.after(SECOND_LOOK_MS * 1000, self._timed_out, True)
+    def _timed_out(self, rechecked: bool = False) -> None:
+        if not rechecked and unread_byte(self.transport):
+            # The call may have arrived without the loop having read it yet: check again once.
+            self._deadline = self._server.deadlines.after(RECHECK_DELAY_MS * 1000, self._timed_out, True)
             return
-        # Guards against half a call that would hold a descriptor for nothing.
+        # An incomplete call must not hold its descriptor any longer.
         reason = CloseReason.SILENT if self._parser.idle else CloseReason.SLOW
-        self._respond(408, "the call did not come in time", reason)
+        self._respond(408, "the call did not arrive in time", reason)
 
     def readConnectionLost(self) -> None:
-        """Part of IHalfCloseableProtocol. Guards against the loss of the response to a call that is complete."""
+        """Part of IHalfCloseableProtocol. A complete call still gets its response."""
         self._read_closed = True
         if self._reason is None:
             self.transport.loseConnection()
@@ -105,7 +105,7 @@
             self.transport.loseConnection()
 
     def evict(self) -> None:
-        """Close at once, for another caller's sake."""
+        """Abort the connection to make room for another caller."""
         self._reason = CloseReason.EVICTED
         self.transport.abortConnection()
 
@@ -117,10 +117,10 @@
 
 
 class AdminServer(Factory):
-    """Health, drain and resume, and the calls that components add.
+    """Serves the calls for health, drain and resume, and those that components add.
 
-    ``drain`` and ``resume`` are called on an operator's call; ``resume`` returns False where the process is stopping.
-    ``calls``: those of components, by path.
+    ``drain`` and ``resume`` carry out an operator's call; ``resume`` returns False if the process is stopping.
+    ``calls``: the components' calls by path.
     """
 
     noisy = False
@@ -137,16 +137,16 @@
         self._calls = calls
         self.deadlines, self.counters, self.lifecycle = deadlines, counters, lifecycle
         self._drain, self._resume = drain, resume
-        self._open: OrderedDict[int, AdminConnection] = OrderedDict()  # without a complete call first, oldest first
+        self._open: OrderedDict[int, AdminConnection] = OrderedDict()  # in eviction order
         self._last_number = 0
         self._port: Any = None
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> None:
-        """Raises CannotListenError where the address cannot be bound."""
+        """Listen on ``address``. Raises CannotListenError if it cannot be bound."""
         self._port = reactor.listenTCP(address[1], self, backlog=LISTEN_BACKLOG, interface=address[0])
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._port is not None:
             port, self._port = self._port, None
             port.stopListening()
@@ -155,31 +155,31 @@
         """Part of Factory."""
         return AdminConnection(self)
 
-    # What connections report ---------------------------------------------------------------------
+    # Events of connections -----------------------------------------------------------------------
 
     def opened(self, connection: AdminConnection) -> None:
-        """A caller has connected; beyond the limit the oldest is evicted."""
+        """Register a new connection; beyond the limit the oldest one is evicted."""
         self._last_number += 1
         connection.number = self._last_number
         self._open[connection.number] = connection
         self.counters.add("door", "opened")
         if len(self._open) > MAX_CONNECTIONS:
-            # The oldest: one with a complete call is answered in the turn that reads it, and hardly ever counts here.
+            # Evicts one without a complete call, if any: a complete call is answered in the turn that reads it.
             self._open.pop(next(iter(self._open))).evict()
 
     def responded(self, connection: AdminConnection) -> None:
-        """It has its response: it is evicted after those that wait, as its caller may still be reading."""
+        """Move a connection with a response to the end of the eviction order, as its caller may still be reading."""
         if connection.number in self._open:
             self._open.move_to_end(connection.number)
 
     def closed(self, connection: AdminConnection) -> None:
-        """It is gone."""
+        """Unregister a closed connection."""
         self._open.pop(connection.number, None)
 
     # Calls ---------------------------------------------------------------------------------------
 
     def serve(self, call: Request) -> tuple[int, str | dict]:
-        """The status, and a text or the fields of the response's body."""
+        """Handle a call; returns the status, and a text or the fields for the body of the response."""
         path, _, query = call.target.partition("?")
         methods = METHODS | {name: method for name, (method, _) in self._calls.items()}
         method = methods.get(path)
--- a/lynxscale/relay/net/calls.py
+++ b/lynxscale/relay/net/calls.py
@@ -1,4 +1,4 @@
-"""Calls to peers and the attempts that they carry."""
+"""The state of calls to peers and of the attempts that they carry."""
 
 from __future__ import annotations
 
@@ -14,24 +14,25 @@
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """What goes to one endpoint in one request: one attempt or several, or a health check."""
+    """One request to an endpoint, which carries one or more attempts, or a health check."""
 
     endpoint: int
-    fresh: bool = False  # on a new connection
+    fresh: bool = False  # must use a new connection
     attempts: list[Attempt] = field(default_factory=list)
-    size: int = 0  # bytes of its body
-    connection: OutboundConnection | None = None  # what it was written to
+    size: int = 0  # bytes of the request body
+    connection: OutboundConnection | None = None  # set once the request is written
 
     def open_attempts(self) -> list[Attempt]:
-        """Those of its attempts that have no outcome yet."""
+        """The attempts that have no outcome yet."""
         return [attempt for attempt in self.attempts if not attempt.done]
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt, from its order to its outcome. Times are µs on the loop's clock.
+    """One attempt, from the scheduler's order to the outcome. Times are µs on the loop's clock.
 
-    ``message`` is None for a health check. ``index`` counts the attempts of a message.
+    ``number`` identifies the message, ``index`` the attempt among those of the message. ``message`` is None for a
+    health check.
     """
 
     number: int
@@ -42,10 +43,10 @@
     timeout_at: int
     slot: int = 0
     deadline: Deadline | None = None
-    recorded: bool = False  # in the journal: it may have run
+    recorded: bool = False  # it is in the journal, as it may have been executed
     done: bool = False
 
     @property
     def endpoint(self) -> int:
-        """The endpoint that it goes to."""
+        """The endpoint that the attempt is sent to."""
         return self.call.endpoint
--- a/lynxscale/relay/net/client_connection.py
+++ b/lynxscale/relay/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are answered one after the other, in their order."""
+"""A client's connection: requests are served one at a time, in order of arrival."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from lynxscale.relay.message import Verdict
 from lynxscale.relay.net.client_requests import SINGLE_HEADERS
 from lynxscale.relay.net.close_reason import CloseReason
-from lynxscale.relay.net.connection import SECOND_LOOK_MS, unread_byte
+from lynxscale.relay.net.connection import RECHECK_DELAY_MS, unread_byte
 
 if TYPE_CHECKING:
     from lynxscale.relay.net.clients import Clients
 
 log = structlog.get_logger()
 
-FIRST_REQUEST_MS = 2000  # from connecting to the first request's last byte
-IDLE_MS = 15_000  # an idle connection is kept for so long, as a new one costs time
-READ_MS = 2000  # from a later request's first byte to its last
-LINGER_MS = 500  # after our last byte, for the client to read it and close
-MAX_LINGER_BYTES = 256 * 1024  # discarded after our last byte; then the client is left to wait for the close
-# A request that is no message delays its client's next one: so long for each in a row, up to the maximum.
+FIRST_REQUEST_TIMEOUT_MS = 2000  # from accepting the connection to the last byte of the first request
+IDLE_TIMEOUT_MS = 15_000  # clients save time by reusing an idle connection
+READ_TIMEOUT_MS = 2000  # from the first byte of a later request to its last
+LINGER_TIMEOUT_MS = 500  # after the last response, for the client to read it and close
+MAX_LINGER_BYTES = 256 * 1024  # received after the last response and discarded; beyond it, nothing more is read
+# After an invalid request, reading the next one is delayed by this time per invalid request in a row.
 INVALID_REQUEST_BACKOFF_MS, MAX_INVALID_REQUEST_BACKOFF_MS = 20, 1000
-STATUS = {
+STATUS_BY_VERDICT = {
     Verdict.ACCEPTED: 202,
     Verdict.REJECTED: 429,
     Verdict.AT_CAPACITY: 503,
@@ -43,35 +43,35 @@
 
 @implementer(interfaces.IHalfCloseableProtocol)
 class ClientConnection(Protocol):
-    """One client, on one connection of ``owner``."""
+    """One connection of a client; ``owner`` is the listener that accepted it."""
 
     transport: Any  # a TCP transport of Twisted
 
     def __init__(self, owner: Clients) -> None:
         self._owner = owner
         self.slot = 0
-        self.served = 0  # responses written
+        self.served = 0  # number of responses written
         self._parser = RequestParser(SINGLE_HEADERS)
         self._backlog: deque[Request] = deque()
-        self._request: Request | None = None  # the one under way
+        self._request: Request | None = None  # the request in progress
         self._deadline: Deadline | None = None
         self._reason: str | None = None
-        self._closing = False  # our side has written its last byte, or nothing is owed
-        self._last_response = False  # the response that is owed is the last one
-        self._read_closed = False  # the client sends no more
+        self._closing = False  # the last response is written, or there is none to write
+        self._last_response = False  # close after the response to the request in progress
+        self._read_closed = False  # the client has closed its sending side
         self._paused = False
-        self._discarded = 0  # bytes read since our last
-        self._invalid_in_row = 0  # requests in a row that were no message
-        self._buffered = 0  # bytes of requests that are incomplete or wait for their turn
+        self._discarded = 0  # bytes received after the last response
+        self._invalid_in_row = 0  # number of invalid requests in a row
+        self._buffered = 0  # bytes of requests that are incomplete or queued
 
     @property
-    def silent(self) -> bool:
-        """It has sent no complete request so far."""
+    def without_request(self) -> bool:
+        """True if the client has not sent a complete request yet."""
         return not self.served and self._request is None and not self._backlog and not self._closing
 
     @property
     def idle(self) -> bool:
-        """It waits for nothing, and nothing of a next request has been read."""
+        """True if no request is in progress and none has been started."""
         return self._request is None and not self._backlog and self._parser.idle and not self._closing
 
     # Reading -------------------------------------------------------------------------------------
@@ -79,9 +79,9 @@
     def connectionMade(self) -> None:
         """Part of Protocol."""
         self.transport.setTcpNoDelay(True)
-        # Guards against a client that sends and never reads: while responses pile up, nothing more is read.
+        # Backpressure for a client that sends without reading: while responses are unsent, nothing more is read.
         self.transport.registerProducer(self.transport, True)
-        self._set_deadline(FIRST_REQUEST_MS, CloseReason.SILENT)
+        self._set_deadline(FIRST_REQUEST_TIMEOUT_MS, CloseReason.SILENT)
         self._owner.opened(self)
 
     def _set_deadline(self, ms: int, reason: str) -> None:
@@ -89,22 +89,22 @@
         deadlines.cancel(self._deadline)
         self._deadline = deadlines.after(ms * 1000, self._timed_out, reason)
 
-    def _timed_out(self, reason: str, second_look: bool = False) -> None:
-        if self._request is not None or not second_look and unread_byte(self.transport):
-            # Guards against a request that arrives, or has just become complete, in this very instant: what the loop
-            # has still to read or to answer goes first, once.
-            self._deadline = self._owner.deadlines.after(SECOND_LOOK_MS * 1000, self._timed_out, reason, True)
+    def _timed_out(self, reason: str, rechecked: bool = False) -> None:
+        if self._request is not None or not rechecked and unread_byte(self.transport):
+            # A request may have arrived or become complete just now, without the loop having read or answered it:
+            # check again once.
+            self._deadline = self._owner.deadlines.after(RECHECK_DELAY_MS * 1000, self._timed_out, reason, True)
             return
-        # Guards against heads that never end and against silence, which would hold a descriptor for nothing.
+        # A client that sends nothing, or never completes a request, must not hold its descriptor any longer.
         if reason == CloseReason.SLOW or (reason == CloseReason.SILENT and not self._parser.idle):
-            self._reject_malformed(HttpParseError(408, "the request did not come in time"))
+            self._reject_malformed(HttpParseError(408, "the request did not arrive in time"))
         else:
             self.abandon(reason)
 
     def dataReceived(self, data: bytes) -> None:
         """Part of Protocol."""
         if self._closing or self._last_response:
-            # Discarded, so that the response is not lost to a reset. Guards against one that sends without end.
+            # Discarded up to a limit: closing with unread bytes would reset the connection and lose the response.
             self._discarded += len(data)
             if self._discarded > MAX_LINGER_BYTES:
                 self._pause()
@@ -112,11 +112,11 @@
         was_idle = self.idle
         self._backlog.extend(self._parser.feed(data))
         if self._parser.fault is not None and self._parser.fault.status == 429:
-            # Hundreds of requests at once: clients send one at a time. None of them is served.
+            # Too many pipelined requests, which no well-behaved client sends: serve none of them.
             self._backlog.clear()
         if was_idle and self.served:
             self._owner.busy(self)
-            self._set_deadline(READ_MS, CloseReason.SLOW)
+            self._set_deadline(READ_TIMEOUT_MS, CloseReason.SLOW)
         if self._parser.expects_continue and self._parser.message is not None:
             self._parser.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -130,7 +130,7 @@
             self._request = self._backlog.popleft()
             self._owner.serve(self, self._request)
         if self._parser.fault is not None and self._request is None and not self._closing:
-            self._reject_malformed(self._parser.fault)  # what came before it has been answered
+            self._reject_malformed(self._parser.fault)  # earlier requests have been answered
 
     def _pause(self) -> None:
         if not self._paused:
@@ -144,8 +144,10 @@
 
     # Responses -----------------------------------------------------------------------------------
 
-    def respond(self, status: int, *, body: bytes = b"", kind: str = "text/plain", retry_after_ms: float = 0.0) -> None:
-        """Answer the request under way; ``kind`` is the body's content type."""
+    def respond(
+        self, status: int, *, body: bytes = b"", content_type: str = "text/plain", retry_after_ms: float = 0.0
+    ) -> None:
+        """Respond to the request in progress."""
         request, self._request = self._request, None
         if request is None or self._closing:
             return  # the client has disconnected meanwhile
@@ -156,7 +158,7 @@
             response_bytes(
                 status,
                 body=body,
-                kind=kind,
+                content_type=content_type,
                 close=close,
                 retry_after_ms=retry_after_ms,
             )
@@ -164,21 +166,21 @@
         if close:
             self._finish(self._reason or (CloseReason.STOPPING if draining else CloseReason.SERVED))
         elif self.idle:
-            self._set_deadline(IDLE_MS, CloseReason.IDLE)
+            self._set_deadline(IDLE_TIMEOUT_MS, CloseReason.IDLE)
             self._owner.idle(self)
         else:
-            self._set_deadline(READ_MS, CloseReason.SLOW)
+            self._set_deadline(READ_TIMEOUT_MS, CloseReason.SLOW)
 
     def respond_verdict(self, verdict: Verdict, retry_after_ms: float) -> None:
-        """Answer a message with what became of it, then go on with the next request."""
+        """Respond with the admission result of a message, then serve the next request."""
         self._invalid_in_row = 0
-        self.respond(STATUS[verdict], retry_after_ms=retry_after_ms)
+        self.respond(STATUS_BY_VERDICT[verdict], retry_after_ms=retry_after_ms)
         self._serve_next()
 
     def reject(self, status: int, text: str) -> None:
-        """The request is no message, and is answered so at once.
+        """Reject a request that is not a valid message.
 
-        Guards against the same thing again and again at full speed: this client's next request is read later.
+        Reading the client's next request is delayed, so that repeated invalid requests take little CPU.
         """
         self._owner.relay.counters.add("reject", f"status_{status}")
         retry_after_ms = BUSY_RETRY_MS if status == 503 else 0.0
@@ -190,7 +192,7 @@
             self._owner.deadlines.after(backoff_ms * 1000, self._resume)
 
     def _reject_malformed(self, error: HttpParseError) -> None:
-        """Malformed input is answered as well as it can be; what follows it cannot be told apart."""
+        """Respond to malformed input and close, as the boundaries of later requests are unknown."""
         self._owner.relay.counters.add("reject", f"status_{error.status}")
         text = str(error).encode() + b"\n"
         self.transport.write(response_bytes(error.status, body=text, close=True))
@@ -201,32 +203,35 @@
     # Closing -------------------------------------------------------------------------------------
 
     def _finish(self, reason: str) -> None:
-        """Our side is done. The client closes, or the timer does: a reset would tear up the response."""
+        """Close the sending side after the last response.
+
+        The client then closes the connection, or a timer does: closing now could reset it and lose the response.
+        """
         self._closing, self._reason = True, reason
         self._owner.busy(self)
         self._resume()
         self.transport.loseWriteConnection()
-        self._set_deadline(LINGER_MS, reason)
+        self._set_deadline(LINGER_TIMEOUT_MS, reason)
 
     def abandon(self, reason: str) -> None:
-        """Close it, once the request under way has its response."""
+        """Close the connection, after the response if a request is in progress."""
         self._reason = self._reason or reason
-        self._parser.discard_buffer()  # now: by the hundred in one turn, the buffers would add up until its end
+        self._parser.discard_buffer()  # immediately, as hundreds of connections may be closed in one turn
         if self._request is not None and not self._closing:
             self._expect_last_response()
         elif self._closing:
-            self.transport.abortConnection()  # guards against a client that never reads its last response
+            self.transport.abortConnection()  # the last response was written earlier, and the client does not close
         else:
             self._closing = True
             self.transport.loseConnection()
 
     def _expect_last_response(self) -> None:
-        """Guards against a complete request that would get no response: it is still sent, in this turn."""
+        """Drop queued requests, and close after the response to the request in progress."""
         self._last_response = True
         self._backlog.clear()
 
     def readConnectionLost(self) -> None:
-        """Part of IHalfCloseableProtocol. The client sends no more; it may still read what it has asked for."""
+        """Part of IHalfCloseableProtocol. The client may still read the response to its request."""
         self._reason, self._read_closed = self._reason or CloseReason.REMOTE_CLOSED, True
         if self._request is not None:
             self._expect_last_response()
--- a/lynxscale/relay/net/client_requests.py
+++ b/lynxscale/relay/net/client_requests.py
@@ -1,4 +1,4 @@
-"""A client's HTTP request as a message: which headers it has, and what makes one invalid."""
+"""Converts a client's HTTP request to a message and validates its headers."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from lynxscale.relay.http_parser import FRAMING, Request
 from lynxscale.relay.message import Envelope
 
-MAX_NAME_CHARS = 200  # of an id or a key
-DEADLINE_SLACK = 2.0  # a message's remaining time may be so many times its class's deadline
-# Python's own float() takes nan, inf, signs and 1_0 besides.
+MAX_IDENTIFIER_CHARS = 200  # length of a message id or an idempotency key
+MAX_DEADLINE_FACTOR = 2.0  # maximum remaining time of a message, as a multiple of its class's deadline
+# float() would also accept nan, inf, signs and underscores.
 NUMBER = re.compile(r"[0-9]{1,6}(?:\.[0-9]{1,9})?")
-# Headers that may occur once only in a request.
+# Headers that must not be repeated in a request.
 SINGLE_HEADERS = FRAMING | {
     "host",
     "req-id",
@@ -28,8 +28,8 @@
 def envelope_from(request: Request, relay: Relay) -> Envelope:
     """The message in a client's request.
 
-    Raises InvalidMessageError that names the header at fault, with status 400; 404 for a destination that no endpoint
-    list has, 503 while no list has been received yet.
+    Raises InvalidMessageError, which names the invalid header, with status 400; with 404 for a destination that is in
+    no endpoint list, or 503 for such a destination while no list has been received yet.
     """
     headers = request.headers
     cls = relay.class_number(headers.get("req-kind", ""))
@@ -41,10 +41,10 @@
     seconds_left = _seconds_left(headers, relay.settings.classes[cls].deadline_ms)
     destination = _destination(headers, relay)
     return Envelope(
-        _name(headers, "req-id"),
+        _identifier(headers, "req-id"),
         cls,
         tenant,
-        _name(headers, "idempotency-key", required=False),
+        _identifier(headers, "idempotency-key", required=False),
         destination,
         int(seconds_left * 1e6),
         request.body,
@@ -54,10 +54,10 @@
 def _seconds_left(headers: dict[str, str], class_deadline_ms: float) -> float:
     text = headers.get("req-deadline", "")
     if not NUMBER.fullmatch(text):
-        raise InvalidMessageError("req-deadline: want seconds")
+        raise InvalidMessageError("req-deadline: want a number of seconds")
     seconds = float(text)
-    if seconds * 1000 > class_deadline_ms * DEADLINE_SLACK:
-        raise InvalidMessageError("req-deadline: beyond what its class may have")
+    if seconds * 1000 > class_deadline_ms * MAX_DEADLINE_FACTOR:
+        raise InvalidMessageError("req-deadline: longer than its class permits")
     return seconds
 
 
@@ -68,13 +68,15 @@
     if not (text.isascii() and text.isdigit()) or len(text) > 9:
         raise InvalidMessageError("x-envelope: want dest=NUMBER")
     if not relay.group.has_destination(int(text)):
-        # Until a source has sent its list the one of the last start may be outdated: the client retries then.
-        raise InvalidMessageError("x-envelope: no such destination in the list", 404 if relay.group.has_list else 503)
+        # Until a source has provided its list, the list of the last run may be outdated, so the client should retry.
+        raise InvalidMessageError(
+            "x-envelope: the destination is in no endpoint list", 404 if relay.group.has_list else 503
+        )
     return int(text)
 
 
-def _name(headers: dict[str, str], key: str, required: bool = True) -> str:
+def _identifier(headers: dict[str, str], key: str, required: bool = True) -> str:
     text = headers.get(key, "")
-    if (required and not text) or len(text) > MAX_NAME_CHARS or not (text.isascii() and text.isprintable()):
-        raise InvalidMessageError(f"{key}: missing or not of use")
+    if (required and not text) or len(text) > MAX_IDENTIFIER_CHARS or not (text.isascii() and text.isprintable()):
+        raise InvalidMessageError(f"{key}: missing, too long, or not printable ASCII")
     return text
--- a/lynxscale/relay/net/clients.py
+++ b/lynxscale/relay/net/clients.py
@@ -1,4 +1,4 @@
-"""The listener for clients: which connections there are, what is evicted, and where each request goes."""
+"""The listener for clients: tracks and evicts connections, and routes requests."""
 
 from __future__ import annotations
 
@@ -24,11 +24,14 @@
 
 MESSAGE_PATH, READY_PATH, COUNTERS_PATH = "/api", "/_health", "/_counters"
 LISTEN_BACKLOG = 511
-FRESH_MS = 200  # at the stop a connection this young may still bring its request
+NEW_CONNECTION_GRACE_MS = 200  # at a stop, a connection younger than this may still send its first request
 
 
 class Clients(Factory):
-    """All client connections, within a budget of descriptors; ``max_bytes``: for incomplete requests together."""
+    """All client connections, within limits of descriptors and memory.
+
+    ``max_bytes``: the limit on the bytes of all incomplete requests together.
+    """
 
     noisy = False
 
@@ -38,22 +41,23 @@
         self._connections: SlotTable = SlotTable()
         self._budget = ConnectionBudget(max_bytes)
         self._port: Any = None
-        self._full = False  # at the limit with nobody to evict: new ones stay in the listen queue
-        self._shared = False  # other processes hold the listening socket, too
-        self._stopping = False  # stop to listen, once whoever waits in the listen queue is accepted
+        self._full = False  # at the limit with none to evict: new connections stay in the listen queue
+        self._shared = False  # other processes have the listening socket open, too
+        self._stopping = False  # close the listener once the connections in the listen queue are accepted
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> None:
-        """Accept clients. Raises CannotListenError where the address cannot be bound."""
+        """Accept clients on ``address``. Raises CannotListenError if it cannot be bound."""
         self._port = reactor.listenTCP(address[1], self, backlog=LISTEN_BACKLOG, interface=address[0])
 
-    def adopt(self, reactor: Any, handle: int) -> None:
-        """Accept clients from a listening socket that others hold, too. It is never shut down, only closed here."""
+    def adopt(self, reactor: Any, descriptor: int) -> None:
+        """Accept clients on a listening socket that other processes share. It is closed here, but never shut down."""
         self._shared = True
-        os.set_blocking(handle, False)  # guards against an accept that blocks, when another process was faster
-        self._port = reactor.adoptStreamPort(handle, socket.AF_INET, self)
+        # If another process accepts a connection first, accept() must not block.
+        os.set_blocking(descriptor, False)
+        self._port = reactor.adoptStreamPort(descriptor, socket.AF_INET, self)
 
     def limit(self, max_connections: int, idle_limit: int) -> None:
-        """Hold so many connections at most from now on, and so many before long idle ones are evicted."""
+        """Set the maximum number of connections, and the number above which long idle ones are evicted."""
         self._budget.max_connections, self._budget.idle_limit = max_connections, idle_limit
 
     def buildProtocol(self, _address: object) -> ClientConnection:
@@ -61,20 +65,20 @@
         return ClientConnection(self)
 
     def open_count(self) -> int:
-        """Connections, those with their last response included."""
+        """The number of connections, including those that are closing after their last response."""
         return len(self._connections)
 
-    # What connections report ---------------------------------------------------------------------
+    # Events of connections -----------------------------------------------------------------------
 
     def opened(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+        """Register a new connection."""
         connection.slot = self._connections.add(connection)
         self._budget.opened(connection.slot, self.deadlines.now())
         self.relay.counters.add("connections", "client_opened")
         self._keep_within_budget()
 
     def idle(self, connection: ClientConnection) -> None:
-        """It has its response, and no further request."""
+        """The connection has received its response and sent no further request."""
         self._budget.idle(connection.slot, self.deadlines.now())
         if self._full:
             self._keep_within_budget()
@@ -84,9 +88,10 @@
         self._budget.busy(connection.slot)
 
     def buffer(self, connection: ClientConnection, size: int) -> None:
-        """So many bytes of its requests are incomplete, or wait for their turn.
+        """Set the number of bytes that the connection's incomplete and queued requests take.
 
-        Guards against incomplete requests by the thousand, each within its own limit, that fill the memory together.
+        Evicts connections while the total exceeds its limit: thousands of incomplete requests, each within the limit
+        of a request, could exhaust the memory.
         """
         self._budget.buffer(connection.slot, size)
         for slot in self._budget.over_buffered():
@@ -95,7 +100,7 @@
                 evicted.abandon(CloseReason.BUFFER_LIMIT)
 
     def closed(self, connection: ClientConnection) -> None:
-        """It is gone."""
+        """Unregister a closed connection."""
         self._budget.closing(connection.slot)
         self._connections.remove(connection.slot)
         if self._full:
@@ -103,13 +108,14 @@
         if self._stopping:
             self.stop_accepting()
 
-    # The budget ----------------------------------------------------------------------------------
+    # Connection limits ---------------------------------------------------------------------------
 
     def _keep_within_budget(self) -> None:
-        """Guards against the descriptor limit: one that has sent nothing is evicted, else one that is idle.
+        """Keep the number of connections within its limits.
 
-        With none, new ones wait in the listen queue. Guards as well against clients that send once and stay: usual ones
-        may have no more connections left to open than a third of the descriptors, long before the table is full.
+        At the maximum a connection is evicted, or, if there is none to evict, new ones wait in the listen queue. Long
+        idle connections are evicted earlier, above the idle limit: otherwise clients that send once and stay connected
+        could leave only a third of the descriptors to others, long before the maximum is reached.
         """
         now = self.deadlines.now()
         if len(self._connections) < self._budget.max_connections:
@@ -120,16 +126,16 @@
             self._set_accepting(False)
 
     def _close(self, slots: Iterable[int], reason: str, limit: int) -> int:
-        """Close so many of them at most; how many were closed.
+        """Close up to ``limit`` of the connections without a request; returns the number of closed connections.
 
-        Guards against a request that crosses the close: what the loop has still to read is answered first.
+        A connection with unread bytes is skipped, as these may be a request.
         """
         closed = 0
         for slot in slots:
             connection = self._connections.get(slot)
             if (
                 connection is not None
-                and (connection.silent or connection.idle)
+                and (connection.without_request or connection.idle)
                 and not unread_byte(connection.transport)
             ):
                 self._budget.closing(slot)
@@ -158,9 +164,12 @@
         elif path == READY_PATH and request.method == "GET":
             connection.respond(200 if self.lifecycle.ready else 503)
         elif path == COUNTERS_PATH and request.method == "GET":
-            connection.respond(200, body=orjson.dumps(self.relay.counters.table()), kind="application/json")
+            connection.respond(200, body=orjson.dumps(self.relay.counters.table()), content_type="application/json")
         else:
-            connection.reject(405 if path in (READY_PATH, COUNTERS_PATH) else 404, "no such thing here")
+            connection.reject(
+                405 if path in (READY_PATH, COUNTERS_PATH) else 404,
+                "unknown path, or a method that it does not support",
+            )
 
     def _submit(self, connection: ClientConnection, request: Request) -> None:
         try:
@@ -177,23 +186,27 @@
     # Shutdown ------------------------------------------------------------------------------------
 
     def close_idle(self) -> None:
-        """Close the connections of clients that wait for nothing: the load balancer opens no more to this relay."""
+        """Close the connections without a request in progress, as the load balancer opens no new ones."""
         now = self.deadlines.now()
-        self._close(self._budget.silent(now, FRESH_MS * 1000), CloseReason.STOPPING, len(self._connections))
+        self._close(
+            self._budget.without_request(now, NEW_CONNECTION_GRACE_MS * 1000),
+            CloseReason.STOPPING,
+            len(self._connections),
+        )
         self._close(self._budget.all_idle(), CloseReason.STOPPING, len(self._connections))
 
     def stop_accepting(self) -> None:
-        """Stop to listen; at the limit of connections only once those in the listen queue have been accepted."""
+        """Close the listener once the connections in the listen queue are accepted, which may wait for free slots."""
         port = self._port
         if port is None:
             return
         if not self._shared:
-            # Guards against connections that the kernel has taken and the loop has not: they would be reset.
+            # Connections that the kernel has accepted and the loop has not would be reset: accept them first.
             self._stopping = True
             port.numberAccepts = self._budget.max_connections - len(self._connections)
             if port.numberAccepts > 0:
                 port.doRead()
             if len(self._connections) >= self._budget.max_connections:
-                return  # again as soon as one of them is closed
+                return  # called again when a connection is closed
         self._port = None
         port.stopListening()
--- a/lynxscale/relay/net/close_reason.py
+++ b/lynxscale/relay/net/close_reason.py
@@ -1,4 +1,4 @@
-"""Why a connection was closed, as the log's ``event=connection reason=`` names it."""
+"""Reasons for closed connections, as logged in ``event=connection reason=``."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class CloseReason(StrEnum):
-    """The values are what the operators' pages and stored logs have."""
+    """Why a connection was closed. The values appear in logs and the operators' manual, and must not change."""
 
     REMOTE_CLOSED = "far_closed"
     RESET = "reset"
     IDLE = "idle"
-    EVICTED = "crowded"  # closed so that the descriptor limit leaves room for another connection
+    EVICTED = "crowded"  # closed to free a descriptor for another connection
     CANCELLED = "cancelled"
     TIMED_OUT = "timed_out"
     MALFORMED = "malformed"
     STOPPING = "stopping"
     ADDRESS_CHANGED = "moved"
-    ENDPOINT_REMOVED = "gone"  # its endpoint has left the endpoint list
-    SERVED = "served"  # closed after a response that ends the connection
-    SLOW = "slow"  # a request began and did not complete in time
-    SILENT = "silent"  # no request began in time
-    BUFFER_LIMIT = "heavy"  # unfinished requests of all clients took too many bytes
+    ENDPOINT_REMOVED = "gone"  # the endpoint was removed from the endpoint list
+    SERVED = "served"  # closed after its last response
+    SLOW = "slow"  # a request was started but not completed in time
+    SILENT = "silent"  # no request was started in time
+    BUFFER_LIMIT = "heavy"  # the incomplete requests of all clients exceeded their memory limit
--- a/lynxscale/relay/net/components.py
+++ b/lynxscale/relay/net/components.py
@@ -1,4 +1,4 @@
-"""Discovery, notices and the admin server as components of a relay."""
+"""Components for discovery, notices and the admin server."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DiscoveryComponent(Component):
-    """Keeps the group's endpoint list up to date from the discovery service."""
+    """Updates the group's endpoint list from the discovery service."""
 
     def __init__(self, context: ComponentContext) -> None:
         from lynxscale.relay.net.discovery import Discovery
@@ -40,23 +40,23 @@
         context.group.add(DISCOVERY, self._discovery)
 
     def start(self) -> None:
-        """Begin from the list that this relay had last."""
+        """Start with the endpoint list of the last run."""
         self._discovery.begin(self._known)
 
     def reload(self, conf: Config, product: Conf) -> Collection[str]:
-        """Follow the service to another address."""
+        """Switch to the service's new address, if it has changed."""
         if conf.discovery != self._address:
             self._address = conf.discovery
             self._discovery.move(conf.discovery)
         return ("discovery",)
 
     def stop(self) -> None:
-        """Close its connection."""
+        """Close the connection."""
         self._discovery.stop()
 
 
 class NoticesComponent(Component):
-    """Reports final outcomes: as notices to the platform or to an HTTP address, or as lines of a file."""
+    """Reports final outcomes: as notices to the platform or to an HTTP address, or as lines in a file."""
 
     def __init__(self, context: ComponentContext) -> None:
         self._address = context.conf.discovery
@@ -90,14 +90,14 @@
         )
 
     def reload(self, conf: Config, product: Conf) -> Collection[str]:
-        """Follow the platform to another address."""
+        """Switch to the platform's new address, if it has changed."""
         if conf.by_platform and conf.discovery != self._address:
             self._address = conf.discovery
             self._notices.move(conf.discovery)
         return ()
 
     def stop(self) -> None:
-        """Close its connection; what is not acknowledged stays in the journal."""
+        """Close the connection. Unacknowledged notices stay in the journal."""
         self._notices.stop()
 
 
@@ -114,12 +114,12 @@
         )
 
     def start(self) -> None:
-        """Listen. Raises PlatformError where the address cannot be bound."""
+        """Listen. Raises PlatformError if the address cannot be bound."""
         try:
             self._server.listen(self._reactor, self._address)
         except CannotListenError as error:
             raise platform.PlatformError(f"admin_addr (NODE_ADMIN_ADDR): {error}") from error
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.stop()
--- a/lynxscale/relay/net/connection.py
+++ b/lynxscale/relay/net/connection.py
@@ -1,4 +1,4 @@
-"""An outbound connection, which carries one call at a time."""
+"""An outbound HTTP connection that carries one call at a time."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 Address = tuple[str, int]
 
-# From a response's first byte to its last, or, where the caller bounds the whole call, between two reads.
+# Maximum time from a response's first byte to its last or, with ``stall_between_reads``, between two reads.
 RESPONSE_STALL_MS = 500
-SECOND_LOOK_MS = 20  # for what arrived in the instant of a time-out to be read; a turn or two of the loop
+RECHECK_DELAY_MS = 20  # after a timeout with unread bytes: time for one or two turns of the loop, which read them
 
 
 def unread_byte(transport: Any) -> bytes | None:
-    """A byte that the loop has not read yet; empty where the remote side has closed, None where there is none."""
+    """Peek at the socket: a byte that the loop has not read yet, b"" if the remote side has closed, None if nothing."""
     try:
         return transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -41,10 +41,11 @@
 
 @implementer(interfaces.IPullProducer)
 class OutboundConnection(Protocol):
-    """A connection to one address. As a pull producer it learns when its last byte has left.
+    """A connection to one address. It is a pull producer in order to learn when a request has been sent completely.
 
-    ``kind``: as the log names it. ``on_lost`` is called once it is closed. ``max_body``: bytes of a response.
-    ``stall_between_reads``: RESPONSE_STALL_MS bounds the time between two reads instead of the complete response.
+    ``kind``: the kind of connection in log lines. ``on_lost`` is called once the connection is closed. ``max_body``:
+    the limit of a response's body in bytes. ``stall_between_reads``: RESPONSE_STALL_MS limits the time between two
+    reads instead of the time of the complete response.
     """
 
     transport: Any  # a TCP transport of Twisted
@@ -61,11 +62,11 @@
         self.up, self._stall_between_reads = False, stall_between_reads
         self.calls = 0
         self.idle_since = 0  # µs of the loop's clock
-        self.slot = -1  # among the connections of its owner
-        self.remote: tuple[int, Address] = (0, ("", 0))  # the endpoint it leads to, and its address
-        self.written = False  # the last byte of the call under way has left
+        self.slot = -1  # its number in the owner's table of connections
+        self.remote: tuple[int, Address] = (0, ("", 0))  # the endpoint and its address
+        self.written = False  # the request in progress has been sent completely
         self._data: bytes | None = None
-        self._response: Deferred | None = None  # of the call under way
+        self._response: Deferred | None = None  # of the call in progress
         self._parser = ResponseParser(max_body)
         self._stall: Deadline | None = None
         self._reason: str | None = None
@@ -76,7 +77,7 @@
         self.transport.setTcpNoDelay(True)
 
     def call(self, data: bytes) -> Deferred:
-        """Write one request; fires with its Response or fails with CallFailedError."""
+        """Send a request; the result fires with its Response or fails with CallFailedError."""
         self.calls += 1
         self.written, self._data = False, data
         self._response = Deferred()
@@ -89,7 +90,7 @@
         if self._data is not None:
             data, self._data = self._data, None
             self.transport.write(data)
-        else:  # asked for more: all that there was has left
+        else:  # the transport asks for more data, so everything has been sent
             self.written = True
             self.transport.unregisterProducer()
 
@@ -98,29 +99,29 @@
 
     @property
     def busy(self) -> bool:
-        """A call is under way."""
+        """True if a call is in progress."""
         return self._response is not None
 
     @property
     def status_ok(self) -> bool:
-        """The status line of the response under way was read, and says 200."""
+        """True if a status line with 200 has been received for the call in progress."""
         return self._parser.status_ok
 
     def stale(self) -> bool:
-        """Has the remote side closed it, though the loop has not read that yet?
+        """Has the remote side closed the connection, or sent bytes, without the loop having read that yet?
 
-        Guards against a call written to a closed connection: it would count as one that may have run.
+        A call written to a closed connection would have to be treated as possibly executed.
         """
         return unread_byte(self.transport) is not None
 
     def dataReceived(self, data: bytes) -> None:
         """Part of Protocol."""
         if self._response is None:
-            self.drop(CloseReason.MALFORMED)  # bytes that answer no call
+            self.drop(CloseReason.MALFORMED)  # unsolicited bytes
             return
         responses, parser = self._parser.feed(data), self._parser
         if responses:
-            # A complete response counts, whatever follows it; the connection is of no further use then.
+            # A complete response is valid even if surplus bytes follow it, but the connection is not reused then.
             surplus = len(responses) > 1 or parser.fault is not None or not parser.idle
             if surplus or responses[0].close or not self.written:
                 self.drop(CloseReason.MALFORMED if surplus else CloseReason.REMOTE_CLOSED, responses[0])
@@ -129,12 +130,12 @@
         elif parser.fault is not None:
             self._fail_malformed()
         elif self._stall is None or self._stall_between_reads:
-            # Guards against a response that never ends: its call would keep a slot until its time is up.
+            # A response that never completes would otherwise occupy a slot until the call's timeout.
             self._deadlines.cancel(self._stall)
             self._stall = self._deadlines.after(RESPONSE_STALL_MS * 1000, self._fail_malformed)
 
     def _fail_malformed(self) -> None:
-        """What has come is no response and will be none."""
+        """Fail the call, as the received bytes are not a valid response."""
         self._stall = None
         response, self._response = self._response, None
         self.drop(CloseReason.MALFORMED)
@@ -142,26 +143,26 @@
             response.errback(CallFailedError(self.written, True, self.status_ok))
 
     def drop(self, reason: str, response: Response | None = None) -> None:
-        """Close at once. The remote side must see the end of this call before any later one."""
+        """Close immediately, so that the remote side sees the end of this call before it sees a later one."""
         if self._reason is not None:
             return
         self._reason, self.up = reason, False
         if response is not None:
             self._fire(response)
-        # The shutdown goes out now; the abort waits for the loop's next turn.
+        # The shutdown takes effect immediately, the abort only in the loop's next turn.
         with suppress(OSError):
             self.transport.getHandle().shutdown(socket.SHUT_RDWR)
         self.transport.abortConnection()
 
     def ignore_response(self) -> None:
-        """Nobody waits for this call's response any more."""
+        """Ignore the response to the call in progress."""
         self._response = None
         self._deadlines.cancel(self._stall)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Part of Protocol."""
         self.up = False
-        # Kept, so that a later ``drop`` finds nothing left to close.
+        # Set, so that a later ``drop`` does nothing.
         code = self._reason = self._reason or (
             CloseReason.REMOTE_CLOSED if reason.check(ConnectionDone) else CloseReason.RESET
         )
@@ -188,7 +189,7 @@
 def dial(
     reactor: Any, deadlines: Deadlines, timeout: int, address: Address, create: Callable[[], OutboundConnection]
 ) -> Deferred:
-    """Open a connection within ``timeout`` µs; fires with it, or fails with Twisted's errors."""
+    """Open a connection within ``timeout`` µs; the result fires with it or fails with Twisted's errors."""
     endpoint = endpoints.TCP4ClientEndpoint(reactor, *address, timeout=None)
     factory = Factory.forProtocol(create)
     factory.noisy = False
--- a/lynxscale/relay/net/connection_pool.py
+++ b/lynxscale/relay/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""The connections to peers: idle ones are kept by endpoint for the next call, within a budget of descriptors."""
+"""A pool of connections to peers, which keeps idle ones for reuse within a limit of descriptors."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class ConnectionPool:
     """All connections to peers, busy or idle.
 
-    ``address_of`` gives the address of an endpoint while it is listed; ``idle_timeout`` is in µs.
-    ``max_connections``: beyond so many the longest idle one is closed.
+    ``address_of`` returns the address of an endpoint, or None if it is not listed; ``idle_timeout`` is in µs. Above
+    ``max_connections`` the longest idle connection is closed.
     """
 
     def __init__(
@@ -27,14 +27,14 @@
         self._deadlines, self._address_of, self._idle_timeout = deadlines, address_of, idle_timeout
         self.max_connections = max_connections
         self._connections: SlotTable = SlotTable()
-        self._idle: dict[int, list[OutboundConnection]] = {}  # by endpoint, the one used last at the end
+        self._idle: dict[int, list[OutboundConnection]] = {}  # by endpoint, least recently used first
         self._sweep_timer: Deadline | None = None
 
     def __len__(self) -> int:
         return len(self._connections)
 
     def take(self, endpoint: int, address: Address) -> OutboundConnection | None:
-        """An idle connection to that endpoint that can carry a call, the one used last first."""
+        """Take the most recently used idle connection to an endpoint, or None; stale ones are closed."""
         idle = self._idle.get(endpoint)
         while idle:
             connection = idle.pop()
@@ -49,12 +49,12 @@
         return None
 
     def add(self, connection: OutboundConnection, endpoint: int, address: Address) -> None:
-        """A new connection, for a call."""
+        """Add a new connection, which is about to carry a call."""
         connection.remote = (endpoint, address)
         connection.slot = self._connections.add(connection)
 
     def release(self, connection: OutboundConnection) -> None:
-        """Its call is over: keep it for the next one."""
+        """Keep a connection for reuse after its call has ended."""
         if not connection.up:
             return
         endpoint = connection.remote[0]
@@ -79,7 +79,7 @@
             self.close_idle(endpoint, reason)
 
     def lost(self, connection: OutboundConnection) -> None:
-        """A connection is closed."""
+        """Remove a closed connection."""
         self._connections.remove(connection.slot)
         endpoint = connection.remote[0]
         idle = self._idle.get(endpoint, [])
@@ -89,13 +89,13 @@
                 del self._idle[endpoint]
 
     def _evict_longest_idle(self) -> None:
-        """Guards against the descriptor limit."""
+        """Close the connection that has been idle longest."""
         longest_idle = min((idle[0] for idle in self._idle.values() if idle), key=lambda one: one.idle_since)
         self._idle[longest_idle.remote[0]].remove(longest_idle)
         longest_idle.drop(CloseReason.EVICTED)
 
     def _sweep(self) -> None:
-        """Close what has been idle for too long, before the peer does and a call is lost on it."""
+        """Close connections that reach the idle timeout, before the peer closes them while a call is being sent."""
         self._sweep_timer, now, oldest = None, self._deadlines.now(), None
         for idle in self._idle.values():
             while idle and (not idle[0].up or idle[0].idle_since + self._idle_timeout <= now):
--- a/lynxscale/relay/net/discovery.py
+++ b/lynxscale/relay/net/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service as a source of endpoint lists: calls, the form of its responses, and the watch for changes."""
+"""Client of the discovery service: fetches endpoint lists, parses them, and watches for changes by long polling."""
 
 from __future__ import annotations
 
@@ -36,27 +36,27 @@
 log = structlog.get_logger()
 
 PATH = "/catalog/members"
-WAIT_MS = 10_000  # of each long poll, the first one, too; short enough to notice a service that never responds
-# Beyond the wait, until a watch counts as broken: 2 s, by which an overbooked service has responded or given up with
-# 503, and after which all that it has to report counts as reported. A grace period for draining endpoints that is
-# shorter than what a new call may take shortens it.
-SLACK_MS, NEW_CALL_MS = 2000, 700
-# Of an agent on this machine, where calls cost nothing: one that is unresponsive is asked again soon. What it receives
-# meanwhile counts from the moment at which it responds again, so it is asked often until then.
+LONG_POLL_WAIT_MS = 10_000  # wait time of each long poll; short enough to detect an unresponsive service
+# A watch counts as broken if it has no response within the wait time and this slack. An overloaded service responds,
+# or rejects with 503, within 2 s; after 2 s every change also counts as reported to the relay. A short grace period of
+# draining endpoints reduces the slack, so that a new call can complete before that period ends.
+WATCH_SLACK_MS, MAX_NEW_CALL_MS = 2000, 700
+# For an agent on this machine, whose calls are cheap. An unresponsive agent is polled often, because changes that it
+# has received count as reported to the relay from the moment at which it responds again.
 PUSHED_WAIT_MS, PUSHED_SLACK_MS, PUSHED_RETRY_MS = 1000, 500, 250
 UNRESPONSIVE_WAIT_MS, UNRESPONSIVE_SLACK_MS = 50, 200
-COMPLETE_LIST_MS = 5000  # for the complete list, which waits for nothing: an overbooked service gives up sooner
+COMPLETE_LIST_TIMEOUT_MS = 5000  # the complete list is sent without a wait; an overloaded service rejects sooner
 LIFECYCLES = {"ready": Lifecycle.READY, "draining": Lifecycle.DRAINING}
 GONE = "gone"
 
-Change = tuple[str, Endpoint | None]  # an endpoint's id and entry; None where it has left
+Change = tuple[str, Endpoint | None]  # an endpoint's id and its entry, None if the endpoint was removed
 
 
 class Discovery:
-    """Calls the service at ``address`` and hands the group what it responds.
+    """Calls the service at ``address`` and passes the lists that it returns to the group.
 
-    ``pushed``: it is an agent on this machine, which is asked without the scheduler's order. ``grace_ms``: the grace
-    period of draining endpoints, in ms.
+    ``pushed``: the service is an agent on this machine, which is watched without an order of the scheduler.
+    ``grace_ms``: the grace period of draining endpoints.
     """
 
     def __init__(
@@ -74,15 +74,19 @@
         self._client = SerialClient(reactor, deadlines, address, "group")
         self._group, self._counters, self._reporter = group, counters, reporter
         self._pushed = pushed
-        self._slack_ms = SLACK_MS if grace_ms is None else min(SLACK_MS, int(SLACK_MS + grace_ms) - NEW_CALL_MS)
-        self._unanswered = 0  # calls in a row without a response in their time
+        self._slack_ms = (
+            WATCH_SLACK_MS
+            if grace_ms is None
+            else min(WATCH_SLACK_MS, int(WATCH_SLACK_MS + grace_ms) - MAX_NEW_CALL_MS)
+        )
+        self._unanswered = 0  # number of calls in a row without a valid response in time
         self._version = 0
-        self._fetching = False  # the scheduler waits for the response to its order
+        self._fetching = False  # the scheduler ordered this call and waits for its response
         self._watching = self._stopped = False
-        self._moved = False  # the versions so far are another address's; the next response must be the complete list
+        self._address_changed = False  # since the last response: the next one must be a complete list
 
     def begin(self, known: dict) -> None:
-        """The list as this relay had it last, in the form of a response."""
+        """Start with the endpoint list of the last run, given in the form of a response."""
         rows = known.get("instances")
         changes = self._changes(rows if isinstance(rows, list) else [])
         self._version = known.get("generation", 0)
@@ -91,9 +95,9 @@
             self.watch(True)
 
     def watch(self, active: bool) -> None:
-        """Subscribe to changes by long polls, or no more."""
+        """Subscribe to changes by long polling, or unsubscribe."""
         self._watching = active
-        if active and self._moved:
+        if active and self._address_changed:
             self.fetch()
         elif active:
             self._fetching = not self._pushed
@@ -102,15 +106,15 @@
             self._client.drop(CloseReason.CANCELLED)
 
     def fetch(self) -> None:
-        """Ask for the complete list once."""
+        """Request the complete list once."""
         self._fetching = True
         self._call(PATH, 0)
 
     def move(self, address: Address) -> None:
-        """The service is at another address from now on: the complete list from there, then the watch."""
+        """Switch to another address of the service: request the complete list there, then watch for changes."""
         self._client.close(CloseReason.ADDRESS_CHANGED)
         self._client = SerialClient(self._reactor, self._deadlines, address, "group")
-        self._moved = True
+        self._address_changed = True
         self.watch(True)
 
     def stop(self) -> None:
@@ -123,14 +127,14 @@
     def _call(self, target: str, wait_ms: int) -> None:
         data = request_bytes("GET", target, self._client.host)
         self._counters.add("group", "asked")
-        slack_ms = self._slack_ms if wait_ms else COMPLETE_LIST_MS
+        slack_ms = self._slack_ms if wait_ms else COMPLETE_LIST_TIMEOUT_MS
         if self._pushed:
             slack_ms = UNRESPONSIVE_SLACK_MS if self._unanswered else PUSHED_SLACK_MS
         response = self._client.call(data, (wait_ms + slack_ms) * 1000)
         response.addCallbacks(self._answered, self._failed)
 
     def _poll(self) -> None:
-        wait_ms = WAIT_MS
+        wait_ms = LONG_POLL_WAIT_MS
         if self._pushed:
             wait_ms = UNRESPONSIVE_WAIT_MS if self._unanswered else PUSHED_WAIT_MS
         self._call(f"{PATH}?after={self._version}&wait_ms={wait_ms}", wait_ms)
@@ -138,13 +142,18 @@
     def _failed(self, failure: Failure | None) -> None:
         error = None if failure is None else failure.value
         timed_out = isinstance(error, CallTimedOutError)
-        malformed = isinstance(error, CallFailedError) and error.malformed  # half a response, or none
+        malformed = isinstance(error, CallFailedError) and error.malformed  # truncated or invalid response
         self._unanswered += timed_out or malformed
         first = self._unanswered == 1
-        if (timed_out or malformed) and self._watching and not self._moved and (first or (timed_out and self._pushed)):
-            # Guards against a watch that is no longer answered: what it misses counts as reported soon, whenever the
-            # scheduler asks next. A second one in a row is the service's own fault, and where calls have a price left
-            # to the scheduler.
+        if (
+            (timed_out or malformed)
+            and self._watching
+            and not self._address_changed
+            and (first or (timed_out and self._pushed))
+        ):
+            # Reopen a watch that got no response: changes that it misses soon count as reported to the relay, even if
+            # the scheduler orders the next call later. After a second failure in a row the service itself is at fault,
+            # and where calls have a cost, further ones are left to the scheduler.
             self._counters.add("group", "silent")
             if first:
                 log.warning("watch_timed_out", version=self._version)
@@ -154,7 +163,7 @@
         self._watching = self._fetching = False
         self._counters.add("group", "failed")
         if retry:
-            # Unresponsive, or not there yet: it is asked on, whatever the scheduler knows.
+            # The agent is unresponsive or not started yet: keep polling, independently of the scheduler.
             self._deadlines.after(PUSHED_RETRY_MS * 1000, self._retry)
         else:
             self._group.failed(self._version)
@@ -173,10 +182,10 @@
             self._failed(None)
             return
         self._counters.add("group", "answers")
-        self._moved, self._unanswered = False, 0
+        self._address_changed, self._unanswered = False, 0
         self._version = version
         if self._watching:
-            self._poll()  # at once: the watch goes on only if the next call follows closely
+            self._poll()  # immediately, as the watch continues only if the next call follows closely
         fetching, self._fetching = self._fetching, False
         if fetching or changes or complete:
             self._report_differences(version, complete, changes, response.body)
@@ -186,15 +195,15 @@
             self._group.has_list = True
 
     def _parse(self, response: Response) -> tuple[int, bool, list[Change]]:
-        """Version, whether the list is complete, and its entries. Raises ValueError, KeyError or TypeError."""
+        """The version, whether the list is complete, and its entries. Raises ValueError, KeyError or TypeError."""
         if response.status != 200:
             raise ValueError(f"status {response.status}")
         table = orjson.loads(response.body)
         version, complete, rows = table["generation"], table["reset"], table["instances"]
         if not (isinstance(version, int) and isinstance(complete, bool) and isinstance(rows, list)):
-            raise ValueError("the answer's form is not a list's")
-        if self._moved and not complete:
-            raise ValueError("changes, where the whole list was asked for")
+            raise ValueError("generation, reset or instances has the wrong type")
+        if self._address_changed and not complete:
+            raise ValueError("want the complete list, not changes")
         return version, complete, self._changes(rows)
 
     def _report_differences(self, version: int, complete: bool, changes: list[Change], body: bytes) -> None:
@@ -219,7 +228,7 @@
             try:
                 found.append(_change_of(row))
             except (KeyError, TypeError, ValueError, PlatformError) as error:
-                # Guards against one invalid entry that rejects the complete list: what is known under its id stays.
+                # An invalid entry does not invalidate the list: a known endpoint with its id keeps its entry.
                 log.warning("list_entry_invalid", row=repr(row), error=str(error))
                 self._counters.add("group", "bad_lines")
                 name = row.get("instanceId") if isinstance(row, dict) else None
@@ -235,14 +244,14 @@
         raise ValueError("instanceId is not a text")
     if lifecycle == GONE:
         return name, None
-    weight, cell = float(row.get("weight", 0.0)), row.get("cell", 0)
-    if not (math.isfinite(weight) and isinstance(cell, int) and 0 <= cell < MAX_DESTINATIONS):
+    weight, destination = float(row.get("weight", 0.0)), row.get("cell", 0)
+    if not (math.isfinite(weight) and isinstance(destination, int) and 0 <= destination < MAX_DESTINATIONS):
         raise ValueError("weight or cell is out of range")
     zone, kind = row.get("zone"), row.get("machineType")
     return name, Endpoint(
         name,
         address(row["hostPort"], "hostPort"),
-        cell,
+        destination,
         zone if isinstance(zone, str) else "",
         kind if isinstance(kind, str) else "",
         LIFECYCLES[lifecycle],
--- a/lynxscale/relay/net/notices.py
+++ b/lynxscale/relay/net/notices.py
@@ -1,4 +1,4 @@
-"""Notices of final outcomes to the platform: each is resent until it is acknowledged with status 204."""
+"""Sends notices of final outcomes to the platform until each is acknowledged with status 204."""
 
 from __future__ import annotations
 
@@ -20,17 +20,20 @@
 log = structlog.get_logger()
 
 PATH = "/v2/finals"
-MAX_BATCH = 100  # notices in one call
-# A response comes at once, so that a time-out tells of a connection that has died unseen: pending notices are resent on
-# a new one while their outcome is still in time. The timeout doubles with each in a row, as the platform may just be
-# slow.
+MAX_BATCH = 100  # notices per call
+# The platform normally responds immediately, so a timeout suggests a dead connection: notices are resent on a new one,
+# early enough for the outcome to arrive in time. The timeout doubles with each timeout in a row, as the platform may
+# only be slow.
 INITIAL_TIMEOUT_MS, MAX_TIMEOUT_MS = 200, 1000
 INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 20, 500
-IDLE_MS = 4000  # the platform may close an idle connection; ours is closed first
+IDLE_TIMEOUT_MS = 4000  # close an idle connection before the platform does
 
 
 class Notices:
-    """Notices in batches, one call at a time. ``on_acknowledged`` is called with the number of each message."""
+    """Sends notices in batches, one call at a time.
+
+    ``on_acknowledged`` is called with the number of each message whose notice is acknowledged.
+    """
 
     def __init__(
         self,
@@ -44,8 +47,8 @@
         self._reactor, self._deadlines, self._path = reactor, deadlines, path
         self._client = SerialClient(reactor, deadlines, address, "notices")
         self._on_acknowledged, self._counters = on_acknowledged, counters
-        self._pending: dict[int, bytes] = {}  # by message, oldest first
-        self._batch: list[int] = []  # in flight
+        self._pending: dict[int, bytes] = {}  # encoded notices by message number, oldest first
+        self._batch: list[int] = []  # message numbers of the call in flight
         self._batch_limit = MAX_BATCH
         self._idle: Deadline | None = None
         self._backoff_ms, self._timeout_ms = INITIAL_BACKOFF_MS, INITIAL_TIMEOUT_MS
@@ -55,7 +58,7 @@
         return len(self._pending)
 
     def enqueue(self, number: int, id: str, status: str, again_ms: int) -> None:
-        """Report how a message ended. ``again_ms``: when to submit it again, or 0."""
+        """Queue a notice of a message's outcome. ``again_ms``: the time after which to submit it again, or 0."""
         notice: dict = {"id": id, "status": status}
         if again_ms > 0:
             notice["again_ms"] = again_ms
@@ -63,7 +66,7 @@
         self._schedule(0)
 
     def move(self, address: Address) -> None:
-        """The platform listens elsewhere from now on. A batch in flight may be lost: it is resent."""
+        """Switch to another address of the platform. A batch in flight is resent there."""
         self._client.close(CloseReason.ADDRESS_CHANGED)
         self._deadlines.cancel(self._idle)
         self._client = SerialClient(self._reactor, self._deadlines, address, "notices")
@@ -72,7 +75,7 @@
             self._schedule(0)
 
     def stop(self) -> None:
-        """What is not acknowledged stays in the journal."""
+        """Close the connection. Unacknowledged notices stay in the journal."""
         self._client.close(CloseReason.STOPPING)
 
     def _schedule(self, delay: int) -> None:
@@ -107,12 +110,12 @@
             self._schedule(0)
         else:
             self._batch_limit = MAX_BATCH
-            self._idle = self._deadlines.after(IDLE_MS * 1000, self._client.close_idle, CloseReason.IDLE)
+            self._idle = self._deadlines.after(IDLE_TIMEOUT_MS * 1000, self._client.close_idle, CloseReason.IDLE)
 
     def _not_acknowledged(self, status: int, batch: list[int]) -> None:
         log.warning("notices_not_acknowledged", status=status, notices=len(batch))
         if status == 400:
-            # Guards against one that cannot be read and blocks all others: singly, and it goes last.
+            # One of the notices is invalid: send them one by one, and move an invalid one to the end of the queue.
             self._batch_limit = 1
             if len(batch) == 1:
                 self._pending[batch[0]] = self._pending.pop(batch[0])
--- a/lynxscale/relay/net/peer_responses.py
+++ b/lynxscale/relay/net/peer_responses.py
@@ -1,4 +1,4 @@
-"""What a peer's response says in its status and headers. No I/O."""
+"""Interprets the status and headers of peers' responses. Does no I/O."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 from lynxscale.scheduling.events import Result
 
-# Statuses by which the message did not run; all others but 200 count as an error that may have run.
+# Other statuses are errors after which the message may have been executed.
 RESULT_BY_STATUS = {200: Result.OK, 429: Result.FULL, 503: Result.FULL, 504: Result.MOOT, 410: Result.MOOT}
-GONE = 410  # nothing more is owed for the message
-NOT_READ = (400, 413)  # a bundle that the peer could not read, so that none of it ran
-# Python's own float() takes nan, inf, signs and 1_0 besides.
+GONE_STATUS = 410  # the peer needs no further attempt for the message
+UNREADABLE_BUNDLE_STATUSES = (400, 413)  # the peer could not parse a bundle and executed none of its messages
+# float() would also accept nan, inf, signs and underscores.
 NUMBER = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-MAX_WAIT_MS = 3_600_000.0  # guards against a wait by which a destination would never be called again
+MAX_RETRY_AFTER_MS = 3_600_000.0  # guards against a pause that never ends
 
 
-def milliseconds(text: str | None) -> float:
-    """A header in seconds with decimals as milliseconds; 0 where absent or malformed."""
+def parse_seconds_as_ms(text: str | None) -> float:
+    """Convert a header value in decimal seconds to milliseconds; 0 if it is absent or malformed."""
     seconds = float(text) if text and NUMBER.fullmatch(text) else 0.0
-    return min(seconds * 1000, MAX_WAIT_MS)
+    return min(seconds * 1000, MAX_RETRY_AFTER_MS)
 
 
 def load_report(headers: dict[str, str], columns: Sequence[str]) -> tuple[float, ...]:
-    """The columns of the load report that the settings name; empty where one is missing or no number."""
+    """The load report's values for ``columns``; empty if one is missing or not a number."""
     text = headers.get("srv-load")
     if not text:
         return ()
--- a/lynxscale/relay/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -1,7 +1,7 @@
-"""Attempts and health checks over connections to peers.
+"""Sends attempts and health checks to peers.
 
-A call carries one attempt, or, where a kind of endpoint takes several messages in one call, all that the scheduler
-orders to that endpoint in one turn. Each attempt has its own timeout and its own outcome; they share the call's
+A call carries one attempt or, if the endpoint's kind accepts several messages per call, the attempts that the scheduler
+orders for that endpoint in one turn. Each attempt has its own timeout and outcome; the attempts of a call share its
 connection.
 """
 
@@ -21,9 +21,15 @@
 from lynxscale.relay.http_parser import MAX_BODY_BYTES, Response, request_bytes
 from lynxscale.relay.net.calls import Attempt, Call
 from lynxscale.relay.net.close_reason import CloseReason
-from lynxscale.relay.net.connection import SECOND_LOOK_MS, Address, OutboundConnection, dial, unread_byte
+from lynxscale.relay.net.connection import RECHECK_DELAY_MS, Address, OutboundConnection, dial, unread_byte
 from lynxscale.relay.net.connection_pool import ConnectionPool
-from lynxscale.relay.net.peer_responses import GONE, NOT_READ, RESULT_BY_STATUS, load_report, milliseconds
+from lynxscale.relay.net.peer_responses import (
+    GONE_STATUS,
+    RESULT_BY_STATUS,
+    UNREADABLE_BUNDLE_STATUSES,
+    load_report,
+    parse_seconds_as_ms,
+)
 from lynxscale.relay.slot_table import SlotTable
 from lynxscale.scheduling.events import HealthChecked, Result
 
@@ -33,19 +39,19 @@
 
 log = structlog.get_logger()
 
-IDLE_SHARE = 0.9  # of the time after which a peer closes an idle connection: ours is closed first
-IDLE_MS = 15_000.0  # where the settings name none
-CONNECT_TIMEOUT_MS = 1500.0  # where the settings name none
+IDLE_TIMEOUT_FRACTION = 0.9  # idle connections are closed after this fraction of the peer's idle timeout
+DEFAULT_IDLE_TIMEOUT_MS = 15_000.0  # if the settings do not set it
+DEFAULT_CONNECT_TIMEOUT_MS = 1500.0  # if the settings do not set it
 HEALTH_CHECK_TIMEOUT_MS = 1500.0
 MESSAGE_PATH, HEALTH_CHECK_PATH = "/events", "/_load"
 
 
 class Peers:
-    """The relay's port to its peers.
+    """Implements PeersPort over HTTP connections.
 
-    ``address_of``: of an endpoint, None once it has left the list. ``per_call``: how many messages it takes in one
-    call. ``route_of``: its route, where a wait binds that instead of the destination. ``takes``: does it still get new
-    messages? Times are µs on the loop's clock.
+    Functions of an endpoint: ``address_of`` returns its address, or None once it is not listed; ``per_call`` the number
+    of messages that it accepts per call; ``route_of`` its route if Retry-After applies to that instead of the
+    destination, otherwise None; ``accepts_new`` whether it may get new messages. Times are µs on the loop's clock.
     """
 
     def __init__(
@@ -58,30 +64,30 @@
         max_connections: int,
         per_call: Callable[[int], int] = lambda _endpoint: 1,
         route_of: Callable[[int], str | None] = lambda _endpoint: None,
-        takes: Callable[[int], bool] = lambda _endpoint: True,
+        accepts_new: Callable[[int], bool] = lambda _endpoint: True,
     ) -> None:
         self._reactor, self._loop, self._deadlines, self._relay = reactor, loop, deadlines, relay
         self._address_of, self._per_call = address_of, per_call
-        self._route_of, self._takes = route_of, takes
+        self._route_of, self._accepts_new = route_of, accepts_new
         settings = relay.settings
         self._hedges = settings.second_copies
-        self._connect_timeout = int((settings.connect_timeout_ms or CONNECT_TIMEOUT_MS) * 1000)
+        self._connect_timeout = int((settings.connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS) * 1000)
         self._report_columns = settings.report_columns
-        self._joinable: dict[int, Call] = {}  # by endpoint: this turn's call that more attempts may join
+        self._joinable: dict[int, Call] = {}  # by endpoint: a call of this turn to which attempts can be added
         self._unsent: list[Call] = []
         self._attempts: SlotTable = SlotTable()
         self._by_key: dict[tuple[int, int], Attempt] = {}  # by message number and attempt index
-        idle_timeout = int((settings.idle_close_ms or IDLE_MS) * IDLE_SHARE * 1000)
+        idle_timeout = int((settings.idle_close_ms or DEFAULT_IDLE_TIMEOUT_MS) * IDLE_TIMEOUT_FRACTION * 1000)
         self._pool = ConnectionPool(deadlines, address_of, idle_timeout, max_connections)
 
     # Actions of the scheduler --------------------------------------------------------------------
 
     def start(self, number: int, index: int, message: PendingMessage, endpoint: int, timeout: int, fresh: bool) -> None:
-        """Begin an attempt; ``timeout`` in µs, ``fresh``: on a new connection."""
+        """Begin an attempt; ``timeout`` is in µs, ``fresh`` requires a new connection."""
         now = self._loop.now()
         limit = self._per_call(endpoint)
         call = self._joinable.get(endpoint) if limit > 1 else None
-        size = bundle.size_of(message.entry.id, message.entry.key, message.entry.body)
+        size = bundle.encoded_size(message.entry.id, message.entry.key, message.entry.body)
         if call is None or len(call.attempts) >= limit or call.size + size > MAX_BODY_BYTES:
             call = Call(endpoint)
             if limit > 1:
@@ -95,25 +101,25 @@
             self._begin(call)
 
     def is_in_flight(self, number: int, index: int) -> bool:
-        """Is this attempt under way? Then its outcome follows, by its timeout at the latest."""
+        """Is this attempt in flight? If so, its outcome follows, at the latest after its timeout."""
         return (number, index) in self._by_key
 
     def flush(self) -> None:
-        """All actions of this turn are in: what goes to one endpoint together is sent now."""
+        """Send the bundled calls of this turn; all its actions have been issued."""
         calls, self._unsent = self._unsent, []
         self._joinable.clear()
         for call in calls:
             self._begin(call)
 
     def check_health(self, endpoint: int) -> None:
-        """Begin a health check; its outcome goes to the scheduler."""
+        """Begin a health check, whose result is passed to the scheduler."""
         now = self._loop.now()
         call = Call(endpoint)
         self._add(Attempt(0, 0, call, None, now, now + int(HEALTH_CHECK_TIMEOUT_MS * 1000)))
         self._begin(call)
 
     def cancel(self, number: int, index: int) -> None:
-        """Give up an attempt."""
+        """Cancel an attempt."""
         if (attempt := self._by_key.get((number, index))) is None:
             return
         if (
@@ -123,11 +129,11 @@
                 self._relay.may_repeat(other.message) for other in attempt.call.open_attempts() if other is not attempt
             )
         ):
-            # Guards the others of its call: cancelled along they may have run, and must not be retried. The call's
-            # response, or its timeout, ends this one too.
+            # Closing the connection would also cancel the call's other attempts, which may have been executed and must
+            # not be repeated. The call's response or timeout ends this attempt, too.
             self._relay.counters.add("tries", "not_cut")
             return
-        # Guards against a duplicate: the connection is closed before another attempt can be written.
+        # The connection is closed before another attempt can be sent, to prevent a duplicate.
         self._timed_out(attempt.slot, Result.CANCELLED, CloseReason.CANCELLED)
 
     def close_idle(self, endpoint: int, reason: str = CloseReason.EVICTED) -> None:
@@ -135,15 +141,15 @@
         self._pool.close_idle(endpoint, reason)
 
     def stop(self) -> None:
-        """The process ends: close all idle connections."""
+        """Close all idle connections, as the process exits."""
         self._pool.close_all_idle(CloseReason.STOPPING)
 
     def limit(self, max_connections: int) -> None:
-        """Hold so many connections at most from now on, before idle ones are closed."""
+        """Set the number of connections above which idle ones are closed."""
         self._pool.max_connections = max_connections
 
     def connection_count(self) -> int:
-        """How many connections are open, idle ones too."""
+        """The number of open connections, including idle ones."""
         return len(self._pool)
 
     # A call --------------------------------------------------------------------------------------
@@ -156,7 +162,7 @@
 
     def _begin(self, call: Call) -> None:
         if not call.open_attempts():
-            return  # given up in the turn that ordered it
+            return  # cancelled in the turn that ordered it
         address = self._address_of(call.endpoint)
         if address is None:
             self._end_all(call, Result.CONNECT_FAILED)
@@ -179,7 +185,7 @@
         if call.open_attempts():
             self._write(call, connection)
         else:
-            self._pool.release(connection)  # it was given up meanwhile; the next one finds it open
+            self._pool.release(connection)  # its attempts have ended meanwhile; the next call can use the connection
 
     def _connect_failed(self, _failure: Failure, call: Call) -> None:
         self._end_all(call, Result.CONNECT_FAILED)
@@ -190,8 +196,8 @@
             data = request_bytes("GET", HEALTH_CHECK_PATH, host)
         else:
             sendable = [attempt for attempt in call.open_attempts() if self._prepare(attempt)]
-            # The longest first: a peer that takes a call's time from its first message then sees the one that is in
-            # the head, until which the response is waited for.
+            # Longest timeout first: a peer that derives a call's deadline from its first message then gets the one in
+            # the Req-Deadline header, up to which the relay waits for the response.
             sendable.sort(key=lambda attempt: -attempt.timeout_at)
             if not sendable:
                 self._pool.release(connection)
@@ -208,14 +214,14 @@
         )
 
     def _prepare(self, attempt: Attempt) -> bool:
-        """May it be written now? It is in the journal then; else it has its outcome."""
-        if not self._takes(attempt.endpoint):
-            # Guards against a list that came while the connection was coming up: what drains gets nothing new.
+        """Journal an attempt that is about to be sent; if it must not be sent, end it and return False."""
+        if not self._accepts_new(attempt.endpoint):
+            # The endpoint began to drain or was removed while the connection was being established.
             self._relay.counters.add("tries", "left_the_list")
             self._end(attempt, Result.MOOT)
             return False
         if (wait_ms := self._relay.backpressure.wait_ms(self._backpressure_key(attempt))) > 0:
-            # Received after this attempt was ordered, by it or by another process of this relay: it binds all.
+            # A Retry-After was received after this attempt was ordered, by this or another process of this relay.
             self._end(attempt, Result.FULL, wait_ms=wait_ms)
             return False
         if not self._relay.record_attempt(attempt.number):
@@ -231,7 +237,7 @@
         if len(sendable) > 1:
             self._relay.counters.add("tries", "bundles")
             entries = [attempt.message.entry for attempt in sendable]
-            body = bundle.body((entry.id, entry.key, entry.body) for entry in entries)
+            body = bundle.encode_request((entry.id, entry.key, entry.body) for entry in entries)
             return request_bytes("POST", bundle.PATH, host, (deadline,), body)
         entry = sendable[0].message.entry
         headers = [("Req-Id", entry.id), deadline]
@@ -246,15 +252,17 @@
         slot: int,
         result: Result = Result.TIMEOUT,
         reason: str = CloseReason.TIMED_OUT,
-        second_look: bool = False,
+        rechecked: bool = False,
     ) -> None:
         if (attempt := self._attempts.get(slot)) is None:
             return
         connection = attempt.call.connection
-        if connection is not None and not second_look and unread_byte(connection.transport):
-            # Guards against a response that arrived in this very instant: the loop reads it first, once.
+        if connection is not None and not rechecked and unread_byte(connection.transport):
+            # The response may have arrived without the loop having read it yet: check again once.
             self._deadlines.cancel(attempt.deadline)
-            attempt.deadline = self._deadlines.after(SECOND_LOOK_MS * 1000, self._timed_out, slot, result, reason, True)
+            attempt.deadline = self._deadlines.after(
+                RECHECK_DELAY_MS * 1000, self._timed_out, slot, result, reason, True
+            )
             return
         self._give_up(attempt, result, reason)
 
@@ -262,12 +270,12 @@
         call = attempt.call
         connection = call.connection
         if connection is None:
-            # Not written: it never ran. Connecting goes on, for a later attempt.
+            # Not sent, so not executed. The connection is still opened, for a later attempt.
             self._end(attempt, Result.CONNECT_FAILED if result == Result.TIMEOUT else Result.MOOT)
             return
         others = [other for other in call.open_attempts() if other is not attempt]
         if others and (result == Result.TIMEOUT or self._hedges):
-            # The response is still of use to the others, and a duplicate of this one is sent only where that is safe.
+            # The other attempts still need the response. This one is repeated only if a duplicate is safe.
             self._end(attempt, result)
             return
         connection.ignore_response()
@@ -279,7 +287,7 @@
     # Responses -----------------------------------------------------------------------------------
 
     def _call_failed(self, failure: Failure, call: Call, bundled: bool) -> None:
-        """No complete response: a success all the same where its status line says 200, else it may have run."""
+        """Handle a call without a complete response: a success if the status line says 200, otherwise an error."""
         failure.trap(CallFailedError)
         error = failure.value
         assert isinstance(error, CallFailedError)
@@ -303,7 +311,7 @@
             result = Result.MOOT
             self._relay.counters.add("tries", "no_slot")
         elif result == Result.FULL or bundled:
-            wait_ms = milliseconds(headers.get("retry-after"))
+            wait_ms = parse_seconds_as_ms(headers.get("retry-after"))
         if wait_ms and call.attempts[0].message is not None:
             key = self._backpressure_key(call.attempts[0])
             self._relay.backpressure.received(key, wait_ms)
@@ -312,36 +320,37 @@
         if bundled and status == 200:
             self._end_each(call, response.body, wait_ms, report)
             return
-        if bundled and status in NOT_READ:
-            # None of it ran; it is no use to send the same again at once.
+        if bundled and status in UNREADABLE_BUNDLE_STATUSES:
+            # None of the messages was executed, but an immediate retry of the same bundle would fail again.
             log.error("bundle_not_read", endpoint=call.endpoint, status=status, messages=len(call.attempts))
             result = Result.FULL
         wait_ms = wait_ms if result == Result.FULL else 0.0
-        self._end_all(call, result, over=status == GONE, wait_ms=wait_ms, report=report)
+        self._end_all(call, result, final=status == GONE_STATUS, wait_ms=wait_ms, report=report)
 
     def _end_each(self, call: Call, body: bytes, wait_ms: float, report: tuple[float, ...]) -> None:
-        """A response that says how each message of a bundle ended."""
+        """End each attempt of a bundle with its outcome in the response."""
         by_id = {attempt.message.entry.id: attempt for attempt in call.attempts if attempt.recorded}
-        outcomes, well_formed = bundle.ends(body, list(by_id))
+        outcomes, well_formed = bundle.parse_response(body, list(by_id))
         if not well_formed:
             self._relay.counters.add("tries", "spoilt")
             log.warning("bundle_answer", endpoint=call.endpoint, messages=len(by_id), text=repr(body[:200]))
         for id_, attempt in by_id.items():
-            result, over = outcomes[id_]
+            result, final = outcomes[id_]
             if attempt.done:
                 if result == Result.OK:
-                    self._relay.delivered_late(attempt.number)  # after its timeout, or cancelled for another attempt
+                    # This attempt had timed out or been cancelled before.
+                    self._relay.delivered_late(attempt.number)
             else:
                 attempt_wait_ms = wait_ms if result == Result.FULL else 0.0
-                self._end(attempt, result, over=over, wait_ms=attempt_wait_ms, report=report)
+                self._end(attempt, result, final=final, wait_ms=attempt_wait_ms, report=report)
 
     def _backpressure_key(self, attempt: Attempt) -> int:
-        """What a wait binds: the destination, or below 0 the endpoint's route where that is apart."""
+        """The key for Retry-After: the destination, or a negative number for a route with its own limit."""
         route = self._route_of(attempt.endpoint)
         return attempt.message.entry.dest if route is None else -1 - zlib.crc32(route.encode())
 
     def _withdraw_unwritten(self, key: int) -> None:
-        """Guards against an attempt that was ordered before a wait was received and would be written during it."""
+        """End attempts that were ordered before a Retry-After was received and are not written yet."""
         for attempt in list(self._by_key.values()):
             if attempt.call.connection is None and not attempt.done and self._backpressure_key(attempt) == key:
                 self._end(attempt, Result.MOOT)
@@ -353,32 +362,32 @@
         call: Call,
         result: Result,
         *,
-        over: bool = False,
+        final: bool = False,
         wait_ms: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
         for attempt in call.open_attempts():
-            self._end(attempt, result, over=over, wait_ms=wait_ms, report=report)
+            self._end(attempt, result, final=final, wait_ms=wait_ms, report=report)
 
     def _end(
         self,
         attempt: Attempt,
         result: Result,
         *,
-        over: bool = False,
+        final: bool = False,
         wait_ms: float = 0.0,
         report: tuple[float, ...] = (),
     ) -> None:
-        """The attempt's outcome goes to the core. ``over``: nothing more is owed for its message."""
+        """Pass the attempt's outcome to the core. ``final``: its message needs no further attempt."""
         if attempt.done:
             return
         attempt.done = True
         self._deadlines.cancel(attempt.deadline)
         self._attempts.remove(attempt.slot)
-        spent = self._loop.now() - attempt.started
+        elapsed = self._loop.now() - attempt.started
         if attempt.message is None:
             self._relay.counters.add("probes", result.name.lower())
-            self._relay.put(HealthChecked(attempt.endpoint, int(result), spent / 1000, report))
+            self._relay.put(HealthChecked(attempt.endpoint, int(result), elapsed / 1000, report))
             return
         self._by_key.pop((attempt.number, attempt.index))
         self._relay.attempt_ended(
@@ -386,9 +395,9 @@
             attempt.index,
             attempt.endpoint,
             result,
-            spent,
+            elapsed,
             attempt.recorded,
-            over=over,
+            final=final,
             wait_ms=wait_ms,
             report=report,
         )
--- a/lynxscale/relay/net/serial_client.py
+++ b/lynxscale/relay/net/serial_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client for one address, for discovery and notices: one connection, one call at a time."""
+"""An HTTP client for one address, with one connection and one call at a time; used for discovery and notices."""
 
 from __future__ import annotations
 
@@ -15,20 +15,21 @@
 
 
 class SerialClient:
-    """Calls to one address, over one connection that is opened when needed."""
+    """Sends calls to one address over a connection that is opened on demand."""
 
     def __init__(self, reactor: Any, deadlines: Deadlines, address: Address, kind: str) -> None:
         self._reactor, self._deadlines, self._address, self._kind = reactor, deadlines, address, kind
         self.host = f"{address[0]}:{address[1]}"
         self._connection: OutboundConnection | None = None
-        self._response: Any = None  # the Deferred of the call under way
-        self._call_number = 0  # what belongs to an earlier call is ignored
+        self._response: Any = None  # the Deferred of the call in progress
+        self._call_number = 0  # identifies the latest call, so that events of earlier ones are ignored
         self._deadline: Deadline | None = None
 
     def call(self, data: bytes, timeout: int) -> Deferred:
-        """The Response within ``timeout`` µs, else a failure. An earlier call is dropped and never fires.
+        """Send a request; the result fires with its Response within ``timeout`` µs, or fails.
 
-        Fails with CallTimedOutError, CallFailedError or Twisted's errors of the connection.
+        It fails with CallTimedOutError, CallFailedError or Twisted's connection errors. A call in progress is dropped,
+        and its result never fires.
         """
         self.drop(CloseReason.CANCELLED)
         response = self._response = Deferred()
@@ -45,7 +46,7 @@
         return response
 
     def drop(self, reason: str) -> None:
-        """End the call under way, if any."""
+        """Drop the call in progress, if any."""
         self._call_number += 1
         self._response = None
         self._deadlines.cancel(self._deadline)
@@ -54,12 +55,12 @@
             self._connection.drop(reason)
 
     def close(self, reason: str) -> None:
-        """End the call under way and close the connection."""
+        """Drop the call in progress and close the connection."""
         self.drop(reason)
         self.close_idle(reason)
 
     def close_idle(self, reason: str) -> None:
-        """Close the connection, unless a call is under way."""
+        """Close the connection, unless a call is in progress."""
         if self._connection is not None and not self._connection.busy:
             self._connection.drop(reason)
 
--- a/lynxscale/relay/outcome_log.py
+++ b/lynxscale/relay/outcome_log.py
@@ -1,7 +1,7 @@
-"""Final outcomes of messages that were given up, as a file of JSON lines; in place of notices to the platform.
+"""Writes the final outcomes of undelivered messages to a file of JSON lines, instead of notices to the platform.
 
-A line is written before its message is forgotten. A write that fails is retried until it succeeds: the journal keeps
-the message so long. A crash between the two can write a line a second time; readers recognize it by its id.
+A line is written before its message is removed from the journal, and a failed write is retried until it succeeds. A
+crash between the two can cause a duplicate line; readers recognize it by the message id.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 class OutcomeLog:
     """Appends to ``path``, which is rotated at ``size`` bytes; ``keep`` rotated files are kept.
 
-    ``on_written`` is called with a message's number once its line is written, never from ``enqueue`` itself. ``clock``
-    gives Unix time in seconds.
+    ``on_written`` is called with a message's number once its line is written, never from within ``enqueue``. ``clock``
+    returns the Unix time in seconds.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         return len(self._pending)
 
     def enqueue(self, number: int, id: str, status: str, again_ms: int) -> None:
-        """Report how a message ended. ``again_ms``: when to submit it again, or 0."""
+        """Queue a message's outcome. ``again_ms``: the time after which to submit the message again, or 0."""
         row: dict = {"id": id, "status": status, "ts": round(self._clock(), 3)}
         if again_ms > 0:
             row["again_ms"] = again_ms
@@ -58,7 +58,7 @@
         self._schedule(1)
 
     def stop(self) -> None:
-        """What is not written stays in the journal."""
+        """Do nothing: outcomes that are not written yet stay in the journal."""
 
     def _schedule(self, delay: int) -> None:
         if not self._scheduled:
@@ -91,11 +91,11 @@
         with open(self._path, "ab", buffering=0) as out:
             begin = out.tell()
             if begin and self._ends_mid_line():
-                data = b"\n" + data  # guards a reader against a line that a crash cut short
+                data = b"\n" + data  # a crash has truncated the last line: start a new one
             written = out.write(data)
             if written != len(data):
-                os.ftruncate(out.fileno(), begin)  # a full disk: all of it is written again
-                raise OSError(errno.ENOSPC, "no space for all of it")
+                os.ftruncate(out.fileno(), begin)  # disk full: remove the partial write and retry all of it
+                raise OSError(errno.ENOSPC, "short write, the disk is full")
             end = out.tell()
         if end >= self._size:
             self._rotate()
@@ -106,7 +106,7 @@
             return file.read(1) != b"\n"
 
     def _rotate(self) -> None:
-        """The file becomes the first of the rotated ones, and the last of them is removed."""
+        """Rename the file to the first of the rotated ones, and drop the oldest of them."""
         names = [
             self._path,
             *(self._path.with_name(f"{self._path.name}.{number}") for number in range(1, self._keep + 1)),
--- a/lynxscale/relay/recovery.py
+++ b/lynxscale/relay/recovery.py
@@ -1,4 +1,4 @@
-"""Messages that pass from one process of a relay to another: at a restart, and at an upgrade while both run."""
+"""Transfers messages between processes of a relay: at a restart, and at an upgrade while both processes run."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 
 class Recovery:
-    """Takes over what other processes of this relay left open, and releases to them."""
+    """Takes over open messages from other processes of this relay, and releases messages to them."""
 
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def replay(self, entries: Iterable[Entry]) -> None:
-        """Take over what an earlier process left open in this journal: each is still owed its end."""
+        """Take over the messages that an earlier process left open in this journal."""
         messages = [self._restore(entry) for entry in entries]
         self._relay.journal.assign_numbers({message.number: message.entry for message in messages})
         self._resume(messages)
 
     def adopt(self, entries: Iterable[Entry], on_journaled: Callable[[], None]) -> int:
-        """Take over what another process left open in a journal of its own; how many were not here yet.
+        """Take over the open messages of another process's journal; the number of messages that were new here.
 
-        ``on_journaled`` is called once this journal has them all, before anything is sent. Raises JournalFullError or
-        OSError where there is no room: then nothing is taken over, and what the journal has of them already counts as
-        its own at the next start.
+        ``on_journaled`` is called once this journal contains them all, before anything is sent. Raises JournalFullError
+        or OSError if there is no space: then nothing is taken over, and messages that this journal contains already
+        are recovered from it at the next start.
         """
         relay = self._relay
         messages: list[PendingMessage] = []
@@ -56,9 +56,9 @@
         return len(messages)
 
     def release(self) -> list[int]:
-        """Release all messages without an attempt in flight to another process; their numbers in the journal.
+        """Release all messages without an attempt in flight to another process; returns their numbers in the journal.
 
-        Nothing is written: in the journal they stay open until the other one has them in its own.
+        Nothing is written: the messages stay open in this journal until the other process has journaled them.
         """
         relay = self._relay
         numbers = []
@@ -75,14 +75,14 @@
         relay = self._relay
         cls, tenant = relay.class_number(entry.class_name), relay.tenant_number(entry.tenant)
         if cls is None and entry.outcome is None:
-            entry.outcome = ("undeliverable", 0)  # its class has left the settings: nobody can judge it
+            entry.outcome = ("undeliverable", 0)  # its class is no longer in the settings, so it cannot be scheduled
         now = relay.loop.now()
         message = PendingMessage(entry, cls=cls or 0, tenant=tenant or 0, attempts=entry.attempts, accepted_at=now)
         relay.register(message)
         return message
 
     def _resume(self, messages: list[PendingMessage]) -> None:
-        """Go on with messages of another process, which this journal has."""
+        """Resume messages of another process, which this journal contains."""
         relay = self._relay
         now, unix = relay.loop.now(), relay.unix_now()
         notices = 0
--- a/lynxscale/relay/slot_table.py
+++ b/lynxscale/relay/slot_table.py
@@ -1,4 +1,4 @@
-"""A generational slot table: a number names one use of a slot, and is never handed out twice."""
+"""A slot table with generations: each number identifies one use of a slot and is never reused."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         return (item for item in self._items if item is not None)
 
     def add(self, item: Any) -> int:
-        """Store an item; its number."""
+        """Store an item and return its number."""
         if self._free:
             index = self._free.pop()
         else:
@@ -38,14 +38,14 @@
         return self._numbers[index]
 
     def get(self, number: int) -> Any:
-        """The item of that number, or None once it is removed."""
+        """The item with this number, or None if it has been removed."""
         index = number & INDEX_MASK
         if index < len(self._items) and self._numbers[index] == number:
             return self._items[index]
         return None
 
     def remove(self, number: int) -> Any:
-        """Remove and return the item of that number; None where it is removed already."""
+        """Remove and return the item with this number; None if it has already been removed."""
         item = self.get(number)
         if item is not None:
             index = number & INDEX_MASK
--- a/lynxscale/relay/wall_clock.py
+++ b/lynxscale/relay/wall_clock.py
@@ -1,11 +1,12 @@
-"""Unix time that goes on evenly over the restarts of a relay, whatever steps its machine's wall clock makes meanwhile.
+"""Unix time that is continuous over restarts of a relay, even if the machine's wall clock is stepped.
 
-Times in the journal are compared with those of a later process: the deadline of a message, and since when an attempt
-may have run. A wall clock that is put back by an hour would open a key's span again, and one put forward would end all
-pending messages. So the first process on a boot of the machine stores how far Unix time is from the clock that runs
-since the boot, and all later ones go by that. After a new boot only the wall clock is left to ask.
+A later process compares times in the journal with its own: the deadline of a message, and the time at which an attempt
+may have been executed. A wall clock set back by an hour would reopen the span of an idempotency key, and one set
+forward would end all pending messages. So the first process after a boot stores the offset of Unix time from the
+boot-time clock, and later processes use that offset. After another boot the offset is taken from the wall clock again.
 
-The file ``clock`` in the state folder: JSON with ``version``, ``boot`` (the system's name of it) and ``zero``, in µs.
+The file ``clock`` in the state folder is JSON with ``version``, ``boot`` (the kernel's boot id) and ``zero`` (the
+offset in µs).
 """
 
 from __future__ import annotations
@@ -23,23 +24,23 @@
 
 FILE, VERSION = "clock", 1
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
-MAX_SLEW = 1_000_000  # µs; a smaller difference is what a clock that is slewed gathers, and not logged
+MAX_SLEW_US = 1_000_000  # smaller differences come from slewing, and are not logged
 
 
 def unix_clock(state: Path) -> Callable[[], int]:
-    """Unix time in µs, as the relays with this state folder count it on this boot of the machine.
+    """A clock of Unix time in µs, shared by the processes with this state folder until the next boot.
 
-    A folder that cannot be written costs the next process this knowledge, and is logged.
+    If the offset cannot be stored, this is logged, and the next process takes its own from the wall clock.
     """
-    boot, wall_zero = _boot_id(), time.time_ns() // 1000 - _since_boot()
-    zero = _load(state / FILE, boot)
-    if zero is None:
-        zero = wall_zero
+    boot, wall_clock_offset = _boot_id(), time.time_ns() // 1000 - _since_boot()
+    offset = _load(state / FILE, boot)
+    if offset is None:
+        offset = wall_clock_offset
         if boot:
-            _save(state / FILE, boot, zero)
-    elif abs(wall_zero - zero) > MAX_SLEW:
-        log.warning("wall_clock_stepped", ms=(wall_zero - zero) // 1000)
-    return lambda: _since_boot() + zero
+            _save(state / FILE, boot, offset)
+    elif abs(wall_clock_offset - offset) > MAX_SLEW_US:
+        log.warning("wall_clock_stepped", ms=(wall_clock_offset - offset) // 1000)
+    return lambda: _since_boot() + offset
 
 
 def _since_boot() -> int:
@@ -55,9 +56,9 @@
 def _load(path: Path, boot: str) -> int | None:
     try:
         stored = orjson.loads(path.read_bytes())
-        version, stored_boot, zero = stored["version"], stored["boot"], stored["zero"]
-        if version == VERSION and stored_boot == boot and type(zero) is int:
-            return zero
+        version, stored_boot, offset = stored["version"], stored["boot"], stored["zero"]
+        if version == VERSION and stored_boot == boot and type(offset) is int:
+            return offset
     except FileNotFoundError:
         pass
     except (OSError, ValueError, KeyError, TypeError) as error:
@@ -65,10 +66,10 @@
     return None
 
 
-def _save(path: Path, boot: str, zero: int) -> None:
+def _save(path: Path, boot: str, offset: int) -> None:
     new = path.with_name(f"{FILE}.new")
     try:
-        new.write_bytes(orjson.dumps({"version": VERSION, "boot": boot, "zero": zero}))
+        new.write_bytes(orjson.dumps({"version": VERSION, "boot": boot, "zero": offset}))
         os.replace(new, path)  # atomically
     except OSError as error:
         log.warning("clock_not_saved", error=str(error))
--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the ports and the event loop of a relay's core."""
+"""Fakes of the ports and the event loop of a relay's core."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 
 class FakePorts:
-    """Stands for peers, group and notices: records the calls."""
+    """Serves as peers, group and notices; records the calls of their methods."""
 
     start: Any
     is_in_flight: Any
 
     def __init__(self) -> None:
-        self.told = []
+        self.calls = []
 
     def __getattr__(self, name):
-        return lambda *args: self.told.append((name, *args))
+        return lambda *args: self.calls.append((name, *args))
 
 
 class ManualLoop:
-    """A loop cranked by hand."""
+    """An event loop whose turns a test runs explicitly."""
 
     def __init__(self) -> None:
-        self.planned = []
+        self.scheduled = []
 
-    def call_later(self, seconds, act):
-        entry = [seconds, act]
-        self.planned.append(entry)
-        return type("Timer", (), {"cancel": lambda _self: self.planned.remove(entry)})()
+    def call_later(self, seconds, callback):
+        entry = [seconds, callback]
+        self.scheduled.append(entry)
+        return type("Timer", (), {"cancel": lambda _self: self.scheduled.remove(entry)})()
 
     def run(self, within: float = 0.0) -> None:
-        due = [entry for entry in self.planned if entry[0] <= within]
+        due = [entry for entry in self.scheduled if entry[0] <= within]
         for entry in due:
-            if entry in self.planned:
-                self.planned.remove(entry)
+            if entry in self.scheduled:
+                self.scheduled.remove(entry)
                 entry[1]()
