--- a/tests/relay/node.py
+++ b/tests/relay/node.py
@@ -1,4 +1,4 @@
-"""A real relay as a process, and the parties round it: peers, discovery and a client, on loopback."""
+"""Runs a relay as a process, with a peer, discovery and clients on the loopback interface."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from pathlib import Path
 
 from lab.standins import PATIENCE, Client, Discovery, Server, hold_port, port_of, reply, row, settings, until
-from lynxscale.relay.end_times import FIRST_READS
+from lynxscale.relay.end_times import FIRST_READS_US
 
 ROOT = Path(__file__).parent.parent.parent
 
 
 class NodeCase(unittest.TestCase):
-    """A discovery, one peer that answers by ``self.act``, and relays that are started and ended here."""
+    """A discovery service, one peer whose responses ``self.act`` gives, and a relay that tests start and end."""
 
     def setUp(self) -> None:
         self.act = lambda call: reply(200)
@@ -40,7 +40,7 @@
         self.program: tuple[str, ...] = ("-m", "lynxscale")
 
     def configure(self, **more) -> Path:
-        """Write the configuration file, with these keys besides."""
+        """Write the configuration file, with additional or replaced keys."""
         seed = f"{int(os.environ.get('RARE_SEED', 0x8C1F)):04x}"
         table = {
             "name": "n1",
@@ -54,16 +54,16 @@
         return path
 
     def reload(self, seen: str) -> None:
-        """SIGHUP, and its line in the log."""
+        """Send SIGHUP and wait until ``seen`` appears in the log once more."""
         before = self.log.read_text().count(seen)
         self.process.send_signal(signal.SIGHUP)
         until(lambda: self.log.read_text().count(seen) > before, seen)
 
     def free_port(self) -> int:
-        """A port that nobody else is given until the test's end."""
-        held = hold_port()
-        self.addCleanup(held.close)
-        return port_of(held)
+        """A port that the system assigns to no other process during the test."""
+        reserved = hold_port()
+        self.addCleanup(reserved.close)
+        return port_of(reserved)
 
     def start(self) -> None:
         self.port = self.free_port()
@@ -71,12 +71,12 @@
         self.addCleanup(self.kill)
         until(self._ready, "readiness")
 
-    def past_first_reads(self) -> None:
-        """From here on what a client hands in counts as having come now, however long the start took."""
-        time.sleep(FIRST_READS / 1e6)  # it listened before it was seen to be ready
+    def wait_past_first_reads(self) -> None:
+        """Wait until the relay no longer assumes that a request may have waited since the process started."""
+        time.sleep(FIRST_READS_US / 1e6)  # counted from the start of listening, which was before this call
 
     def spawn(self, path: Path, fds: tuple[int, ...] = (), **more: str) -> subprocess.Popen:
-        """A process of the relay, with that configuration and these variables besides."""
+        """Start a relay process with the configuration file ``path`` and additional environment variables."""
         env = os.environ | {
             "NODE_CONFIG": str(path),
             "NODE_STATE": str(self.state),
@@ -111,8 +111,8 @@
         if self.process is not None:
             self.process.wait(PATIENCE)
 
-    def door(self, call: str) -> tuple[int, dict]:
-        """The status and the object that the operators' door answers."""
+    def admin_call(self, call: str) -> tuple[int, dict]:
+        """Send a call to the admin server; its status and JSON object."""
         client = Client(self.admin)
         status, _headers, body = client.ask(f"{call} HTTP/1.1\r\n\r\n".encode())
         client.close()
@@ -130,10 +130,10 @@
         return until(lambda: self.discovery.notices.get(id), f"a notice for {id}")
 
     def counters(self) -> dict:
-        # Closed after use: with dozens at rest the relay would close the test's own client for room.
+        # Closed after use: with dozens of idle connections the relay would evict the test's own client.
         with contextlib.closing(Client(self.port)) as client:
             return json.loads(client.ask(b"GET /_counters HTTP/1.1\r\n\r\n")[2])
 
     def delivered(self, number: int) -> None:
-        # Each look is a connection more: at a two-hundredth of a second they filled the system's table of sockets.
+        # Each poll opens a connection: polled every 5 ms, they filled the system's socket table.
         until(lambda: self.counters().get("ends", {}).get("delivered", 0) >= number, f"{number} delivered", 0.05)
--- a/tests/relay/test_clients.py
+++ b/tests/relay/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what is no message, too much, or nothing; usual ones beside them."""
+"""Clients that send invalid requests, too much data or nothing, and well-behaved clients at the same time."""
 
 import json
 import socket
@@ -9,8 +9,8 @@
 
 
 class BadClients(NodeCase):
-    def ends(self, data: bytes, within: float) -> int | None:
-        """The status of the answer to these bytes, or None for a close; within seconds from connecting."""
+    def response_status(self, data: bytes, within: float) -> int | None:
+        """The status of the response to ``data``, or None for a close; it must arrive ``within`` seconds."""
         begun = time.monotonic()
         client = self.client()
         answer = client.ask(data)
@@ -19,22 +19,22 @@
 
     def test_silent_clients_and_endless_heads_are_closed_soon(self):
         self.start()
-        self.assertIsNone(self.ends(b"", 3.0))
-        self.assertEqual(self.ends(b"POST /api HT", 3.0), 408)
-        self.assertEqual(self.ends(message("m1")[:-1], 3.0), 408)
-        self.assertEqual(self.ends(b"POST /api HTTP/1.1\r\n" + b"X: y\r\n" * 101 + b"\r\n", 3.0), 431)
+        self.assertIsNone(self.response_status(b"", 3.0))
+        self.assertEqual(self.response_status(b"POST /api HT", 3.0), 408)
+        self.assertEqual(self.response_status(message("m1")[:-1], 3.0), 408)
+        self.assertEqual(self.response_status(b"POST /api HTTP/1.1\r\n" + b"X: y\r\n" * 101 + b"\r\n", 3.0), 431)
         self.assertIn("kind=client reason=silent", self.log.read_text())
 
     def test_connection_may_be_idle_after_a_response(self):
-        """Longer than one may stay silent at first: a new one would cost its client time."""
+        """A connection may be idle after a response for longer than a new one may take for its first request."""
         self.start()
         client = self.client()
         client.hand_in("m1")
-        self.assertIsNone(self.ends(b"", 3.0))
+        self.assertIsNone(self.response_status(b"", 3.0))
         self.assertEqual(client.hand_in("m2")[0], 202)
 
     def test_requests_that_are_no_message(self):
-        self.discovery.change()  # news, so that the first call is answered at once
+        self.discovery.change()  # a change, so that the first call is answered immediately
         self.start()
         until(lambda: self.counters().get("group", {}).get("answers"), "the list")
         two = message("m").replace(b"\r\n\r\n", b"\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -60,7 +60,7 @@
             (b"\r\n" * 200 + message("m"), 400),
         ]:
             with self.subTest(data=data[:300]):
-                self.assertEqual(self.ends(data, 3.0), status)
+                self.assertEqual(self.response_status(data, 3.0), status)
         self.assertEqual((self.counters().get("taken"), self.calls()), (None, []))
 
     def test_request_hidden_in_a_body_is_not_parsed(self):
@@ -74,11 +74,11 @@
         self.assertNotIn("taken", self.counters())
 
     def test_a_body_of_60_mb(self):
-        """Answered before its end, and what is read past it is bounded."""
+        """The request is rejected before its end, and the relay reads a bounded part of the rest."""
         self.start()
         client = self.client()
         client.socket.sendall(message("m", Content_Length=str(60 << 20)))
-        until(lambda: self.counters().get("reject", {}).get("status_413"), "the reject")
+        until(lambda: self.counters().get("reject", {}).get("status_413"), "the rejection")
         sent = 0
         try:
             while sent < 60 << 20:
@@ -122,12 +122,12 @@
 
         def one_more() -> bool:
             client = Client(self.port)
-            self.assertIn(client.hand_in(f"n{time.monotonic()}")[0], (202, 429))  # 429: beyond the partner's limit
+            self.assertIn(client.hand_in(f"n{time.monotonic()}")[0], (202, 429))  # 429: beyond the peer's limit
             client.close()
             return self.log.read_text().count("kind=client reason=crowded") >= 20
 
-        until(one_more, "the end of those at rest")
-        self.assertIn(stay[-1].hand_in("last")[0], (202, 429))  # the longest at rest went first
+        until(one_more, "evictions of idle connections")
+        self.assertIn(stay[-1].hand_in("last")[0], (202, 429))  # the longest idle were evicted first
 
     def test_client_that_never_reads_does_not_keep_its_descriptor(self):
         self.start()
@@ -135,22 +135,22 @@
         self.addCleanup(client.close)
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1)
         client.socket.sendall(b"GET /_counters HTTP/1.1\r\n\r\n" * 10 + b"nonsense\r\n\r\n")
-        until(lambda: "kind=client reason=malformed" in self.log.read_text(), "its end")
+        until(lambda: "kind=client reason=malformed" in self.log.read_text(), "the close")
 
     def test_unknown_destination_before_the_first_list(self):
-        """What is known may be old then: it is put off, not failed."""
+        """The stored list may be outdated, so the client is asked to retry instead of getting a 404."""
         self.discovery.failing = True
         self.start()
         status, headers, _ = self.client().hand_in("m1", dest=77)
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["retry-after"]), 0)
         self.discovery.failing = False
-        until(lambda: self.client().hand_in("m1", dest=77)[0] == 404, "the reject")
+        until(lambda: self.client().hand_in("m1", dest=77)[0] == 404, "the rejection")
 
 
 class Tables(NodeCase):
     def test_replaced_endpoints_leak_nothing(self):
-        """Forty of them, each in the place of the one before; health, numbers and connections go with it."""
+        """Each of forty endpoints replaces the previous one, whose health, numbers and connections are released."""
         self.start()
         until(lambda: len(self.discovery.calls) >= 2, "the watch")
         client, at = self.client(), self.peer.at
@@ -163,8 +163,8 @@
                 lambda v=number: any(f"after={v}&" in call[0] for _, call in list(self.discovery.calls)),
                 "the next watch",
             )
-            # At most once, as a slow machine's late answer would have another class called a second time.
+            # A class without repeats: on a slow machine a late response would cause a second call in others.
             self.assertEqual(client.hand_in(f"m{number}", "once")[0], 202)
             self.delivered(number - 1)
         self.assertEqual((self.peer.opened, self.peer.at), (40, at))
-        until(lambda: len(self.peer.open) <= 1, "the end of the connections of those that left")
+        until(lambda: len(self.peer.open) <= 1, "the connections of removed endpoints to close")
--- a/tests/relay/test_close_reason.py
+++ b/tests/relay/test_close_reason.py
@@ -1,4 +1,4 @@
-"""Reasons of closed connections: in either format of the log they stand as plain words."""
+"""Reasons for closed connections are logged as plain words in both log formats."""
 
 import io
 import json
--- a/tests/relay/test_components.py
+++ b/tests/relay/test_components.py
@@ -1,4 +1,4 @@
-"""Components: each is named by its module and class, which are imported only where it is enabled."""
+"""Each component is specified by its module and class, which can be imported."""
 
 import pytest
 
--- a/tests/relay/test_connection_budget.py
+++ b/tests/relay/test_connection_budget.py
@@ -1,4 +1,4 @@
-"""Who goes first when connections or bytes run short, and what usual clients and byte-wise partners see of it."""
+"""Eviction at the limits of connections and buffered bytes, and its effect on well-behaved clients and slow peers."""
 
 import resource
 import socket
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from lab.standins import Client, message, reply, until
-from lynxscale.relay.connection_budget import IDLE_GRACE, SILENT_GRACE, ConnectionBudget
+from lynxscale.relay.connection_budget import IDLE_GRACE_US, SILENT_GRACE_US, ConnectionBudget
 from tests.relay.node import NodeCase
 
 
 def test_eviction_order():
     budget = ConnectionBudget(100)
-    for place, at in ((1, 0), (2, 10), (3, 900_000), (4, 990_000)):
-        budget.opened(place, at)
+    for slot, at in ((1, 0), (2, 10), (3, 900_000), (4, 990_000)):
+        budget.opened(slot, at)
     budget.opened(5, 100)
     budget.idle(5, 200_000)
     budget.opened(6, 100)
@@ -26,9 +26,9 @@
     budget.busy(6)
     budget.idle(6, 999_000)
     now = 1_000_000
-    assert list(budget.silent(now, SILENT_GRACE)) == [1, 2, 3] and list(budget.long_idle(now)) == [5]
-    leavers = list(dict.fromkeys(budget.eviction_candidates(now)))
-    assert leavers == [1, 2, 3, 5, 4, 6]  # the youngest, 7, has just come
+    assert list(budget.without_request(now, SILENT_GRACE_US)) == [1, 2, 3] and list(budget.long_idle(now)) == [5]
+    evicted = list(dict.fromkeys(budget.eviction_candidates(now)))
+    assert evicted == [1, 2, 3, 5, 4, 6]  # 7, the youngest, is not evicted
     budget.closing(1)
     assert next(budget.eviction_candidates(now)) == 2
     budget.buffer(3, 60)
@@ -46,26 +46,26 @@
     )
 )
 def test_buffered_bytes_add_up_and_busy_connections_are_never_evicted(steps):
-    budget, held, at_work, now = ConnectionBudget(50), {}, set(), 0
-    for what, place in steps:
+    budget, buffered, not_evictable, now = ConnectionBudget(50), {}, set(), 0
+    for event, slot in steps:
         now += 40_000
-        if what == "buffer":
-            held[place] = (now // 40_000) % 30
-            budget.buffer(place, held[place])
-        elif what in ("opened", "idle"):
-            getattr(budget, what)(place, now)
-            at_work.discard(place)
+        if event == "buffer":
+            buffered[slot] = (now // 40_000) % 30
+            budget.buffer(slot, buffered[slot])
+        elif event in ("opened", "idle"):
+            getattr(budget, event)(slot, now)
+            not_evictable.discard(slot)
         else:
-            getattr(budget, what)(place)
-            if what == "closing":
-                held.pop(place, None)
-                at_work.add(place)
-    assert budget.buffered == sum(held.values())
-    assert not at_work & set(budget.eviction_candidates(now + IDLE_GRACE))
+            getattr(budget, event)(slot)
+            if event == "closing":
+                buffered.pop(slot, None)
+                not_evictable.add(slot)
+    assert budget.buffered == sum(buffered.values())
+    assert not not_evictable & set(budget.eviction_candidates(now + IDLE_GRACE_US))
     assert (budget.buffered > 50) == bool(list(budget.over_buffered())[:1])
 
 
-class LessRoom(NodeCase):
+class LimitedResources(NodeCase):
     def test_hundreds_of_incomplete_requests_do_not_fill_the_memory(self):
         self.limits |= {"sockets": 1024, "memory_mb": 40}
         self.start()
@@ -75,19 +75,19 @@
         clients = [Client(self.port) for _ in range(400)]
         for client in clients:
             client.socket.sendall(half)
-        until(lambda: "kind=client reason=heavy" in self.log.read_text(), "the first to go")
+        until(lambda: "kind=client reason=heavy" in self.log.read_text(), "the first eviction")
         self.assertLess(self.resident() - before, 12_000)
         self.assertEqual(self.client().hand_in("usual")[0], 202)
         for client in clients:
             client.close()
 
     def resident(self) -> int:
-        """KB"""
+        """The relay's resident memory in KB."""
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         return int(next(line for line in lines if line.startswith("VmRSS")).split()[1])
 
     def test_crowd_over_the_limit_leaves_a_usual_client_served(self):
-        """Connections that idle or stop half way come without end; the usual one asks once in a while."""
+        """Idle and half-written connections are opened continuously; a well-behaved client is still served quickly."""
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (min(hard, 4096), hard))
         self.addCleanup(resource.setrlimit, resource.RLIMIT_NOFILE, (soft, hard))
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The real program, spoken to as a client, as peers and as discovery would."""
+"""A relay process, tested from outside: by clients, peers and discovery."""
 
 import json
 import os
@@ -17,13 +17,13 @@
 from tests.relay.node import ROOT, NodeCase
 
 
-def never(_call):
-    """A peer that takes calls and answers none."""
+def no_response(_call):
+    """A peer that reads calls and never responds."""
     return b""
 
 
-def disk(folder) -> int:
-    """Bytes of all files."""
+def folder_size(folder) -> int:
+    """The total size of all files in bytes."""
     return sum(path.stat().st_size for path in folder.rglob("*") if path.is_file())
 
 
@@ -47,25 +47,25 @@
         self.assertEqual((len(self.calls()), self.peer.opened), (20, 1))
 
     def test_resent_request_is_accepted_once(self):
-        self.act = never
+        self.act = no_response
         self.start()
         for _ in range(2):
             self.assertEqual(self.client().hand_in("m1")[0], 202)
         self.assertEqual(self.counters()["taken"], {"again": 1, "safe": 1})
 
     def test_more_clients_than_descriptors(self):
-        """The longest idle connections go, and everybody is served."""
+        """The longest idle connections are evicted, and every client is served."""
         self.limits["sockets"] = 64
         self.start()
         clients = [self.client() for _ in range(100)]
         self.assertEqual(clients[-1].hand_in("last")[0], 202)
         for number in range(40):
             self.assertEqual(self.client().hand_in(f"m{number}")[0], 202)
-        until(lambda: "kind=client reason=crowded" in self.log.read_text(), "a crowded connection's line")
+        until(lambda: "kind=client reason=crowded" in self.log.read_text(), "a log line of an evicted connection")
         self.assertLess(len(os.listdir(f"/proc/{self.process.pid}/fd")), 64)
 
     def test_no_descriptor_left(self):
-        """Neither connections nor tries that get no descriptor end the relay; later ones are served."""
+        """Connections and attempts that get no descriptor do not stop the relay; later ones succeed."""
         self.start()
         client = self.client()
         client.hand_in("m1")
@@ -75,7 +75,7 @@
         used = max(int(name) for name in os.listdir(f"/proc/{pid}/fd")) + 1
         resource.prlimit(pid, resource.RLIMIT_NOFILE, (used, before[1]))
         waiting = [Client(self.port) for _ in range(10)]
-        self.act = lambda call: b""  # the open connection stays taken: the next try needs a new one
+        self.act = lambda call: b""  # the open connection stays busy, so the next attempt needs a new one
         client.hand_in("m2")
         until(lambda: self.calls("m2"), "the call")
         client.hand_in("m3")
@@ -117,7 +117,7 @@
         self.assertEqual(self.client().hand_in("fine")[0], 202)
 
     def test_limit_of_pending_messages(self):
-        self.act = never
+        self.act = no_response
         self.allowed["most_held"] = 5
         self.start()
         client = self.client()
@@ -128,7 +128,7 @@
         self.assertGreater(float(headers["retry-after"]), 0)
 
     def test_scheduler_sets_retry_after(self):
-        """Given up in the step that takes it: refused at once, and told when to come back."""
+        """A message rejected in the step that receives it gets the scheduler's Retry-After."""
         self.act = lambda call: reply(200)
         self.start()
         status, headers, _ = self.client().hand_in("late", left=0.0)
@@ -136,11 +136,11 @@
         self.assertGreater(float(headers["retry-after"]), 0)
 
     def test_full_disk(self):
-        """Rejected while the journal has no room, taken again once it has, and never over the limit."""
+        """Messages are rejected while the journal is full, accepted again later, and its limit is never exceeded."""
         self.limits["disk_mb"] = 0.2
-        self.act = never
+        self.act = no_response
         self.start()
-        self.past_first_reads()
+        self.wait_past_first_reads()
         client, statuses = self.client(), []
         for number in range(10):
             statuses.append(client.hand_in(f"m{number}", left=1.5, body=b"x" * 20000)[0])
@@ -148,11 +148,11 @@
         for number in range(statuses.count(202)):
             self.notice(f"m{number}")
         self.act = lambda call: reply(200)
-        until(lambda: client.hand_in(f"n{time.monotonic()}", body=b"x" * 20000)[0] == 202, "room again")
-        self.assertLess(disk(self.state), 200_000)
+        until(lambda: client.hand_in(f"n{time.monotonic()}", body=b"x" * 20000)[0] == 202, "space in the journal")
+        self.assertLess(folder_size(self.state), 200_000)
 
 
-class Tries(NodeCase):
+class Attempts(NodeCase):
     def test_rejections_are_retried(self):
         answers = [reply(503), reply(503, b"", "X-No-Slot: 1"), reply(200)]
         self.act = lambda call: answers.pop(0)
@@ -167,12 +167,12 @@
         self.start()
         client = self.client()
         client.hand_in("m0")
-        until(lambda: self.counters().get("tries", {}).get("full"), "the refusal")
-        told = self.peer.calls[0][0]
+        until(lambda: self.counters().get("tries", {}).get("full"), "the rejection")
+        asked_at = self.peer.calls[0][0]
         for number in range(1, 6):
             client.hand_in(f"m{number}")
         self.delivered(6)
-        self.assertGreaterEqual(min(at for at, _ in self.peer.calls[1:]) - told, 0.7)
+        self.assertGreaterEqual(min(at for at, _ in self.peer.calls[1:]) - asked_at, 0.7)
 
     def test_message_that_may_have_run_is_not_sent_twice(self):
         self.act = lambda call: None
@@ -189,19 +189,19 @@
         self.assertEqual(len(self.calls("m1")), 2)
 
     def test_deadline_expires(self):
-        self.act = never
+        self.act = no_response
         self.start()
-        self.past_first_reads()
+        self.wait_past_first_reads()
         begun = time.monotonic()
         self.client().hand_in("m1", "once", left=1.0)
         self.client().hand_in("m2", "safe", left=1.0)
         self.assertEqual(self.notice("m1")["status"], "undeliverable")
         self.assertEqual(self.notice("m2")["status"], "deferred")
-        self.assertGreaterEqual(time.monotonic() - begun, 0.5)  # a margin before its time, as clocks differ
-        until(lambda: not self.peer.open, "the end of the connections of what timed out")
+        self.assertGreaterEqual(time.monotonic() - begun, 0.5)  # messages end a margin before their deadline
+        until(lambda: not self.peer.open, "the connections of timed-out attempts to close")
 
     def test_refused_connection_has_run_nothing(self):
-        gone = Server(never)
+        gone = Server(no_response)
         gone.close()
         self.discovery.rows = [row("s-1", gone.at, 1)]
         self.start()
@@ -218,7 +218,7 @@
         self.assertEqual((len(self.calls("m1")), self.discovery.notices), (1, {}))
 
     def test_closed_connection_is_not_written_to(self):
-        """The peer closes an idle connection; a message that must not run twice still gets through."""
+        """The peer closes an idle connection; a message that must not be repeated is still delivered."""
         self.start()
         client = self.client()
         for number in range(10):
@@ -235,8 +235,8 @@
         self.start()
 
     def test_each_open_message_is_ended_after_a_restart(self):
-        self.act = never
-        self.discovery.rows.append(row("s-9", self.peer.at, 9, "draining"))  # nothing new goes there
+        self.act = no_response
+        self.discovery.rows.append(row("s-9", self.peer.at, 9, "draining"))  # gets no new messages
         self.start()
         client = self.client()
         for cls in ("once", "keyed", "safe"):
@@ -262,7 +262,7 @@
         self.act = lambda call: reply(429, b"", "Retry-After: 3")
         self.start()
         self.client().hand_in("m1", "once")
-        until(lambda: self.counters().get("tries", {}).get("full"), "the refusal")
+        until(lambda: self.counters().get("tries", {}).get("full"), "the rejection")
         self.kill()
         self.act = lambda call: reply(200)
         self.start()
@@ -274,13 +274,13 @@
         self.act = lambda call: reply(503)
         self.start()
         self.client().hand_in("m1", "safe")
-        until(lambda: self.counters().get("tries", {}).get("full") == 2, "two refusals")
+        until(lambda: self.counters().get("tries", {}).get("full") == 2, "two rejections")
         self.restart()
         self.assertEqual(self.notice("m1")["status"], "deferred")
         self.assertEqual(len(self.calls("m1")), 3)
 
     def test_torn_journal_tail_costs_only_itself(self):
-        self.act = never
+        self.act = no_response
         self.start()
         self.client().hand_in("m1", "safe")
         until(lambda: self.calls("m1"), "the call")
@@ -323,7 +323,7 @@
         for number in range(60):
             self.assertEqual(client.hand_in(f"m{number}", body=b"x" * 8000)[0], 202)
             self.delivered(number + 1)
-            self.assertLess(disk(self.state), 200_000)
+            self.assertLess(folder_size(self.state), 200_000)
 
 
 class Stopping(NodeCase):
@@ -338,7 +338,7 @@
         until(lambda: "event=stopping" in self.log.read_text(), "the stop")
         status, headers, _ = client.hand_in("m2")
         self.assertEqual((status, headers["connection"]), (202, "close"))
-        self.assertEqual(self.client().hand_in("m3")[0], 202)  # new connections still come
+        self.assertEqual(self.client().hand_in("m3")[0], 202)  # new connections are still accepted
         self.assertEqual(other.stream.read(), b"")  # an idle one is closed
         go.set()
         self.assertEqual(self.process.wait(PATIENCE), 0)
@@ -346,14 +346,14 @@
         self.assertIn("event=counters group=ends delivered=3", self.log.read_text())
 
     def test_sigterm_leaves_unfinished_messages_in_the_journal(self):
-        self.act = never
+        self.act = no_response
         self.start()
         self.client().hand_in("m1", "safe")
         until(lambda: self.calls("m1"), "the call")
         begun = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(PATIENCE), 0)
-        # 3.5 s, and what a busy machine takes for the process's end; the message itself has 16 s.
+        # 3.5 s, and a margin for the exit on a busy machine; the message's deadline is after 16 s.
         self.assertLess(time.monotonic() - begun, 8.0)
         self.act = lambda call: reply(200)
         self.start()
--- a/tests/relay/test_lifecycle.py
+++ b/tests/relay/test_lifecycle.py
@@ -1,32 +1,32 @@
-"""Drain and stop: every state against every event, and any order of them."""
+"""Drain and stop: every call in every state, and random sequences of calls."""
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from lynxscale.relay.lifecycle import (
-    CLOSE_IDLE_AT,
-    EXIT_AT,
-    HANDOVER_CLOSE_IDLE_AT,
-    STOP_ACCEPTING_AT,
-    STOP_SENDING_AT,
+    CLOSE_IDLE_AT_US,
+    EXIT_AT_US,
+    HANDOVER_CLOSE_IDLE_AT_US,
+    STOP_ACCEPTING_AT_US,
+    STOP_SENDING_AT_US,
     Lifecycle,
     LifecycleAction,
     State,
 )
 
-WAYS = {  # how to come there: each step a call, or a look after so many µs with so many clients
+STEPS_TO_STATE = {  # steps: a call, or (µs to wait, number of open clients) before advance()
     State.SERVING: [],
     State.NOT_READY: ["drain"],
-    State.CLOSING_CLIENTS: ["drain", (CLOSE_IDLE_AT, 1)],
-    State.DRAINED: ["drain", (CLOSE_IDLE_AT, 0)],
+    State.CLOSING_CLIENTS: ["drain", (CLOSE_IDLE_AT_US, 1)],
+    State.DRAINED: ["drain", (CLOSE_IDLE_AT_US, 0)],
     State.HANDING_OVER: ["hand"],
     State.STOP_NOT_READY: ["stop"],
-    State.STOP_CLOSING_CLIENTS: ["stop", (CLOSE_IDLE_AT, 1)],
-    State.STOP_FINISHING: ["stop", (STOP_ACCEPTING_AT, 1)],
-    State.EXITED: ["stop", (STOP_ACCEPTING_AT, 1), (0, 0)],
+    State.STOP_CLOSING_CLIENTS: ["stop", (CLOSE_IDLE_AT_US, 1)],
+    State.STOP_FINISHING: ["stop", (STOP_ACCEPTING_AT_US, 1)],
+    State.EXITED: ["stop", (STOP_ACCEPTING_AT_US, 1), (0, 0)],
 }
-AFTER = {  # quiesce, resume, stop
+STATE_AFTER_CALL = {  # after drain, resume, stop
     State.SERVING: (State.NOT_READY, State.SERVING, State.STOP_NOT_READY),
     State.NOT_READY: (State.NOT_READY, State.SERVING, State.STOP_NOT_READY),
     State.CLOSING_CLIENTS: (State.CLOSING_CLIENTS, State.SERVING, State.STOP_CLOSING_CLIENTS),
@@ -39,71 +39,76 @@
 }
 
 
-def come_to(state: State) -> tuple[Lifecycle, int]:
-    life, now = Lifecycle(), 1_000_000
-    for step in WAYS[state]:
+def lifecycle_in(state: State) -> tuple[Lifecycle, int]:
+    lifecycle, now = Lifecycle(), 1_000_000
+    for step in STEPS_TO_STATE[state]:
         if step == "hand":
-            life.stop(now, successor=True)
+            lifecycle.stop(now, successor=True)
         elif isinstance(step, str):
-            getattr(life, step)(now)
+            getattr(lifecycle, step)(now)
         else:
             now += step[0]
-            life.advance(now, step[1], bool(step[1]))
-    assert life.state is state
-    return life, now
+            lifecycle.advance(now, step[1], bool(step[1]))
+    assert lifecycle.state is state
+    return lifecycle, now
 
 
 @pytest.mark.parametrize("state", list(State))
-@pytest.mark.parametrize("place,event", enumerate(("drain", "resume", "stop")))
-def test_each_call_in_each_state(state, place, event):
-    life, now = come_to(state)
-    said = life.resume() if event == "resume" else getattr(life, event)(now)
-    assert life.state is AFTER[state][place]
-    assert event != "resume" or said == (not life.stopping)
-    assert life.serving == (life.state is State.SERVING)
+@pytest.mark.parametrize("column,event", enumerate(("drain", "resume", "stop")))
+def test_each_call_in_each_state(state, column, event):
+    lifecycle, now = lifecycle_in(state)
+    resumed = lifecycle.resume() if event == "resume" else getattr(lifecycle, event)(now)
+    assert lifecycle.state is STATE_AFTER_CALL[state][column]
+    assert event != "resume" or resumed == (not lifecycle.stopping)
+    assert lifecycle.serving == (lifecycle.state is State.SERVING)
 
 
 def test_stop_takes_its_steps_at_their_times():
-    life, now = come_to(State.STOP_NOT_READY)
-    told = [(at, order) for at in range(0, EXIT_AT + 1, 50_000) for order in life.advance(now + at, 1, True)]
-    firsts = {order: next(at for at, other in told if other is order) for order in {order for _, order in told}}
+    lifecycle, now = lifecycle_in(State.STOP_NOT_READY)
+    actions = [
+        (at, action) for at in range(0, EXIT_AT_US + 1, 50_000) for action in lifecycle.advance(now + at, 1, True)
+    ]
+    firsts = {
+        action: next(at for at, other in actions if other is action) for action in {action for _, action in actions}
+    }
     assert firsts == {
-        LifecycleAction.CLOSE_IDLE_CLIENTS: CLOSE_IDLE_AT,
-        LifecycleAction.STOP_ACCEPTING: STOP_ACCEPTING_AT,
-        LifecycleAction.STOP_SENDING: STOP_SENDING_AT,
-        LifecycleAction.EXIT: EXIT_AT,
+        LifecycleAction.CLOSE_IDLE_CLIENTS: CLOSE_IDLE_AT_US,
+        LifecycleAction.STOP_ACCEPTING: STOP_ACCEPTING_AT_US,
+        LifecycleAction.STOP_SENDING: STOP_SENDING_AT_US,
+        LifecycleAction.EXIT: EXIT_AT_US,
     }
-    assert [order for _, order in told].count(LifecycleAction.STOP_SENDING) == 1
+    assert [action for _, action in actions].count(LifecycleAction.STOP_SENDING) == 1
 
 
 def test_handover_closes_the_listener_first_and_idle_connections_later():
-    life, now = come_to(State.HANDING_OVER)
-    assert life.ready and not life.serving
-    assert life.advance(now, 2, True) == [LifecycleAction.STOP_ACCEPTING]
-    assert life.advance(now + HANDOVER_CLOSE_IDLE_AT - 1, 2, False) == [
-        LifecycleAction.RELEASE
-    ]  # messages that wait are the heir's
-    assert life.advance(now + HANDOVER_CLOSE_IDLE_AT, 1, False) == [
+    lifecycle, now = lifecycle_in(State.HANDING_OVER)
+    assert lifecycle.ready and not lifecycle.serving
+    assert lifecycle.advance(now, 2, True) == [LifecycleAction.STOP_ACCEPTING]
+    # Waiting messages are released to the successor.
+    assert lifecycle.advance(now + HANDOVER_CLOSE_IDLE_AT_US - 1, 2, False) == [LifecycleAction.RELEASE]
+    assert lifecycle.advance(now + HANDOVER_CLOSE_IDLE_AT_US, 1, False) == [
         LifecycleAction.CLOSE_IDLE_CLIENTS,
         LifecycleAction.RELEASE,
     ]
-    assert life.advance(now + HANDOVER_CLOSE_IDLE_AT + 1, 0, True) == [
+    assert lifecycle.advance(now + HANDOVER_CLOSE_IDLE_AT_US + 1, 0, True) == [
         LifecycleAction.CLOSE_IDLE_CLIENTS,
         LifecycleAction.RELEASE,
     ]
     assert (
-        life.advance(now + HANDOVER_CLOSE_IDLE_AT + 2, 0, False)
+        lifecycle.advance(now + HANDOVER_CLOSE_IDLE_AT_US + 2, 0, False)
         == [LifecycleAction.CLOSE_IDLE_CLIENTS, LifecycleAction.EXIT]
-        and life.state is State.EXITED
+        and lifecycle.state is State.EXITED
     )
-    life, now = come_to(State.HANDING_OVER)
-    life.advance(now, 2, True)
-    assert LifecycleAction.EXIT in life.advance(now + EXIT_AT, 2, True)
+    lifecycle, now = lifecycle_in(State.HANDING_OVER)
+    lifecycle.advance(now, 2, True)
+    assert LifecycleAction.EXIT in lifecycle.advance(now + EXIT_AT_US, 2, True)
 
 
 def test_drained_relay_stays_drained_and_closes_readiness_connections():
-    life, now = come_to(State.DRAINED)
-    assert life.advance(now + 1, 1, True) == [LifecycleAction.CLOSE_IDLE_CLIENTS] and life.state is State.DRAINED
+    lifecycle, now = lifecycle_in(State.DRAINED)
+    assert (
+        lifecycle.advance(now + 1, 1, True) == [LifecycleAction.CLOSE_IDLE_CLIENTS] and lifecycle.state is State.DRAINED
+    )
 
 
 @settings(max_examples=300, deadline=None)
@@ -114,18 +119,18 @@
     )
 )
 def test_in_any_order(steps):
-    """A stop cannot be taken back and ends; a relay that was drained for long holds nobody without closing it."""
-    life, now, stopped = Lifecycle(), 0, None
+    """A stop is irreversible and ends by EXIT_AT; a drain closes idle clients from CLOSE_IDLE_AT on."""
+    lifecycle, now, stopped = Lifecycle(), 0, None
     for step in steps:
         if isinstance(step, str):
-            getattr(life, step)(*(() if step == "resume" else (now,)))
+            getattr(lifecycle, step)(*(() if step == "resume" else (now,)))
             stopped = now if step == "stop" and stopped is None else stopped
             continue
         now += step[0]
-        orders = life.advance(now, step[1], True)
-        assert (LifecycleAction.CLOSE_IDLE_CLIENTS in orders) <= (not life.serving)
-        assert (stopped is None) == (not life.stopping)
-        if life.state in (State.CLOSING_CLIENTS, State.DRAINED) and step[1]:
-            assert orders == [LifecycleAction.CLOSE_IDLE_CLIENTS]
-        if stopped is not None and now >= stopped + EXIT_AT:
-            assert life.advance(now, 1, True) == [] or life.state is State.EXITED
+        actions = lifecycle.advance(now, step[1], True)
+        assert (LifecycleAction.CLOSE_IDLE_CLIENTS in actions) <= (not lifecycle.serving)
+        assert (stopped is None) == (not lifecycle.stopping)
+        if lifecycle.state in (State.CLOSING_CLIENTS, State.DRAINED) and step[1]:
+            assert actions == [LifecycleAction.CLOSE_IDLE_CLIENTS]
+        if stopped is not None and now >= stopped + EXIT_AT_US:
+            assert lifecycle.advance(now, 1, True) == [] or lifecycle.state is State.EXITED
--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -1,7 +1,7 @@
-"""Rare moments in which something is still owed: each made to come in its bad order, every time.
+"""Race conditions between deadlines and input, each reproduced deterministically in its unfavourable order.
 
-The relay is stopped (SIGSTOP) over the instant at which one of its deadlines falls due, so that on going on it meets
-the deadline before it can read what has come meanwhile; lists, connections and answers come late by scripted peers.
+The relay is stopped (SIGSTOP) while one of its deadlines passes, so that on SIGCONT it handles the deadline before it
+reads the input that arrived meanwhile. Scripted peers delay lists, connections and responses.
 """
 
 import contextlib
@@ -18,8 +18,8 @@
 from tests.scheduling.driver import KEYED, SAFE, UNSAFE, Driver, member
 
 
-class Frozen(contextlib.AbstractContextManager):
-    """Stops a process for the time of a block."""
+class StoppedProcess(contextlib.AbstractContextManager):
+    """Stops a process for the duration of a with block."""
 
     def __init__(self, process) -> None:
         self._process = process
@@ -36,9 +36,12 @@
         self._process.send_signal(signal.SIGCONT)
 
 
-def rows_at(port: int, clients: list[socket.socket]) -> list[list[str]]:
-    """The rows of these clients at the process that listens at ``port``, by one look at the system's table: with tens
-    of thousands of closed connections in it a look for each would outlast what is looked for."""
+def socket_rows(port: int, clients: list[socket.socket]) -> list[list[str]]:
+    """The rows of /proc/net/tcp for the server side of these clients' connections to ``port``.
+
+    The table is read once for all clients: with tens of thousands of closed connections in it, reading it for each
+    client would take longer than the state that the test waits for.
+    """
     with open("/proc/net/tcp") as table:
         found = {
             row[2][-5:]: row
@@ -49,30 +52,30 @@
     return [found.get(f":{client.getsockname()[1]:04X}", []) for client in clients]
 
 
-def unread_at(port: int, *clients: socket.socket) -> int:
-    """The least number of bytes of any of these that the process has not read yet."""
-    return min(int(row[4].partition(":")[2], 16) if row else 0 for row in rows_at(port, list(clients)))
+def min_unread_bytes(port: int, *clients: socket.socket) -> int:
+    """The minimum, over these clients, of the bytes that the relay has not read yet."""
+    return min(int(row[4].partition(":")[2], 16) if row else 0 for row in socket_rows(port, list(clients)))
 
 
-def accepted_at(port: int, client: socket.socket) -> bool:
-    """Has the process that listens at ``port`` accepted this client? Only then has its socket an inode there."""
-    (row,) = rows_at(port, [client])
+def is_accepted(port: int, client: socket.socket) -> bool:
+    """Has the process that listens on ``port`` accepted this client? Before that, the socket has no inode."""
+    (row,) = socket_rows(port, [client])
     return bool(row) and row[9] != "0"
 
 
 def sleep_until(at: float) -> None:
-    """For instants that only the clock brings: the relay's own deadlines."""
+    """Sleep until a monotonic time, for the relay's deadlines, which no event announces."""
     time.sleep(max(0.0, at - time.monotonic()))
 
 
 class Clients(NodeCase):
     def test_request_in_the_instant_of_a_timeout_is_answered(self):
-        """A connection with no request for two seconds is closed; this one's comes as the two seconds end."""
+        """A connection without a request is closed after two seconds; this request arrives just as they end."""
         self.start()
         begun = time.monotonic()
         client = self.client()
         sleep_until(begun + 1.5)
-        with Frozen(self.process):
+        with StoppedProcess(self.process):
             client.socket.sendall(message("m1"))
             sleep_until(begun + 2.3)
         answer = read_http(client.stream)
@@ -86,15 +89,15 @@
         client, data = self.client(), message("m1")
         client.socket.sendall(data[:40])
         sleep_until(begun + 1.5)
-        with Frozen(self.process):
+        with StoppedProcess(self.process):
             client.socket.sendall(data[40:])
             sleep_until(begun + 2.3)
         self.assertIn(" 202 ", read_http(client.stream)[0])
 
     def test_timeout_is_delayed_once_only(self):
-        """One of whose bytes there is always one unread at that instant goes, all the same.
+        """A client that has an unread byte at every check is closed nevertheless.
 
-        In each round the relay meets the deadline with a byte unread, and then reads that.
+        In each round the relay handles the deadline while a byte is unread, and then reads it.
         """
         self.start()
         begun = time.monotonic()
@@ -112,11 +115,12 @@
         rounds = 0
         while not answered() and rounds < 30:
             rounds += 1
-            with Frozen(self.process):
+            with StoppedProcess(self.process):
                 client.socket.sendall(b"x")
                 sleep_until(max(begun + 2.3, time.monotonic() + 0.06))
             end = time.monotonic() + PATIENCE
-            while unread_at(self.port, client.socket) and not answered():  # without a rest: it is stopped again at once
+            # No sleep in this loop: the relay is to be stopped again immediately.
+            while min_unread_bytes(self.port, client.socket) and not answered():
                 self.assertLess(time.monotonic(), end)
         self.assertLessEqual(rounds, 6)
 
@@ -130,47 +134,50 @@
         self.assertIn(" 202 ", answer[0])
         self.assertEqual(client.stream.read(), b"")
         self.delivered(1)
-        until(lambda: self.counters()["connections"]["client_opened"] >= 2, "it is asked")
+        until(lambda: self.counters()["connections"]["client_opened"] >= 2, "the counters' own connection")
         self.assertIn("kind=client reason=far_closed calls=1", self.log.read_text())
 
     def test_client_evicted_for_bytes_gets_its_response(self):
-        """The rest of a message, and behind it so much of the next that the connection goes for its bytes."""
-        self.limits["memory_mb"] = 2  # 105 kB for requests that are half sent
+        """A request is completed together with so much of the next one that the connection is evicted for its bytes."""
+        self.limits["memory_mb"] = 2  # 105 kB for incomplete requests
         self.start()
         first, *others = [self.client() for _ in range(3)]
         data = message("m1", body=bytes(20_000))
-        first.socket.sendall(data[:-1])  # the first to be half sent, and so the first to go
+        first.socket.sendall(data[:-1])  # the oldest incomplete request, so it is evicted first
         for other in others:
             other.socket.sendall(message("m", body=bytes(30_000))[:-1])
-        self.counters()  # asked after them
-        with Frozen(self.process):
-            first.socket.sendall(data[-1:] + message("m2", body=bytes(60_000))[:-1])  # read at once, then
+        self.counters()  # once this is answered, the relay has read them
+        with StoppedProcess(self.process):
+            first.socket.sendall(data[-1:] + message("m2", body=bytes(60_000))[:-1])  # read in one turn
         answer = read_http(first.stream)
         self.assertIsNotNone(answer)
         self.assertIn(" 202 ", answer[0])
         self.assertEqual(answer[1].get("connection"), "close")
 
     def test_clients_that_disconnect_in_a_burst_before_admission(self):
-        """All is read in the turn in which they have gone already: each message has its end, no connection stays."""
+        """Requests are read after their clients have disconnected: each is processed, and no connection remains."""
         self.start()
         clients = [self.client() for _ in range(20)]
-        with Frozen(self.process):
+        with StoppedProcess(self.process):
             for number, client in enumerate(clients):
                 client.socket.sendall(message(f"m{number}"))
                 client.close()
         self.delivered(20)
-        until(lambda: self.log.read_text().count("kind=client reason=far_closed calls=1") >= 20, "they are let go")
+        until(
+            lambda: self.log.read_text().count("kind=client reason=far_closed calls=1") >= 20,
+            "the connections to close",
+        )
         self.assertEqual(self.client().hand_in("next")[0], 202)
 
     def test_exit_waits_for_an_incomplete_request(self):
-        """It holds nothing and listens no more, and one client has sent half of its message."""
+        """The relay has no pending message and its listener is closed, but a client has sent half of a request."""
         self.start()
         client, data = self.client(), message("m1")
         client.socket.sendall(data[:40])
         until(lambda: self.counters()["connections"]["client_opened"] >= 2, "the connection")
         self.process.send_signal(signal.SIGTERM)
         until(lambda: "state=stop_finishing" in self.log.read_text(), "the end of listening")
-        time.sleep(0.3)  # six looks, at the first of which it could leave
+        time.sleep(0.3)  # six checks, at the first of which it could exit
         client.socket.sendall(data[40:])
         self.assertIn(" 202 ", read_http(client.stream)[0])
         self.assertEqual(self.process.wait(PATIENCE), 0)
@@ -181,7 +188,7 @@
         begun = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
         until(lambda: "event=stopping" in self.log.read_text(), "the stop")
-        with Frozen(self.process):
+        with StoppedProcess(self.process):
             clients = [self.client() for _ in range(12)]
             for number, client in enumerate(clients):
                 client.socket.sendall(message(f"m{number}"))
@@ -191,22 +198,22 @@
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
     def test_connections_over_the_limit_are_answered_at_the_stop(self):
-        """Every descriptor is held by half a request: the queue cannot be taken in when listening is to end."""
-        self.limits["sockets"] = 64  # of these eleven are for clients
+        """Incomplete requests take all descriptors, so queued connections are accepted only as others close."""
+        self.limits["sockets"] = 64  # eleven of these are for clients
         self.start()
-        kept = []
+        incomplete = []
         for number in range(11):
-            kept.append(self.client())
-            kept[-1].socket.sendall(message(f"first{number}") + message(f"m{number}")[:40])
-            self.assertIn(" 202 ", read_http(kept[-1].stream)[0])
+            incomplete.append(self.client())
+            incomplete[-1].socket.sendall(message(f"first{number}") + message(f"m{number}")[:40])
+            self.assertIn(" 202 ", read_http(incomplete[-1].stream)[0])
         waiting = [self.client() for _ in range(5)]
         for number, client in enumerate(waiting, 11):
             client.socket.sendall(message(f"m{number}"))
         self.process.send_signal(signal.SIGTERM)
-        until(lambda: "state=stop_closing" in self.log.read_text(), "the no to clients")
-        self.assertTrue(unread_at(self.port, *(client.socket for client in waiting)))
+        until(lambda: "state=stop_closing" in self.log.read_text(), "the close of idle clients")
+        self.assertTrue(min_unread_bytes(self.port, *(client.socket for client in waiting)))
         until(lambda: "state=stop_finishing" in self.log.read_text(), "the end of listening")
-        for number, client in enumerate(kept):
+        for number, client in enumerate(incomplete):
             client.socket.sendall(message(f"m{number}")[40:])
             self.assertIn(" 202 ", read_http(client.stream)[0])
             client.close()
@@ -216,7 +223,7 @@
         self.assertLessEqual({f"m{number}" for number in range(16)}, {call[1]["req-id"] for call in self.calls()})
 
 
-STEPPED = """import time
+STEPPED_CLOCK_PROGRAM = """import time
 true, step = time.time_ns, {seconds} * 10**9
 time.time_ns, time.time = lambda: true() + step, lambda: (true() + step) / 1e9
 from lynxscale.__main__ import main
@@ -224,12 +231,12 @@
 
 
 class SteppedClocks(NodeCase):
-    """The wall clock is put off by an hour between two lives of a relay."""
+    """The wall clock is stepped by an hour between two processes of a relay."""
 
-    def again(self, seconds: int) -> None:
-        """Another life, whose wall clock is off by so many seconds."""
+    def restart_with_step(self, seconds: int) -> None:
+        """Restart the relay with a wall clock that is off by ``seconds``."""
         self.kill()
-        self.program = "-c", STEPPED.format(seconds=seconds)
+        self.program = "-c", STEPPED_CLOCK_PROGRAM.format(seconds=seconds)
         self.start()
         found = re.search(r"event=wall_clock_stepped ms=(-?[0-9]+)", self.log.read_text())
         self.assertAlmostEqual(int(found[1]), seconds * 1000, delta=500)
@@ -241,11 +248,11 @@
         self.act = lambda call: b"" if call[1]["req-id"] == "m1" else reply(200)
         self.start()
         self.assertEqual(self.client().hand_in("m1", "keyed", Idempotency_Key="k1")[0], 202)
-        until(lambda: self.calls("m1"), "its try, which may have run")
+        until(lambda: self.calls("m1"), "its attempt, which may have been executed")
         begun = time.monotonic()
         self.kill()
         sleep_until(begun + 1.7)
-        self.again(-3600)
+        self.restart_with_step(-3600)
         self.notice("m1")
         self.assertEqual(len(self.calls("m1")), 1)
 
@@ -253,17 +260,17 @@
         self.act = lambda _call: reply(503, b"", "Retry-After: 3.000")
         self.start()
         self.assertEqual(self.client().hand_in("m0")[0], 202)
-        until(lambda: self.calls("m0"), "the wait")
+        until(lambda: self.calls("m0"), "the rejected call")
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         self.act = lambda _call: reply(200)
-        self.again(3600)
+        self.restart_with_step(3600)
         self.delivered(2)
         self.assertEqual((len(self.calls("m1")), self.discovery.notices), (1, {}))
 
 
 class Operators(NodeCase):
     def test_admin_call_in_the_instant_of_its_timeout_is_answered(self):
-        """The relay is stopped over the second that a call may take; half of a call has its 408 all the same."""
+        """The relay is stopped while the time of a call passes; an incomplete call still gets its 408."""
         self.admin = self.free_port()
         self.env["NODE_ADMIN_ADDR"] = f"127.0.0.1:{self.admin}"
         self.start()
@@ -272,9 +279,9 @@
             with self.subTest(rest=rest), socket.create_connection(("127.0.0.1", self.admin), PATIENCE) as caller:
                 if rest:
                     caller.sendall(call[:20])
-                until(lambda: accepted_at(self.admin, caller), "the relay to have it")
+                until(lambda: is_accepted(self.admin, caller), "the relay to accept it")
                 begun = time.monotonic()
-                with Frozen(self.process):
+                with StoppedProcess(self.process):
                     caller.sendall(rest or call)
                     sleep_until(begun + 1.1)
                 with caller.makefile("rb") as stream:
@@ -282,7 +289,7 @@
 
 
 class LateConnection:
-    """An address at which connections come up only once ``open`` is called: until then its queue is full."""
+    """A server whose full listen queue delays new connections until ``open`` is called."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -328,21 +335,22 @@
         self.allowed["dial_timeout_ms"] = 8000.0
 
     def test_nothing_is_written_to_an_endpoint_that_drains_meanwhile(self):
-        """The connection is ordered before the list says so, and comes up after."""
-        for life in ("draining", "gone"):
-            with self.subTest(life=life):
+        """The connection is opened before the list reports the drain, and is established afterwards."""
+        for lifecycle in ("draining", "gone"):
+            with self.subTest(lifecycle=lifecycle):
                 self.kill()
                 self.discovery.rows = [row("s-late", self.late.at, 1)]
-                self.discovery.version, self.discovery.changed = 1, []  # else the second relay hears the first's change
+                # Without this reset the second relay would get the first one's change.
+                self.discovery.version, self.discovery.changed = 1, []
                 self.start()
                 seen = self.log.read_text().count("outcome=applied")
                 until(lambda: len(self.discovery.calls) >= 1, "the watch")
-                self.assertEqual(self.client().hand_in(f"m-{life}", left=6.0)[0], 202)
+                self.assertEqual(self.client().hand_in(f"m-{lifecycle}", left=6.0)[0], 202)
                 until(lambda: self.counters()["connections"].get("peer_opened"), "the connection is ordered")
-                self.discovery.change(row("s-late", self.late.at, 1, life))
+                self.discovery.change(row("s-late", self.late.at, 1, lifecycle))
                 until(lambda seen=seen: self.log.read_text().count("outcome=applied") > seen, "the list")
                 self.late.open()
-                self.assertIn(self.notice(f"m-{life}")["status"], ("deferred", "undeliverable"))
+                self.assertIn(self.notice(f"m-{lifecycle}")["status"], ("deferred", "undeliverable"))
                 self.assertEqual(self.late.calls, [])
                 self.assertGreaterEqual(self.counters()["tries"].get("left_the_list", 0), 1)
                 self.late.close()
@@ -350,27 +358,28 @@
                 self.addCleanup(self.late.close)
 
 
-class SilentDiscovery(Discovery):
-    """Once ``silent``, it hears calls for lists and answers none; then it takes ``delay`` seconds for each.
+class UnresponsiveDiscovery(Discovery):
+    """A discovery service with faults in its responses to calls for lists.
 
-    Of ``half`` answers only the half comes. With ``pieces`` its answers come in so many, 0.2 s apart.
+    ``unresponsive``: it does not respond. ``delay``: seconds before each response. ``truncated``: the number of
+    responses that are cut off. ``chunks``: the number of writes, 0.2 s apart, by which a response is sent.
     """
 
-    silent, delay, half, pieces = False, 0.0, 0, 0
+    unresponsive, delay, truncated, chunks = False, 0.0, 0, 0
 
     def _act(self, call):
-        if self.half and call[0].startswith("GET"):
-            self.half -= 1
+        if self.truncated and call[0].startswith("GET"):
+            self.truncated -= 1
             return super()._act(call)[:-20]
-        if self.silent and call[0].startswith("GET"):
+        if self.unresponsive and call[0].startswith("GET"):
             return b""
         time.sleep(self.delay)
         answer = super()._act(call)
-        if not self.pieces or not call[0].startswith("GET"):
-            return b"" if self.silent and call[0].startswith("GET") else answer
-        size = -(-len(answer) // self.pieces)
+        if not self.chunks or not call[0].startswith("GET"):
+            return b"" if self.unresponsive and call[0].startswith("GET") else answer
+        size = -(-len(answer) // self.chunks)
         for at in range(0, len(answer) - size, size):
-            for link in list(self.open):  # there is one: the relay's only connection for lists
+            for link in list(self.open):  # one: the relay's only connection for lists
                 link.sendall(answer[at : at + size])
             time.sleep(0.2)
         return answer[len(answer) - len(answer) % size :] if len(answer) % size else answer[-size:]
@@ -382,7 +391,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.discovery.close()
-        self.discovery = SilentDiscovery()
+        self.discovery = UnresponsiveDiscovery()
         self.addCleanup(self.discovery.close)
         self.discovery.rows = [row("s-1", self.peer.at, 1)]
 
@@ -390,25 +399,24 @@
         table = settings(**self.allowed)
         table["membership_mode"] = self.mode
         table["obligations"]["drain_grace_ms"] = self.grace
-        table["balancers"] = 50  # so that the module's own next turn to ask is seconds away
+        table["balancers"] = 50  # so that the scheduler's next fetch is seconds away
         return super().configure(settings=table, **more)
 
-    def asked(self) -> list[float]:
+    def list_call_times(self) -> list[float]:
         return [at for at, call in list(self.discovery.calls) if call[0].startswith("GET")]
 
     def test_unanswered_watch_is_reopened_before_what_it_missed_counts(self):
-        """What it misses counts as told 2 s after its wait of 10 s; with a grace of 250 ms there is no more time.
-
-        The new call takes 0.6 s.
+        """Changes count as reported 2 s after the watch's wait of 10 s; with a grace period of 250 ms, the list must
+        arrive by 12.25 s. The new call takes 0.6 s.
         """
         self.grace = 250.0
-        self.discovery.silent = True
+        self.discovery.unresponsive = True
         self.start()
-        until(self.asked, "the watch")
+        until(self.list_call_times, "the watch")
         self.discovery.change(row("s-1", self.peer.at, 1, "draining"))
-        begun = self.asked()[0]
+        begun = self.list_call_times()[0]
         sleep_until(begun + 10.5)
-        self.discovery.silent, self.discovery.delay = False, 0.6
+        self.discovery.unresponsive, self.discovery.delay = False, 0.6
         until(lambda: "outcome=applied" in self.log.read_text(), "the list")
         self.assertLess(time.monotonic() - begun, 12.25)
         self.assertEqual(self.client().hand_in("m1", left=1.5)[0], 202)
@@ -417,18 +425,18 @@
         self.assertEqual(self.counters()["group"].get("silent"), 1)
 
     def test_watch_with_a_truncated_response_is_reopened_at_once(self):
-        self.discovery.half = 1
+        self.discovery.truncated = 1
         self.start()
-        until(self.asked, "the watch")
+        until(self.list_call_times, "the watch")
         self.discovery.change(row("s-1", self.peer.at, 1, "draining"))
         until(lambda: "outcome=applied" in self.log.read_text(), "the list")
-        calls = self.asked()
+        calls = self.list_call_times()
         self.assertLess(calls[1] - calls[0], 1.0)
 
-    def test_list_that_arrives_in_pieces_is_applied(self):
-        self.discovery.pieces = 5
+    def test_list_that_arrives_in_chunks_is_applied(self):
+        self.discovery.chunks = 5
         self.start()
-        until(self.asked, "the watch")
+        until(self.list_call_times, "the watch")
         self.discovery.change(row("s-1", self.peer.at, 1, "draining"))
         begun = time.monotonic()
         until(lambda: "outcome=applied" in self.log.read_text(), "the list")
@@ -436,31 +444,37 @@
         self.assertIsNone(self.counters()["group"].get("failed"))
 
     def test_truncated_responses_are_retried_with_backoff(self):
-        self.discovery.half = 10_000
+        self.discovery.truncated = 10_000
         self.start()
-        until(self.asked, "the watch")
+        until(self.list_call_times, "the watch")
         self.discovery.change(row("s-1", self.peer.at, 1, "draining"))
-        until(lambda: len(self.asked()) >= 2, "the second call")
+        until(lambda: len(self.list_call_times()) >= 2, "the second call")
         begun = time.monotonic()
         sleep_until(begun + 1.5)
-        self.assertLessEqual(len(self.asked()), 2 + self.asks_in_1500_ms)
+        self.assertLessEqual(len(self.list_call_times()), 2 + self.asks_in_1500_ms)
 
     def test_discovery_moves_and_is_unresponsive_at_its_new_address(self):
-        """What it tells once it speaks is taken, whole, and the watch goes on from there."""
+        """The complete list is applied once the service responds, and the watch continues from its version."""
         self.start()
-        until(self.asked, "the watch")
-        there = SilentDiscovery()
-        self.addCleanup(there.close)
-        there.rows, there.version, there.silent = [row("s-1", self.peer.at, 1, "draining")], 7, True
-        self.configure(discovery=there.at)
+        until(self.list_call_times, "the watch")
+        new_discovery = UnresponsiveDiscovery()
+        self.addCleanup(new_discovery.close)
+        new_discovery.rows, new_discovery.version, new_discovery.unresponsive = (
+            [row("s-1", self.peer.at, 1, "draining")],
+            7,
+            True,
+        )
+        self.configure(discovery=new_discovery.at)
         self.process.send_signal(signal.SIGHUP)
-        until(lambda: there.calls, "a call there")
-        until(lambda: self.counters()["group"].get("failed"), "its silence is noticed")
-        there.silent = False
+        until(lambda: new_discovery.calls, "a call there")
+        until(lambda: self.counters()["group"].get("failed"), "a failed call")
+        new_discovery.unresponsive = False
         until(lambda: "outcome=applied" in self.log.read_text(), "the list")
-        calls = until(lambda: [call for _, call in list(there.calls) if "after=7" in call[0]], "the watch there")
-        self.assertNotIn("after=", there.calls[0][1][0])
-        there.change(row("s-1", self.peer.at, 1))
+        calls = until(
+            lambda: [call for _, call in list(new_discovery.calls) if "after=7" in call[0]], "the watch there"
+        )
+        self.assertNotIn("after=", new_discovery.calls[0][1][0])
+        new_discovery.change(row("s-1", self.peer.at, 1))
         until(lambda: self.log.read_text().count("outcome=applied") >= 2, "the change")
         self.assertGreaterEqual(len(calls), 1)
 
@@ -469,23 +483,26 @@
     mode, asks_in_1500_ms = "push", 6
 
     def test_unanswered_watch_is_reopened_before_what_it_missed_counts(self):
-        """What a silent agent gets counts from the moment at which it speaks again: it has to be asked by then."""
+        """Changes that an unresponsive agent receives count as reported as soon as it responds again.
+
+        So the agent has to be polled often while it is unresponsive.
+        """
         self.start()
-        until(lambda: len(self.asked()) >= 2, "the watch")
-        self.discovery.silent = True
-        until(lambda: self.counters()["group"].get("silent", 0) >= 2, "its silence is noticed")
+        until(lambda: len(self.list_call_times()) >= 2, "the watch")
+        self.discovery.unresponsive = True
+        until(lambda: self.counters()["group"].get("silent", 0) >= 2, "two timeouts of the watch")
         self.discovery.change(row("s-1", self.peer.at, 1, "draining"))
         before = self.log.read_text().count("outcome=applied")
-        self.discovery.silent, begun = False, time.monotonic()
+        self.discovery.unresponsive, begun = False, time.monotonic()
         until(lambda: self.log.read_text().count("outcome=applied") > before, "the list")
         self.assertLess(time.monotonic() - begun, 0.7)
-        asked = self.asked()
+        asked = self.list_call_times()
         self.assertLess(asked[-1] - asked[-3], 2.0)
 
 
-class Ends(NodeCase):
+class FinalOutcomes(NodeCase):
     def test_response_in_the_instant_of_its_timeout_counts(self):
-        """The relay is held up over the end of the message's time by its own reckoning, 1.1 s of the 1.5 s."""
+        """The relay is stopped while its end time for the message passes, 1.1 s after the submission."""
         asked, answered = threading.Event(), threading.Event()
 
         def act(_call):
@@ -495,20 +512,20 @@
 
         self.act = act
         self.start()
-        self.past_first_reads()
+        self.wait_past_first_reads()
         begun = time.monotonic()
         self.assertEqual(self.client().hand_in("m1", "once", left=1.5)[0], 202)
         self.assertTrue(asked.wait(PATIENCE))
         sleep_until(begun + 0.8)
-        with Frozen(self.process):
+        with StoppedProcess(self.process):
             answered.set()
             sleep_until(begun + 1.35)
-        until(lambda: self.counters().get("ends"), "its end")
+        until(lambda: self.counters().get("ends"), "the final outcome")
         self.assertEqual(self.counters()["ends"], {"delivered": 1})
         self.assertEqual(self.discovery.notices, {})
 
     def test_nothing_is_written_that_the_exit_would_interrupt(self):
-        """The connection comes up behind the last try and before the exit: at 7 s, by the system's own repeats."""
+        """The connection is established after STOP_SENDING and before the exit: at 7 s, by the kernel's SYN retries."""
         late = LateConnection()
         self.addCleanup(late.close)
         self.allowed["dial_timeout_ms"] = 10_000.0
@@ -522,14 +539,16 @@
         sleep_until(begun + 6.5)
         late.open()
         self.assertEqual(self.process.wait(PATIENCE), 0)
-        self.assertRegex(self.log.read_text(), "group=tries.* moot=1", "the connection did not come up in time to tell")
+        self.assertRegex(
+            self.log.read_text(), "group=tries.* moot=1", "the connection was not established before the exit"
+        )
         self.assertEqual(late.calls, [])
         self.start()
         until(lambda: late.calls, "its call")
         self.delivered(1)
 
 
-class Starts(NodeCase):
+class Startup(NodeCase):
     def configure(self, **more):
         table = settings(**self.allowed)
         for grade in table["grades"]:
@@ -537,19 +556,22 @@
         return super().configure(settings=table, **more)
 
     def test_kill_at_any_instant_of_the_start_keeps_pending_messages(self):
-        """Told at fifteen instants, before the handlers are there and until it serves, and killed a moment later, as it
-        takes over what is open; then a start finds it all. No call is on its way at a kill: what may have run would
-        rightly not go again.
+        """SIGTERM, then SIGKILL, at fifteen instants of a start, from before the signal handlers are installed until
+        the relay serves. The next start recovers all messages. No call is in flight at a kill, as a message that may
+        have been executed would not be sent again.
         """
         self.act = lambda _call: reply(503, b"", "Retry-After: 3.000")
         self.start()
         names = [f"m{number}" for number in range(6)]
         for name in names:
             self.assertEqual(self.client().hand_in(name, "once", left=100.0)[0], 202)
-        until(lambda: 0 < len(self.calls()) <= sum(self.counters().get("tries", {}).values()), "the refusal is known")
+        until(
+            lambda: 0 < len(self.calls()) <= sum(self.counters().get("tries", {}).values()),
+            "the outcome of each attempt",
+        )
         self.kill()
-        there = self.discovery.rows
-        self.discovery.rows = [row("s-none", f"127.0.0.1:{self.free_port()}", 1)]  # refuses each connection
+        endpoints = self.discovery.rows
+        self.discovery.rows = [row("s-none", f"127.0.0.1:{self.free_port()}", 1)]  # refuses connections
         for place in range(15):
             self.process = self.spawn(self.configure())
             time.sleep(0.04 * place)
@@ -557,7 +579,7 @@
             time.sleep(0.1)
             self.kill()
             self.assertIn(self.process.returncode, (0, -signal.SIGTERM, -signal.SIGKILL))
-        self.discovery.rows = there
+        self.discovery.rows = endpoints
         self.act = lambda _call: reply(200)
         self.start()
         self.assertEqual(self.counters()["taken"]["replayed"], 6)
@@ -565,30 +587,30 @@
         self.assertEqual(self.discovery.notices, {})
 
 
-class Owed(NodeCase):
+class PendingObligations(NodeCase):
     def test_notice_lost_on_a_dead_connection_is_resent_in_time(self):
-        """The end of a message falls due a little before its time is up, and must be heard by 0.3 s after it."""
-        heard, answer = [], self.discovery.act
+        """The first notice is lost; the second must arrive by 0.3 s after the message's deadline."""
+        notices, answer = [], self.discovery.act
 
         def act(call):
             if "finals" in call[0]:
-                heard.append(time.monotonic())
-                if len(heard) == 1:
+                notices.append(time.monotonic())
+                if len(notices) == 1:
                     return b""
             return answer(call)
 
         self.discovery.act = act
         self.act = lambda _call: b""
         self.start()
-        self.past_first_reads()
+        self.wait_past_first_reads()
         begun = time.monotonic()
         self.assertEqual(self.client().hand_in("m1", "once", left=1.0)[0], 202)
         self.notice("m1")
         self.assertLess(time.monotonic() - begun, 1.3)
-        self.assertEqual(len(heard), 2)
+        self.assertEqual(len(notices), 2)
 
     def test_message_without_an_attempt_is_attempted_after_a_restart(self):
-        """The limit has fallen meanwhile: more waits than it lets through in ten seconds."""
+        """The endpoint's limit is lower after the restart: more messages wait than it admits in ten seconds."""
         self.act = lambda _call: reply(503, b"", "Retry-After: 3.000")
         self.start()
         self.assertEqual(self.client().hand_in("m0")[0], 202)
@@ -606,8 +628,8 @@
         self.assertEqual([name for name in names if name in self.discovery.notices], [])
 
 
-class Together(NodeCase):
-    """A partner of a kind that takes four messages a call; those of one class are worth more and have less time."""
+class BundledAttempts(NodeCase):
+    """A peer that accepts four messages per call; messages of one class have more value and a shorter deadline."""
 
     def configure(self, **more):
         table = settings(**self.allowed)
@@ -624,16 +646,16 @@
         self.assertEqual(self.client().hand_in("m0", "keyed", 4.0, idempotency_key="k0")[0], 202)
         self.assertEqual(self.client().hand_in("m1", "safe", 16.0)[0], 202)
 
-        def together():
+        def bundles():
             return [call for call in self.calls() if "/events/bundle" in call[0]]
 
-        _first, headers, body = until(together, "the call")[0]
+        _first, headers, body = until(bundles, "the call")[0]
         self.assertEqual(re.findall(r"(m\d) \S+ \d+\r\n", body.decode()), ["m1", "m9", "m0"])
         self.assertGreater(float(headers["req-deadline"]), 8.0)
 
 
 def test_after_failures_the_list_is_fetched_before_an_old_one_counts():
-    """With many senders the pause grew beyond four times the span after which each change counts as told."""
+    """Guards against a backoff of many relays that exceeds four times the span after which changes count as known."""
     for seed in range(8):
         d = Driver(seed=seed, asks_for_members=True, senders=200, ask_within_ms=5000.0)
         for _ in range(8):
@@ -653,11 +675,11 @@
             *(Message(200 + k, 1, cls, 0, d.now + 16_000.0) for k in range(12)),
         )
         assert not [number for number in d.final_answers if number < 200]
-        assert len(d.final_answers) >= 12 - 5  # as the limit's part lets five through in ten seconds
+        assert len(d.final_answers) >= 12 - 5  # the endpoint's limit admits five in ten seconds
 
 
 def test_more_recovered_messages_than_the_limit_are_still_attempted():
-    """The bound has fallen over the restart: what waits for its first call stays, what came after it goes."""
+    """With a lower limit after the restart, recovered messages without an attempt stay; newer ones are rejected."""
     d = Driver(members=[member(11, dest=1), member(12, dest=2)], most_held=20)
     d.run_step(*(Message(100 + k, 1 + k % 2, SAFE, 0, d.now + 8000.0, inherited=True) for k in range(40)))
     d.run_step(*(Message(200 + k, 1, SAFE, 0, d.now + 8000.0) for k in range(4)))
@@ -673,16 +695,16 @@
 
 
 def test_first_call_that_never_arrived_is_retried():
-    """A connection that failed is no call; one that was answered is, and then it is held like any other."""
-    for result, owed in ((Result.CONNECT_FAILED, True), (Result.MOOT, True), (Result.ERROR, False)):
+    """A failed connection does not count as an attempt, a response does; then the message has no priority any more."""
+    for result, pending in ((Result.CONNECT_FAILED, True), (Result.MOOT, True), (Result.ERROR, False)):
         d = Driver(members=[member(11, weight=1.0)], weights="nominal")
         d.run_step(Message(100, 1, SAFE, 0, d.now + 8000.0, inherited=True))
         d.finish(100, result)
-        assert d.scheduler.admission.pending[100].first_attempt_pending is owed
+        assert d.scheduler.admission.pending[100].first_attempt_pending is pending
 
 
 def test_recovered_messages_wait_for_a_list_and_for_retry_after():
-    """With no endpoint at first, and the only one shut when it comes: its first call goes when that is over."""
+    """There is no endpoint at first, then one that sends Retry-After; all messages are delivered after that pause."""
     d = Driver(members=[])
     d.run_step(
         *(Message(100 + k, 1, cls, 0, d.now + 8000.0, inherited=True) for k, cls in enumerate((SAFE, KEYED, UNSAFE)))
--- a/tests/relay/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration while the program serves: SIGHUP."""
+"""SIGHUP applies a new configuration while the relay serves."""
 
 import signal
 
@@ -20,7 +20,7 @@
         self.reload(f"event=reloaded discovery={self.other.at}")
 
     def test_reload_moves_to_another_discovery(self):
-        """Its list is asked for whole, then watched; who is not in it gets nothing new."""
+        """The complete list is requested there, then watched; endpoints that are not in it get no new messages."""
         self.start()
         until(lambda: len(self.discovery.calls) >= 2, "the watch")
         self.move()
@@ -28,7 +28,7 @@
         targets = [call[0].split()[1] for _, call in self.other.calls[:2]]
         self.assertEqual(targets[0], "/catalog/members")
         self.assertTrue(targets[1].startswith("/catalog/members?after=1&"), targets)
-        until(lambda: not self.discovery.open, "the end of the connections to the old address")
+        until(lambda: not self.discovery.open, "the connections to the old address to close")
         self.client().hand_in("m1")
         self.delivered(1)
         self.assertEqual((len(self.calls()), len(self.second.calls)), (0, 1))
--- a/tests/relay/test_restart_rules.py
+++ b/tests/relay/test_restart_rules.py
@@ -1,6 +1,6 @@
-"""What a restart finds, and what may be repeated: over random settings, spans, histories and kills.
+"""Recovery after restarts and the rules for repeated attempts, with random settings, key spans and histories.
 
-Classes are drawn, not taken from a deployment.
+Hypothesis generates the message classes, so that they are not those of one deployment.
 """
 
 import os
@@ -12,7 +12,7 @@
 from lab.fake_disk import FakeDisk
 from lab.standins import settings as table
 from lynxscale.relay import deadlines
-from lynxscale.relay.core import SPAN_SHARE, Relay
+from lynxscale.relay.core import MAX_SPAN_FRACTION, Relay
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
 from lynxscale.relay.journal import Journal
@@ -23,19 +23,19 @@
 from tests.relay.fakes import FakePorts, ManualLoop
 from tests.scheduling.driver import Driver, member
 
-SOAK = bool(os.environ.get("RARE_SEED"))  # then the draws are other ones each time
+SOAK = bool(os.environ.get("RARE_SEED"))  # with random instead of reproducible examples
 
 
-def drawn(examples: int):
+def property_settings(examples: int):
     return settings(deadline=None, max_examples=examples * (10 if SOAK else 1), derandomize=not SOAK)
 
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.KEYED, "at_most_once": Effect.UNSAFE}
-ALL_MS = 1_000_000.0  # the message's time: it does not end by itself here
+DEADLINE_MS = 1_000_000.0  # long enough that the message does not end in these tests
 
 
 class Clock:
-    """Wall and monotonic alike, cranked by hand."""
+    """Replaces the wall clock and the monotonic clock; a test advances ``now``."""
 
     def __init__(self) -> None:
         self.now = 1_000_000_000  # µs
@@ -44,8 +44,8 @@
         return self.now * 1000
 
 
-class Lives:
-    """One message in one relay whose module does nothing; it is killed and started anew at will."""
+class RestartableRelay:
+    """A relay with one message and a scheduler that does nothing, which a test can kill and restart."""
 
     def __init__(self, clock: Clock, effect: str, span_ms: float) -> None:
         self.clock, self.disk = clock, FakeDisk()
@@ -55,7 +55,7 @@
                 "name": "drawn",
                 "effect": effect,
                 "goal_time_ms": 1.0,
-                "deadline_ms": ALL_MS,
+                "deadline_ms": DEADLINE_MS,
                 "value": 1.0,
                 "late_worth": 0.4,
                 "memory_span_ms": span_ms,
@@ -64,7 +64,7 @@
         ]
         self.relay: Relay | None = None
         self.start()
-        self.relay.submit(Envelope("m1", 0, 0, "k", 1, int(ALL_MS * 1000), b"body"), lambda *_: None)
+        self.relay.submit(Envelope("m1", 0, 0, "k", 1, int(DEADLINE_MS * 1000), b"body"), lambda *_: None)
         self.turns.run()
 
     def start(self) -> None:
@@ -109,45 +109,48 @@
 )
 
 
-TWICE = [("try", Result.ERROR), ("pass", 1000), ("try", Result.ERROR), ("pass", 1000), ("try", Result.ERROR)]
-KILLED = [("killed in a try", None), ("pass", 1000), ("killed", None), ("pass", 1000), ("try", Result.ERROR)]
+REPEATED_ERRORS = [("try", Result.ERROR), ("pass", 1000), ("try", Result.ERROR), ("pass", 1000), ("try", Result.ERROR)]
+KILLED_TWICE = [("killed in a try", None), ("pass", 1000), ("killed", None), ("pass", 1000), ("try", Result.ERROR)]
 
 
-@example(effect="deduplicated", span_ms=2000, steps=TWICE)
-@example(effect="deduplicated", span_ms=2000, steps=KILLED)
-@example(effect="at_most_once", span_ms=2000, steps=KILLED)
-@drawn(300)
+@example(effect="deduplicated", span_ms=2000, steps=REPEATED_ERRORS)
+@example(effect="deduplicated", span_ms=2000, steps=KILLED_TWICE)
+@example(effect="at_most_once", span_ms=2000, steps=KILLED_TWICE)
+@property_settings(300)
 @given(effect=st.sampled_from(sorted(EFFECTS)), span_ms=st.integers(1, 8000), steps=steps)
 def test_retry_is_sent_only_where_earlier_attempts_allow_it(effect, span_ms, steps):
-    """A plain model: when each try that may have run was written, whatever lives lie between."""
+    """The model records when each attempt that may have been executed was written, across restarts."""
     clock = Clock()
     with patch.object(deadlines.time, "monotonic_ns", clock.ns), patch("lynxscale.relay.core.time.time_ns", clock.ns):
-        life, ran, attempt = Lives(clock, effect, float(span_ms)), [], 0
-        for what, value in steps:
-            if what == "pass":
+        restartable, executed_at, attempt = RestartableRelay(clock, effect, float(span_ms)), [], 0
+        for step, value in steps:
+            if step == "pass":
                 clock.now += value * 1000
                 continue
-            if what == "killed":
-                life.start()
+            if step == "killed":
+                restartable.start()
                 continue
-            life.turns.run()  # the clock is read once a turn
-            first = min(ran, default=None)
-            may = (
-                first is None
+            restartable.turns.run()  # the clock is read once a turn
+            first_executed_at = min(executed_at, default=None)
+            may_repeat = (
+                first_executed_at is None
                 or EFFECTS[effect] == Effect.IDEMPOTENT
-                or (EFFECTS[effect] == Effect.KEYED and clock.now - first < SPAN_SHARE * 1000 * span_ms)
+                or (
+                    EFFECTS[effect] == Effect.KEYED
+                    and clock.now - first_executed_at < MAX_SPAN_FRACTION * 1000 * span_ms
+                )
             )
-            assert life.relay.record_attempt(life.number()) == may, (what, ran)
-            if not may:
+            assert restartable.relay.record_attempt(restartable.number()) == may_repeat, (step, executed_at)
+            if not may_repeat:
                 continue
-            if what == "killed in a try":
-                life.start()
+            if step == "killed in a try":
+                restartable.start()
             else:
-                life.relay.attempt_ended(life.number(), attempt, 7, value, 0, True)
+                restartable.relay.attempt_ended(restartable.number(), attempt, 7, value, 0, True)
                 attempt += 1
-                life.turns.run()
+                restartable.turns.run()
             if value not in (Result.FULL, Result.CONNECT_FAILED, Result.MOOT):
-                ran.append(clock.now)
+                executed_at.append(clock.now)
 
 
 @st.composite
@@ -188,11 +191,11 @@
     )
 
 
-@drawn(60)
+@property_settings(60)
 @given(case=restarts(), seed=st.integers(0, 1000))
 def test_recovered_message_without_an_attempt_is_given_up_only_at_its_deadline(case, seed):
-    """Whatever the limits, the room and the newcomers, while partners answer."""
-    classes, members, messages, slots, most_held, weights, halves, senders, newcomers = case
+    """Holds for any limits, capacity and number of new messages, as long as peers respond."""
+    classes, members, messages, slots, most_held, weights, halves, senders, new_messages = case
     d = Driver(
         members=members,
         seed=seed,
@@ -210,13 +213,13 @@
             for k, (cls, dest, _left) in enumerate(messages)
         )
     )
-    d.run_step(*(Message(1000 + k, 1, 0, 0, d.now + classes[0].deadline_ms) for k in range(newcomers)))
-    tried, latency = set(), 40.0
+    d.run_step(*(Message(1000 + k, 1, 0, 0, d.now + classes[0].deadline_ms) for k in range(new_messages)))
+    attempted, latency = set(), 40.0
     while any(number not in d.final_answers for number in expires):
         out = {number for number, _attempt in d.attempts_in_flight}
-        tried |= out
+        attempted |= out
         for number in expires:
-            if number in d.final_answers and number not in tried:
+            if number in d.final_answers and number not in attempted:
                 assert expires[number] - d.now <= 4 * latency + 200.0, number
         d.advance(latency)
         for number in out:
--- a/tests/relay/test_standalone.py
+++ b/tests/relay/test_standalone.py
@@ -1,4 +1,4 @@
-"""A relay for other installations: its sections, its finals, and the commands round lists."""
+"""A relay without the platform: its configuration, its log of final outcomes, and the list commands."""
 
 import asyncio
 import dataclasses
@@ -32,19 +32,26 @@
     return [str(fault).removeprefix(f"{path}").removeprefix(":") for fault in caught.value.faults]
 
 
-def test_directives_and_the_platform_s_json_fill_the_same_settings():
-    """The deployed file says what the platform tells a relay of this deployment, but for what the file leaves out."""
-    ours = settings_from(product_settings.platform_settings(reader.read(CONF, {})))
-    theirs = settings_from(traffic.settings())
-    apart = {
-        name: (mine, getattr(theirs, name))
-        for name, mine in dataclasses.asdict(ours).items()
-        if mine != dataclasses.asdict(theirs)[name]
+def test_directives_and_platform_json_give_the_same_settings():
+    """The deployed file gives the same settings as the platform of this deployment, except those that it omits."""
+    from_directives = settings_from(product_settings.platform_settings(reader.read(CONF, {})))
+    from_platform = settings_from(traffic.settings())
+    differences = {
+        name: (value, getattr(from_platform, name))
+        for name, value in dataclasses.asdict(from_directives).items()
+        if value != dataclasses.asdict(from_platform)[name]
     }
-    assert set(apart) == {"senders", "asks_for_members", "ask_within_ms", "route_fee", "drain_grace_ms", "classes"}
-    for mine, one in zip(ours.classes, theirs.classes, strict=True):
-        # The platform tells a span for every class; it has a meaning for keyed ones alone.
-        assert dataclasses.replace(one, memory_span_ms=mine.memory_span_ms) == mine
+    assert set(differences) == {
+        "senders",
+        "asks_for_members",
+        "ask_within_ms",
+        "route_fee",
+        "drain_grace_ms",
+        "classes",
+    }
+    for ours, theirs in zip(from_directives.classes, from_platform.classes, strict=True):
+        # The platform gives a span for every class; it is used only for classes with idempotency keys.
+        assert dataclasses.replace(theirs, memory_span_ms=ours.memory_span_ms) == ours
 
 
 @pytest.mark.parametrize(
@@ -63,13 +70,13 @@
         ("files lists ", "files lists lists # ", "files: want each path once"),
     ],
 )
-def test_a_relay_s_sections_are_checked_before_it_starts(tmp_path, old, new, fault):
+def test_invalid_sections_are_rejected_before_the_start(tmp_path, old, new, fault):
     assert old in TEXT
     found = faults(tmp_path, TEXT.replace(old, new))
     assert any(fault in one for one in found), found
 
 
-def test_a_state_folder_that_cannot_be_made_ends_the_start_with_a_plain_line(tmp_path):
+def test_unusable_state_folder_ends_the_start_with_one_error_line(tmp_path):
     (tmp_path / "state").write_text("in the way")
     (tmp_path / "a.conf").write_text(TEXT)
     done = subprocess.run(
@@ -84,14 +91,14 @@
     assert "Traceback" not in done.stderr
 
 
-class Hand:
-    """Deadlines that are fired by hand."""
+class ManualTimers:
+    """Deadlines whose callbacks a test calls explicitly."""
 
     def __init__(self) -> None:
         self.calls: list = []
         loop = Loop(lambda *_: None)
-        self.deadlines = Deadlines(loop, lambda _after, act: self.calls.append(act) or Cancelled())
-        self.deadlines.after = lambda _micros, act, *args: self.calls.append(lambda: act(*args))
+        self.deadlines = Deadlines(loop, lambda _after, callback: self.calls.append(callback) or Cancelled())
+        self.deadlines.after = lambda _micros, callback, *args: self.calls.append(lambda: callback(*args))
 
     def fire(self) -> None:
         calls, self.calls = self.calls, []
@@ -104,24 +111,24 @@
         pass
 
 
-def finals(tmp_path, done: list, size: int = 1 << 20, keep: int = 2) -> tuple[OutcomeLog, Hand]:
-    hand = Hand()
+def outcome_log(tmp_path, done: list, size: int = 1 << 20, keep: int = 2) -> tuple[OutcomeLog, ManualTimers]:
+    timers = ManualTimers()
     return OutcomeLog(
-        tmp_path / "sub" / "finals.jsonl", size, keep, hand.deadlines, done.append, Counters(), lambda: 12.5
-    ), hand
+        tmp_path / "sub" / "finals.jsonl", size, keep, timers.deadlines, done.append, Counters(), lambda: 12.5
+    ), timers
 
 
-def test_finals_that_cannot_be_written_are_kept_and_written_once_they_can(tmp_path, monkeypatch):
+def test_outcomes_that_cannot_be_written_are_kept_and_retried(tmp_path, monkeypatch):
     done: list = []
-    out, hand = finals(tmp_path, done)
+    out, timers = outcome_log(tmp_path, done)
     out.enqueue(1, "a", "deferred", 700)
     (tmp_path / "sub").write_text("in the way")
-    hand.fire()
-    hand.fire()
+    timers.fire()
+    timers.fire()
     assert done == [] and len(out) == 1
     (tmp_path / "sub").unlink()
     out.enqueue(2, "b", "undeliverable", 0)
-    hand.fire()
+    timers.fire()
     rows = [json.loads(line) for line in (tmp_path / "sub" / "finals.jsonl").read_text().splitlines()]
     assert rows == [
         {"id": "a", "status": "deferred", "ts": 12.5, "again_ms": 700},
@@ -130,18 +137,18 @@
     assert done == [1, 2] and not len(out)
 
 
-def test_finals_begin_a_line_of_their_own_after_a_torn_one_and_files_turn(tmp_path):
+def test_outcome_log_starts_a_new_line_after_a_truncated_one_and_rotates(tmp_path):
     done: list = []
-    out, hand = finals(tmp_path, done, size=4096, keep=2)
+    out, timers = outcome_log(tmp_path, done, size=4096, keep=2)
     path = tmp_path / "sub" / "finals.jsonl"
     path.parent.mkdir()
     path.write_bytes(b'{"id": "torn')
     out.enqueue(0, "whole", "deferred", 0)
-    hand.fire()
+    timers.fire()
     assert json.loads(path.read_bytes().splitlines()[-1])["id"] == "whole"
     for number in range(1, 301):
         out.enqueue(number, f"{number:032}", "deferred", 0)
-        hand.fire()
+        timers.fire()
     names = sorted(one.name for one in path.parent.iterdir())
     assert set(names) <= {"finals.jsonl", "finals.jsonl.1", "finals.jsonl.2"} and "finals.jsonl.2" in names
     kept = [
@@ -153,16 +160,16 @@
     assert kept == [f"{number:032}" for number in range(301 - len(kept), 301)] and len(done) == 301
 
 
-def test_nobody_else_is_given_the_port_of_a_relay_that_does_not_run(tmp_path):
-    """Another one's process there once passed for it, and the test waited for what that one never did."""
+def test_port_of_a_stopped_relay_stays_reserved(tmp_path):
+    """Guards against another process on the port that a test would mistake for the relay."""
     relay = Own(tmp_path, TEXT)
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("127.0.0.1", relay.port))
     relay.close()
 
 
-def test_a_kill_before_the_finals_are_read_loses_none_of_them(tmp_path):
-    """Every message that was taken ends: as a call that was served, or as a line."""
+def test_kill_loses_no_final_outcome(tmp_path):
+    """The peer rejects every call, so each accepted message ends with a line in the log, despite the kills."""
 
     async def scene():
         partner, relay = Partner(3, mood=Mood(refusing=1.0, wait_s=0.0)), Own(tmp_path, TEXT)
@@ -186,11 +193,11 @@
     asyncio.run(scene())
 
 
-def test_the_demo_keeps_every_rule(tmp_path):
-    said: list = []
-    judged = asyncio.run(play(tmp_path, 120, 5, said.append))
+def test_demo_breaks_no_rule(tmp_path):
+    output: list = []
+    judged = asyncio.run(play(tmp_path, 120, 5, output.append))
     assert judged.breaches == [] and sum(row["handed in"] for row in judged.table.values()) == 120
-    assert any("rejected whole" in line for line in said)
+    assert any("rejected whole" in line for line in output)
 
 
 def run(*words: str, cwd) -> subprocess.CompletedProcess:
