--- a/lynxscale/relay/core.py
+++ b/lynxscale/relay/core.py
@@ -43,7 +43,7 @@
 
 log = structlog.get_logger()
 
-BUSY_RETRY_MS = 1000.0  # Retry-After of a rejection for lack of capacity, which the scheduler does not decide
+BUSY_RETRY_MS = 1000.0  # Retry-After of rejections that the relay itself makes for lack of capacity
 BACKSTOP_DELAY_US = 100_000  # after a message's end time, by which the scheduler should have ended it
 # Repeats are sent within this fraction of the time for which peers remember a key: a later one may arrive too late.
 MAX_SPAN_FRACTION = 0.95
--- a/lynxscale/relay/http_parser.py
+++ b/lynxscale/relay/http_parser.py
@@ -16,7 +16,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 MAX_BODY_BYTES = 64 * 1024
 MAX_LIST_BYTES = 1024 * 1024  # body of a complete endpoint list from discovery
-MAX_SKIPPED_BYTES = 1024 * 1024  # larger than MAX_BODY_BYTES: such a body is discarded to keep the connection usable
+MAX_SKIPPED_BYTES = 1024 * 1024  # bodies over MAX_BODY_BYTES, up to this size, are read and discarded
 MAX_HEADERS = 100
 MAX_CHUNK_LINE_BYTES = 1024  # a chunk's size line or a trailer line
 MAX_BLANK_LINES = 4
--- a/lynxscale/relay/net/connection.py
+++ b/lynxscale/relay/net/connection.py
@@ -61,7 +61,7 @@
         self.kind, self.on_lost, self._deadlines = kind, on_lost, deadlines
         self.up, self._stall_between_reads = False, stall_between_reads
         self.calls = 0
-        self.idle_since = 0  # µs of the loop's clock
+        self.idle_since = 0  # µs on the loop's clock
         self.slot = -1  # its number in the owner's table of connections
         self.remote: tuple[int, Address] = (0, ("", 0))  # the endpoint and its address
         self.written = False  # the request in progress has been sent completely
--- a/lynxscale/relay/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -152,7 +152,7 @@
         """The number of open connections, including idle ones."""
         return len(self._pool)
 
-    # A call --------------------------------------------------------------------------------------
+    # Calls ---------------------------------------------------------------------------------------
 
     def _add(self, attempt: Attempt) -> Attempt:
         attempt.slot = self._attempts.add(attempt)
