--- a/lab/bench_trace.py
+++ b/lab/bench_trace.py
@@ -22,7 +22,7 @@
 
 from lab.clients import CLASSES, TENANTS
 from lab.traffic import Load, fresh_folder, one_run, settings, with_trace
-from lynxscale.relay.conf.directive import SIZES, amount
+from lynxscale.relay.conf.directive import SIZES, parse_amount
 from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.scheduling.settings_reader import settings_from
 from lynxscale.trace import records as r
@@ -307,7 +307,7 @@
             if wanted("cut"):
                 minute_of_an_hour(folder, hour)
             if wanted("memory"):
-                memory(folder, hour, amount(small, SIZES), amount(big, SIZES), tools)
+                memory(folder, hour, parse_amount(small, SIZES), parse_amount(big, SIZES), tools)
 
 
 if __name__ == "__main__":
--- a/lynxscale/cli/fleet.py
+++ b/lynxscale/cli/fleet.py
@@ -94,12 +94,12 @@
     Shows calls by result next to each limit, by time span and destination; the load of the relays; and how much later
     than the first relay each of the others learned of a change.
     """
-    from lynxscale.relay.conf.directive import TIMES, amount
+    from lynxscale.relay.conf.directive import TIMES, parse_amount
     from lynxscale.relay.fleet.lines import UnreadableLines
     from lynxscale.relay.fleet.report import FleetReport
 
     try:
-        span = amount(every, TIMES) / 1e6
+        span = parse_amount(every, TIMES) / 1e6
     except ValueError:
         span = 0.0
     if span < 0.1:
--- a/lynxscale/cli/journal.py
+++ b/lynxscale/cli/journal.py
@@ -177,13 +177,13 @@
 
 def _open_journal(state: str, disk: str, older: list[Entry]) -> Journal:
     """Open the journal of a stopped relay, and add these messages."""
-    from lynxscale.relay.conf.directive import SIZES, amount
+    from lynxscale.relay.conf.directive import SIZES, parse_amount
     from lynxscale.relay.exceptions import JournalFormatError, JournalFullError
     from lynxscale.relay.journal import Journal
     from lynxscale.relay.journal.storage import FolderStorage
 
     try:
-        budget = amount(disk, SIZES)
+        budget = parse_amount(disk, SIZES)
     except ValueError:
         raise InvalidUsageError(f"--disk {disk}: want a size such as 3m") from None
     journal = Journal(FolderStorage(_folder(state)), budget, lambda: time.time_ns() // 1000)
--- a/lynxscale/cli/trace/show.py
+++ b/lynxscale/cli/trace/show.py
@@ -169,14 +169,14 @@
 @to_json
 def summarise(files: tuple[str, ...], by: str, window: str, plot: str | None, as_json: bool, **options: Any) -> None:
     """Count messages, final statuses, attempts and worth by class, tenant or destination, with latency percentiles."""
-    from lynxscale.relay.conf.directive import TIMES, amount
+    from lynxscale.relay.conf.directive import TIMES, parse_amount
     from lynxscale.trace.summary import GROUP_COLUMNS, Summariser, TooManyRowsError
 
     columns = tuple(name for name in by.split(",") if name)
     if not set(columns) <= set(GROUP_COLUMNS):
         raise InvalidUsageError(f"--by: want some of {', '.join(GROUP_COLUMNS)}, not {by}")
     try:
-        span = amount(window, TIMES) if window else 0
+        span = parse_amount(window, TIMES) if window else 0
     except ValueError as error:
         raise InvalidUsageError(f"--window: want a time such as 10s, not {window}") from error
     if plot is not None and Path(plot).suffix not in (".png", ".svg"):
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -306,7 +306,7 @@
         lateness = now - self._timer.at
         if lateness > LATE_TURN_US:
             self._counters.add(COUNTER_GROUP, "late_turns")
-            self._counters.most(COUNTER_GROUP, "latest_turn_ms", lateness // 1000)
+            self._counters.record_max(COUNTER_GROUP, "latest_turn_ms", lateness // 1000)
             self.announce_slow(SLOW_TURN)
         for bit in [bit for bit, until in self._slow.items() if now >= until]:
             del self._slow[bit]
--- a/lynxscale/relay/upstream/file_watch.py
+++ b/lynxscale/relay/upstream/file_watch.py
@@ -413,7 +413,7 @@
 
     def _run(self, work: SlicedWork, data: bytes) -> Deferred:
         done = self._runner.run(work, len(data) >= LARGE_FILE_BYTES)
-        self._counters.most("lists", "longest_hold_us", self._runner.longest_block_ns // 1000)
+        self._counters.record_max("lists", "longest_hold_us", self._runner.longest_block_ns // 1000)
         return done
 
     @inlineCallbacks
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -253,7 +253,7 @@
     def is_ready(self, index: int = -1) -> bool:
         self.admin = self.admins[index]
         with suppress(OSError):
-            return self.door("GET /admin/health")[0] == 200
+            return self.admin_call("GET /admin/health")[0] == 200
         return False
 
     def begin(self) -> subprocess.Popen:
@@ -422,8 +422,8 @@
 
     def test_an_upgrade_in_a_drain_and_a_reload_in_an_upgrade(self):
         old = self.begin()
-        self.assertEqual(self.door("POST /admin/quiesce")[0], 200)
-        until(lambda: self.door("GET /admin/health")[1]["state"] == "drained", "the drain")
+        self.assertEqual(self.admin_call("POST /admin/quiesce")[0], 200)
+        until(lambda: self.admin_call("GET /admin/health")[1]["state"] == "drained", "the drain")
         successor = self.begin()
         self.assertTrue(self.is_ready(1) and not self.is_ready(0))  # each process reports its own readiness
         for one in (old, successor):
