--- a/lynxscale/relay/http_parser.py
+++ b/lynxscale/relay/http_parser.py
@@ -76,12 +76,12 @@
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not TOKEN.fullmatch(name) or FORBIDDEN_IN_VALUE.search(value):
-            raise HttpParseError(400, "malformed header line")
+            raise HttpParseError(400, "a header line is malformed")
         key, text = name.decode("latin-1").lower(), value.strip(b" \t").decode("latin-1")
         if key in headers:
             if key in single_headers:
                 # Guards against request smuggling: another parser may use the other value.
-                raise HttpParseError(400, f"duplicate header {key}")
+                raise HttpParseError(400, f"{key} is there twice")
             text = f"{headers[key]}, {text}"
         headers[key] = text
     return headers
@@ -92,7 +92,7 @@
     if text is None:
         return None
     if not (text.isascii() and text.isdigit()) or len(text) > 18:
-        raise HttpParseError(400, "Content-Length is not a number")
+        raise HttpParseError(400, "the content length is not a number")
     return int(text)
 
 
@@ -131,7 +131,7 @@
                 if message is not True:
                     done.append(message)
                     if len(done) > MAX_PIPELINED:
-                        raise HttpParseError(429, "too many pipelined messages")
+                        raise HttpParseError(429, "too many at once")
         except HttpParseError as error:
             self.fault = error
             self._data.clear()
@@ -157,7 +157,7 @@
             del self._data[:2]
             self._blank_lines += 1
             if self._blank_lines > MAX_BLANK_LINES:
-                raise HttpParseError(400, "too many empty lines before the first line")
+                raise HttpParseError(400, "nothing but empty lines")
         line = self._data.find(b"\n", 0, MAX_HEAD_BYTES) if self.first_line is None else -1
         if line >= 0:
             self.first_line = self._data[:line].rstrip(b"\r").decode("latin-1")
@@ -209,15 +209,15 @@
     def _begin(self, first_line: str, headers: dict[str, str]) -> Request:
         fields = first_line.split(" ")
         if len(fields) != 3 or not fields[0].isalpha() or not fields[1]:
-            raise HttpParseError(400, "malformed request line")
+            raise HttpParseError(400, "the request line is malformed")
         method, target, version = fields
         if version not in ("HTTP/1.1", "HTTP/1.0"):
             raise HttpParseError(505 if version.startswith("HTTP/") else 400, "not HTTP/1.1")
         if "transfer-encoding" in headers and "content-length" in headers:
             # Guards against request smuggling: the body could hide a request, so nothing after the head is parsed.
-            raise HttpParseError(400, "both Content-Length and Transfer-Encoding are set")
+            raise HttpParseError(400, "both Content-Length and Transfer-Encoding")
         if "transfer-encoding" in headers:
-            raise HttpParseError(411, "a request body requires Content-Length")
+            raise HttpParseError(411, "a body needs a Content-Length")
         length = _length(headers) or 0
         if length > MAX_SKIPPED_BYTES:
             raise HttpParseError(413, "the body is too long")  # too much to read only to discard it
--- a/lynxscale/relay/net/admin_server.py
+++ b/lynxscale/relay/net/admin_server.py
@@ -91,7 +91,7 @@
             return
         # An incomplete call must not hold its descriptor any longer.
         reason = CloseReason.SILENT if self._parser.idle else CloseReason.SLOW
-        self._respond(408, "the call did not arrive in time", reason)
+        self._respond(408, "the call did not come in time", reason)
 
     def readConnectionLost(self) -> None:
         """Part of IHalfCloseableProtocol. A complete call still gets its response."""
--- a/lynxscale/relay/net/client_connection.py
+++ b/lynxscale/relay/net/client_connection.py
@@ -97,7 +97,7 @@
             return
         # A client that sends nothing, or never completes a request, must not hold its descriptor any longer.
         if reason == CloseReason.SLOW or (reason == CloseReason.SILENT and not self._parser.idle):
-            self._reject_malformed(HttpParseError(408, "the request did not arrive in time"))
+            self._reject_malformed(HttpParseError(408, "the request did not come in time"))
         else:
             self.abandon(reason)
 
--- a/lynxscale/relay/net/client_requests.py
+++ b/lynxscale/relay/net/client_requests.py
@@ -54,10 +54,10 @@
 def _seconds_left(headers: dict[str, str], class_deadline_ms: float) -> float:
     text = headers.get("req-deadline", "")
     if not NUMBER.fullmatch(text):
-        raise InvalidMessageError("req-deadline: want a number of seconds")
+        raise InvalidMessageError("req-deadline: want seconds")
     seconds = float(text)
     if seconds * 1000 > class_deadline_ms * MAX_DEADLINE_FACTOR:
-        raise InvalidMessageError("req-deadline: longer than its class permits")
+        raise InvalidMessageError("req-deadline: beyond what its class may have")
     return seconds
 
 
@@ -69,14 +69,12 @@
         raise InvalidMessageError("x-envelope: want dest=NUMBER")
     if not relay.group.has_destination(int(text)):
         # Until a source has provided its list, the list of the last run may be outdated, so the client should retry.
-        raise InvalidMessageError(
-            "x-envelope: the destination is in no endpoint list", 404 if relay.group.has_list else 503
-        )
+        raise InvalidMessageError("x-envelope: no such destination in the list", 404 if relay.group.has_list else 503)
     return int(text)
 
 
 def _identifier(headers: dict[str, str], key: str, required: bool = True) -> str:
     text = headers.get(key, "")
     if (required and not text) or len(text) > MAX_IDENTIFIER_CHARS or not (text.isascii() and text.isprintable()):
-        raise InvalidMessageError(f"{key}: missing, too long, or not printable ASCII")
+        raise InvalidMessageError(f"{key}: missing or not of use")
     return text
--- a/lynxscale/relay/net/clients.py
+++ b/lynxscale/relay/net/clients.py
@@ -168,7 +168,7 @@
         else:
             connection.reject(
                 405 if path in (READY_PATH, COUNTERS_PATH) else 404,
-                "unknown path, or a method that it does not support",
+                "no such thing here",
             )
 
     def _submit(self, connection: ClientConnection, request: Request) -> None:
