--- a/lab/tier/__init__.py
+++ b/lab/tier/__init__.py
@@ -1,1 +1,1 @@
-"""The serving tier on a simulated network, clock and disk: the very classes that the programs run."""
+"""Test laboratory of the serving tier: its production classes on a simulated network, clock and disk."""
--- a/lab/tier/bench_store.py
+++ b/lab/tier/bench_store.py
@@ -1,6 +1,6 @@
-"""How long the longest step of a store takes at several sizes: ``python -m lab.tier.bench_store [MEGABYTES …]``.
+"""Measures the steps of a store at several sizes: ``python -m lab.tier.bench_store [MEGABYTES …]``.
 
-A step blocks everything else of its process; one of more than a lease (0.4 s) would lose the lease.
+A step blocks its process; a step that takes longer than a lease (0.4 s) would lose the lease.
 """
 
 from __future__ import annotations
@@ -25,66 +25,66 @@
 TURN_BYTES = 2500  # input and output of a typical turn
 
 
-class Steps:
-    """Runs deferred steps one by one and keeps the time of the longest."""
+class DeferredSteps:
+    """Runs deferred steps one by one, and records the duration of the longest."""
 
     def __init__(self) -> None:
         self.longest_s = 0.0
         self._pending: list[Callable[[], None]] = []
 
     def defer(self, step: Callable[[], None]) -> None:
-        """Part of Store's port."""
+        """Defer a step; passed to Store."""
         self._pending.append(step)
 
     def run(self) -> float:
-        """The time of all steps together."""
+        """Run all steps. Returns their total duration in seconds."""
         total = 0.0
         while self._pending:
             step = self._pending.pop(0)
-            took = timed(step)
-            self.longest_s = max(self.longest_s, took)
-            total += took
+            duration_s = timed(step)
+            self.longest_s = max(self.longest_s, duration_s)
+            total += duration_s
         return total
 
 
 def timed(call: Callable[[], object]) -> float:
     """Seconds that a call takes."""
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     call()
-    return time.perf_counter() - begun
+    return time.perf_counter() - started_at
 
 
 def turns_of(megabytes: int) -> tuple[Put, ...]:
-    """Turns of so many megabytes in all."""
+    """Puts of turns with a total size in megabytes."""
     value = msgspec.Raw(msgspec.json.encode(TurnRecord(b"x" * TURN_BYTES, "", 90.0)))
     count = megabytes * 1_000_000 // len(bytes(value))
     return tuple(Put(f"turn/{number:012x}", value) for number in range(count))
 
 
 def measure(megabytes: int) -> str:
-    """One size, as a row of the table; times in milliseconds."""
+    """Measure one size. Returns a row of the table, with times in milliseconds."""
     loop = asyncio.new_event_loop()
     puts = turns_of(megabytes)
     with tempfile.TemporaryDirectory() as folder:
-        steps = Steps()
+        steps = DeferredSteps()
         store = Store(DurableFiles(folder), steps.defer)
         table = KeyValueTable()
         table.apply(puts)
-        installing = timed(lambda: store.install(Position(1, 1), table, lambda: None))
+        install = timed(lambda: store.install(Position(1, 1), table, lambda: None))
         all_steps = steps.run()
         compare = timed(store.checksum)
         admission = TurnAdmission(store.values, LoopClock(loop))
         gc.collect()
-        begin = timed(admission.restart_retention)
+        scan = timed(admission.restart_retention)
         keys = timed(lambda: sorted(store.values))
         load = timed(lambda: Store(DurableFiles(folder)))
     loop.close()
-    cells = (installing, steps.longest_s, all_steps, compare, begin, keys, load)
+    cells = (install, steps.longest_s, all_steps, compare, scan, keys, load)
     return f"| {megabytes} | " + " | ".join(f"{1000 * cell:.1f}" for cell in cells) + " |"
 
 
 def main() -> None:
-    """Print the table; sizes in megabytes as arguments."""
+    """Print the table for the sizes in megabytes that the arguments give."""
     sizes = [int(word) for word in sys.argv[1:]] or [1, 20, 100]
     print("| MB | begin a snapshot | longest step | all steps | compare | new leader's scan | sort keys | start |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
--- a/lab/tier/bench_turn.py
+++ b/lab/tier/bench_turn.py
@@ -1,9 +1,9 @@
-"""Processor time of a turn, beside another checkout: ``python -m lab.tier.bench_turn CHECKOUT``.
+"""Compares the processor time of a turn with another checkout: ``python -m lab.tier.bench_turn CHECKOUT``.
 
-Two tiers of real processes on loopback run at once, one of each checkout, and get the same retained turns in rounds,
-one tier after the other, so that a busy machine is as busy for both. Told for relays and control members: milliseconds
-of processor time a turn, the median of the rounds, and the ratio of this checkout's to the other's; with the machine's
-load, as beside other work the ratio says little.
+Two tiers of real processes run on loopback at the same time, one of each checkout. They get the same retained turns in
+alternating rounds, so that other load on the machine affects both. For relays and control members it prints the median
+over the rounds of the processor time of a turn in milliseconds, and the ratio of this checkout to the other. The load
+of the machine is printed too, as the ratio is unreliable on a busy machine.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 
 OWN_NETWORK, OTHER_NETWORK = 83, 84
 ROLES = ("relay", "control")
-CONCURRENCY = 8  # programs at once
-TURNS_A_PROGRAM = 5
-QUIET_LOAD = 1.0  # of the machine's cores, beyond which the ratio is told to say little
+CONCURRENCY = 8  # programs that run at the same time
+TURNS_PER_PROGRAM = 5
+QUIET_LOAD = 1.0  # load per core; beyond a quarter of it the ratio is reported as unreliable
 CLOCK_TICK_S = 1.0 / os.sysconf("SC_CLK_TCK")
 
 
 @dataclass
 class CheckoutTier(LocalTier):
-    """A tier whose processes run the program of a checkout."""
+    """A tier whose processes run the program from a checkout."""
 
     checkout: Path = Path()
 
     def launch(self, name: str, bootstrap: bool = False) -> None:
-        """Start a process by its settings file, from the checkout."""
+        """Write the settings file of a process and start it from the checkout."""
         settings = self.folder / f"{name}.toml"
         settings.write_text(self.settings_text(name, bootstrap))
         module = "lynxscale.controlplane" if name.startswith("control") else "lynxscale.dataplane"
@@ -50,7 +50,7 @@
             )
 
     def processor_s(self, role: str) -> float:
-        """Seconds of processor time that the processes of a role have used (proc(5), stat)."""
+        """Processor time in seconds that the processes of a role have used (see proc(5), stat)."""
         total = 0
         for name, process in self.processes.items():
             if name.startswith(role):
@@ -60,7 +60,7 @@
 
 
 class Bench:
-    """Rounds of turns on one tier. ``costs``: milliseconds a turn, by role, one for each round."""
+    """Rounds of turns on one tier. ``costs``: by role, milliseconds of processor time a turn in each round."""
 
     def __init__(self, tier: CheckoutTier) -> None:
         self.tier = tier
@@ -68,20 +68,20 @@
         self.failed = 0
         self._programs = 0
 
-    async def round(self, turns: int, counted: bool = True) -> None:
-        """Play so many turns."""
+    async def run_round(self, turns: int, counted: bool = True) -> None:
+        """Run one round of turns; its costs are recorded if ``counted``."""
         before = {role: self.tier.processor_s(role) for role in ROLES}
-        programs = max(1, turns // (CONCURRENCY * TURNS_A_PROGRAM))
-        await asyncio.gather(*(self._play(programs) for _ in range(CONCURRENCY)))
-        played = programs * CONCURRENCY * TURNS_A_PROGRAM
+        programs = max(1, turns // (CONCURRENCY * TURNS_PER_PROGRAM))
+        await asyncio.gather(*(self._run_programs(programs) for _ in range(CONCURRENCY)))
+        turn_count = programs * CONCURRENCY * TURNS_PER_PROGRAM
         for role in ROLES if counted else ():
-            self.costs[role].append(1000.0 * (self.tier.processor_s(role) - before[role]) / played)
+            self.costs[role].append(1000.0 * (self.tier.processor_s(role) - before[role]) / turn_count)
 
-    async def _play(self, programs: int) -> None:
+    async def _run_programs(self, programs: int) -> None:
         for _ in range(programs):
             self._programs += 1
             program, previous = f"p{self._programs}", ""
-            for turn in range(TURNS_A_PROGRAM):
+            for turn in range(TURNS_PER_PROGRAM):
                 previous = await self._turn(program, f"{program}-{turn}", previous)
 
     async def _turn(self, program: str, request_id: str, previous: str) -> str:
@@ -93,13 +93,13 @@
             *(((b"previous", previous.encode()),) if previous else ()),
         )
         relay = self.tier.relay_names[self._programs % len(self.tier.relay_names)]
-        answer = await self.tier.call(self.tier.frontend(relay), "POST", "/kept/stream", b"say " * 50, fields)
-        self.failed += answer.status != 200
-        return request_id if answer.status == 200 else ""
+        response = await self.tier.call(self.tier.frontend(relay), "POST", "/kept/stream", b"say " * 50, fields)
+        self.failed += response.status != 200
+        return request_id if response.status == 200 else ""
 
 
 async def compare(other: Path, rounds: int, turns: int, folder: Path) -> int:
-    """Play both and print; the number of turns that failed."""
+    """Run both checkouts and print the comparison. Returns the number of failed turns."""
     checkouts = ((OWN_NETWORK, Path(__file__).parents[2]), (OTHER_NETWORK, other.resolve()))
     benches: list[Bench] = []
     try:
@@ -111,10 +111,10 @@
             await tier.start()
         load_before = os.getloadavg()[0]
         for bench in benches:
-            await bench.round(turns, counted=False)
+            await bench.run_round(turns, counted=False)
         for _ in range(rounds):
             for bench in benches:
-                await bench.round(turns)
+                await bench.run_round(turns)
         report(benches, load_before)
     finally:
         for bench in benches:
@@ -123,27 +123,27 @@
 
 
 def report(benches: list[Bench], load_before: float) -> None:
-    """Print the costs, the ratios and the load."""
+    """Print the costs, the ratios and the load of the machine."""
     own, other = benches
     for role in ROLES:
-        mine, theirs = statistics.median(own.costs[role]), statistics.median(other.costs[role])
+        own_ms, other_ms = statistics.median(own.costs[role]), statistics.median(other.costs[role])
         ratios = sorted(a / b for a, b in zip(own.costs[role], other.costs[role], strict=True))
         print(
-            f"{role}: {mine:.2f} ms a turn here, {theirs:.2f} ms there; ratio of medians {mine / theirs:.2f}, "
+            f"{role}: {own_ms:.2f} ms a turn here, {other_ms:.2f} ms there; ratio of medians {own_ms / other_ms:.2f}, "
             f"by round {ratios[0]:.2f} to {ratios[-1]:.2f}"
         )
     cores = os.cpu_count() or 1
-    beside = load_before / cores
-    note = "; beside so much else the ratio says little" if beside > QUIET_LOAD / 4 else ""
+    load_per_core = load_before / cores
+    note = "; the ratio is unreliable at this load" if load_per_core > QUIET_LOAD / 4 else ""
     print(f"load before it began: {load_before:.1f} on {cores} cores{note}; failed turns: {own.failed}, {other.failed}")
 
 
 def main() -> int:
-    """Exit code 1 where a turn failed, 2 where the other checkout is none."""
+    """Exit code 1 if a turn failed, 2 if the other folder is no checkout."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("checkout", type=Path, help="folder of the other checkout")
     parser.add_argument("--rounds", type=int, default=5)
-    parser.add_argument("--turns", type=int, default=400, help="of each round")
+    parser.add_argument("--turns", type=int, default=400, help="turns in each round")
     options = parser.parse_args()
     if not (options.checkout / "lynxscale").is_dir():
         print(f"{options.checkout}: no checkout of lynxscale", file=sys.stderr)
--- a/lab/tier/conditions.py
+++ b/lab/tier/conditions.py
@@ -1,7 +1,7 @@
 """Conditions of a simulated tier, drawn from a seed: disks, links and processors that differ from machine to machine.
 
-``World`` and ``Machine`` carry them; here they are drawn. The draws have a generator of their own, so that a history's
-other draws stay those of its seed.
+``World`` and ``Machine`` apply them. They are drawn from a separate generator, so that they don't change the other
+draws of a history.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from lab.tier.machine import ProcessorQuota
 from lab.tier.world import Link, World
 
-SYNC_S = (0.0005, 0.030)  # of one sync, by disk
-DELAY_S = (0.0003, 0.012)  # one way, by link and direction
-BYTES_PER_S = (400_000.0, 20_000_000.0)  # by link and direction
-ONE_WAY_LOSS = 0.04  # at most, by link and direction
-LOSSY_LINKS = 0.25  # share of the links that lose messages of their own
-QUOTA_SHARE = (0.35, 0.9)  # of each period at full speed
-THROTTLED_MACHINES = 0.3  # share of the machines with a quota
+SYNC_RANGE_S = (0.0005, 0.030)  # duration of one sync, drawn for each disk
+DELAY_RANGE_S = (0.0003, 0.012)  # one-way delay, drawn for each direction of a link
+BANDWIDTH_RANGE_BYTES_PER_S = (400_000.0, 20_000_000.0)  # bandwidth, drawn for each direction of a link
+MAX_ONE_WAY_LOSS = 0.04  # probability, for each direction of a link
+LOSSY_LINK_SHARE = 0.25  # share of the links that lose messages
+QUOTA_SHARE_RANGE = (0.35, 0.9)  # share of each period in which a machine runs
+THROTTLED_MACHINE_SHARE = 0.3  # share of the machines with a quota
 
 
 @frozen
 class Conditions:
-    """What was drawn. ``sync_s`` and ``quotas`` by machine, ``links`` by sender and receiver."""
+    """The drawn conditions: ``sync_s`` and ``quotas`` by machine, ``links`` by sender and receiver."""
 
     sync_s: dict[str, float]
     links: dict[tuple[str, str], Link]
@@ -33,23 +33,23 @@
 
 
 def draw_conditions(seed: int, storage: list[str], others: list[str]) -> Conditions:
-    """Draw for the machines with disks (``storage``), and for links and processors of these and all others."""
+    """Draw sync times for the machines of ``storage``, and links and quotas for these and the ``others``."""
     random = Random(f"conditions {seed}")
-    everyone = [*storage, *others]
+    machines = [*storage, *others]
     links = {}
-    for link in permutations(everyone, 2):
-        loss = random.uniform(0.0, ONE_WAY_LOSS) if random.random() < LOSSY_LINKS else 0.0
-        links[link] = Link(random.uniform(*DELAY_S), random.uniform(*BYTES_PER_S), loss)
+    for link in permutations(machines, 2):
+        loss = random.uniform(0.0, MAX_ONE_WAY_LOSS) if random.random() < LOSSY_LINK_SHARE else 0.0
+        links[link] = Link(random.uniform(*DELAY_RANGE_S), random.uniform(*BANDWIDTH_RANGE_BYTES_PER_S), loss)
     quotas = {
-        machine: ProcessorQuota(random.uniform(*QUOTA_SHARE), random.random())
-        for machine in everyone
-        if random.random() < THROTTLED_MACHINES
+        machine: ProcessorQuota(random.uniform(*QUOTA_SHARE_RANGE), random.random())
+        for machine in machines
+        if random.random() < THROTTLED_MACHINE_SHARE
     }
-    return Conditions({machine: random.uniform(*SYNC_S) for machine in storage}, links, quotas)
+    return Conditions({machine: random.uniform(*SYNC_RANGE_S) for machine in storage}, links, quotas)
 
 
 def apply_conditions(world: World, conditions: Conditions) -> None:
-    """Set disks, links and processors of a world."""
+    """Apply drawn conditions to the machines and links of a world."""
     world.links.update(conditions.links)
     for address, sync_s in conditions.sync_s.items():
         world.machine(address).sync_s = sync_s
--- a/lab/tier/control_group.py
+++ b/lab/tier/control_group.py
@@ -12,12 +12,12 @@
 from lynxscale.coordination.member import ControlMember, MemberSettings
 from lynxscale.coordination.messages import put_value
 
-FLUSH_S = 0.05
-"""Between the release of a member that leaves and the end of its process."""
+SHUTDOWN_DELAY_S = 0.05
+"""Time between the release of a leaving member and the end of its process."""
 
 
 class ControlGroup:
-    """``size`` founders, and members started later. ``tolerated``: how many losses at once."""
+    """``size`` founders, and members started later. ``tolerated``: how many members may be lost at a time."""
 
     def __init__(self, world: World, size: int = 3, tolerated: int = 1) -> None:
         self.world = world
@@ -32,14 +32,14 @@
             self.start(address, bootstrap=True)
 
     def start(self, address: str, bootstrap: bool = False) -> ControlMember:
-        """Start a process on a machine."""
+        """Start a member's process on a machine."""
         machine = self.world.machine(address)
         identity = MemberIdentity(address, bootstrap, self.seeds)
         random = Random(self.world.random.random())
         settings = MemberSettings(f"node-{address}", self.seeds, self.tolerated)
-        register = AcceptorStateFile(identity, machine.files, random)
+        stored_state = AcceptorStateFile(identity, machine.files, random)
         member = ControlMember(
-            settings, register, machine.clock(), machine.network(), machine.files, random, lambda leading: None
+            settings, stored_state, machine.clock(), machine.network(), machine.files, random, lambda leading: None
         )
         member.retiring = self.retiring
         machine.receive = member.receive
@@ -47,7 +47,7 @@
         return member
 
     def leave(self, address: str, then: Callable[[], object] = lambda: None, within: float = 7.0) -> None:
-        """Ask a process to stop; it ends once it is released, or after ``within`` seconds, and ``then()`` is called."""
+        """Ask a process to stop. It ends once released, or after ``within`` seconds; then ``then()`` is called."""
         member = self.members[address]
 
         def end() -> None:
@@ -55,11 +55,11 @@
                 self.kill(address)
                 then()
 
-        member.leave(lambda: self.world.call_at(self.world.time + FLUSH_S, end))
+        member.leave(lambda: self.world.call_at(self.world.time + SHUTDOWN_DELAY_S, end))
         self.world.call_at(self.world.time + within, end)
 
     def kill(self, address: str, power: bool = False, wipe: bool = False) -> None:
-        """End a process."""
+        """Kill a process; ``power``: its machine loses power too, ``wipe``: the machine loses its disk."""
         self.members.pop(address, None)
         self.world.machine(address).kill(power, wipe)
 
@@ -68,12 +68,12 @@
         return [member for member in self.members.values() if member.leads()]
 
     def wait_for_leader(self, within: float = 5.0) -> ControlMember:
-        """The primary, once there is one. Raises AssertionError."""
+        """Run until there is a primary, and return it. Raises AssertionError if there is none in time."""
         assert self.world.run_until(lambda: bool(self.leaders()), within), "no primary in time"
         return self.leaders()[0]
 
     def put(self, key: str, value: object, within: float = 5.0) -> bool:
-        """Write by the primary, with retries while the outcome is unknown; whether it is committed in time."""
+        """Write through the primary, with retries while the outcome is unknown. Returns whether it commits in time."""
         end = self.world.time + within
         while self.world.time < end:
             outcome: list[bool] = []
@@ -84,11 +84,11 @@
         return False
 
     @staticmethod
-    def submit(member: ControlMember, key: str, value: object, done: Callable[[bool], None]) -> None:
-        """Submit a write to a member; ``done(committed)``."""
-        member.submit((put_value(key, value),), lambda outcome: done(outcome.committed))
+    def submit(member: ControlMember, key: str, value: object, on_done: Callable[[bool], None]) -> None:
+        """Submit a write to a member; ``on_done(committed)`` is called with its outcome."""
+        member.submit((put_value(key, value),), lambda outcome: on_done(outcome.committed))
 
     def value(self, key: str) -> object:
-        """The primary's value of a key, None for none."""
+        """The value of a key at the primary, None if the key does not exist."""
         raw = self.wait_for_leader().store.values.get(key)
         return None if raw is None else msgspec.json.decode(raw)
--- a/lab/tier/data_plane_mutations.py
+++ b/lab/tier/data_plane_mutations.py
@@ -1,7 +1,7 @@
-"""Mistakes in the data plane that a named test has to detect: ``python -m lab.tier.data_plane_mutations [NAME …]``.
+"""Mutations of the data plane that a named test must detect: ``python -m lab.tier.data_plane_mutations [NAME …]``.
 
-Each is a line or two, over admission, queueing, the choice of an endpoint, attempts, restarts, resumption, commit,
-deadline, disconnect, drain and shutdown. ``source_mutation`` puts them in force, without changing a file.
+Each changes a line or two of admission, queueing, the choice of an endpoint, attempts, restarts, streams, commits,
+deadlines, disconnects, drain or shutdown. ``source_mutation`` applies them without changing a file.
 """
 
 from __future__ import annotations
@@ -532,7 +532,7 @@
 
 
 def main() -> int:
-    """Names of mutations as arguments, else all. Exit code 1 where a test does not detect its mutation."""
+    """Apply the mutations that the arguments name, or all. Exit code 1 if a test does not detect its mutation."""
     chosen = [mutation for mutation in ALL if len(sys.argv) == 1 or mutation.name in sys.argv[1:]]
     undetected = 0
     with ThreadPoolExecutor(WORKERS) as pool:
--- a/lab/tier/demo.py
+++ b/lab/tier/demo.py
@@ -1,4 +1,4 @@
-"""``python -m lab.tier.demo``: a small tier on loopback serves programs while its primary is killed."""
+"""``python -m lab.tier.demo``: serves programs by a small tier on loopback, and kills its primary meanwhile."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 from lab.tier.local import LocalTier
 
-SECONDS = 10.0
-PROGRAMS = 4
-TURNS = 6
+DURATION_S = 10.0
+PROGRAM_COUNT = 4
+TURNS_PER_PROGRAM = 6
 RETRY_BACKOFF_S = 0.2
 MAX_ATTEMPTS = 6
 
 
-async def run_program(tier: LocalTier, number: int, end: float, seen: Counter) -> None:
-    """Programs of a few retained turns and a call each, one after the other."""
+async def run_program(tier: LocalTier, number: int, end: float, counts: Counter) -> None:
+    """Run programs one after the other, each with a few retained turns and a call after each turn."""
     for serial in itertools.count():
         previous = ""
-        for turn in range(TURNS):
+        for turn in range(TURNS_PER_PROGRAM):
             if time.monotonic() > end:
                 return
             name = f"d{number}-{serial}-{turn}"
-            previous = await run_turn(tier, name, f"program-{number}-{serial}", previous, seen)
+            previous = await run_turn(tier, name, f"program-{number}-{serial}", previous, counts)
             if not previous:
-                seen["programs broken"] += 1
+                counts["programs broken"] += 1
                 break
             fields = ((b"lynxscale-request-id", f"{name}-call".encode()),)
-            answer = await tier.call(tier.frontend(tier.relay_names[number % 2]), "GET", "/look/1", b"", fields)
-            seen[f"calls answered {answer.status}"] += 1
+            response = await tier.call(tier.frontend(tier.relay_names[number % 2]), "GET", "/look/1", b"", fields)
+            counts[f"calls answered {response.status}"] += 1
         else:
-            seen["programs complete"] += 1
+            counts["programs complete"] += 1
 
 
-async def run_turn(tier: LocalTier, name: str, program: str, previous: str, seen: Counter) -> str:
-    """One turn, retried a few times under new ids; the id of the complete one, empty for none."""
+async def run_turn(tier: LocalTier, name: str, program: str, previous: str, counts: Counter) -> str:
+    """Run one turn, retried with new request ids. Returns the id of the complete attempt, empty if none completes."""
     for attempt in range(MAX_ATTEMPTS):
         request_id = f"{name}-{attempt}"
         fields = (
@@ -50,25 +50,25 @@
             *(((b"previous", previous.encode()),) if previous else ()),
         )
         relay = tier.relay_names[attempt % 2]
-        answer = await tier.call(tier.frontend(relay), "POST", "/kept/stream", b"say ", fields)
-        seen[f"turns answered {answer.status}"] += 1
-        if answer.status == 200:
+        response = await tier.call(tier.frontend(relay), "POST", "/kept/stream", b"say ", fields)
+        counts[f"turns answered {response.status}"] += 1
+        if response.status == 200:
             return request_id
         await asyncio.sleep(RETRY_BACKOFF_S)
     return ""
 
 
 async def main() -> int:
-    """Exit code 0 where every program was complete."""
-    seen: Counter = Counter()
+    """Exit code 0 if every program completed."""
+    counts: Counter = Counter()
     with tempfile.TemporaryDirectory() as folder:
         tier = LocalTier(Path(folder))
         try:
             await tier.start()
-            print(f"a tier of {len(tier.processes)} processes serves {PROGRAMS} programs for {SECONDS:.0f} s")
-            end = time.monotonic() + SECONDS
-            programs = [asyncio.create_task(run_program(tier, n, end, seen)) for n in range(PROGRAMS)]
-            await asyncio.sleep(SECONDS / 3)
+            print(f"a tier of {len(tier.processes)} processes serves {PROGRAM_COUNT} programs for {DURATION_S:.0f} s")
+            end = time.monotonic() + DURATION_S
+            programs = [asyncio.create_task(run_program(tier, n, end, counts)) for n in range(PROGRAM_COUNT)]
+            await asyncio.sleep(DURATION_S / 3)
             primary = await tier.primary()
             tier.kill(primary)
             print(f"{primary}, the primary, is killed")
@@ -77,9 +77,9 @@
             await asyncio.gather(*programs)
         finally:
             tier.stop()
-    for what, count in sorted(seen.items()):
-        print(f"{what}: {count}")
-    return int(seen["programs broken"] > 0 or not seen["programs complete"])
+    for outcome, count in sorted(counts.items()):
+        print(f"{outcome}: {count}")
+    return int(counts["programs broken"] > 0 or not counts["programs complete"])
 
 
 if __name__ == "__main__":
--- a/lab/tier/fakes.py
+++ b/lab/tier/fakes.py
@@ -1,4 +1,4 @@
-"""Fakes of what is outside the tier: endpoints, the platform's endpoint list, and clients."""
+"""Fakes of the systems around the tier: endpoints, the platform's endpoint list, and clients."""
 
 from __future__ import annotations
 
@@ -19,16 +19,18 @@
 Listen = Callable[[str, Callable[[], ServerConnection]], None]
 PLATFORM = "10.200.0.100:80"
 CLIENT = "10.250.0.1:0"
-EVENT_GAP_S = 0.02
+EVENT_INTERVAL_S = 0.02
 
 
 class FakeEndpoint:
-    """Responds with its signature, and streams events where the path says ``/stream``.
+    """An endpoint that signs its responses, and streams events if the path contains ``/stream``.
 
-    ``executed``: all requests it ran. Faults: ``rejects`` requests unexecuted, ``fails`` amid one, or
-    ``aborts_after`` so many events, once; ``ends_within_event``: the stream ends in the middle of its last event;
-    ``signed`` and ``names_request``: does a response carry its signature, and the request's id? ``load``: the load that
-    it reports, none where empty. ``status``: of what is no stream. ``service_time_s``: before a response begins.
+    ``executed``: all requests that it ran. ``load``: the load that it reports; none if empty. ``status``: the status of
+    responses that are no streams. ``service_time_s``: the time before a response begins.
+
+    Faults: ``rejects`` answers 503 without executing; ``fails`` aborts each request; ``aborts_after`` aborts one stream
+    after this many events; ``ends_within_event`` ends a stream in the middle of an event. Responses carry the
+    endpoint's signature if ``signed``, and the id of their request if ``names_request``.
     """
 
     def __init__(self, endpoint: Endpoint, clock: Clock, listen: Listen, events: int = 4) -> None:
@@ -51,7 +53,7 @@
 
     def _handle(self, request: Request, responder: Responder) -> EndpointRun | None:
         if request.head.text(headers.EXPECT_INSTANCE) != self.endpoint.id:
-            responder.respond(self._answer(request, 421, b"", stamped=False))
+            responder.respond(self._response(request, 421, b"", with_signature=False))
         elif self.rejects:
             fields = Head(((headers.NOT_EXECUTED, b"1"), (headers.REQUEST_ID, request.head.get(headers.REQUEST_ID))))
             responder.respond(Response(503, fields))
@@ -62,25 +64,25 @@
             return EndpointRun(self, request, responder)
         return None
 
-    def _answer(self, request: Request, status: int, body: bytes, stamped: bool = True) -> Response:
+    def _response(self, request: Request, status: int, body: bytes, with_signature: bool = True) -> Response:
         request_id = request.head.get(headers.REQUEST_ID) or b""
         fields = [(headers.REQUEST_ID, request_id if self.names_request else b"another")]
         if self.load:
             fields.append((headers.SERVER_LOAD, self.load.encode()))
-        if stamped and self.signed:
+        if with_signature and self.signed:
             fields.append((headers.RESPONSE_SIGNATURE, self.endpoint.id.encode()))
         return Response(status, Head(tuple(fields)), body)
 
 
 class EndpointRun:
-    """One request in execution."""
+    """One request that an endpoint executes."""
 
     def __init__(self, endpoint: FakeEndpoint, request: Request, responder: Responder) -> None:
         self._endpoint = endpoint
         self._request = request
         self._responder = responder
-        self._number = int(request.head.text(headers.LAST_EVENT_ID) or 0)
-        self._over = False
+        self._last_event_id = int(request.head.text(headers.LAST_EVENT_ID) or 0)
+        self._ended = False
         endpoint._clock.call_later(endpoint.service_time_s, self._begin)
 
     def on_client_disconnected(self) -> None:
@@ -88,44 +90,44 @@
         self._end()
 
     def _begin(self) -> None:
-        if self._over:
+        if self._ended:
             return
         if self._endpoint.fails:
             self._responder.abort()
             self._end()
         elif "/stream" in self._request.target:
-            answer = self._endpoint._answer(self._request, 200, b"")
-            self._responder.start(200, (*answer.head.fields, (b"content-type", b"text/event-stream")))
-            self._event()
+            response = self._endpoint._response(self._request, 200, b"")
+            self._responder.start(200, (*response.head.fields, (b"content-type", b"text/event-stream")))
+            self._send_event()
         else:
-            self._responder.respond(self._endpoint._answer(self._request, self._endpoint.status, b"done"))
+            self._responder.respond(self._endpoint._response(self._request, self._endpoint.status, b"done"))
             self._end()
 
-    def _event(self) -> None:
-        if self._over:
+    def _send_event(self) -> None:
+        if self._ended:
             return
-        if self._number == self._endpoint.events:
+        if self._last_event_id == self._endpoint.events:
             if self._endpoint.ends_within_event:
                 self._responder.data(b"id: 9\ndata: cut")
             self._responder.end()
             self._end()
-        elif self._number == self._endpoint.aborts_after:
+        elif self._last_event_id == self._endpoint.aborts_after:
             self._endpoint.aborts_after = None
             self._responder.abort()
             self._end()
         else:
-            self._number += 1
-            self._responder.data(b"id: %d\ndata: word%d\n\n" % (self._number, self._number))
-            self._endpoint._clock.call_later(EVENT_GAP_S, self._event)
+            self._last_event_id += 1
+            self._responder.data(b"id: %d\ndata: word%d\n\n" % (self._last_event_id, self._last_event_id))
+            self._endpoint._clock.call_later(EVENT_INTERVAL_S, self._send_event)
 
     def _end(self) -> None:
-        if not self._over:
-            self._over = True
+        if not self._ended:
+            self._ended = True
             self._endpoint.running -= 1
 
 
 class FakePlatform:
-    """Serves the endpoint list, as one page; ``rejects``: by 429."""
+    """Serves the endpoint list as one page; if ``rejects``, it answers 429."""
 
     def __init__(self, address: str, clock: Clock, listen: Listen) -> None:
         self.listed: list[Endpoint] = []
@@ -143,7 +145,7 @@
 
 
 class ClientResponse:
-    """A response as its client receives it. Implements ResponseReceiver; times are simulated seconds."""
+    """A response as the client receives it. Implements ResponseReceiver; times are simulated seconds."""
 
     def __init__(self, world: World, on_end: Callable[[ClientResponse], None] | None = None) -> None:
         self.status = 0
@@ -185,14 +187,14 @@
 
 def send_request(
     world: World,
-    streams: SimulatedTcp,
+    tcp: SimulatedTcp,
     address: str,
     request: Request,
     on_end: Callable[[ClientResponse], Any] | None = None,
 ) -> tuple[ClientResponse, ClientConnection]:
-    """Send a request from a client outside the tier on a connection of its own."""
-    answer = ClientResponse(world, on_end)
+    """Send a request from a client outside the tier, on a new connection."""
+    response = ClientResponse(world, on_end)
     connection = ClientConnection(address, world.machine(CLIENT).clock(), lambda connection: None)
-    connection.send(request, answer)
-    streams.dialer(CLIENT)(address, connection)
-    return answer, connection
+    connection.send(request, response)
+    tcp.dialer(CLIENT)(address, connection)
+    return response, connection
--- a/lab/tier/fault_injection.py
+++ b/lab/tier/fault_injection.py
@@ -1,4 +1,4 @@
-"""Faults of a simulated tier, drawn at random, of which one at a time is to be tolerated."""
+"""Injects random faults into a simulated tier, one at a time; the tier must tolerate each."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from lab.tier.simulated_tier import INTERNAL_PORT, SimulatedTier
 from lynxscale.coordination.version_files import BATCH_PREFIX
 
-WAITS_S = (0.0, 0.3, 2.0)
-"""Before a fault, once the one before it is repaired."""
-FREEZE_S = (0.2, 2.5)
+FAULT_DELAYS_S = (0.0, 0.3, 2.0)
+"""Time between the repair of a fault and the next fault."""
+FREEZE_RANGE_S = (0.2, 2.5)
 CLOCK_STEPS_S = (-3600.0, -2.0, 2.0, 3600.0)
-STOP_WITHIN_S = 4.0
-"""Within which a member that is asked to stop has stopped."""
+STOP_TIMEOUT_S = 4.0
+"""A member that was asked to stop is restarted after this time even if it has not stopped."""
 TWO_WAY_PROBABILITY = 0.6
 POWER_LOSS_PROBABILITY = 0.5
 
 
 class FaultInjector:
-    """Injects one fault after the other; each is repaired before the next."""
+    """Injects faults one after the other; each is repaired before the next."""
 
     def __init__(self, tier: SimulatedTier) -> None:
         self.tier = tier
-        self.draining: dict[str, float] = {}  # since when each endpoint is, by its id
+        self.draining: dict[str, float] = {}  # by endpoint id: the time at which draining began
         self._random = tier.world.random
-        # The order of the faults is that of the draws: a change of it changes the history of each seed.
-        self._outside_faults: tuple[Callable[[str], None], ...] = (
+        # Faults are drawn by their position here: another order would change the history of each seed.
+        self._data_plane_faults: tuple[Callable[[str], None], ...] = (
             self._kill_relay,
             self._fail_endpoint,
             self._drain_endpoint,
@@ -38,7 +38,7 @@
             self._wipe_member,
             self._freeze_member,
             self._isolate_member,
-            self._cut_one_link,
+            self._partition_one_link,
             self._kill_all_members,
             self._fill_disk,
             self._corrupt_batch,
@@ -49,18 +49,18 @@
         )
 
     def inject(self) -> None:
-        """Repair the fault before, wait, and inject the next."""
+        """Repair the previous fault, wait, and inject the next one."""
         self.repair()
         world = self.tier.world
-        world.run(world.time + self._random.choice(WAITS_S))
-        # A member counts as lost until it has caught up: no other may be lost meanwhile.
+        world.run(world.time + self._random.choice(FAULT_DELAYS_S))
+        # A member counts as lost until it has caught up, and no other member may be lost before that.
         all_in_sync = all(self._in_sync(host) for host in self.tier.control_hosts)
-        faults = (*self._outside_faults, *self._control_faults) if all_in_sync else self._outside_faults
+        faults = (*self._data_plane_faults, *self._control_faults) if all_in_sync else self._data_plane_faults
         fault = self._random.choice(faults)
         fault(self._random.choice(self.tier.control_hosts))
 
     def repair(self) -> None:
-        """End all partitions and faults, and start what is down."""
+        """End all partitions and faults, and start all processes that are down."""
         self.tier.world.heal()
         for endpoint in self.tier.endpoints.values():
             endpoint.fails = False
@@ -73,7 +73,7 @@
                 self.tier.start_relay(host)
 
     def _in_sync(self, host: str) -> bool:
-        """Whether the member at a host is in the in-sync set."""
+        """Whether the member on a host is in the in-sync set."""
         primary = self.tier.primary()
         service = self.tier.controls.get(host)
         return primary is not None and service is not None and service.member.member_id in primary.member.record.in_sync
@@ -84,10 +84,10 @@
     def _partition(self, one: str, other: str, both_ways: bool = True) -> None:
         self.tier.world.partition(internal_address(one), internal_address(other), both_ways)
 
-    def _two_way(self) -> bool:
+    def _draw_two_way(self) -> bool:
         return self._random.random() < TWO_WAY_PROBABILITY
 
-    # Outside the control plane -----------------------------------------------------------------------
+    # Relays and endpoints ----------------------------------------------------------------------------
 
     def _kill_relay(self, host: str) -> None:
         self.tier.kill_relay(self._random.choice(self.tier.relay_hosts))
@@ -112,16 +112,16 @@
         self.tier.kill_control(host, power=True, wipe=True)
 
     def _freeze_member(self, host: str) -> None:
-        self._machine(host).freeze(self._random.uniform(*FREEZE_S))
+        self._machine(host).freeze(self._random.uniform(*FREEZE_RANGE_S))
 
     def _isolate_member(self, host: str) -> None:
         for other in self.tier.control_hosts:
             if other != host:
-                self._partition(host, other, self._two_way())
+                self._partition(host, other, self._draw_two_way())
 
-    def _cut_one_link(self, host: str) -> None:
+    def _partition_one_link(self, host: str) -> None:
         other = self._random.choice([one for one in self.tier.control_hosts if one != host])
-        self._partition(host, other, self._two_way())
+        self._partition(host, other, self._draw_two_way())
 
     def _kill_all_members(self, host: str) -> None:
         for one in self.tier.control_hosts:
@@ -131,7 +131,7 @@
         self._machine(host).files.full = True
 
     def _corrupt_batch(self, host: str) -> None:
-        """A batch file of a stopped member is corrupt; it starts again, and the primary may lose power."""
+        """Stop a member, corrupt one of its batch files and start it again; the primary may lose power then."""
         primary = self.tier.primary()
         self.tier.kill_control(host)
         files = self._machine(host).files
@@ -144,7 +144,7 @@
             self.tier.kill_control(primary_host, power=True)
 
     def _stop_member(self, host: str) -> None:
-        """A member is asked to stop; once it has, it starts again. Another may be lost meanwhile."""
+        """Ask a member to stop, and restart it once it has stopped. Another member may be lost meanwhile."""
         service = self.tier.controls[host]
 
         def restart() -> None:
@@ -153,7 +153,7 @@
                 self.tier.start_control(host)
 
         service.leave(restart)
-        self.tier.world.call_at(self.tier.world.time + STOP_WITHIN_S, restart)
+        self.tier.world.call_at(self.tier.world.time + STOP_TIMEOUT_S, restart)
 
     def _partition_halves(self, host: str) -> None:
         hosts = self._random.sample(self.tier.control_hosts, len(self.tier.control_hosts))
@@ -163,7 +163,7 @@
                 self._partition(one, other)
 
     def _lose_disks_amid_power_loss(self, host: str) -> None:
-        """As many disks as tolerated are lost while all other machines lose power, relays too."""
+        """All members lose power, as many as tolerated lose their disks too, and all relays are killed."""
         lost = self._random.sample(self.tier.control_hosts, self.tier.tolerated)
         for one in self.tier.control_hosts:
             self.tier.kill_control(one, power=True, wipe=one in lost)
@@ -175,5 +175,5 @@
 
 
 def internal_address(host: str) -> str:
-    """The internal address of a host of the tier."""
+    """The internal address of a host."""
     return f"{host}:{INTERNAL_PORT}"
--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -1,7 +1,7 @@
 """Random histories of simulated tiers with faults, and a check of each: ``python -m lab.tier.histories FIRST LAST``.
 
-A history follows from its seed alone. The checker judges by what clients, operator and endpoints observed, and by the
-members' own state at the end; each broken rule is reported by its name and the seed.
+A history is determined by its seed. The checker uses what clients, the operator and endpoints observed, and the state
+of the members at the end. Each broken rule is reported with its name and the seed.
 """
 
 from __future__ import annotations
@@ -26,31 +26,31 @@
 from lynxscale.dataplane.service import RelayService
 from lynxscale.runtime.http_types import Head, Request
 
-STEPS = 40
-ACTION_WEIGHTS = (6, 4, 2, 2)  # of a turn, a call, a configuration order and a fault
-PAUSE_S = (0.02, 0.5)
-LOSS = 0.01
+ACTIONS_PER_HISTORY = 40
+ACTION_WEIGHTS = (6, 4, 2, 2)  # of a turn, a call, a configuration change and a fault
+PAUSE_RANGE_S = (0.02, 0.5)
+LOSS_PROBABILITY = 0.01
 PROGRAMS = 4
 BUDGETS = (80, 200, 1000)
 RETRY_PROBABILITY = 0.4
-"""With which an operator sends an earlier order again."""
-QUIET_S = 6.0
-"""Without faults at the end, before the state is checked."""
+"""The probability that the operator sends an earlier change again instead of a new one."""
+RECOVERY_S = 6.0
+"""Time without faults at the end of a history, before the state is checked."""
 WATCH_INTERVAL_S = 0.02
-READ_PAUSE_S = (0.05, 0.4)
-"""Between two reads of the configuration."""
-DRAIN_S = 3.0
-"""After which a draining endpoint must receive no request."""
+READ_INTERVAL_RANGE_S = (0.05, 0.4)
+"""Time between two reads of the configuration."""
+DRAIN_TIMEOUT_S = 3.0
+"""Time after which a draining endpoint must not receive requests."""
 SIZES = ((3, 1), (3, 1), (4, 1), (5, 2), (3, 1), (6, 2), (7, 2), (9, 2))  # control members, tolerated losses
 
 
 class History:
-    """One history: clients, an operator and faults, interleaved at random."""
+    """One history: random actions of clients and an operator, and random faults."""
 
     def __init__(self, seed: int, varied: bool = False) -> None:
-        """``varied``: disks, links and processors differ, by ``conditions``."""
+        """``varied``: disks, links and processors differ between machines, see ``conditions``."""
         self.seed = seed
-        self.world = World(seed, loss=LOSS)
+        self.world = World(seed, loss=LOSS_PROBABILITY)
         self.random = self.world.random
         size, tolerated = SIZES[seed % len(SIZES)]
         self.tier = SimulatedTier(self.world, controls=size, tolerated=tolerated)
@@ -61,31 +61,31 @@
         self.tier.start_serving()
         self.turns: list[ObservedTurn] = []
         self.calls: list[tuple[str, ClientResponse]] = []
-        self.orders: list[ObservedChange] = [ObservedChange(0, default_configuration())]
+        self.changes: list[ObservedChange] = [ObservedChange(0, default_configuration())]
         self.broken: Counter[str] = Counter()
         self.reads: list[ObservedRead] = []
-        self._readers = Random(f"reads {seed}")  # of their own, so that the other draws are those of the seed
+        self._read_random = Random(f"reads {seed}")  # separate, so that reads do not change the other draws
         self._faults = FaultInjector(self.tier)
-        self._generations: dict[RelayService, int] = {}  # of the configuration, as seen last
-        self._executed: dict[str, int] = {}  # by draining endpoint, as seen last
+        self._generations: dict[RelayService, int] = {}  # version of the configuration when last checked
+        self._executed: dict[str, int] = {}  # requests of each draining endpoint when last checked
         self._number = 0
-        self._watch()
+        self._watch_invariants()
         self._read()
 
     def play(self) -> Counter[str]:
-        """Run to the end; the rules that were broken, by name."""
-        for _ in range(STEPS):
-            action = self.random.choices((self._turn, self._call, self._order, self._faults.inject), ACTION_WEIGHTS)[0]
+        """Run the history and check it. Returns how often each rule was broken."""
+        for _ in range(ACTIONS_PER_HISTORY):
+            action = self.random.choices((self._turn, self._call, self._change, self._faults.inject), ACTION_WEIGHTS)[0]
             action()
-            self.world.run(self.world.time + self.random.uniform(*PAUSE_S))
+            self.world.run(self.world.time + self.random.uniform(*PAUSE_RANGE_S))
         self._faults.repair()
         self.world.loss = 0.0
-        self.world.run(self.world.time + QUIET_S)
-        self.broken += check_history(self.tier, Observations(self.turns, self.calls, self.orders, self.reads))
+        self.world.run(self.world.time + RECOVERY_S)
+        self.broken += check_history(self.tier, Observations(self.turns, self.calls, self.changes, self.reads))
         return self.broken
 
-    def _watch(self) -> None:
-        """Check, while the history runs, what does not show at its end."""
+    def _watch_invariants(self) -> None:
+        """Check periodically the rules whose violation is not visible at the end."""
         leaders = sum(one.member.leads() for one in self.tier.controls.values())
         if leaders > 1:
             self.broken["two_primaries"] += 1
@@ -96,10 +96,10 @@
             self._generations[relay] = generation
         for name, since in self._faults.draining.items():
             executed = len(self.tier.endpoints[name].executed)
-            if self.world.time - since > DRAIN_S and executed > self._executed.get(name, executed):
+            if self.world.time - since > DRAIN_TIMEOUT_S and executed > self._executed.get(name, executed):
                 self.broken["drain"] += 1
             self._executed[name] = executed
-        self.world.call_at(self.world.time + WATCH_INTERVAL_S, self._watch)
+        self.world.call_at(self.world.time + WATCH_INTERVAL_S, self._watch_invariants)
 
     # Clients and operator ----------------------------------------------------------------------------
 
@@ -113,81 +113,81 @@
     def _turn(self) -> None:
         number = self.random.randrange(PROGRAMS)
         program, budget = f"p{number}", BUDGETS[number % len(BUDGETS)]
-        complete = [seen for seen in self.turns if seen.program == program and seen.answer.complete]
-        previous = self.random.choice([seen for seen in complete if seen.answer.status == 200] or [None])
+        complete = [turn for turn in self.turns if turn.program == program and turn.response.complete]
+        previous = self.random.choice([turn for turn in complete if turn.response.status == 200] or [None])
         name, text = self._name("t"), f"say{self._number} ".encode()
         fields = {"program": program, "budget": str(budget), "lynxscale_token_count": f"10,{MAX_TOKENS}"}
         if previous is not None:
             fields["previous"] = previous.request_id
-        answer, _ = self.tier.start_request("/kept/stream", self._relay(), text, request_id=name, **fields)
+        response, _ = self.tier.start_request("/kept/stream", self._relay(), text, request_id=name, **fields)
         before = previous.request_id if previous else ""
-        self.turns.append(ObservedTurn(name, program, before, text, answer, budget))
+        self.turns.append(ObservedTurn(name, program, before, text, response, budget))
 
     def _call(self) -> None:
         path = self.random.choice(("/book/1", "/look/1"))
         name = self._name("c")
-        answer, _ = self.tier.start_request(path, self._relay(), request_id=name)
-        self.calls.append((f"{path} {name}", answer))
+        response, _ = self.tier.start_request(path, self._relay(), request_id=name)
+        self.calls.append((f"{path} {name}", response))
 
-    def _order(self) -> None:
+    def _change(self) -> None:
         if self.random.random() < RETRY_PROBABILITY:
-            order = self.random.choice(self.orders)
+            change = self.random.choice(self.changes)
         else:
-            order = self._new_order()
-            self.orders.append(order)
+            change = self._new_change()
+            self.changes.append(change)
         host = self.random.choice(self.tier.control_hosts)
-        fields = ((b"host", b"c"), (b"lynxscale-base-version", b"%d" % order.base))
-        path = "/config/update" if order.update else "/config/replace"
-        request = Request("POST", path, Head(fields), msgspec.json.encode(order.update or order.table))
-        answer, _ = send_request(self.world, self.tier.streams, f"{host}:{CONTROL_PORT}", request)
-        order.answers.append(answer)
-        order.sent_at.append(self.world.time)
+        fields = ((b"host", b"c"), (b"lynxscale-base-version", b"%d" % change.base))
+        path = "/config/update" if change.update else "/config/replace"
+        request = Request("POST", path, Head(fields), msgspec.json.encode(change.update or change.table))
+        response, _ = send_request(self.world, self.tier.tcp, f"{host}:{CONTROL_PORT}", request)
+        change.responses.append(response)
+        change.sent_at.append(self.world.time)
 
     def _read(self) -> None:
-        """Read the configuration from some member, again and again."""
-        host = self._readers.choice(self.tier.control_hosts)
+        """Read the configuration from a random member, and schedule the next read."""
+        host = self._read_random.choice(self.tier.control_hosts)
         request = Request("GET", "/config/read", Head(((b"host", b"c"),)))
-        answer, _ = send_request(self.world, self.tier.streams, f"{host}:{CONTROL_PORT}", request)
-        self.reads.append(ObservedRead(self.world.time, answer))
-        self.world.call_at(self.world.time + self._readers.uniform(*READ_PAUSE_S), self._read)
-
-    def _new_order(self) -> ObservedChange:
-        """An order on the newest acknowledged version: a replacement, or an update where one order made that."""
-        base = max(order.table["generation"] for order in self.orders if order.acknowledged or order.base == 0)
-        order = ObservedChange(base, default_configuration(base + self.random.randint(1, 3)))
-        route = order.table["routes"][0]
-        route["target-latency-ms"] = 200 + len(self.orders)
-        made = [one.table for one in self.orders if one.table["generation"] == base]
-        if len(made) == 1 and len(self.orders) % 2:
-            # All configurations here differ in the first route alone.
-            order.update = {"generation": order.table["generation"], "upsert": {"routes": [route]}}
-        return order
+        response, _ = send_request(self.world, self.tier.tcp, f"{host}:{CONTROL_PORT}", request)
+        self.reads.append(ObservedRead(self.world.time, response))
+        self.world.call_at(self.world.time + self._read_random.uniform(*READ_INTERVAL_RANGE_S), self._read)
+
+    def _new_change(self) -> ObservedChange:
+        """A change of the newest acknowledged version: a replacement, or an update if that version is known."""
+        base = max(change.table["generation"] for change in self.changes if change.acknowledged or change.base == 0)
+        change = ObservedChange(base, default_configuration(base + self.random.randint(1, 3)))
+        route = change.table["routes"][0]
+        route["target-latency-ms"] = 200 + len(self.changes)
+        tables_of_base = [one.table for one in self.changes if one.table["generation"] == base]
+        if len(tables_of_base) == 1 and len(self.changes) % 2:
+            # All configurations of a history differ only in their first route.
+            change.update = {"generation": change.table["generation"], "upsert": {"routes": [route]}}
+        return change
 
 
 @frozen
 class Tally:
-    """Of a range of histories: how many were played, which rules were broken by seed, and the time in seconds."""
+    """Totals of a range of histories: histories played, broken rules by seed, turns sent and completed, duration."""
 
     played: int
     broken: dict[int, Counter[str]]
     turns: int
-    served: int
+    complete_turns: int
     seconds: float
 
     def __str__(self) -> str:
-        """One line."""
+        """A summary on one line."""
         breaches = sum(sum(rules.values()) for rules in self.broken.values())
         return (
             f"{self.played} histories played, {len(self.broken)} with breaches ({breaches}); "
-            f"{self.served} of {self.turns} turns complete; {self.seconds:.0f} s"
+            f"{self.complete_turns} of {self.turns} turns complete; {self.seconds:.0f} s"
         )
 
 
 def play_range(first: int, last: int, varied: bool, on_breach: Callable[[int, Counter[str]], None]) -> Tally:
-    """Play the histories of a range of seeds; one that cannot go on counts as a breach, none is passed over."""
+    """Play the histories of a range of seeds. A history that ends early with an AssertionError counts as a breach."""
     begun = time.monotonic()
     broken: dict[int, Counter[str]] = {}
-    played = served = turns = 0
+    played = complete_turns = turns = 0
     for seed in range(first, last + 1):
         played += 1
         try:
@@ -197,19 +197,19 @@
             rules = Counter({f"ended: {error}": 1})
         else:
             turns += len(history.turns)
-            served += sum(seen.answer.complete and seen.answer.status == 200 for seen in history.turns)
+            complete_turns += sum(turn.response.complete and turn.response.status == 200 for turn in history.turns)
         if rules:
             broken[seed] = rules
             on_breach(seed, rules)
-    return Tally(played, broken, turns, served, time.monotonic() - begun)
+    return Tally(played, broken, turns, complete_turns, time.monotonic() - begun)
 
 
 def main() -> int:
-    """Play the histories of a range of seeds. Exit code 1 where a rule was broken; its seeds are printed."""
+    """Play the histories of a range of seeds, and print those that break a rule. Exit code 1 if there are any."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("first", type=int)
     parser.add_argument("last", type=int)
-    parser.add_argument("--varied", action="store_true", help="disks, links and processors differ by machine")
+    parser.add_argument("--varied", action="store_true", help="disks, links and processors differ between machines")
     options = parser.parse_args()
     logging.disable(logging.CRITICAL)
     tally = play_range(
--- a/lab/tier/local.py
+++ b/lab/tier/local.py
@@ -1,6 +1,6 @@
-"""A small tier of real processes on loopback, with fake endpoints and platform in this process.
+"""A small tier of real processes on loopback; the endpoints and the platform are fakes in this process.
 
-Three control members and two relays run the programs as they are, each at an address of its own in 127.0.0.0/8.
+Three control members and two relays run as separate processes, each at its own address in 127.0.0.0/8.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from lynxscale.runtime.operator_client import send_request
 from lynxscale.runtime.sockets import split_address
 
-CONTROLS, RELAYS = 3, 2
+CONTROL_COUNT, RELAY_COUNT = 3, 2
 ENDPOINT_PORT = 7399
 START_TIMEOUT_S = 20.0
 STOP_TIMEOUT_S = 10.0
@@ -33,7 +33,7 @@
 
 @dataclass
 class LocalTier:
-    """Processes by name. ``network``: the second number of all addresses; ``port``: the first of four ports."""
+    """The processes of a tier, by name. ``network``: second octet of all addresses; ``port``: first of four ports."""
 
     folder: Path
     network: int = 77
@@ -50,31 +50,31 @@
         return f"127.{self.network}.{1 if role == 'control' else 2}.{number}"
 
     def control(self, name: str) -> str:
-        """The control address."""
+        """The address for operators of a control member."""
         return f"{self.host(name)}:{self.port + 1}"
 
     def frontend(self, name: str) -> str:
-        """The address for clients."""
+        """The address for clients of a relay."""
         return f"{self.host(name)}:{self.port + 2}"
 
     def readiness(self, name: str) -> str:
-        """The address of the readiness check."""
+        """The address of a relay's readiness check."""
         return f"{self.host(name)}:{self.port + 3}"
 
     @property
     def control_names(self) -> list[str]:
-        """All control members."""
-        return [f"control-{number}" for number in range(1, CONTROLS + 1)]
+        """The names of all control members."""
+        return [f"control-{number}" for number in range(1, CONTROL_COUNT + 1)]
 
     @property
     def relay_names(self) -> list[str]:
-        """All relays."""
-        return [f"relay-{number}" for number in range(1, RELAYS + 1)]
+        """The names of all relays."""
+        return [f"relay-{number}" for number in range(1, RELAY_COUNT + 1)]
 
     # Processes ---------------------------------------------------------------------------------------
 
     async def start(self) -> None:
-        """Start everything and wait until the relays are ready. Raises TimeoutError."""
+        """Start and configure the tier, and wait until the relays are ready. Raises TimeoutError."""
         loop = asyncio.get_running_loop()
         clock = LoopClock(loop)
         servers: list[asyncio.Task] = []
@@ -105,7 +105,7 @@
                 await asyncio.sleep(0.1)
 
     def launch(self, name: str, bootstrap: bool = False) -> None:
-        """Start a process by its settings file."""
+        """Write the settings file of a process and start it."""
         settings = self.folder / f"{name}.toml"
         settings.write_text(self.settings_text(name, bootstrap))
         module = "lynxscale.controlplane" if name.startswith("control") else "lynxscale.dataplane"
@@ -118,7 +118,7 @@
             )
 
     def settings_text(self, name: str, bootstrap: bool) -> str:
-        """The settings file of a process."""
+        """The content of the settings file of a process."""
         number = int(name.rpartition("-")[2])
         seeds = [self.control(one) for one in self.control_names]
         listen = (
@@ -152,7 +152,7 @@
         process.wait()
 
     def stop(self) -> None:
-        """Stop all processes gracefully, and kill those that do not stop within ``STOP_TIMEOUT_S``."""
+        """Stop all processes with SIGTERM, and kill those that do not end within ``STOP_TIMEOUT_S``."""
         for process in self.processes.values():
             process.send_signal(signal.SIGTERM)
         for process in self.processes.values():
@@ -166,7 +166,7 @@
     # Calls -------------------------------------------------------------------------------------------
 
     async def call(self, address: str, method: str, target: str, body: bytes = b"", fields: tuple = ()) -> Response:
-        """The response to one request; status 0 where there is none."""
+        """The response to one request; status 0 if none is received."""
         head = Head(((b"host", b"tier.example"), *fields))
         try:
             return await send_request(address, Request(method, target, head, body))
@@ -174,7 +174,7 @@
             return Response(0)
 
     async def primary(self) -> str:
-        """The member that holds the lease. Raises TimeoutError."""
+        """Wait for a member that leads, and return its name. Raises TimeoutError."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 for name in self.control_names:
--- a/lab/tier/machine.py
+++ b/lab/tier/machine.py
@@ -1,4 +1,4 @@
-"""A simulated machine: the clock, the network and the files of its present process, and the events that it owns."""
+"""A simulated machine: the clock, network and files of its current process, and its scheduled events."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from lab.tier.world import World
 
-QUOTA_MARGIN_S = 1e-6  # so that an event that was put off is not, by rounding, within the same period again
-START_WALL = 1_800_000_000.0
+QUOTA_MARGIN_S = 1e-6  # keeps a postponed event out of the period that it was postponed from, in spite of rounding
+START_UNIX_TIME_S = 1_800_000_000.0
 """Unix time at the start of a simulation, in seconds."""
 
 
 class ProcessEnded(BaseException):
-    """The running process ends at this instant; nothing of what it was doing goes on."""
+    """The running process ends now: unwinds the call in progress."""
 
 
 class Event:
@@ -33,15 +33,15 @@
         self.owner = owner
 
     def cancel(self) -> None:
-        """Drop the call."""
+        """Cancel the call."""
         self.call = None
 
 
 @frozen
 class ProcessorQuota:
-    """A process runs at full speed for a share of each period, and not at all for the rest of it.
+    """Limits a process to a share of each period: it runs at full speed first, then not at all until the period ends.
 
-    ``share``: of the period; ``phase``: of it, by which the periods of this machine begin later.
+    ``share`` and ``phase`` are fractions of the period; the periods of this machine begin later by ``phase``.
     """
 
     share: float
@@ -49,41 +49,41 @@
     period_s: float = 0.1
 
     def runs_at(self, time: float) -> float:
-        """The first time from then on at which it runs."""
+        """The earliest time, not before ``time``, at which the process runs."""
         periods = time / self.period_s - self.phase
-        begun = floor(periods)
-        if periods - begun < self.share:
+        current_period = floor(periods)
+        if periods - current_period < self.share:
             return time
-        # The same to the last bit for all that was put off within this period: their order stays.
-        return (begun + 1 + self.phase) * self.period_s + QUOTA_MARGIN_S
+        # Bit for bit the same result for all events postponed within this period, so that they keep their order.
+        return (current_period + 1 + self.phase) * self.period_s + QUOTA_MARGIN_S
 
 
 class Machine:
-    """One machine: its files outlast its processes. ``receive`` is the message handler of its present process."""
+    """One machine. Its files outlive its processes. ``receive`` is the message handler of its current process."""
 
     def __init__(self, world: World, address: str) -> None:
         self.world = world
         self.address = address
         self.files = SimulatedFiles(self)
         self.receive: Callable[[Message], object] | None = None
-        self.incarnation = 0  # of its process
+        self.incarnation = 0  # number of the current process
         self.frozen_until = 0.0
-        self.bytes_per_s = float("inf")  # of its links
+        self.bytes_per_s = float("inf")  # bandwidth of its links
         self.quota: ProcessorQuota | None = None
-        self.sync_s = 0.0  # of one sync, for which the process blocks
-        self.synced_at = 0.0  # when its last sync is done
-        self.clock_step_s = 0.0  # of its Unix time
+        self.sync_s = 0.0  # duration of one sync, which blocks the process
+        self.synced_at = 0.0  # when its latest sync completes
+        self.clock_step_s = 0.0  # added to its Unix time
 
     def clock(self) -> MachineClock:
-        """The clock of the machine's present process."""
+        """The clock of the machine's current process."""
         return MachineClock(self)
 
     def network(self) -> MachineNetwork:
-        """The network of the machine's present process."""
+        """The network of the machine's current process."""
         return MachineNetwork(self)
 
     def on_arrival(self, incarnation: int, source: str, target: str, payload: bytes) -> None:
-        """A message arrives, unless its receiver has ended or been partitioned from the sender meanwhile."""
+        """Handle a message, unless the receiving process has ended or is partitioned from the sender by now."""
         if incarnation != self.incarnation or (source, target) in self.world.partitions:
             return
         if self.receive is not None:
@@ -100,18 +100,18 @@
             self.files = SimulatedFiles(self)
 
     def sync(self, times: int) -> None:
-        """Block for so many syncs of the disk."""
+        """Block the process for ``times`` syncs of the disk."""
         if self.sync_s:
-            begun = max(self.frozen_until, self.world.time)
-            self.frozen_until = self.synced_at = begun + times * self.sync_s
+            started_at = max(self.frozen_until, self.world.time)
+            self.frozen_until = self.synced_at = started_at + times * self.sync_s
 
     def runs_at(self, time: float) -> float:
-        """The first time from then on at which its process may run."""
-        thawed = max(time, self.frozen_until)
-        return thawed if self.quota is None else self.quota.runs_at(thawed)
+        """The earliest time, not before ``time``, at which the process may run."""
+        resumes_at = max(time, self.frozen_until)
+        return resumes_at if self.quota is None else self.quota.runs_at(resumes_at)
 
     def freeze(self, seconds: float) -> None:
-        """Suspend the process; events due meanwhile happen at the end."""
+        """Suspend the process; events that become due meanwhile run when it resumes."""
         self.frozen_until = self.world.time + seconds
 
 
@@ -123,16 +123,16 @@
         self._incarnation = machine.incarnation
 
     def now(self) -> float:
-        """Steady time in seconds. Within a call that has written, the time at which its syncs are done."""
+        """Monotonic time in seconds. Within a call that has written files, the time at which its syncs complete."""
         machine = self._machine
         return max(machine.world.time, machine.synced_at)
 
     def wall(self) -> float:
         """Unix time in seconds."""
-        return START_WALL + self._machine.world.time + self._machine.clock_step_s
+        return START_UNIX_TIME_S + self._machine.world.time + self._machine.clock_step_s
 
     def call_later(self, delay: float, call: Callable[[], None]) -> Event:
-        """Schedule a call, which is dropped should the process end first."""
+        """Schedule a call; it is dropped if the process ends first."""
         machine, incarnation = self._machine, self._incarnation
 
         def call_if_alive() -> None:
@@ -150,6 +150,6 @@
         self._incarnation = machine.incarnation
 
     def send(self, address: str, message: Message) -> None:
-        """Send, unless the process has ended."""
+        """Send a message, unless the process has ended."""
         if self._machine.incarnation == self._incarnation:
             self._machine.world.deliver(self._machine.address, address, message)
--- a/lab/tier/models/__init__.py
+++ b/lab/tier/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small models of the tier, each searched in every order of its events: ``python -m lab.tier.models``."""
+"""Small models of the tier, searched exhaustively in every order of events: ``python -m lab.tier.models``."""
--- a/lab/tier/models/__main__.py
+++ b/lab/tier/models/__main__.py
@@ -1,4 +1,4 @@
-"""Searches every order of events of the models within their bounds; exit code 1 where an invariant is violated."""
+"""Searches the models in every order of events within their bounds; exit code 1 if an invariant is violated."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Names of models as arguments, else all."""
+    """Search the models that the arguments name, or all without arguments."""
     logging.disable(logging.CRITICAL)
     broken = 0
     for model in MODELS:
--- a/lab/tier/models/admission.py
+++ b/lab/tier/models/admission.py
@@ -1,10 +1,10 @@
-"""Model of admission, replacement and graceful leave: the plans of a primary against faults of the members meanwhile.
+"""Model of admission, replacement and graceful leave: the membership plans of a primary while members fail.
 
 Members become unreachable and return, lose their disks, join, catch up, are asked to stop or to be drained, and leave
-once they may; the primary applies its plan step by step, and another member may become primary.
+once this is allowed. The primary applies its plan step by step, and another member may become primary.
 
-Invariants: with every unreachable member back, and no more disks lost than tolerated, a majority of the voters and a
-copy that counts, on a voter, are there; a copy counts only on a voter that has caught up.
+Invariants, provided that all unreachable members return and no more disks are lost than tolerated: a majority of the
+voters and an up-to-date in-sync replica remain. Only voters are in the in-sync set.
 """
 
 from __future__ import annotations
@@ -23,41 +23,41 @@
 
 @dataclass(frozen=True)
 class AdmissionBounds:
-    """``newcomers`` may appear, ``losses`` disks be lost, and so on; ``tolerated`` at once."""
+    """How often each event may happen. ``tolerated``: how many members may be lost at a time."""
 
     founders: int = 3
     newcomers: int = 1
     tolerated: int = 1
-    losses: int = 1
+    disk_losses: int = 1
     outages: int = 1
     stops: int = 1
     retirements: int = 0
 
 
 @dataclass
-class MemberView:
-    """State of one member. ``gone``: its process ended for good, or its disk was lost; ``holds``: it has caught up."""
+class ModelMember:
+    """State of one member. ``permanently_lost``: it has left, or lost its disk; ``up_to_date``: it has caught up."""
 
     present: bool = True
-    gone: bool = False
-    holds: bool = False
+    permanently_lost: bool = False
+    up_to_date: bool = False
     leaving: bool = False
     retiring: bool = False
 
 
 class Admission:
-    """The state machine that is searched."""
+    """The state machine of the model."""
 
     def __init__(self, bounds: AdmissionBounds) -> None:
         self.bounds = bounds
         self.names = [f"m{number}:1#0" for number in range(bounds.founders + bounds.newcomers)]
         voters = tuple(self.names[: max(3, 2 * bounds.tolerated + 1)])
         self.record = EpochRecord(1, voters[0], voters, voters)
-        self.members = {name: MemberView(holds=True) for name in self.names[: bounds.founders]}
+        self.members = {name: ModelMember(up_to_date=True) for name in self.names[: bounds.founders]}
         for name in self.names[len(voters) : bounds.founders]:
-            self.members[name].holds = False
-        self._left = {
-            "loses its disk": bounds.losses,
+            self.members[name].up_to_date = False
+        self._remaining_faults = {
+            "loses its disk": bounds.disk_losses,
             "becomes unreachable": bounds.outages,
             "is asked to stop": bounds.stops,
             "is to be drained": bounds.retirements,
@@ -65,61 +65,65 @@
 
     @property
     def primary(self) -> str:
-        """The member that plans."""
+        """The id of the primary, which plans changes of the membership."""
         return self.record.primary
 
     def events(self) -> list[Event]:
         """Part of StateMachine."""
-        found: list[Event] = []
+        possible_events: list[Event] = []
         for name in self.names:
-            found += [(name, what) for what in self._may(name)]
-        if self._leads and self._plan() is not None:
-            found.append((self.primary, "decides"))
-        found += [(name, "takes over") for name in self._heirs()]
-        return found
+            possible_events += [(name, action) for action in self._member_events(name)]
+        if self._primary_has_majority and self._plan() is not None:
+            possible_events.append((self.primary, "decides"))
+        possible_events += [(name, "takes over") for name in self._possible_successors()]
+        return possible_events
 
-    def _may(self, name: str) -> list[str]:
+    def _member_events(self, name: str) -> list[str]:
         member = self.members.get(name)
         if member is None:
             return ["joins"]
-        if member.gone:
+        if member.permanently_lost:
             return []
-        found = [what for what, left in self._left.items() if left and self._allowed(name, what)]
+        possible_events = [
+            action
+            for action, remaining in self._remaining_faults.items()
+            if remaining and self._is_allowed(name, action)
+        ]
         if not member.present:
-            found.append("returns")
-        elif not member.holds and name in self.record.voters and self._leads:
-            found.append("has caught up")
-        asked = member.leaving and member.present and name != self.primary
-        if asked and self._leads and can_remove(self._input(), name):
-            found.append("leaves")
-        return found
-
-    def _allowed(self, name: str, what: str) -> bool:
+            possible_events.append("returns")
+        elif not member.up_to_date and name in self.record.voters and self._primary_has_majority:
+            possible_events.append("has caught up")
+        asked_to_leave = member.leaving and member.present and name != self.primary
+        if asked_to_leave and self._primary_has_majority and can_remove(self._plan_input(), name):
+            possible_events.append("leaves")
+        return possible_events
+
+    def _is_allowed(self, name: str, action: str) -> bool:
         member = self.members[name]
-        if what in ("loses its disk", "becomes unreachable"):
+        if action in ("loses its disk", "becomes unreachable"):
             return member.present and len(self._lost_voters() - {name}) < self.bounds.tolerated
-        if what == "is to be drained":
-            remaining = [one for one, other in self.members.items() if one != name and self._stays(other)]
+        if action == "is to be drained":
+            remaining = [one for one, other in self.members.items() if one != name and self._remains_member(other)]
             return not member.retiring and len(remaining) >= max(3, 2 * self.bounds.tolerated + 1)
         return not member.leaving
 
     @staticmethod
-    def _stays(member: MemberView) -> bool:
-        return member.present and not (member.gone or member.leaving or member.retiring)
+    def _remains_member(member: ModelMember) -> bool:
+        return member.present and not (member.permanently_lost or member.leaving or member.retiring)
 
     def _lost_voters(self) -> set[str]:
-        """Members that are not there, or came back and have not caught up: the operators count them as lost."""
+        """Voters and in-sync members that are unreachable or permanently lost."""
         named = {*self.record.voters, *self.record.in_sync}
-        return {one for one in named if self.members[one].gone or not self.members[one].present}
+        return {one for one in named if self.members[one].permanently_lost or not self.members[one].present}
 
     @property
-    def _leads(self) -> bool:
+    def _primary_has_majority(self) -> bool:
         member = self.members[self.primary]
-        present = {one for one, other in self.members.items() if other.present and not other.gone}
-        return member.present and not member.gone and is_majority(self.record.voters, present)
+        present = {one for one, other in self.members.items() if other.present and not other.permanently_lost}
+        return member.present and not member.permanently_lost and is_majority(self.record.voters, present)
 
-    def _heirs(self) -> list[str]:
-        present = {one for one, other in self.members.items() if other.present and not other.gone}
+    def _possible_successors(self) -> list[str]:
+        present = {one for one, other in self.members.items() if other.present and not other.permanently_lost}
         if not is_majority(self.record.voters, present):
             return []
         voters = set(self.record.voters) & set(self.record.in_sync) & present
@@ -127,41 +131,41 @@
 
     def apply(self, event: Event) -> None:
         """Part of StateMachine."""
-        name, what = event
-        if what == "joins":
-            self.members[name] = MemberView()
+        name, action = event
+        if action == "joins":
+            self.members[name] = ModelMember()
             return
         member = self.members[name]
-        if what in self._left:
-            self._left[what] -= 1
-        if what == "loses its disk":
-            member.gone, member.present, member.holds = True, False, False
-        elif what == "becomes unreachable":
+        if action in self._remaining_faults:
+            self._remaining_faults[action] -= 1
+        if action == "loses its disk":
+            member.permanently_lost, member.present, member.up_to_date = True, False, False
+        elif action == "becomes unreachable":
             member.present = False
-        elif what == "returns":
+        elif action == "returns":
             member.present = True
-            # What was committed meanwhile it lacks, unless nothing could be without it.
-            member.holds = member.holds and name in self.record.in_sync
-        elif what == "is asked to stop":
+            # It lacks what was committed meanwhile, unless it is in sync: then nothing was committed without it.
+            member.up_to_date = member.up_to_date and name in self.record.in_sync
+        elif action == "is asked to stop":
             member.leaving = True
-        elif what == "is to be drained":
+        elif action == "is to be drained":
             member.retiring = True
-        elif what == "has caught up":
-            member.holds = True
-        elif what == "leaves":
-            member.gone, member.present = True, False
-        elif what == "takes over":
+        elif action == "has caught up":
+            member.up_to_date = True
+        elif action == "leaves":
+            member.permanently_lost, member.present = True, False
+        elif action == "takes over":
             self.record = EpochRecord(self.record.epoch, name, self.record.in_sync, self.record.voters)
         else:
             self.record = self._plan()
             for one, other in self.members.items():
-                other.holds = other.holds and one in self.record.in_sync
+                other.up_to_date = other.up_to_date and one in self.record.in_sync
 
     def _plan(self) -> EpochRecord | None:
-        planned = plan_next_record(self._input(), self.record.epoch)
+        planned = plan_next_record(self._plan_input(), self.record.epoch)
         return planned if planned != self.record else None
 
-    def _input(self) -> PlanInput:
+    def _plan_input(self) -> PlanInput:
         peers = {
             one: PeerView(0.0 if member.present else -100.0, one, member.leaving)
             for one, member in self.members.items()
@@ -174,36 +178,42 @@
             unresponsive_after=UNREACHABLE_S,
             tolerated=self.bounds.tolerated,
             peers=peers,
-            caught_up={one for one, member in self.members.items() if member.holds},
+            caught_up={one for one, member in self.members.items() if member.up_to_date},
             lagging=set(),
-            behind={one for one in self.record.in_sync if not self.members[one].holds},
+            behind={one for one in self.record.in_sync if not self.members[one].up_to_date},
             retiring={one for one, member in self.members.items() if member.retiring},
         )
 
     def key(self) -> Hashable:
-        """Part of StateMachine. Epochs do not count."""
+        """Part of StateMachine. States that differ only in their epoch are equal."""
         members = tuple(
-            (name, one.present, one.gone, one.holds, one.leaving, one.retiring)
+            (name, one.present, one.permanently_lost, one.up_to_date, one.leaving, one.retiring)
             for name, one in sorted(self.members.items())
         )
-        return self.record.primary, self.record.in_sync, self.record.voters, members, tuple(self._left.values())
+        return (
+            self.record.primary,
+            self.record.in_sync,
+            self.record.voters,
+            members,
+            tuple(self._remaining_faults.values()),
+        )
 
     def check(self) -> None:
         """Part of StateMachine. Raises InvariantViolation."""
         record = self.record
         if not set(record.in_sync) <= set(record.voters):
-            raise InvariantViolation(f"a copy counts that is no voter's: {record}")
-        whole = {one for one in record.voters if not self.members[one].gone}
-        if not is_majority(record.voters, whole):
+            raise InvariantViolation(f"an in-sync member is not a voter: {record}")
+        intact = {one for one in record.voters if not self.members[one].permanently_lost}
+        if not is_majority(record.voters, intact):
             raise InvariantViolation(f"no majority is left of {record.voters}")
-        if not any(one in whole and self.members[one].holds for one in record.in_sync):
-            raise InvariantViolation(f"no copy is left of {record.in_sync}")
+        if not any(one in intact and self.members[one].up_to_date for one in record.in_sync):
+            raise InvariantViolation(f"no up-to-date replica is left of {record.in_sync}")
 
 
 BOUNDS = (
     AdmissionBounds(),
     AdmissionBounds(newcomers=2, stops=2),
-    AdmissionBounds(founders=4, newcomers=1, losses=1, stops=2),
-    AdmissionBounds(founders=4, newcomers=1, losses=1, stops=1, retirements=1),
-    AdmissionBounds(founders=5, newcomers=1, tolerated=2, losses=2, outages=1, stops=1),
+    AdmissionBounds(founders=4, newcomers=1, disk_losses=1, stops=2),
+    AdmissionBounds(founders=4, newcomers=1, disk_losses=1, stops=1, retirements=1),
+    AdmissionBounds(founders=5, newcomers=1, tolerated=2, disk_losses=2, outages=1, stops=1),
 )
--- a/lab/tier/models/calls.py
+++ b/lab/tier/models/calls.py
@@ -1,11 +1,11 @@
-"""Model of one call on one connection, and a second where it is reused: HTTP client and attempt as in service.
+"""Model of one call on one connection, and of a second call that reuses it: the relay's HTTP client and attempts.
 
-The connection is established or times out, or both at once; the server sends its response, complete or in part, with
-the call's id, another's or none, a rejection, one response too many, or malformed bytes; it closes or resets at any
-step; the relay cancels at any step.
+The connection is established or times out, or both at the same time. The server sends a complete or partial response
+with the call's id, another id or none, a rejection, one response too many, or malformed bytes; it closes or resets the
+connection at any step. The relay cancels at any step.
 
-Invariants: an attempt counts as not executed only where nothing of it was written, or where a rejection of its own was
-received; an attempt is complete only with its own complete response; each attempt has one outcome at most.
+Invariants: an attempt is reported as not executed only if nothing of it was written, or if its own rejection was
+received; an attempt is complete only with its own complete response; each attempt has at most one outcome.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 
 ADDRESS = "e:1"
 BODY = b"0123456789"
-HALF = len(BODY) // 2
-MAX_SENT = 3
-ANSWERS = ("own", "half", "other", "without id", "rejection", "late rejection", "malformed")
+HALF_LENGTH = len(BODY) // 2
+MAX_RESPONSES = 3
+RESPONSES = ("own", "half", "other", "without id", "rejection", "late rejection", "malformed")
 
 
 @dataclass(frozen=True)
 class CallBounds:
-    """``calls``: one behind the other."""
+    """``calls``: the number of calls, one after the other."""
 
     calls: int = 2
 
 
-def answer(status: int, request_id: bytes, own: bytes, rejection: bool = False) -> bytes:
-    """An answer's bytes; an empty id leaves the field out."""
+def response_bytes(status: int, request_id: bytes, signature: bytes, rejection: bool = False) -> bytes:
+    """The bytes of a response; with an empty id it has no id field."""
     fields = [b"content-length: %d" % len(BODY)]
     if request_id:
         fields.append(headers.REQUEST_ID + b": " + request_id)
     if rejection:
         fields.append(headers.NOT_EXECUTED + b": 1")
     else:
-        fields.append(headers.RESPONSE_SIGNATURE + b": " + own)
+        fields.append(headers.RESPONSE_SIGNATURE + b": " + signature)
     return b"HTTP/1.1 %d OK\r\n" % status + b"\r\n".join(fields) + b"\r\n\r\n" + BODY
 
 
@@ -63,11 +63,11 @@
         self.aborted = True
 
     def get_extra_info(self, name: str) -> None:
-        """There is no socket."""
+        """Part of asyncio.Transport: None, as there is no socket."""
 
 
 class Call:
-    """One attempt, as its relay sees it. Implements AttemptListener."""
+    """What the relay receives for one attempt. Implements AttemptListener."""
 
     def __init__(self, number: int) -> None:
         self.id = b"r%d" % number
@@ -93,7 +93,7 @@
 
 
 class OneConnection:
-    """The state machine that is searched."""
+    """The state machine of the model."""
 
     def __init__(self, bounds: CallBounds) -> None:
         self.bounds = bounds
@@ -101,21 +101,21 @@
         self.state = EndpointState(Endpoint("i-1", "s", ADDRESS, "z", 4, "ready"), clock, self._dial)
         self.transport = FakeTransport()
         self.connection = None
-        self.dialled = ""  # how the dial ended
+        self.dial_outcome = ""  # empty while the dial is in progress
         self.calls: list[Call] = []
         self.attempts: list[Attempt] = []
-        self.sent: list[tuple[str, int]] = []  # by the server, and during which call
-        self.over = False  # has the server ended the connection?
+        self.responses_sent: list[tuple[str, int]] = []  # by the server, with the number of the call
+        self.server_closed = False  # whether the server has closed or reset the connection
         self._clock = clock
-        self._begin()
+        self._begin_call()
 
     def _dial(self, address: str, connection) -> None:
         if self.connection is None:
             self.connection = connection
         else:
-            connection.on_connect_failed()  # another connection is another machine
+            connection.on_connect_failed()  # the model has a single connection
 
-    def _begin(self) -> None:
+    def _begin_call(self) -> None:
         call = Call(len(self.calls) + 1)
         call.written_before = len(self.transport.written)
         self.calls.append(call)
@@ -124,65 +124,65 @@
 
     @property
     def _open(self) -> bool:
-        return self.dialled == "up" and not self.over and not self.transport.aborted
+        return self.dial_outcome == "up" and not self.server_closed and not self.transport.aborted
 
     def events(self) -> list[Event]:
         """Part of StateMachine."""
-        found: list[Event] = []
-        if not self.dialled:
-            found += [("dial", "up"), ("dial", "out of time"), ("dial", "both at once")]
-        if self._open and len(self.sent) < MAX_SENT:
-            # Behind a part nothing but the rest is told from it: its length is all that frames it.
-            parted = bool(self.sent) and self.sent[-1] == ("half", len(self.calls))
-            found += [("server", what) for what in (("rest",) if parted else ANSWERS)]
+        possible_events: list[Event] = []
+        if not self.dial_outcome:
+            possible_events += [("dial", "up"), ("dial", "out of time"), ("dial", "both at once")]
+        if self._open and len(self.responses_sent) < MAX_RESPONSES:
+            # After a partial response the server can only send the rest: only the length delimits the body.
+            partial_sent = bool(self.responses_sent) and self.responses_sent[-1] == ("half", len(self.calls))
+            possible_events += [("server", action) for action in (("rest",) if partial_sent else RESPONSES)]
         if self._open:
-            found += [("server", "closes"), ("server", "resets")]
+            possible_events += [("server", "closes"), ("server", "resets")]
         if not self.calls[-1].outcomes and self.attempts[-1]._listener is not None:
-            found.append(("relay", "cancels"))
+            possible_events.append(("relay", "cancels"))
         if self.calls[-1].outcomes and len(self.calls) < self.bounds.calls:
-            found.append(("relay", "calls again"))
-        return found
+            possible_events.append(("relay", "calls again"))
+        return possible_events
 
     def apply(self, event: Event) -> None:
         """Part of StateMachine."""
-        who, what = event
-        if who == "dial":
-            self._end_dial(what)
-        elif who == "relay":
-            if what == "cancels":
+        actor, action = event
+        if actor == "dial":
+            self._end_dial(action)
+        elif actor == "relay":
+            if action == "cancels":
                 self.attempts[-1].cancel()
             else:
-                self._begin()
-        elif what in ("closes", "resets"):
-            self.over = True
-            if what == "closes":
+                self._begin_call()
+        elif action in ("closes", "resets"):
+            self.server_closed = True
+            if action == "closes":
                 self.connection.eof_received()
-            self.connection.connection_lost(ConnectionResetError() if what == "resets" else None)
+            self.connection.connection_lost(ConnectionResetError() if action == "resets" else None)
         else:
-            self._serve(what)
+            self._send_response(action)
 
-    def _end_dial(self, what: str) -> None:
-        self.dialled = "out of time" if what == "out of time" else "up"
-        if what != "out of time":
+    def _end_dial(self, action: str) -> None:
+        self.dial_outcome = "out of time" if action == "out of time" else "up"
+        if action != "out of time":
             self.connection.connection_made(self.transport)
-        if what != "up":
+        if action != "up":
             self.connection.on_connect_failed()
 
-    def _serve(self, what: str) -> None:
+    def _send_response(self, action: str) -> None:
         number = len(self.calls)
-        self.sent.append((what, number))
+        self.responses_sent.append((action, number))
         call = self.calls[-1]
-        stamp = b"stamp-of-" + call.id
+        signature = b"stamp-of-" + call.id
         data = {
-            "own": answer(200, call.id, stamp),
-            "half": answer(200, call.id, stamp)[:-HALF],
-            "rest": BODY[-HALF:],
-            "other": answer(200, b"r0", b"stamp-of-r0"),
-            "without id": answer(200, b"", b"stamp-of-r0"),
-            "rejection": answer(503, call.id, b"", rejection=True),
-            "late rejection": answer(503, b"r0", b"", rejection=True),
+            "own": response_bytes(200, call.id, signature),
+            "half": response_bytes(200, call.id, signature)[:-HALF_LENGTH],
+            "rest": BODY[-HALF_LENGTH:],
+            "other": response_bytes(200, b"r0", b"stamp-of-r0"),
+            "without id": response_bytes(200, b"", b"stamp-of-r0"),
+            "rejection": response_bytes(503, call.id, b"", rejection=True),
+            "late rejection": response_bytes(503, b"r0", b"", rejection=True),
             "malformed": b"\x00\x01 no answer\r\n\r\n",
-        }[what]
+        }[action]
         self.connection.data_received(data)
 
     def key(self) -> Hashable:
@@ -193,9 +193,9 @@
             self.connection.used,
             self.transport.written,
             self.transport.aborted,
-            self.dialled,
-            self.over,
-            tuple(self.sent),
+            self.dial_outcome,
+            self.server_closed,
+            tuple(self.responses_sent),
             calls,
             tuple(attempt._listener is None for attempt in self.attempts),
             str(self.connection._http.states),
@@ -208,15 +208,15 @@
                 raise InvariantViolation(f"call {number} has outcomes {call.outcomes}")
             if not call.outcomes:
                 continue
-            served = {what for what, during in self.sent if during == number}
+            served = {action for action, during in self.responses_sent if during == number}
             if call.outcomes[0] is AttemptOutcome.NOT_EXECUTED:
                 written = call.id in self.transport.written[call.written_before :]
                 if written and "rejection" not in served:
-                    raise InvariantViolation(f"call {number} counts as not run, and was written")
+                    raise InvariantViolation(f"call {number} counts as not executed, but was written")
             first = number == 1 and "without id" in served
-            own = call.signature == b"stamp-of-" + call.id or first
-            if call.outcomes[0] is AttemptOutcome.COMPLETE and (call.body != BODY or not own):
-                raise InvariantViolation(f"call {number} is answered with {call.signature} {call.body}")
+            has_own_signature = call.signature == b"stamp-of-" + call.id or first
+            if call.outcomes[0] is AttemptOutcome.COMPLETE and (call.body != BODY or not has_own_signature):
+                raise InvariantViolation(f"call {number} was answered with {call.signature} {call.body}")
 
 
 BOUNDS = (CallBounds(calls=1), CallBounds(calls=2))
--- a/lab/tier/models/catalogue.py
+++ b/lab/tier/models/catalogue.py
@@ -1,4 +1,4 @@
-"""The models that are searched, each with bounds that take seconds and bounds that take minutes."""
+"""All models, each with bounds whose search takes seconds and bounds whose search takes minutes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Model:
-    """A state machine to be searched: ``make(bounds)``, all of its bounds, and the indexes of the quick ones."""
+    """A model: ``make(bounds)`` creates its state machine; ``quick`` has the indexes of the quick bounds."""
 
     name: str
     make: Callable[[object], StateMachine]
@@ -27,7 +27,7 @@
     quick: tuple[int, ...]
 
     def bounds(self, scope: Scope) -> list:
-        """The bounds of a scope."""
+        """The bounds that are searched in a scope."""
         indexes = self.quick if scope is Scope.QUICK else range(len(self.all_bounds))
         return [self.all_bounds[index] for index in indexes]
 
--- a/lab/tier/models/election.py
+++ b/lab/tier/models/election.py
@@ -1,12 +1,12 @@
-"""Model of election and lease: acceptors, proposers and leases of three members as they run in service.
+"""Model of election and lease: the acceptors, proposers and leases of three members, with the production classes.
 
 Messages of one link arrive in order; a link may never deliver them, or drop those in flight. Rejections are left out,
-as a member may stand again at any time. Promises are stored in advance, and given once the grant has ended. A member
-stands, is primary once its record is decided, requests its lease, may restart at any step with its stored acceptor
-state; time passes in steps shorter than a lease.
+as a member may become candidate again at any time. Promises are stored in advance, and sent once the granted lease has
+ended. A member becomes candidate, is primary once its record is decided, requests its lease, and may restart at any
+step with its stored acceptor state. Time passes in steps shorter than a lease.
 
-Invariants: no two records are accepted under one epoch; one member at most holds a lease; no later epoch was accepted
-by a majority while a member holds one.
+Invariants: no two records are accepted under one epoch; at most one member holds a lease; while a member holds a lease,
+no later epoch of another member is accepted by a majority.
 """
 
 from __future__ import annotations
@@ -43,34 +43,36 @@
 
 ADDRESSES = ("a:1", "b:1", "c:1")
 TOLERATED = 1
-STEP_S = 0.25  # two of them are longer than a lease
-ADVANCE_S = 0.2  # more than in service: after one step promises are stored in advance while the holder's lease runs
+TIME_STEP_S = 0.25  # two steps are longer than a lease
+DEFERRAL_S = 0.2  # longer than in production: after one step, promises are stored in advance while a lease is held
 
 
 @dataclass(frozen=True)
 class ElectionBounds:
-    """How often each event may happen, for each member where it is a member's own."""
+    """How often each event may happen. Events of a member are counted for each member."""
 
-    stands: tuple[int, ...] = (1, 1, 0)
-    leases: tuple[int, ...] = (1, 1, 0)
-    ends: tuple[int, ...] = (0, 0, 0)
-    steps: int = 2
+    candidacies: tuple[int, ...] = (1, 1, 0)
+    lease_requests: tuple[int, ...] = (1, 1, 0)
+    restarts: tuple[int, ...] = (0, 0, 0)
+    time_steps: int = 2
     partitions: int = 0
-    begun: tuple[Event, ...] = ()  # applied before the search begins
+    initial_events: tuple[Event, ...] = ()  # applied before the search begins
 
 
 class Node:
-    """One member's process on its disk. Implements the Network port for its proposer."""
+    """The process of one member, with its disk. Implements the Network port of its proposer."""
 
     def __init__(self, world: World, address: str) -> None:
         machine = world.machine(address)
         self.sent: list[tuple[str, Message]] = []
         self.primary = False
-        register = AcceptorStateFile(MemberIdentity(address, True, ADDRESSES), machine.files, world.random)
-        self.acceptor = Acceptor(register, machine.clock(), LEASE_S, ADVANCE_S)
-        self.deferred: Prepare | None = None  # promised in advance, and not answered yet
+        stored_state = AcceptorStateFile(MemberIdentity(address, True, ADDRESSES), machine.files, world.random)
+        self.acceptor = Acceptor(stored_state, machine.clock(), LEASE_S, DEFERRAL_S)
+        self.deferred: Prepare | None = None  # the promise is stored, and not sent yet
         self.lease = LeaderLease(machine.clock())
-        self.proposer = Proposer(self.acceptor, machine.clock(), self, self._position, self._choose, self._decided, 0.0)
+        self.proposer = Proposer(
+            self.acceptor, machine.clock(), self, self._position, self._choose_record, self._on_decided, 0.0
+        )
 
     def send(self, address: str, message: Message) -> None:
         """Part of the Network port."""
@@ -79,15 +81,15 @@
     def _position(self) -> Position:
         return INITIAL_POSITION
 
-    def _choose(self, proposal: Proposal) -> EpochRecord | None:
+    def _choose_record(self, proposal: Proposal) -> EpochRecord | None:
         return decide_candidacy(self.acceptor.member, INITIAL_POSITION, proposal, TOLERATED).record
 
-    def _decided(self, record: EpochRecord, positions: Mapping[str, Position]) -> None:
+    def _on_decided(self, record: EpochRecord, positions: Mapping[str, Position]) -> None:
         self.primary = True
         self.lease.discard_rounds()
 
-    def stand(self) -> None:
-        """Stand for an epoch."""
+    def become_candidate(self) -> None:
+        """Become candidate for a new epoch."""
         self.primary = False
         self.lease.relinquish()
         self.proposer.propose()
@@ -103,7 +105,7 @@
             self.lease.on_grant(request.round, self.acceptor.member, record.voters)
 
     def receive(self, message: Message) -> None:
-        """As ControlMember does."""
+        """Handle a message as ControlMember does."""
         if isinstance(message, Prepare):
             self._on_prepare(message)
         elif isinstance(message, Promise):
@@ -132,11 +134,11 @@
 
     @property
     def may_answer_deferred(self) -> bool:
-        """Is there a deferred promise whose timer has expired? It may fire at any time from then on."""
+        """Whether there is a deferred promise whose timer may fire now."""
         return self.deferred is not None and not self.acceptor.lease_left_for_other(self.deferred.candidate)
 
     def answer_deferred(self) -> None:
-        """The timer of a deferred promise fires."""
+        """Handle the timer of a deferred promise."""
         message, self.deferred = self.deferred, None
         if message is not None:
             self._on_prepare(message)
@@ -147,8 +149,8 @@
         self.acceptor.learn(message.record)
         self._step_down()
         granted = self.acceptor.grant(message)
-        me = self.acceptor.member
-        answer = LeaseGrant(message.record.epoch, message.round, me, "", granted, 0, INITIAL_POSITION)
+        member = self.acceptor.member
+        answer = LeaseGrant(message.record.epoch, message.round, member, "", granted, 0, INITIAL_POSITION)
         self.send(address_of(message.record.primary), answer)
 
     def _step_down(self) -> None:
@@ -159,60 +161,60 @@
 
 
 class Election:
-    """The state machine that is searched."""
+    """The state machine of the model."""
 
     def __init__(self, bounds: ElectionBounds) -> None:
         self.world = World(1)
         self.nodes = {address: Node(self.world, address) for address in ADDRESSES}
-        self._left = {
-            "stands": list(bounds.stands),
-            "requests its lease": list(bounds.leases),
-            "restarts": list(bounds.ends),
+        self._remaining_events = {
+            "becomes candidate": list(bounds.candidacies),
+            "requests its lease": list(bounds.lease_requests),
+            "restarts": list(bounds.restarts),
         }
-        self._steps = bounds.steps
+        self._steps = bounds.time_steps
         self._partitions = bounds.partitions
         self._links: dict[tuple[str, str], deque[Message]] = {}
-        self._accepted: dict[int, dict[str, set[str]]] = {}  # by epoch and record: who accepted it
+        self._accepted: dict[int, dict[str, set[str]]] = {}  # by epoch and record: the members that accepted it
         self._records: dict[str, EpochRecord] = {}
-        for event in bounds.begun:
+        for event in bounds.initial_events:
             self.apply(event)
 
     def events(self) -> list[Event]:
         """Part of StateMachine."""
-        found: list[Event] = [("receives", link) for link in self._links]
+        possible_events: list[Event] = [("receives", link) for link in self._links]
         if self._partitions:
-            found += [("drops", link) for link in self._links]
-        for what, left in self._left.items():
+            possible_events += [("drops", link) for link in self._links]
+        for action, remaining in self._remaining_events.items():
             for index, address in enumerate(ADDRESSES):
-                if left[index] and (what != "requests its lease" or self.nodes[address].primary):
-                    found.append((what, address))
-        found += [("answers", address) for address, node in self.nodes.items() if node.may_answer_deferred]
+                if remaining[index] and (action != "requests its lease" or self.nodes[address].primary):
+                    possible_events.append((action, address))
+        possible_events += [("answers", address) for address, node in self.nodes.items() if node.may_answer_deferred]
         if self._steps:
-            found.append(("time passes", ""))
-        return found
+            possible_events.append(("time passes", ""))
+        return possible_events
 
     def apply(self, event: Event) -> None:
         """Part of StateMachine."""
-        what, which = event
-        if what == "receives":
-            self.nodes[which[1]].receive(self._links[which].popleft())
-        elif what == "drops":
+        action, target = event
+        if action == "receives":
+            self.nodes[target[1]].receive(self._links[target].popleft())
+        elif action == "drops":
             self._partitions -= 1
-            self._links[which].clear()
-        elif what == "answers":
-            self.nodes[which].answer_deferred()
-        elif what == "time passes":
+            self._links[target].clear()
+        elif action == "answers":
+            self.nodes[target].answer_deferred()
+        elif action == "time passes":
             self._steps -= 1
-            self.world.time += STEP_S
+            self.world.time += TIME_STEP_S
         else:
-            self._left[what][ADDRESSES.index(which)] -= 1
-            if what == "stands":
-                self.nodes[which].stand()
-            elif what == "requests its lease":
-                self.nodes[which].request_lease()
+            self._remaining_events[action][ADDRESSES.index(target)] -= 1
+            if action == "becomes candidate":
+                self.nodes[target].become_candidate()
+            elif action == "requests its lease":
+                self.nodes[target].request_lease()
             else:
-                self._links.pop((which, which), None)  # messages of a process to itself end with it
-                self.nodes[which] = Node(self.world, which)
+                self._links.pop((target, target), None)  # messages of a process to itself end with it
+                self.nodes[target] = Node(self.world, target)
         self._collect()
 
     def _collect(self) -> None:
@@ -225,11 +227,11 @@
             if record.epoch:
                 name = encode(Accept(record)).decode()
                 self._records[name] = record
-                self._accepted.setdefault(record.epoch, {}).setdefault(name, set()).add(founder(address))
+                self._accepted.setdefault(record.epoch, {}).setdefault(name, set()).add(founder_id(address))
         self._links = {link: messages for link, messages in sorted(self._links.items()) if messages}
 
     def key(self) -> Hashable:
-        """Part of StateMachine. Times count relative to the present."""
+        """Part of StateMachine. Times are relative to the current time."""
         nodes = tuple(
             (
                 frozen(node.acceptor.state),
@@ -247,7 +249,7 @@
             for node in self.nodes.values()
         )
         links = tuple((link, *(encode(one) for one in messages)) for link, messages in self._links.items())
-        return nodes, links, frozen(self._left), self._steps, self._partitions, frozen(self._accepted)
+        return nodes, links, frozen(self._remaining_events), self._steps, self._partitions, frozen(self._accepted)
 
     def check(self) -> None:
         """Part of StateMachine. Raises InvariantViolation."""
@@ -256,33 +258,33 @@
                 raise InvariantViolation(f"two records under epoch {epoch}: {sorted(records)}")
         holders = [address for address, node in self.nodes.items() if node.primary and node.lease.valid]
         if len(holders) > 1:
-            raise InvariantViolation(f"{holders} hold the lease at once")
+            raise InvariantViolation(f"{holders} hold the lease at the same time")
         for holder in holders:
-            own = self.nodes[holder].acceptor.record.epoch
+            own_epoch = self.nodes[holder].acceptor.record.epoch
             for records in self._accepted.values():
                 for name, accepted in records.items():
                     record = self._records[name]
-                    passed = record.epoch > own and is_majority(record.voters, accepted)
-                    if passed and record.primary != founder(holder):
+                    is_decided = record.epoch > own_epoch and is_majority(record.voters, accepted)
+                    if is_decided and record.primary != founder_id(holder):
                         raise InvariantViolation(
-                            f"{holder} holds the lease of epoch {own} while {record.epoch} is decided"
+                            f"{holder} holds the lease of epoch {own_epoch} while {record.epoch} is decided"
                         )
 
 
-def founder(address: str) -> str:
-    """The id of the member at an address."""
+def founder_id(address: str) -> str:
+    """The id of the founding member at an address."""
     return member_id(address, "0")
 
 
-PROMISED = (  # a has asked, both others have promised, and its record is in flight
-    ("stands", "a:1"),
+PROMISES_RECEIVED = (  # a has prepared, both others have promised, and the record of a is in flight
+    ("becomes candidate", "a:1"),
     ("receives", ("a:1", "b:1")),
     ("receives", ("a:1", "c:1")),
     ("receives", ("b:1", "a:1")),
     ("receives", ("c:1", "a:1")),
 )
-LED = (  # a leads epoch 1, and b has granted its lease
-    ("stands", "a:1"),
+LEASE_HELD = (  # a is primary of epoch 1, and b has granted its lease
+    ("becomes candidate", "a:1"),
     ("receives", ("a:1", "b:1")),
     ("receives", ("b:1", "a:1")),
     ("receives", ("a:1", "a:1")),
@@ -293,19 +295,28 @@
     ("receives", ("a:1", "b:1")),
     ("receives", ("b:1", "a:1")),
 )
-LATE_GRANT = (  # as LED, but the grant takes a step of time to arrive, and another one passes
-    *LED[:-1],
+LATE_GRANT = (  # as LEASE_HELD, but the grant takes a time step to arrive, and another step passes
+    *LEASE_HELD[:-1],
     ("time passes", ""),
     ("receives", ("b:1", "a:1")),
     ("time passes", ""),
 )
 BOUNDS = (
-    ElectionBounds(stands=(1, 1, 0), leases=(0, 0, 0), steps=0),
-    ElectionBounds(stands=(2, 0, 0), leases=(0, 0, 0), ends=(1, 0, 0), steps=0),
-    ElectionBounds(stands=(1, 1, 0), leases=(1, 0, 0), steps=1),
-    ElectionBounds(stands=(1, 1, 0), leases=(1, 0, 0), ends=(0, 0, 1), steps=1),
-    ElectionBounds(stands=(2, 0, 0), leases=(0, 0, 0), ends=(1, 0, 0), steps=2, partitions=1, begun=PROMISED),
-    ElectionBounds(stands=(1, 1, 0), leases=(1, 0, 0), steps=1, begun=LED),
-    ElectionBounds(stands=(1, 1, 0), leases=(2, 0, 0), ends=(0, 1, 0), steps=1, begun=LED),
-    ElectionBounds(stands=(0, 1, 0), leases=(0, 0, 0), steps=1, begun=LATE_GRANT),
+    ElectionBounds(candidacies=(1, 1, 0), lease_requests=(0, 0, 0), time_steps=0),
+    ElectionBounds(candidacies=(2, 0, 0), lease_requests=(0, 0, 0), restarts=(1, 0, 0), time_steps=0),
+    ElectionBounds(candidacies=(1, 1, 0), lease_requests=(1, 0, 0), time_steps=1),
+    ElectionBounds(candidacies=(1, 1, 0), lease_requests=(1, 0, 0), restarts=(0, 0, 1), time_steps=1),
+    ElectionBounds(
+        candidacies=(2, 0, 0),
+        lease_requests=(0, 0, 0),
+        restarts=(1, 0, 0),
+        time_steps=2,
+        partitions=1,
+        initial_events=PROMISES_RECEIVED,
+    ),
+    ElectionBounds(candidacies=(1, 1, 0), lease_requests=(1, 0, 0), time_steps=1, initial_events=LEASE_HELD),
+    ElectionBounds(
+        candidacies=(1, 1, 0), lease_requests=(2, 0, 0), restarts=(0, 1, 0), time_steps=1, initial_events=LEASE_HELD
+    ),
+    ElectionBounds(candidacies=(0, 1, 0), lease_requests=(0, 0, 0), time_steps=1, initial_events=LATE_GRANT),
 )
--- a/lab/tier/models/operators.py
+++ b/lab/tier/models/operators.py
@@ -1,10 +1,9 @@
 """Model of operators with retries: the operator API on a primary that may lose its lease at any step.
 
-Each operator has one order on the same base version; it is retried, at the present primary, until a definite response
-is received. What a primary has submitted is committed, or decided by the next primary: a prefix of it, or nothing.
-Each response may be lost in flight.
+Each operator has one change of the same base version, and sends it to the current primary until it receives a definite
+response. What a primary has submitted is committed, or at a failover a prefix of it is. Each response may be lost.
 
-Invariants: one order at most is ever confirmed; an order that was taken is never refused; no version is taken twice.
+Invariants: at most one change is ever confirmed; a committed change is never rejected; no version is committed twice.
 """
 
 from __future__ import annotations
@@ -22,53 +21,53 @@
 from lynxscale.coordination.outcomes import CommitCallback, CommitOutcome
 from lynxscale.runtime.http_types import Head, Request, Response
 
-UNCLEAR = (307, 408, 429)
+INDEFINITE_STATUSES = (307, 408, 429)
 
 
 @dataclass(frozen=True)
 class OperatorBounds:
-    """``versions``: what each operator's order makes of version 1. ``later``: may an order follow a confirmed one?
+    """``versions``: the new version of each operator's change. ``updates``: the operators whose changes are updates.
 
-    ``updates``: operators whose orders are updates; a later order is one too.
+    ``follow_up``: another change follows a confirmed one; it is an update if there are ``updates``.
     """
 
     versions: tuple[int, ...] = (2, 2)
     sends: int = 2
     failovers: int = 1
     losses: int = 2
-    later: bool = False
+    follow_up: bool = False
     updates: tuple[int, ...] = ()
 
 
 @dataclass
 class Submission:
-    """Puts of the present primary that are not committed."""
+    """Puts that the current primary has submitted, and that are not committed yet."""
 
     puts: tuple[Put, ...]
     on_outcome: CommitCallback
 
 
 class StubStore:
-    """What OperatorApi needs of a store."""
+    """The part of Store that OperatorApi uses."""
 
     def __init__(self, table: KeyValueTable) -> None:
         self.table = table
 
     @property
     def values(self) -> dict[str, msgspec.Raw]:
-        """The memory of the primary."""
+        """The values in the memory of the primary."""
         return self.table.entries
 
 
 class StubMember:
-    """What OperatorApi needs of a member: the primary, whoever it is."""
+    """The part of ControlMember that OperatorApi uses, for the current primary."""
 
     def __init__(self, table: KeyValueTable) -> None:
         self.store = StubStore(table)
         self.submissions: list[Submission] = []
 
     def leads(self) -> bool:
-        """Always: a failover makes another stub."""
+        """Always True: after a failover there is a new stub."""
         return True
 
     def submit(self, puts: tuple[Put, ...], on_outcome: CommitCallback) -> None:
@@ -85,8 +84,8 @@
 
 
 @dataclass(frozen=True)
-class ConfigurationOrder:
-    """What an operator sends. The service that it names stands in the configuration that it makes."""
+class ConfigurationChange:
+    """The request of an operator. Its service name identifies it in the resulting configuration."""
 
     path: str
     base: str
@@ -94,54 +93,55 @@
 
 
 class PendingResponse:
-    """The response to one request, in flight once it is set. Stands for a Responder."""
+    """The response to one request, in flight once it is set. Used as a Responder."""
 
     def __init__(self) -> None:
-        self.answer: Response | None = None
+        self.response: Response | None = None
 
     def respond(self, response: Response) -> None:
         """Part of Responder."""
-        self.answer = response
+        self.response = response
 
 
 class Operators:
-    """The state machine that is searched."""
+    """The state machine of the model."""
 
     def __init__(self, bounds: OperatorBounds) -> None:
         self._committed: list[tuple[Put, ...]] = []
-        self._sends: list[list[PendingResponse]] = [[] for _ in bounds.versions]
+        self._pending_responses: list[list[PendingResponse]] = [[] for _ in bounds.versions]
         self._received: list[int | None] = [None for _ in bounds.versions]
-        self._orders = [
-            self._order(1, version, index, index in bounds.updates) for index, version in enumerate(bounds.versions)
+        self._changes = [
+            self._make_change(1, version, index, index in bounds.updates)
+            for index, version in enumerate(bounds.versions)
         ]
-        if bounds.later:
-            self._orders.append(self._order(2, 5, len(bounds.versions), bool(bounds.updates)))
-            self._sends.append([])
+        if bounds.follow_up:
+            self._changes.append(self._make_change(2, 5, len(bounds.versions), bool(bounds.updates)))
+            self._pending_responses.append([])
             self._received.append(None)
-        self._later = bounds.later
-        self._left = {"sends": bounds.sends, "failovers": bounds.failovers, "losses": bounds.losses}
-        self._sent = [0 for _ in self._orders]
-        self._given: list[set[int]] = [set() for _ in self._orders]
+        self._follow_up = bounds.follow_up
+        self._remaining_events = {"sends": bounds.sends, "failovers": bounds.failovers, "losses": bounds.losses}
+        self._send_counts = [0 for _ in self._changes]
+        self._statuses_sent: list[set[int]] = [set() for _ in self._changes]
         body = {"generation": 1, "routes": [], "services": []}
         first = put_value(CURRENT_KEY, {"generation": 1, "body": body})
         self._commit((first,))
-        self._lead()
+        self._start_primary()
 
     @staticmethod
-    def _order(base: int, version: int, index: int, update: bool) -> ConfigurationOrder:
+    def _make_change(base: int, version: int, index: int, update: bool) -> ConfigurationChange:
         services = [{"name": f"by-{index}"}]
         if update:
-            return ConfigurationOrder(
+            return ConfigurationChange(
                 "/config/update", str(base), {"generation": version, "upsert": {"services": services}}
             )
         table = {"generation": version, "routes": [], "services": services}
-        return ConfigurationOrder("/config/replace", str(base), table)
+        return ConfigurationChange("/config/replace", str(base), table)
 
     def _commit(self, puts: tuple[Put, ...]) -> None:
         if puts:
             self._committed.append(puts)
 
-    def _lead(self) -> None:
+    def _start_primary(self) -> None:
         table = KeyValueTable()
         for puts in self._committed:
             table.apply(puts)
@@ -150,94 +150,103 @@
 
     def events(self) -> list[Event]:
         """Part of StateMachine."""
-        found: list[Event] = []
-        for index in range(len(self._orders)):
-            first = self._sent[index] == 0
-            unanswered = any(pending.answer is None for pending in self._sends[index])
-            waits_for_first = self._later and index == len(self._orders) - 1 and 200 not in self._received
-            again = self._sent[index] < self._left["sends"] and self._received[index] is None and not unanswered
-            if (first or again) and not waits_for_first:
-                found.append(("sends", index))
-            for number, pending in enumerate(self._sends[index]):
-                if pending.answer is not None:
-                    found.append(("receives", index, number))
-                    if self._left["losses"]:
-                        found.append(("loses", index, number))
+        possible_events: list[Event] = []
+        for index in range(len(self._changes)):
+            first = self._send_counts[index] == 0
+            unanswered = any(pending.response is None for pending in self._pending_responses[index])
+            waits_for_confirmation = self._follow_up and index == len(self._changes) - 1 and 200 not in self._received
+            may_retry = (
+                self._send_counts[index] < self._remaining_events["sends"]
+                and self._received[index] is None
+                and not unanswered
+            )
+            if (first or may_retry) and not waits_for_confirmation:
+                possible_events.append(("sends", index))
+            for number, pending in enumerate(self._pending_responses[index]):
+                if pending.response is not None:
+                    possible_events.append(("receives", index, number))
+                    if self._remaining_events["losses"]:
+                        possible_events.append(("loses", index, number))
         if self.member.submissions:
-            found.append(("commits",))
-        if self._left["failovers"]:
-            found += [("fails over with", kept) for kept in range(len(self.member.submissions) + 1)]
-        return found
+            possible_events.append(("commits",))
+        if self._remaining_events["failovers"]:
+            possible_events += [
+                ("fails over with", committed_count) for committed_count in range(len(self.member.submissions) + 1)
+            ]
+        return possible_events
 
     def apply(self, event: Event) -> None:
         """Part of StateMachine."""
-        what, *details = event
-        if what == "sends":
+        action, *details = event
+        if action == "sends":
             self._send(details[0])
-        elif what == "receives":
+        elif action == "receives":
             self._receive(*details)
-        elif what == "loses":
-            self._left["losses"] -= 1
-            self._sends[details[0]].pop(details[1])
-        elif what == "commits":
+        elif action == "loses":
+            self._remaining_events["losses"] -= 1
+            self._pending_responses[details[0]].pop(details[1])
+        elif action == "commits":
             submission = self.member.submissions.pop(0)
             self._commit(submission.puts)
             submission.on_outcome(CommitOutcome.COMMITTED)
         else:
             self._fail_over(details[0])
-        for index, sends in enumerate(self._sends):
-            self._given[index] |= {pending.answer.status for pending in sends if pending.answer is not None}
+        for index, pending_responses in enumerate(self._pending_responses):
+            self._statuses_sent[index] |= {
+                pending.response.status for pending in pending_responses if pending.response is not None
+            }
 
     def _send(self, index: int) -> None:
-        order = self._orders[index]
+        change = self._changes[index]
         pending = PendingResponse()
-        self._sends[index].append(pending)
-        self._sent[index] += 1
-        head = Head(((BASE_HEADER, order.base.encode()),))
-        self.api.handle(Request("POST", order.path, head, msgspec.json.encode(order.table)), pending)
+        self._pending_responses[index].append(pending)
+        self._send_counts[index] += 1
+        head = Head(((BASE_HEADER, change.base.encode()),))
+        self.api.handle(Request("POST", change.path, head, msgspec.json.encode(change.table)), pending)
 
     def _receive(self, index: int, number: int) -> None:
-        status = self._sends[index].pop(number).answer.status
-        if status < 500 and status not in UNCLEAR:
+        status = self._pending_responses[index].pop(number).response.status
+        if status < 500 and status not in INDEFINITE_STATUSES:
             self._received[index] = status
 
-    def _fail_over(self, kept: int) -> None:
-        self._left["failovers"] -= 1
+    def _fail_over(self, committed_count: int) -> None:
+        self._remaining_events["failovers"] -= 1
         submissions = self.member.submissions
-        for submission in submissions[:kept]:
+        for submission in submissions[:committed_count]:
             self._commit(submission.puts)
-        self._lead()
+        self._start_primary()
         for submission in submissions:
             submission.on_outcome(CommitOutcome.UNKNOWN)
 
     def key(self) -> Hashable:
         """Part of StateMachine."""
-        answers = tuple(
-            tuple(pending.answer.status if pending.answer else None for pending in sends) for sends in self._sends
+        response_statuses = tuple(
+            tuple(pending.response.status if pending.response else None for pending in pending_responses)
+            for pending_responses in self._pending_responses
         )
         waiting = tuple(frozen(submission.puts) for submission in self.member.submissions)
         return (
             frozen(self._committed),
             waiting,
             frozen(dict(self.member.store.values)),
-            answers,
+            response_statuses,
             tuple(self._received),
-            tuple(self._sent),
-            frozen(self._left),
-            frozen(self._given),
+            tuple(self._send_counts),
+            frozen(self._remaining_events),
+            frozen(self._statuses_sent),
         )
 
     def check(self) -> None:
         """Part of StateMachine. Raises InvariantViolation."""
-        on_one_base = [index for index, order in enumerate(self._orders) if order.base == "1"]
-        confirmed = [index for index in on_one_base if 200 in self._given[index]]
+        on_one_base = [index for index, change in enumerate(self._changes) if change.base == "1"]
+        confirmed = [index for index in on_one_base if 200 in self._statuses_sent[index]]
         if len(confirmed) > 1:
-            raise InvariantViolation(f"orders {confirmed} on one version are all confirmed")
-        taken = {bytes(put.value) for puts in self._committed for put in puts if put.key == CURRENT_KEY}
-        for index in range(len(self._orders)):
-            refused = [status for status in self._given[index] if status in (400, 409, 412)]
-            if refused and any(b'"by-%d"' % index in value for value in taken):
-                raise InvariantViolation(f"order {index} was taken and is refused with {refused}")
+            raise InvariantViolation(f"changes {confirmed} of one version are all confirmed")
+        committed_values = {bytes(put.value) for puts in self._committed for put in puts if put.key == CURRENT_KEY}
+        for index in range(len(self._changes)):
+            rejections = [status for status in self._statuses_sent[index] if status in (400, 409, 412)]
+            if rejections and any(b'"by-%d"' % index in value for value in committed_values):
+                raise InvariantViolation(f"change {index} was committed and is rejected with {rejections}")
         versions = [
             msgspec.json.decode(put.value)["generation"]
             for puts in self._committed
@@ -245,14 +254,14 @@
             if put.key == CURRENT_KEY
         ]
         if sorted(set(versions)) != versions:
-            raise InvariantViolation(f"versions {versions} are in force one after the other")
+            raise InvariantViolation(f"versions were committed out of order: {versions}")
 
 
 BOUNDS = (
     OperatorBounds(),
     OperatorBounds(versions=(2, 3), sends=3, failovers=2, losses=2),
-    OperatorBounds(versions=(2, 2), sends=2, failovers=1, losses=1, later=True),
+    OperatorBounds(versions=(2, 2), sends=2, failovers=1, losses=1, follow_up=True),
     OperatorBounds(versions=(2, 2, 3), sends=2, failovers=1, losses=1),
     OperatorBounds(versions=(2, 2), sends=2, failovers=2, losses=2, updates=(1,)),
-    OperatorBounds(versions=(2, 3), sends=2, failovers=1, losses=1, later=True, updates=(0, 1)),
+    OperatorBounds(versions=(2, 3), sends=2, failovers=1, losses=1, follow_up=True, updates=(0, 1)),
 )
--- a/lab/tier/models/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -1,9 +1,9 @@
-"""Model of a snapshot transfer: a primary's replica and a follower, with writes, partitions, restarts and failovers.
+"""Model of a snapshot transfer from a primary to a follower, with writes, partitions, restarts and failovers.
 
-Messages of one connection arrive in order; a partition drops those in flight. The follower may restart, the
-primary lose its lease to another member with the same state; time passes.
+Messages of one connection arrive in order; a partition drops those in flight. The follower may restart, the primary may
+lose its lease to another member with the same state, and time passes.
 
-Invariants: what the follower holds at a position is the state that was written at that position, in memory and on disk.
+Invariant: in memory and on disk, the follower's state at a position is the state that was written at that position.
 """
 
 from __future__ import annotations
@@ -37,24 +37,24 @@
 
 PRIMARY, FOLLOWER = "p:1", "f:1"
 PAUSE_S = 1.5
-FIRST = (("k1", 1), ("k2", 2), ("k3", 3))
-LATER = (("k2", 4), ("new", 5), ("k1", None), ("k3", 6))  # a key rewritten, one that was not there, one removed
+INITIAL_WRITES = (("k1", 1), ("k2", 2), ("k3", 3))
+LATER_WRITES = (("k2", 4), ("new", 5), ("k1", None), ("k3", 6))  # rewrites keys, adds one and removes one
 
 
 @dataclass(frozen=True)
 class TransferBounds:
-    """How often each event may happen. ``repairs``: the primary finds that the copy differs."""
+    """How often each event may happen. ``repairs``: the primary detects that the replica differs."""
 
     writes: int = 2
     partitions: int = 1
     restarts: int = 0
-    leads: int = 0
+    failovers: int = 0
     pauses: int = 1
     repairs: int = 0
 
 
-class Pipe:
-    """Implements the Network port: one connection in one direction."""
+class MessageQueue:
+    """One direction of a connection. Implements the Network port."""
 
     def __init__(self) -> None:
         self.messages: deque[Message] = deque()
@@ -65,58 +65,60 @@
 
 
 class SnapshotTransfer:
-    """The state machine that is searched."""
+    """The state machine of the model."""
 
     def __init__(self, bounds: TransferBounds) -> None:
         self.world = World(1)
         self._epoch = 1
-        self._there, self._back = Pipe(), Pipe()
+        self._to_follower, self._to_primary = MessageQueue(), MessageQueue()
         self.store = Store(self.world.machine(PRIMARY).files)
         self._states: dict[Position, dict[str, bytes]] = {self.store.position: {}}
-        self._left = {
+        self._remaining_events = {
             "submit": bounds.writes,
-            "cut": bounds.partitions,
+            "partition": bounds.partitions,
             "restart": bounds.restarts,
-            "next lead": bounds.leads,
+            "failover": bounds.failovers,
             "pause": bounds.pauses,
             "repair": bounds.repairs,
         }
         self._pending: list[Put] = []
-        self._undo: tuple[Put, ...] = ()
-        self._written = 0
-        for _ in FIRST:
+        self._undo_puts: tuple[Put, ...] = ()
+        self._write_count = 0
+        for _ in INITIAL_WRITES:
             self._submit()
             self._flush()
-        self.store.recent_batches = type(self.store.recent_batches)()  # so that only a whole state helps
+        self.store.recent_batches = type(self.store.recent_batches)()  # so that the follower needs a snapshot
         self._start_follower()
-        self._lead()
+        self._start_primary()
 
-    def _lead(self) -> None:
-        network, clock = self._there, self.world.machine(PRIMARY).clock()
-        self.progress = ReplicaProgress(FOLLOWER, self._epoch, self.store, clock, network, self._is_settled)
+    def _start_primary(self) -> None:
+        network, clock = self._to_follower, self.world.machine(PRIMARY).clock()
+        self.progress = ReplicaProgress(FOLLOWER, self._epoch, self.store, clock, network, self._nothing_pending)
         self.progress.on_position(self.follower_store.durable_position)
 
-    def _is_settled(self) -> bool:
+    def _nothing_pending(self) -> bool:
         return not self._pending
 
     def _start_follower(self) -> None:
         self.follower_store = Store(self.world.machine(FOLLOWER).files)
-        self.follower = Follower(FOLLOWER, self.follower_store, self._back, self._accepts_writes_of, lambda: PRIMARY)
+        self.follower = Follower(
+            FOLLOWER, self.follower_store, self._to_primary, self._accepts_writes_of, lambda: PRIMARY
+        )
 
     def _accepts_writes_of(self, epoch: int) -> bool:
         return epoch == self._epoch
 
     def _submit(self) -> None:
-        """A write changes the memory; keys are rewritten, removed and new."""
-        put = put_value(*(FIRST + LATER)[self._written])
-        self._written += 1
-        self._undo = (*self.store.undo_of((put,)), *self._undo)
+        """Submit the next write, which changes the memory of the primary."""
+        put = put_value(*(INITIAL_WRITES + LATER_WRITES)[self._write_count])
+        self._write_count += 1
+        self._undo_puts = (*self.store.undo_of((put,)), *self._undo_puts)
         self.store.apply((put,))
         self._pending.append(put)
 
     def _flush(self) -> None:
-        """What was submitted goes as one batch."""
-        puts, self._pending, self._undo = tuple(self._pending), [], ()
+        """Save and send all submitted writes as one batch."""
+        puts, self._pending, self._undo_puts = tuple(self._pending), [], ()
         previous = self.store.position
         batch = Batch(previous, Position(self._epoch, previous.index + 1), puts)
         if hasattr(self, "progress"):
@@ -128,28 +130,28 @@
 
     def events(self) -> list[Event]:
         """Part of StateMachine."""
-        found: list[Event] = [(what,) for what, left in self._left.items() if left]
+        possible_events: list[Event] = [(action,) for action, remaining in self._remaining_events.items() if remaining]
         if self._pending:
-            found.append(("flush",))
-        if self._there.messages:
-            found.append(("follower hears",))
-        if self._back.messages:
-            found.append(("primary hears",))
-        return found
+            possible_events.append(("flush",))
+        if self._to_follower.messages:
+            possible_events.append(("follower receives",))
+        if self._to_primary.messages:
+            possible_events.append(("primary receives",))
+        return possible_events
 
     def apply(self, event: Event) -> None:
         """Part of StateMachine."""
-        (what,) = event
-        if what in self._left:
-            self._left[what] -= 1
+        (action,) = event
+        if action in self._remaining_events:
+            self._remaining_events[action] -= 1
         with (
             patch.multiple(send_window, MIN_WINDOW_BYTES=1, MAX_WINDOW_BYTES=4),
             patch.multiple(snapshot_stream, MAX_CHUNK_BYTES=1),
         ):
-            getattr(self, "_" + what.replace(" ", "_"))()
+            getattr(self, "_" + action.replace(" ", "_"))()
 
-    def _follower_hears(self) -> None:
-        message = self._there.messages.popleft()
+    def _follower_receives(self) -> None:
+        message = self._to_follower.messages.popleft()
         handlers = {
             Replicate: self.follower.on_replicate,
             SnapshotChunk: self.follower.on_snapshot_chunk,
@@ -157,8 +159,8 @@
         }
         handlers[type(message)](message)
 
-    def _primary_hears(self) -> None:
-        message = self._back.messages.popleft()
+    def _primary_receives(self) -> None:
+        message = self._to_primary.messages.popleft()
         if message.epoch != self._epoch:
             return
         if isinstance(message, ReplicateAck):
@@ -166,32 +168,32 @@
         elif isinstance(message, SnapshotProgress):
             self.progress.on_progress(message)
 
-    def _cut(self) -> None:
-        self._there.messages.clear()
-        self._back.messages.clear()
+    def _partition(self) -> None:
+        self._to_follower.messages.clear()
+        self._to_primary.messages.clear()
 
     def _restart(self) -> None:
-        self._cut()
+        self._partition()
         self._start_follower()
 
     def _pause(self) -> None:
-        """Time goes by; a heartbeat tells the follower's position, as in service."""
+        """Let time pass; the follower reports its position in a heartbeat."""
         self.world.time += PAUSE_S
         self.progress.tick()
-        self._back.send(PRIMARY, ReplicateAck(self._epoch, FOLLOWER, self.follower_store.durable_position))
+        self._to_primary.send(PRIMARY, ReplicateAck(self._epoch, FOLLOWER, self.follower_store.durable_position))
 
     def _repair(self) -> None:
         self.progress.repair()
 
-    def _next_lead(self) -> None:
-        """What is in no batch yet is undone, as the lead that submitted it has ended."""
-        self.store.apply(self._undo)
-        self._pending, self._undo = [], ()
+    def _failover(self) -> None:
+        """Start the next primary: undo the writes that are in no batch yet."""
+        self.store.apply(self._undo_puts)
+        self._pending, self._undo_puts = [], ()
         self._epoch += 1
-        self._lead()
+        self._start_primary()
 
     def key(self) -> Hashable:
-        """Part of StateMachine. Times count relative to the present."""
+        """Part of StateMachine. Times are relative to the current time."""
         omitted = frozenset({"_clock", "_network", "_store", "_progress_at"})
         return (
             frozen(self.progress, omitted),
@@ -201,9 +203,9 @@
             self.follower_store.position,
             frozen(values_of(self.follower_store)),
             frozen(self.follower._transfer),
-            tuple(encode(message) for message in self._there.messages),
-            tuple(encode(message) for message in self._back.messages),
-            tuple(self._left.values()),
+            tuple(encode(message) for message in self._to_follower.messages),
+            tuple(encode(message) for message in self._to_primary.messages),
+            tuple(self._remaining_events.values()),
         )
 
     def check(self) -> None:
@@ -212,12 +214,12 @@
             expected = self._states.get(store.durable_position)
             if expected is None or values_of(store) != expected:
                 raise InvariantViolation(
-                    f"at {store.durable_position} the follower has {values_of(store)}, {expected} was written"
+                    f"at {store.durable_position} the follower has {values_of(store)}, but {expected} was written"
                 )
 
 
 def values_of(store: Store) -> dict[str, bytes]:
-    """Keys and values as bytes."""
+    """The keys of a store with their values as bytes."""
     return {key: bytes(msgspec.Raw(value)) for key, value in store.values.items()}
 
 
@@ -226,6 +228,6 @@
     TransferBounds(writes=2, partitions=1, pauses=1),
     TransferBounds(writes=1, partitions=1, pauses=2),
     TransferBounds(writes=2, partitions=0, restarts=1, pauses=1),
-    TransferBounds(writes=2, partitions=1, leads=1, pauses=1),
+    TransferBounds(writes=2, partitions=1, failovers=1, pauses=1),
     TransferBounds(writes=2, partitions=0, pauses=1, repairs=1),
 )
--- a/lab/tier/mutations/__init__.py
+++ b/lab/tier/mutations/__init__.py
@@ -1,7 +1,7 @@
 """Mutations of the tier, each of which the laboratory must detect: ``python -m lab.tier.mutations``.
 
-Each patches one class or module, and names what has to detect it: the random histories, or the search of a small model
-in every order. Where a mutation goes undetected, the checker or the faults are too weak.
+Each mutation patches one class or module, and is detected either by random histories or by the exhaustive search of a
+small model. An undetected mutation shows that the checker or the injected faults are too weak.
 """
 
 from lab.tier.mutations.catalogue import ALL, UNDETECTED
--- a/lab/tier/mutations/__main__.py
+++ b/lab/tier/mutations/__main__.py
@@ -1,4 +1,4 @@
-"""Applies mutations one by one and prints how each was detected."""
+"""Applies mutations one by one, and prints how each was detected."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Names of mutations as arguments, else all. Exit code 1 where one goes undetected."""
+    """Apply the mutations that the arguments name, or all. Exit code 1 if one is not detected."""
     logging.disable(logging.CRITICAL)
     undetected = 0
     for mutation in ALL:
--- a/lab/tier/mutations/catalogue.py
+++ b/lab/tier/mutations/catalogue.py
@@ -1,4 +1,4 @@
-"""All mutations, each with what has to detect it."""
+"""All mutations, each with its detector."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
     Mutation(turns.response_without_id_is_accepted, by_search("calls")),
     Mutation(turns.foreign_rejection_is_accepted, by_search("calls")),
 )
-# Detected by no search, and by none of the histories played (of the two of reads: 60); each has a test of its own.
-# For an epoch used twice election.BOUNDS[4] was made and searched without a finding.
+# Detected neither by a search nor by histories (60 histories for the two mutations of reads); each has its own test.
+# The search of election.BOUNDS[4] was made for epoch_is_used_twice, and does not detect it.
 UNDETECTED = (
     operator_changes.versions_may_decrease,
     operator_changes.read_is_answered_at_once,
--- a/lab/tier/mutations/detectors.py
+++ b/lab/tier/mutations/detectors.py
@@ -1,4 +1,4 @@
-"""What a mutation is, and what has to detect it: random histories, or the search of a small model in every order."""
+"""Mutations and their detectors: random histories, or the exhaustive search of a small model."""
 
 from __future__ import annotations
 
@@ -16,29 +16,29 @@
 MAX_REPORT_LENGTH = 160
 
 Patches = list[tuple[object, str, object]]
-"""Owner, attribute and what replaces it."""
+"""For each patch: the owner, the name of its attribute, and the replacement."""
 Detector = Callable[[int], str]
-"""``detect(max_histories)``: what was found, empty for nothing."""
+"""``detect(max_histories)`` describes what was found; empty if nothing was found."""
 
 
 def by_histories() -> Detector:
-    """Detects by the first seed whose history breaks a rule."""
+    """Detect by the first seed whose history breaks a rule or ends early."""
 
     def detect(max_histories: int) -> str:
         for seed in range(1, max_histories + 1):
             try:
-                broken = History(seed).play()
-            except (AssertionError, KeyError, IndexError) as error:  # what a mutated tier is seen to raise
+                broken_rules = History(seed).play()
+            except (AssertionError, KeyError, IndexError) as error:  # exceptions that mutated tiers raise
                 return f"seed {seed}, ended: {type(error).__name__}"
-            if broken:
-                return f"seed {seed}, {sorted(broken)}"
+            if broken_rules:
+                return f"seed {seed}, {sorted(broken_rules)}"
         return ""
 
     return detect
 
 
 def by_search(name: str, bounds_indexes: tuple[int, ...] | None = None, depth_first: bool = False) -> Detector:
-    """Detects by the search of the model of that name, within those of its bounds or all."""
+    """Detect by the search of a model, within the bounds of these indexes or all bounds."""
 
     def detect(max_histories: int) -> str:
         model = next(model for model in MODELS if model.name == name)
@@ -58,19 +58,19 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """``patches()`` gives what is replaced; ``detect`` has to find it."""
+    """A fault that is patched into the program: ``patches()`` returns its patches, ``detect`` has to find it."""
 
     patches: Callable[[], Patches]
     detect: Detector
 
     @property
     def name(self) -> str:
-        """The name of the function that makes the patches."""
+        """The name of the function that creates the patches."""
         return self.patches.__name__
 
 
 def detect(mutation: Mutation, max_histories: int = MAX_HISTORIES) -> str:
-    """How a mutation shows, within so many histories where these have to detect it; empty where it does not."""
+    """How a mutation is detected; empty if it is not. ``max_histories`` limits a detection by histories."""
     with ExitStack() as stack:
         for owner, name, value in mutation.patches():
             stack.enter_context(patch.object(owner, name, value))
--- a/lab/tier/mutations/epochs.py
+++ b/lab/tier/mutations/epochs.py
@@ -14,18 +14,18 @@
 
 
 def lease_is_never_checked() -> Patches:
-    """A primary acts although its lease has ended."""
+    """A primary continues to act after its lease has ended."""
 
     return [(LeaderLease, "valid", property(lambda self: True)), (Leadership, "lost", property(lambda self: False))]
 
 
 def promise_while_another_holds_a_lease() -> Patches:
-    """A voter does not wait for the lease that it granted."""
+    """A voter promises without waiting for the end of the lease that it granted."""
     return [(Acceptor, "lease_left", property(lambda self: 0.0))]
 
 
 def promise_in_advance_is_given_at_once() -> Patches:
-    """A promise that is stored shortly before a lease ends is given before it has ended."""
+    """A promise that is stored shortly before the end of a lease is sent before that end."""
 
     def prepare(self: Acceptor, request: Prepare, position: Position) -> Promise | DeferredPromise | PrepareRejected:
         answer = original(self, request, position)
@@ -38,7 +38,7 @@
 
 
 def wiped_member_votes_as_before() -> Patches:
-    """A member without its disk takes its former id."""
+    """A member that lost its disk starts with its former id."""
 
     def new_state(who: acceptor_state.MemberIdentity, first_start: bool, random) -> acceptor_state.AcceptorState:  # noqa: ANN001
         founders = tuple(acceptor_state.founder_id(address) for address in sorted(who.seeds))
@@ -49,7 +49,7 @@
 
 
 def epoch_is_used_twice() -> Patches:
-    """A candidate asks the others before its own promise is on its disk (seen from reading)."""
+    """A candidate sends its prepare requests before its own promise is stored (a fault found by code review)."""
 
     def propose(self: Proposer) -> None:
         epoch = self._next_epoch()
@@ -62,7 +62,7 @@
 
 
 def restarted_voter_forgets_its_grant() -> Patches:
-    """A process that starts promises at once, although the one before may have granted a lease."""
+    """A restarted process promises immediately, although its predecessor may have granted a lease."""
 
     def init(self: Acceptor, stored: acceptor_state.AcceptorStateFile, clock, *durations: float) -> None:  # noqa: ANN001
         original(self, stored, clock, *durations)
@@ -73,7 +73,7 @@
 
 
 def lease_starts_at_the_grant() -> Patches:
-    """The holder counts its lease from when it was granted, not from when it was asked for."""
+    """The holder's lease starts when it is granted, instead of when it was requested."""
 
     def on_grant(self: LeaderLease, number: int, member: str, voters: tuple[str, ...]) -> None:
         original(self, number, member, voters)
--- a/lab/tier/mutations/operator_changes.py
+++ b/lab/tier/mutations/operator_changes.py
@@ -16,7 +16,7 @@
 
 
 def versions_may_decrease() -> Patches:
-    """A relay takes any version that it is sent, and a parent sends all it has."""
+    """A parent sends all its topics, and a relay accepts any version."""
 
     def send(self: Publisher, address: str, child, primary: str, epoch: int, age: float) -> None:  # noqa: ANN001
         self._network.send(address, TopicUpdate(self.address, primary, epoch, age, self.versions(), self.topics))
@@ -25,7 +25,7 @@
 
 
 def base_versions_are_ignored() -> Patches:
-    """The base version of an order is not looked at."""
+    """The base version of a change is not checked."""
 
     def change(self: ConfigurationEndpoint, kind: ChangeKind, request, responder) -> None:  # noqa: ANN001
         key = idempotency_key(kind, "", request.body)
@@ -38,7 +38,7 @@
 
 
 def retry_is_judged_by_its_generation() -> Patches:
-    """An order whose version is in force counts as taken."""
+    """Any change to the version in force counts as a retry of the change that made that version."""
 
     def change(self: ConfigurationEndpoint, kind: ChangeKind, request, responder) -> None:  # noqa: ANN001
         current = self.current()
@@ -52,7 +52,7 @@
 
 
 def update_ignores_its_base_version() -> Patches:
-    """An update is applied to whatever is in force."""
+    """An update is applied to the configuration in force, whatever its base version."""
 
     def change(self: ConfigurationEndpoint, kind: ChangeKind, request, responder) -> None:  # noqa: ANN001
         current = self.current()
@@ -66,7 +66,7 @@
 
 
 def retry_is_rejected() -> Patches:
-    """An order that was taken is judged by the version in force like any other."""
+    """A retry of a committed change is checked against the version in force, like a new change."""
 
     def commit(self: ConfigurationEndpoint, generation: int, body: bytes, key: str, responder) -> None:  # noqa: ANN001
         original(self, generation, body, key + "-", responder)
@@ -76,7 +76,7 @@
 
 
 def rejection_precedes_the_commit() -> Patches:
-    """412 and 200 to a resend go out before what they rest on is committed."""
+    """Responses 412, and 200 to a retry, are sent before the state that they depend on is committed."""
 
     def at_once(self: CommittedResponses, responder, response) -> None:  # noqa: ANN001
         responder.respond(response)
@@ -85,7 +85,7 @@
 
 
 def read_is_answered_at_once() -> Patches:
-    """A read shows the newest state of the memory, committed or not."""
+    """A read returns the newest state in memory, even if it is not committed."""
 
     def read(self: ConfigurationEndpoint, responder: Responder) -> None:
         responder.respond(read_response(self.current(), CommitOutcome.COMMITTED))
@@ -94,7 +94,7 @@
 
 
 def read_shows_what_came_while_it_waited() -> Patches:
-    """A read waits for what was submitted before it, and then shows what came later too (seen by reading)."""
+    """A read waits for the writes before it, but also returns later ones (a fault found by code review)."""
 
     def read(self: ConfigurationEndpoint, responder: Responder) -> None:
         self._member.barrier(lambda outcome: responder.respond(read_response(self.current(), outcome)))
--- a/lab/tier/mutations/replication.py
+++ b/lab/tier/mutations/replication.py
@@ -1,4 +1,4 @@
-"""Mutations of storage and replication: batches, snapshots, the members that hold them."""
+"""Mutations of storage, replication and the membership: batches, snapshots and in-sync members."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def single_replica_commits() -> Patches:
-    """The primary acknowledges alone, and members that are silent are not waited for."""
+    """The primary commits alone, without waiting for any other member."""
 
     def check(self: Replicator) -> None:
         self._required, self._min_replicas = {self.member}, 1
@@ -32,7 +32,7 @@
 
 
 def gaps_in_batches_are_accepted() -> Patches:
-    """A copy takes a batch although it lacks the one before."""
+    """A follower accepts a batch although it lacks the previous one."""
 
     def on_replicate(self: Follower, message: Replicate) -> None:
         if self._accepts_writes_of(message.epoch) and message.batch.position > self._store.position:
@@ -44,7 +44,7 @@
 
 
 def snapshot_lacks_the_last_batch() -> Patches:
-    """A version is written whole before its batch is applied (seen on a bench day)."""
+    """A snapshot is written before the last batch is applied (a fault found in a benchmark)."""
 
     def save(self: Store, batch: Batch) -> None:
         original(self, batch)
@@ -58,27 +58,27 @@
 
 
 def corrupt_files_count_as_intact() -> Patches:
-    """Files with a gap count for as far as they lead (seen: eight of twelve acknowledged values gone)."""
+    """Damaged files are used up to their first gap (a fault that lost eight of twelve acknowledged values)."""
     return [(Store, "intact", property(lambda self: True))]
 
 
 def uncommitted_writes_are_not_undone() -> Patches:
-    """What was submitted and never stored stays in the memory of a former primary (seen in an incident)."""
+    """Submitted writes that were never stored remain in the memory of a former primary (a fault from an incident)."""
     return [(Store, "undo_of", lambda self, puts: ())]
 
 
 def leaving_member_stops_at_once() -> Patches:
-    """A member that is asked to stop waits for nothing (seen: no primary ever again)."""
+    """A member that is asked to stop leaves immediately (a fault after which there was never a primary again)."""
     return [(admission, "can_remove", lambda plan, member: True)]
 
 
 def single_replica_is_left() -> Patches:
-    """Copies leave until a single one counts."""
+    """Members may leave until a single in-sync replica remains."""
     return [(PlanInput, "replicas_wanted", property(lambda self: 1))]
 
 
 def replaced_voter_stays_in_sync() -> Patches:
-    """A voter is replaced although its copy goes on to count."""
+    """A voter is replaced but stays in the in-sync set."""
 
     def replaced(plan: PlanInput, member: str, successor: str | None) -> membership_plan.MembershipChange:
         voters = [successor if one == member else one for one in plan.base.voters]
@@ -88,7 +88,7 @@
 
 
 def replica_counts_before_it_confirmed() -> Patches:
-    """A voter is in sync as soon as it is heard of."""
+    """A voter counts as in sync as soon as it is known, before it has confirmed that it caught up."""
 
     def commits_without(self: Replicator) -> set[str]:
         lacking = original.fget(self)
@@ -103,7 +103,7 @@
 
 
 def snapshot_mixes_two_positions() -> Patches:
-    """A transfer goes on at another position, and its parts are taken whatever they belong behind."""
+    """A snapshot transfer resumes at another position, and the follower accepts chunks of different positions."""
 
     def on_snapshot_chunk(self: Follower, message: SnapshotChunk) -> None:
         if not self._accepts_writes_of(message.epoch) or self._transfer.installing:
@@ -129,7 +129,7 @@
 
 
 def batches_between_chunks_are_lost() -> Patches:
-    """A batch that comes between two parts moves the transfer on without its changes."""
+    """A batch between two chunks advances the position of the transfer, but its changes are not applied."""
 
     def on_replicate(self: Follower, message: Replicate) -> None:
         transfer = self._transfer
--- a/lab/tier/mutations/turns.py
+++ b/lab/tier/mutations/turns.py
@@ -1,4 +1,4 @@
-"""Mutations of turns, budgets and calls of endpoints."""
+"""Mutations of turns, budgets, and calls to endpoints."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 
 def open_reservations_are_ignored() -> Patches:
-    """Only what was handed out counts, not what open turns may hand out yet."""
+    """Only spent tokens count against a budget, not the reservations of open turns."""
     return [(ProgramRecord, "committed_tokens", property(lambda self: self.spent_tokens))]
 
 
 def turn_is_charged_nothing() -> Patches:
-    """A turn is settled with no tokens."""
+    """A turn is charged with no tokens."""
     original = RelayTurn._finish
     return [(RelayTurn, "_finish", lambda self, tokens, content: original(self, 0, content))]
 
 
 def history_lacks_its_oldest_turns() -> Patches:
-    """A history stops after two turns."""
+    """A history contains only its two newest turns."""
 
     def compose(self: TurnHistory, last: str, cached: str) -> TurnAdmitted:
         contents, name = [], last
@@ -58,7 +58,7 @@
 
 
 def cached_history_is_used_for_any_chain() -> Patches:
-    """A relay is sent nothing where it has the session's newest history cached, whatever the turn goes on from."""
+    """A relay that has the session's newest history cached is sent nothing, whichever turn is continued."""
 
     def compose(self: TurnHistory, last: str, cached: str) -> TurnAdmitted:
         if cached and last:
@@ -70,7 +70,7 @@
 
 
 def unsafe_call_is_retried() -> Patches:
-    """A call that may have run counts as not run."""
+    """A failed call that may have been executed counts as not executed."""
 
     def on_failure(self: Attempt, failure) -> None:  # noqa: ANN001
         self.endpoint.on_failure()
@@ -80,7 +80,7 @@
 
 
 def executed_call_is_reported_unexecuted() -> Patches:
-    """What may have run is answered 503."""
+    """A call that may have been executed is answered 503."""
 
     def broken(self: ForwardedRequest) -> None:
         self._executions = 0
@@ -90,12 +90,12 @@
 
 
 def timed_out_connect_counts_as_unsent() -> Patches:
-    """A dial whose time runs out as it comes up counts as never sent (seen: 21 of 21 when forced)."""
+    """A connect timeout that fires as the connection is established counts as unsent (21 of 21 when forced)."""
     return [(ClientConnection, "on_connect_failed", lambda self: self._fail(ResponseFailure.NOT_CONNECTED))]
 
 
 def response_without_id_is_accepted() -> Patches:
-    """An answer without an id is taken on a connection that carried another request."""
+    """A response without an id is accepted on a connection that carried another request."""
 
     def on_head(self: Attempt, status: int, head: Head) -> None:
         if head.get(REQUEST_ID) is None:
@@ -107,7 +107,7 @@
 
 
 def foreign_rejection_is_accepted() -> Patches:
-    """A refusal that names another request counts for this one."""
+    """A rejection with the id of another request counts for this one."""
 
     def on_head(self: Attempt, status: int, head: Head) -> None:
         if head.get(NOT_EXECUTED) is not None:
--- a/lab/tier/register_history.py
+++ b/lab/tier/register_history.py
@@ -1,4 +1,4 @@
-"""The configuration as a register: what operators asked for and read, and whether one copy could have answered so."""
+"""The configuration as a register: the changes and reads of operators, checked for linearizability."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @frozen
 class RegisterCall:
-    """One request with its result. ``order``: which order's configuration was sent, or was read; 0 is the first one.
+    """One request with its result. ``change``: the number of the change that was sent or read; 0 is the first.
 
-    ``base`` and ``generation``: of a change. ``accepted``: its result, None where it got no definite answer.
+    For a change, ``base`` and ``generation`` are its versions; ``accepted`` is None if its response was not definite.
     """
 
     kind: str
-    order: int
+    change: int
     base: int = 0
     generation: int = 0
     accepted: bool | None = None
@@ -27,31 +27,31 @@
 
 @frozen
 class RegisterState:
-    """``order`` and ``generation`` in force, and all orders that were ever in force."""
+    """The ``change`` and ``generation`` in force, and all changes applied so far."""
 
-    order: int
+    change: int
     generation: int
     applied: frozenset[int]
 
 
-FIRST = RegisterState(0, 1, frozenset((0,)))
+INITIAL_STATE = RegisterState(0, 1, frozenset((0,)))
 
 
 def step(state: RegisterState, call: RegisterCall) -> Iterator[RegisterState]:
-    """The states that a single copy may be in after the call, with the result that it had."""
+    """The possible states of a single register after a call with its observed result."""
     if call.kind == READ:
-        if call.order == state.order:
+        if call.change == state.change:
             yield state
         return
-    applies = call.order not in state.applied and call.base == state.generation < call.generation
+    applies = call.change not in state.applied and call.base == state.generation < call.generation
     if applies and call.accepted is not False:
-        yield RegisterState(call.order, call.generation, state.applied | {call.order})
+        yield RegisterState(call.change, call.generation, state.applied | {call.change})
     elif not applies and call.accepted is not True:
         yield state
-    elif call.accepted and call.order in state.applied:
-        yield state  # it was taken before
+    elif call.accepted and call.change in state.applied:
+        yield state  # a retry of a change that was applied before
 
 
-def answers_are_linearizable(operations: list[Operation[RegisterCall]]) -> bool:
-    """Could one copy have answered so? Raises TooManyOrdersError."""
-    return is_linearizable(operations, FIRST, step)
+def responses_are_linearizable(operations: list[Operation[RegisterCall]]) -> bool:
+    """Whether a single register could have given these responses. Raises TooManyOrdersError."""
+    return is_linearizable(operations, INITIAL_STATE, step)
--- a/lab/tier/simulated_files.py
+++ b/lab/tier/simulated_files.py
@@ -1,4 +1,4 @@
-"""The files of a simulated machine: durable writes, and the faults of a disk."""
+"""The files of a simulated machine, with durable writes and disk faults."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from lab.tier.machine import Machine
 
-UNDO_PROBABILITY = 0.5
-"""Of each removal that was not synced when the power fails."""
+REMOVAL_UNDO_PROBABILITY = 0.5
+"""The probability that a power loss undoes a removal that was not synced."""
 
 
 class SimulatedFiles:
-    """Implements the Files port. Writes are durable; a removal is so once a later write has synced the folder."""
+    """Implements the Files port. Writes are durable; a removal is durable once a later write has synced the folder."""
 
     def __init__(self, machine: Machine) -> None:
         self._machine = machine
@@ -23,16 +23,16 @@
         self.full = False
 
     def check_space(self) -> None:
-        """Raises OSError where the disk is full."""
+        """Raises OSError if the disk is full."""
         if self.full:
             raise OSError(errno.ENOSPC, "No space left on device")
 
     def write(self, name: str, content: bytes) -> None:
-        """Store a file. Raises OSError where the disk is full."""
+        """Store a file. Raises OSError if the disk is full."""
         self.write_all({name: content})
 
     def write_all(self, contents: dict[str, bytes]) -> None:
-        """Store several files, one after the other. Raises OSError where the disk is full."""
+        """Store several files, one after the other. Raises OSError if the disk is full."""
         self.check_space()
         self._machine.sync(len(contents) + 1)
         for name, content in contents.items():
@@ -41,49 +41,49 @@
             self._machine.world.count_step(self._machine)
 
     def create(self, name: str) -> SimulatedFileWriter:
-        """Begin a file."""
+        """Start a file that is written in chunks."""
         return SimulatedFileWriter(self, name)
 
     def read(self, name: str) -> bytes | None:
-        """A file's content, None where there is none."""
+        """The content of a file, None if it does not exist."""
         return self._files.get(name)
 
     def read_chunk(self, name: str, offset: int, size: int) -> bytes | None:
-        """At most ``size`` bytes from an offset, None where there is no such file."""
+        """At most ``size`` bytes from an offset, None if the file does not exist."""
         content = self._files.get(name)
         return None if content is None else content[offset : offset + size]
 
     def names(self) -> list[str]:
-        """All files, sorted."""
+        """The names of all files, sorted."""
         return sorted(self._files)
 
     def remove(self, name: str) -> None:
-        """Remove a file; a loss of power may undo it."""
+        """Remove a file; a power loss may undo it."""
         if name in self._files:
             self._unsynced_removals[name] = self._files.pop(name)
 
     # Faults ------------------------------------------------------------------------------------------
 
     def corrupt(self, name: str, random: Random) -> None:
-        """Flip one bit of a file."""
+        """Flip one random bit of a file."""
         content = bytearray(self._files[name])
         content[random.randrange(len(content))] ^= 1 << random.randrange(8)
         self._files[name] = bytes(content)
 
     def truncate(self, name: str, random: Random) -> None:
-        """Cut a file short."""
+        """Truncate a file at a random offset."""
         self._files[name] = self._files[name][: random.randrange(len(self._files[name]))]
 
     def lose_power(self, random: Random) -> None:
-        """Each removal that was not synced may be undone."""
+        """Undo removals that were not synced, each with ``REMOVAL_UNDO_PROBABILITY``."""
         for name, content in self._unsynced_removals.items():
-            if random.random() < UNDO_PROBABILITY:
+            if random.random() < REMOVAL_UNDO_PROBABILITY:
                 self._files.setdefault(name, content)
         self._unsynced_removals.clear()
 
 
 class SimulatedFileWriter:
-    """Implements the FileWriter port."""
+    """Implements the FileWriter port: stores the file once it is finished."""
 
     def __init__(self, files: SimulatedFiles, name: str) -> None:
         self._files = files
@@ -91,12 +91,12 @@
         self._content = bytearray()
 
     def append(self, content: bytes) -> None:
-        """Add a chunk. Raises OSError where the disk is full."""
+        """Add a chunk. Raises OSError if the disk is full."""
         self._files.check_space()
         self._content += content
 
     def finish(self) -> None:
-        """Store the file. Raises OSError where the disk is full."""
+        """Store the file. Raises OSError if the disk is full."""
         self._files.write(self._name, bytes(self._content))
 
     def discard(self) -> None:
--- a/lab/tier/simulated_tier.py
+++ b/lab/tier/simulated_tier.py
@@ -1,4 +1,4 @@
-"""A whole tier in one process: control members, relays, stand-in endpoints, the platform, an operator and clients."""
+"""A simulated tier in one process: control members, relays, fake endpoints and platform, an operator and clients."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from lynxscale.runtime.http_types import Head, Request
 from lynxscale.runtime.settings import Cloud, FaultTolerance, Limits, Listen, Settings
 
-INTERNAL_PORT, CONTROL_PORT, FRONT_PORT, READY_PORT = 7000, 8000, 8080, 8081
+INTERNAL_PORT, CONTROL_PORT, FRONTEND_PORT, READINESS_PORT = 7000, 8000, 8080, 8081
 MODEL, TOOLS = "model", "tools"
 HOST = "tier.example"
-FIRST_PUSH_S, PUSH_AGAIN_S = 10.0, 0.1
-"""For which the first configuration is sent again and again, and the time in between."""
+FIRST_PUSH_TIMEOUT_S, PUSH_RETRY_INTERVAL_S = 10.0, 0.1
+"""How long, and how often, a rejected first configuration is sent again."""
 ZONES = ("north", "south", "west")
 
 
 def default_configuration(generation: int = 1) -> dict:
-    """Routes of every kind: retained turns, resumable streams, safe and unsafe calls."""
+    """A configuration with routes of every kind: retained turns, resumable streams, safe and unsafe calls."""
     common = {"host": HOST, "timeout-ms": 4000, "target-latency-ms": 200, "max-attempts": 2}
     streaming = common | {"route-type": "streaming", "backend": MODEL, "retention-s": 60.0}
     return {
@@ -49,11 +49,11 @@
 
 
 class SimulatedTier:
-    """Starts with everything up; ``settle`` waits until relays are ready."""
+    """A tier whose processes all run; ``start_serving`` configures it and waits until its relays are ready."""
 
     def __init__(self, world: World, relays: int = 3, controls: int = 3, tolerated: int = 1) -> None:
         self.world = world
-        self.streams = SimulatedTcp(world)
+        self.tcp = SimulatedTcp(world)
         self.platform = FakePlatform(PLATFORM, world.machine(PLATFORM).clock(), self.listener(PLATFORM))
         self.endpoints: dict[str, FakeEndpoint] = {}
         self.controls: dict[str, ControlService] = {}
@@ -72,7 +72,7 @@
     # Machines ----------------------------------------------------------------------------------------
 
     def add_endpoint(self, service: str, address: str, name: str, slots: int) -> FakeEndpoint:
-        """Start an endpoint and list it."""
+        """Start an endpoint and add it to the platform's list."""
         zone = ZONES[len(self.endpoints) % len(ZONES)]
         endpoint = Endpoint(name, service, address, zone, slots, "ready")
         clock = self.world.machine(address).clock()
@@ -81,11 +81,11 @@
         return self.endpoints[name]
 
     def listener(self, machine: str) -> Callable[[str, Callable[[], ServerConnection]], None]:
-        """Listens on a machine."""
-        return lambda address, factory: self.streams.listen(machine, address, factory)
+        """A function that starts a listener at an address of a machine."""
+        return lambda address, factory: self.tcp.listen(machine, address, factory)
 
     def settings(self, host: str, bootstrap: bool, listen: Listen, number: int) -> Settings:
-        """The settings of a machine."""
+        """The settings of the process on a host."""
         seeds = tuple(f"{one}:{CONTROL_PORT}" for one in self.control_hosts[:3])
         return Settings(
             node_name=f"node-{host}",
@@ -102,7 +102,7 @@
         )
 
     def start_control(self, host: str, bootstrap: bool = False) -> ControlService:
-        """Start a control process."""
+        """Start a control member's process on a host."""
         address = f"{host}:{INTERNAL_PORT}"
         machine = self.world.machine(address)
         settings = self.settings(host, bootstrap, Listen(control=f"{host}:{CONTROL_PORT}"), int(host[-1]))
@@ -111,12 +111,12 @@
             machine.clock(),
             machine.network(),
             machine.files,
-            self.streams.dialer(address),
+            self.tcp.dialer(address),
             Random(self.world.random.random()),
         )
         machine.receive = service.receive
         clock = machine.clock()
-        self.streams.listen(
+        self.tcp.listen(
             address,
             f"{host}:{CONTROL_PORT}",
             lambda: ServerConnection(service.handle_request, ServerLimits(), clock, set()),
@@ -125,20 +125,20 @@
         return service
 
     def start_relay(self, host: str) -> RelayService:
-        """Start a relay's process."""
+        """Start a relay's process on a host."""
         address = f"{host}:{INTERNAL_PORT}"
         machine = self.world.machine(address)
-        listen = Listen(frontend=f"{host}:{FRONT_PORT}", readiness=f"{host}:{READY_PORT}")
+        listen = Listen(frontend=f"{host}:{FRONTEND_PORT}", readiness=f"{host}:{READINESS_PORT}")
         service = RelayService(
             self.settings(host, False, listen, int(host[-1])),
             machine.clock(),
             machine.network(),
-            self.streams.dialer(address),
+            self.tcp.dialer(address),
             Random(self.world.random.random()),
         )
         machine.receive = service.receive
         clock = machine.clock()
-        self.streams.listen(
+        self.tcp.listen(
             address,
             listen.frontend,
             lambda: ServerConnection(service.handle_request, service.limits, clock, set()),
@@ -147,47 +147,47 @@
         return service
 
     def kill_control(self, host: str, power: bool = False, wipe: bool = False) -> None:
-        """End a control process."""
+        """Kill a control process; ``power``: its machine loses power too, ``wipe``: the machine loses its disk."""
         self.controls.pop(host, None)
         self.world.machine(f"{host}:{INTERNAL_PORT}").kill(power, wipe)
 
     def kill_relay(self, host: str) -> None:
-        """End a relay's process."""
+        """Kill a relay's process."""
         self.relays.pop(host, None)
         self.world.machine(f"{host}:{INTERNAL_PORT}").kill()
 
     # The operator ------------------------------------------------------------------------------------
 
     def primary(self) -> ControlService | None:
-        """The control process that leads."""
+        """The control process that acts as primary, if there is one."""
         return next((one for one in self.controls.values() if one.member.leads()), None)
 
     def operator_call(self, method: str, target: str, body: bytes = b"", base: str | None = None) -> ClientResponse:
-        """One call to the primary, to its end."""
+        """Send one request to the primary and wait for its end."""
         assert self.world.run_until(lambda: self.primary() is not None, 5.0), "no primary in time"
         host = self.primary().publisher.address.partition(":")[0]
         fields = ((b"host", b"control"),) + (((b"lynxscale-base-version", base.encode()),) if base else ())
         request = Request(method, target, Head(fields), body)
-        answer, _ = send_request(self.world, self.streams, f"{host}:{CONTROL_PORT}", request)
-        self.world.run_until(lambda: answer.ended, 4.0)
-        return answer
+        response, _ = send_request(self.world, self.tcp, f"{host}:{CONTROL_PORT}", request)
+        self.world.run_until(lambda: response.ended, 4.0)
+        return response
 
     def push(self, configuration: dict, base: int) -> ClientResponse:
-        """Send a configuration."""
+        """Replace the configuration of version ``base``."""
         return self.operator_call("POST", "/config/replace", msgspec.json.encode(configuration), str(base))
 
     def update(self, update: dict, base: int) -> ClientResponse:
-        """Send an update of the configuration."""
+        """Update the configuration of version ``base``."""
         return self.operator_call("POST", "/config/update", msgspec.json.encode(update), str(base))
 
     def start_serving(self) -> SimulatedTier:
         """Push the first configuration and wait until all relays are ready. Raises AssertionError.
 
-        An answer 503 is no definite one, as a primary may be lost at any time: the same request is sent again.
+        A response 503 is not definite, as the primary may be lost at any time: the same request is sent again.
         """
-        end = self.world.time + FIRST_PUSH_S
+        end = self.world.time + FIRST_PUSH_TIMEOUT_S
         while (status := self.push(default_configuration(), 0).status) in (0, 503) and self.world.time < end:
-            self.world.run(self.world.time + PUSH_AGAIN_S)
+            self.world.run(self.world.time + PUSH_RETRY_INTERVAL_S)
         assert status == 200, f"the first configuration gets {status}"
         assert self.world.run_until(lambda: all(one.ready for one in self.relays.values()), 5.0), "not ready in time"
         return self
@@ -197,7 +197,7 @@
     def start_request(
         self, path: str, relay: str = "", body: bytes = b"", method: str = "POST", request_id: str = "", **fields: str
     ) -> tuple[ClientResponse, ClientConnection]:
-        """Send a client's request; field names have underscores for hyphens."""
+        """Send a client's request. Header fields are given by name, with underscores for hyphens."""
         request_id = request_id or f"r{self._request_number()}"
         head = [(b"host", HOST.encode()), (b"lynxscale-request-id", request_id.encode())]
         head += [(name.replace("_", "-").encode(), value.encode()) for name, value in fields.items()]
@@ -205,17 +205,17 @@
             head.append((b"lynxscale-deadline-ms", b"4000"))
         request = Request(method, path, Head(tuple(head)), body)
         host = relay or self.relay_hosts[0]
-        return send_request(self.world, self.streams, f"{host}:{FRONT_PORT}", request)
+        return send_request(self.world, self.tcp, f"{host}:{FRONTEND_PORT}", request)
 
-    def request(self, path: str, within: float = 6.0, **more: str) -> ClientResponse:
-        """Send a client's request and wait for its end."""
-        answer, _ = self.start_request(path, **more)
-        assert self.world.run_until(lambda: answer.ended, within), "no end in time"
-        return answer
+    def request(self, path: str, within: float = 6.0, **options: str) -> ClientResponse:
+        """Send a client's request and wait for the end of its response."""
+        response, _ = self.start_request(path, **options)
+        assert self.world.run_until(lambda: response.ended, within), "the response did not end in time"
+        return response
 
     def turn(
-        self, program: str, budget: int, most: int = 40, path: str = "/kept/stream", **more: str
+        self, program: str, budget: int, max_tokens: int = 40, path: str = "/kept/stream", **options: str
     ) -> ClientResponse:
-        """One turn of a program."""
-        tokens = f"100,{most}"
-        return self.request(path, program=program, budget=str(budget), lynxscale_token_count=tokens, **more)
+        """Run one turn of a program that generates at most ``max_tokens``."""
+        tokens = f"100,{max_tokens}"
+        return self.request(path, program=program, budget=str(budget), lynxscale_token_count=tokens, **options)
--- a/lab/tier/source_mutation.py
+++ b/lab/tier/source_mutation.py
@@ -1,7 +1,7 @@
-"""Mutations of source lines, each of which a named test has to detect.
+"""Mutations of source lines, each of which a named test must detect.
 
-A mutation replaces one place of one module as it is imported; no file is changed. ``detects`` runs the test in a
-process of its own, with the mutation in force: this module is a pytest plugin that reads ``MUTATION_VARIABLE``.
+A mutation replaces one text of one module when it is imported; no file is changed. ``detects`` runs the test in a
+separate process with the mutation applied: this module is a pytest plugin that reads ``MUTATION_VARIABLE``.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from attrs import frozen
 
 MUTATION_VARIABLE = "LYNXSCALE_MUTATION"
-PLUGIN = "lab.tier.source_mutation"  # not in a package that imports the data plane
+PLUGIN = "lab.tier.source_mutation"  # must not be in a package that imports the data plane
 TEST_FAILED = 1  # pytest's exit code
 TIMEOUT_S = 300.0
 ROOT = Path(__file__).parents[2]
@@ -27,10 +27,10 @@
 
 @frozen
 class SourceMutation:
-    """One mistake of a line or two.
+    """One fault in a line or two of source.
 
-    ``module``: dotted name; ``original``: a text that its source holds once; ``replacement``: what stands instead.
-    ``test``: the one that has to fail, as pytest names it. ``name`` says what is wrong.
+    ``name`` describes the fault; ``module``: dotted name; ``original``: a text that occurs once in the module's source;
+    ``replacement``: the text that replaces it; ``test``: pytest's id of the test that must fail.
     """
 
     name: str
@@ -41,26 +41,26 @@
 
     @property
     def path(self) -> Path:
-        """The file of the module."""
+        """The source file of the module."""
         return ROOT / (self.module.replace(".", "/") + ".py")
 
     def apply(self, source: str) -> str:
-        """The source with the mistake. Raises ValueError where the original does not stand there exactly once."""
+        """The mutated source. Raises ValueError if the original does not occur exactly once."""
         count = source.count(self.original)
         if count != 1:
-            raise ValueError(f"{self.name}: the original stands {count} times in {self.module}, want once")
+            raise ValueError(f"{self.name}: the original occurs {count} times in {self.module}, expected once")
         return source.replace(self.original, self.replacement)
 
 
 class MutatedLoader(SourceFileLoader):
-    """Compiles a module from its mutated source; nothing is cached on the disk."""
+    """Compiles a module from its mutated source, without a bytecode cache."""
 
     def __init__(self, mutation: SourceMutation) -> None:
         super().__init__(mutation.module, str(mutation.path))
         self._mutation = mutation
 
     def get_code(self, fullname: str) -> CodeType:
-        """Part of the loader's protocol."""
+        """Part of the loader protocol."""
         source = self._mutation.apply(self._mutation.path.read_text())
         return compile(source, self.path, "exec")
 
@@ -74,7 +74,7 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Part of the finder's protocol."""
+        """Part of the finder protocol."""
         if fullname != self._mutation.module:
             return None
         spec = PathFinder.find_spec(fullname, path, target)
@@ -84,13 +84,13 @@
 
 
 def detects(mutation: SourceMutation) -> bool:
-    """Does the mutation's test fail with the mutation in force?"""
+    """Whether the mutation's test fails with the mutation applied."""
     environment = os.environ | {MUTATION_VARIABLE: msgspec.json.encode(_as_table(mutation)).decode()}
     command = [sys.executable, "-m", "pytest", "-x", "-q", "-p", PLUGIN, "-p", "no:cacheprovider", "-p", "no:xdist"]
-    done = subprocess.run(
+    result = subprocess.run(
         [*command, mutation.test], cwd=ROOT, env=environment, capture_output=True, text=True, timeout=TIMEOUT_S
     )
-    return done.returncode == TEST_FAILED
+    return result.returncode == TEST_FAILED
 
 
 def _as_table(mutation: SourceMutation) -> dict[str, str]:
@@ -98,9 +98,9 @@
 
 
 def _install_from_environment() -> None:
-    text = os.environ.get(MUTATION_VARIABLE)
-    if text:
-        mutation = SourceMutation(**msgspec.json.decode(text, type=dict[str, str]))
+    encoded = os.environ.get(MUTATION_VARIABLE)
+    if encoded:
+        mutation = SourceMutation(**msgspec.json.decode(encoded, type=dict[str, str]))
         sys.meta_path.insert(0, MutatingFinder(mutation))
 
 
