--- a/lab/tier/upgrade_load.py
+++ b/lab/tier/upgrade_load.py
@@ -1,7 +1,7 @@
-"""Steady load on a tier of real processes, and what its clients and its operator saw.
+"""Steady load on a tier of real processes, and the observations of its clients and its operator.
 
-Programs hold conversations with memory, others call safe and unsafe tools and open streams, and an operator replaces
-and updates the configuration. Clients go to relays that say they are ready, as the platform sends them.
+Programs hold conversations of retained turns, other clients call safe and unsafe tools and open streams, and an
+operator replaces and updates the configuration. Clients use only relays whose readiness check succeeds.
 """
 
 from __future__ import annotations
@@ -21,59 +21,61 @@
 from lab.tier.simulated_tier import default_configuration
 from lynxscale.runtime.http_types import Response
 
-TALKERS, CALLERS = 6, 2
-NEW_CONVERSATIONS = 6  # in each phase
+CONVERSATION_CLIENTS, CALL_CLIENTS = 6, 2
+NEW_CONVERSATIONS_PER_PHASE = 6  # started whenever the load resumes
 LARGE_BUDGET, SMALL_BUDGET = 10_000_000, 5 * MAX_TOKENS
-SPENT = 402
-UNDECIDED = 503
+BUDGET_SPENT_STATUS = 402
+UNDECIDED_STATUS = 503
 RETENTION_S = 900.0  # longer than any run
-BRANCH_SHARE = 1 / 6  # of turns: they go on from an earlier turn than the last
-LONGEST_PAUSE_S = 0.2  # between two requests of one client: the pace of the load
-ORDER_PAUSE_S = 0.4
-POLL_S = 0.05
-STALL_S = 0.1  # a quarter of the leader lease
-ORDER_WITHIN_S = 60.0  # longer than all processes are away at once
-ORDER_AGAIN_S = 0.3
+BRANCH_PROBABILITY = 1 / 6  # that a turn continues a random earlier turn instead of the last
+MAX_PAUSE_S = 0.2  # between two requests of a client; sets the rate of the load
+MAX_CHANGE_PAUSE_S = 0.4
+POLL_INTERVAL_S = 0.05
+MIN_STALL_S = 0.1  # a quarter of the leader's lease
+CHANGE_TIMEOUT_S = 60.0  # longer than any time for which all processes are stopped
+CHANGE_RETRY_INTERVAL_S = 0.3
 CALL_PATHS = ("/book/1", "/look/1")
 STREAM_PATH = "/open/stream"
 
 
-async def until(condition: Callable[[], Awaitable[bool]], within_s: float, what: str, every_s: float = POLL_S) -> None:
-    """Poll until the condition holds. Raises TimeoutError that tells ``what``."""
-    end = time.monotonic() + within_s
+async def wait_until(
+    condition: Callable[[], Awaitable[bool]], timeout_s: float, condition_name: str, interval_s: float = POLL_INTERVAL_S
+) -> None:
+    """Poll until the condition holds. Raises TimeoutError, which names the condition."""
+    end = time.monotonic() + timeout_s
     while not await condition():
         if time.monotonic() > end:
-            raise TimeoutError(f"not within {within_s:.0f} s: {what}")
-        await asyncio.sleep(every_s)
+            raise TimeoutError(f"not within {timeout_s:.0f} s: {condition_name}")
+        await asyncio.sleep(interval_s)
 
 
 @dataclass(frozen=True)
-class ClientAnswer:
-    """What a client got. ``status`` 0: no whole answer came."""
+class ClientResult:
+    """A response as a client received it. ``status`` 0: no complete response was received."""
 
     status: int
     body: bytes
 
     @property
     def complete(self) -> bool:
-        """Did the answer come to its end?"""
+        """Whether the response is complete."""
         return self.status != 0
 
 
 @dataclass
 class Conversation:
-    """One program's turns that came whole, the newest last."""
+    """A program and its complete turns, oldest first. ``busy``: a turn is in flight; ``exhausted``: budget spent."""
 
     program: str
     budget: int
-    whole: list[ObservedTurn] = field(default_factory=list)
+    complete_turns: list[ObservedTurn] = field(default_factory=list)
     busy: bool = False
     exhausted: bool = False
 
 
 @dataclass(frozen=True)
 class Sent:
-    """One request with its times, the relay or control member that it went to, and its status."""
+    """One request that ended: its times, the relay or control member that it was sent to, and its status."""
 
     kind: str
     request_id: str
@@ -84,76 +86,76 @@
 
     @property
     def failed(self) -> bool:
-        """Neither answered, nor refused for a spent budget, nor an order that is to be sent again."""
-        return self.status not in (200, SPENT) and not self.undecided
+        """Whether the request failed. A rejection for a spent budget and an undecided change are not failures."""
+        return self.status not in (200, BUDGET_SPENT_STATUS) and not self.undecided
 
     @property
     def undecided(self) -> bool:
-        """An order that got the documented answer of a changing primary: send the same again."""
-        return self.kind == "order" and self.status == UNDECIDED
+        """Whether this is a change that was answered 503 during a failover; the operator sends it again."""
+        return self.kind == "change" and self.status == UNDECIDED_STATUS
 
 
 class Load:
-    """Clients and operator of one tier. Everything they see is kept."""
+    """The clients and the operator of one tier, with all their observations."""
 
     def __init__(self, tier: LocalTier, random: Random) -> None:
         self.tier = tier
         self.random = random
         self.conversations: list[Conversation] = []
         self.turns: list[ObservedTurn] = []
-        self.calls: list[tuple[str, ClientAnswer]] = []
-        self.streams: list[tuple[str, ClientAnswer]] = []
-        self.orders: list[ObservedChange] = [ObservedChange(0, default_configuration())]
+        self.calls: list[tuple[str, ClientResult]] = []
+        self.streams: list[tuple[str, ClientResult]] = []
+        self.changes: list[ObservedChange] = [ObservedChange(0, default_configuration())]
         self.sent: list[Sent] = []
         self.faults: list[str] = []
-        self.primaries: list[tuple[float, str]] = []  # each change of primary, with its time
+        self.primaries: list[tuple[float, str]] = []  # time and name of each new primary
         self.stalls: list[tuple[float, float]] = []  # begin and end of times in which this process was not scheduled
         self._ready: list[str] = []
-        self._flowing = asyncio.Event()
-        self._at_work = 0
+        self._sending = asyncio.Event()
+        self._active_requests = 0
         self._number = 0
         self._tasks: list[asyncio.Task] = []
 
     # Begin and end -----------------------------------------------------------------------------------
 
     def begin(self, group: asyncio.TaskGroup) -> None:
-        """Start all clients; one that breaks ends the group."""
+        """Start all clients as tasks of a group; an exception in one of them ends the group."""
         workers = [self._watch_readiness(), self._watch_primary(), self._watch_stalls()]
-        workers += [self._repeat(self._talk, LONGEST_PAUSE_S) for _ in range(TALKERS)]
-        workers += [self._repeat(self._call, LONGEST_PAUSE_S) for _ in range(CALLERS)]
-        workers.append(self._repeat(self.order, ORDER_PAUSE_S))
+        workers += [self._repeat(self._send_random_turn, MAX_PAUSE_S) for _ in range(CONVERSATION_CLIENTS)]
+        workers += [self._repeat(self._call, MAX_PAUSE_S) for _ in range(CALL_CLIENTS)]
+        workers.append(self._repeat(self.change, MAX_CHANGE_PAUSE_S))
         self._tasks = [group.create_task(worker) for worker in workers]
 
-    def flow(self) -> None:
-        """Let clients send, with some new conversations."""
-        for number in range(NEW_CONVERSATIONS):
+    def resume(self) -> None:
+        """Let clients send requests, and add new conversations."""
+        for number in range(NEW_CONVERSATIONS_PER_PHASE):
             budget = SMALL_BUDGET if number == 0 else LARGE_BUDGET
             self.conversations.append(Conversation(f"program-{len(self.conversations)}", budget))
-        self._flowing.set()
+        self._sending.set()
 
-    async def pause(self, within_s: float) -> None:
-        """Let nothing more begin, and wait until all that was sent has ended."""
-        self._flowing.clear()
+    async def pause(self, timeout_s: float) -> None:
+        """Stop sending requests, and wait until all requests in flight have ended."""
+        self._sending.clear()
 
         async def quiet() -> bool:
-            return self._at_work == 0
+            return self._active_requests == 0
 
-        await until(quiet, within_s, "all requests of the load end")
+        await wait_until(quiet, timeout_s, "all requests of the load end")
 
     def cancel(self) -> None:
-        """End all clients."""
+        """Cancel the tasks of all clients."""
         for task in self._tasks:
             task.cancel()
 
-    async def _repeat(self, act: Callable[[], Awaitable[None]], longest_pause_s: float) -> None:
+    async def _repeat(self, send_one: Callable[[], Awaitable[None]], max_pause_s: float) -> None:
         while True:
-            await self._flowing.wait()
-            self._at_work += 1
+            await self._sending.wait()
+            self._active_requests += 1
             try:
-                await act()
+                await send_one()
             finally:
-                self._at_work -= 1
-            await asyncio.sleep(self.random.uniform(0.0, longest_pause_s))
+                self._active_requests -= 1
+            await asyncio.sleep(self.random.uniform(0.0, max_pause_s))
 
     async def _watch_readiness(self) -> None:
         while True:
@@ -161,127 +163,134 @@
                 ready = (await self.tier.call(self.tier.readiness(name), "GET", "/ready")).status == 200
                 if ready != (name in self._ready):
                     self._ready = [one for one in self._ready if one != name] + [name] * ready
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _watch_primary(self) -> None:
         while True:
-            with contextlib.suppress(TimeoutError):  # all are stopped at times
+            with contextlib.suppress(TimeoutError):  # at times all members are stopped
                 primary = await self.tier.primary()
                 if not self.primaries or primary != self.primaries[-1][1]:
                     self.primaries.append((time.monotonic(), primary))
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _watch_stalls(self) -> None:
-        """Note when a timer of this process is late: others on the machine are not scheduled then either."""
+        """Record when a timer of this process is late: the processes of the tier are not scheduled either then."""
         while True:
-            asleep = time.monotonic()
-            await asyncio.sleep(POLL_S)
-            awake = time.monotonic()
-            if awake - asleep - POLL_S > STALL_S:
-                self.stalls.append((asleep, awake))
+            sleep_begin = time.monotonic()
+            await asyncio.sleep(POLL_INTERVAL_S)
+            sleep_end = time.monotonic()
+            if sleep_end - sleep_begin - POLL_INTERVAL_S > MIN_STALL_S:
+                self.stalls.append((sleep_begin, sleep_end))
 
     # Clients -----------------------------------------------------------------------------------------
 
-    async def _talk(self) -> None:
+    async def _send_random_turn(self) -> None:
         idle = [one for one in self.conversations if not one.busy and not one.exhausted]
         if idle:
             await self.turn(self.random.choice(idle))
 
     async def turn(self, conversation: Conversation) -> ObservedTurn:
-        """The next turn of a conversation, which goes on from its last or, at times, from an earlier one."""
+        """Send the next turn of a conversation, which continues its last turn or sometimes an earlier one."""
         conversation.busy = True
-        whole = conversation.whole
-        previous = whole[-1].request_id if whole else ""
-        if whole and self.random.random() < BRANCH_SHARE:
-            previous = self.random.choice(whole).request_id
+        complete_turns = conversation.complete_turns
+        previous = complete_turns[-1].request_id if complete_turns else ""
+        if complete_turns and self.random.random() < BRANCH_PROBABILITY:
+            previous = self.random.choice(complete_turns).request_id
         name = self._name("turn")
         fields = {"program": conversation.program, "budget": str(conversation.budget)}
         fields |= {"lynxscale-token-count": f"10,{MAX_TOKENS}"} | ({"previous": previous} if previous else {})
         text = f"say {name} ".encode()
-        answer = await self._ask("turn", name, "/kept/stream", text, fields)
-        seen = ObservedTurn(name, conversation.program, previous, text, answer, conversation.budget)
-        self.turns.append(seen)
-        if answer.status == 200:
-            whole.append(seen)
-        conversation.exhausted |= answer.status == SPENT
+        response = await self._send("turn", name, "/kept/stream", text, fields)
+        observed = ObservedTurn(name, conversation.program, previous, text, response, conversation.budget)
+        self.turns.append(observed)
+        if response.status == 200:
+            complete_turns.append(observed)
+        conversation.exhausted |= response.status == BUDGET_SPENT_STATUS
         conversation.busy = False
-        return seen
+        return observed
 
     async def _call(self) -> None:
         path = self.random.choice((*CALL_PATHS, STREAM_PATH))
         name = self._name("call")
-        answer = await self._ask(path.split("/")[1], name, path, b"", {})
+        response = await self._send(path.split("/")[1], name, path, b"", {})
         if path == STREAM_PATH:
-            self.streams.append((name, answer))
+            self.streams.append((name, response))
         else:
-            self.calls.append((f"{path} {name}", answer))
+            self.calls.append((f"{path} {name}", response))
 
-    async def _ask(self, kind: str, name: str, path: str, body: bytes, fields: dict[str, str]) -> ClientAnswer:
+    async def _send(self, kind: str, name: str, path: str, body: bytes, fields: dict[str, str]) -> ClientResult:
         relay = await self._pick_relay()
         begun = time.monotonic()
         head = tuple((key.encode(), value.encode()) for key, value in {"lynxscale-request-id": name, **fields}.items())
         response = await self.tier.call(self.tier.frontend(relay), "POST", path, body, head)
-        self._note(kind, name, relay, begun, response)
-        return ClientAnswer(response.status, response.body)
+        self._record(kind, name, relay, begun, response)
+        return ClientResult(response.status, response.body)
 
     async def _pick_relay(self) -> str:
         while not self._ready:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return self.random.choice(self._ready)
 
     def _name(self, kind: str) -> str:
         self._number += 1
         return f"{kind}-{self._number}"
 
-    def _note(self, kind: str, name: str, process: str, begun: float, response: Response) -> None:
+    def _record(self, kind: str, name: str, process: str, begun: float, response: Response) -> None:
         self.sent.append(Sent(kind, name, process, begun, time.monotonic(), response.status))
 
     # The operator ------------------------------------------------------------------------------------
 
     @property
     def in_force(self) -> dict:
-        """The configuration that was acknowledged last."""
+        """The newest acknowledged configuration."""
         return max(
-            (order.table for order in self.orders if order.acknowledged or order.base == 0),
+            (change.table for change in self.changes if change.acknowledged or change.base == 0),
             key=lambda table: table["generation"],
         )
 
-    async def order(self) -> None:
-        """A replacement or an update, sent until it is acknowledged."""
-        order = self._new_order()
-        self.orders.append(order)
-        path = "/config/update" if order.update else "/config/replace"
-        body = msgspec.json.encode(order.update or order.table)
-        fields = ((b"lynxscale-base-version", b"%d" % order.base),)
+    async def change(self) -> None:
+        """Send a replacement or an update of the configuration until it is acknowledged."""
+        change = self._new_change()
+        self.changes.append(change)
+        path = "/config/update" if change.update else "/config/replace"
+        body = msgspec.json.encode(change.update or change.table)
+        fields = ((b"lynxscale-base-version", b"%d" % change.base),)
 
         async def acknowledged() -> bool:
             member = self.random.choice(self.tier.control_names)
             begun = time.monotonic()
             response = await self.tier.call(self.tier.control(member), "POST", path, body, fields)
-            self._note("order", f"{path} {order.base}", member, begun, response)
-            order.answers.append(ClientAnswer(response.status, response.body))
-            if response.status not in (0, 200, UNDECIDED):
-                self.faults.append(f"order on {order.base} refused: {response.status} {response.body.decode()}")
+            self._record("change", f"{path} {change.base}", member, begun, response)
+            change.responses.append(ClientResult(response.status, response.body))
+            if response.status not in (0, 200, UNDECIDED_STATUS):
+                self.faults.append(
+                    f"change of version {change.base} rejected: {response.status} {response.body.decode()}"
+                )
             return response.status == 200
 
-        await until(acknowledged, ORDER_WITHIN_S, f"the order on version {order.base} is acknowledged", ORDER_AGAIN_S)
+        await wait_until(
+            acknowledged,
+            CHANGE_TIMEOUT_S,
+            f"the change of version {change.base} is acknowledged",
+            CHANGE_RETRY_INTERVAL_S,
+        )
 
-    def _new_order(self) -> ObservedChange:
-        """The first is a replacement; from it on all configurations differ in their first route alone."""
+    def _new_change(self) -> ObservedChange:
+        """The next change. The first is a replacement; after it all configurations differ only in their first route."""
         base = self.in_force["generation"]
         table = default_configuration(base + self.random.randint(1, 3))
         route = table["routes"][0]
         route["retention-s"] = RETENTION_S
-        route["target-latency-ms"] = 200 + len(self.orders)
-        order = ObservedChange(base, table)
-        if len(self.orders) > 1 and len(self.orders) % 2:
-            order.update = {"generation": table["generation"], "upsert": {"routes": [route]}}
-        return order
+        route["target-latency-ms"] = 200 + len(self.changes)
+        change = ObservedChange(base, table)
+        if len(self.changes) > 1 and len(self.changes) % 2:
+            change.update = {"generation": table["generation"], "upsert": {"routes": [route]}}
+        return change
 
-    # What was seen -----------------------------------------------------------------------------------
+    # Observations ------------------------------------------------------------------------------------
 
-    def whole_turns(self, since: float) -> Counter[str]:
-        """Turns that were begun since then and came whole, by relay."""
+    def complete_turns_by_relay(self, since: float) -> Counter[str]:
+        """The number of complete turns that began since a time, by relay."""
         return Counter(
             one.process for one in self.sent if one.kind == "turn" and one.status == 200 and one.begun >= since
         )
--- a/lab/tier/upgrade_rules.py
+++ b/lab/tier/upgrade_rules.py
@@ -1,4 +1,4 @@
-"""What must hold when processes of a tier were replaced: judged by clients, endpoints and the members' stored state."""
+"""Checks of an upgraded tier by the observations of clients and endpoints and by the stored state of members."""
 
 from __future__ import annotations
 
@@ -8,30 +8,38 @@
 from dataclasses import dataclass
 
 from lab.tier.fakes import FakeEndpoint
-from lab.tier.history_checker import MAX_TOKENS, OUTPUT, STRIDE, WHOLE, HistoryChecker, Observations, ObservedTurn
+from lab.tier.history_checker import (
+    COMPLETE_STREAM,
+    MAX_TOKENS,
+    STRIDE,
+    TURN_OUTPUT,
+    HistoryChecker,
+    Observations,
+    ObservedTurn,
+)
 from lab.tier.upgrade_load import Conversation, Load
 
-MAY_HAVE_RUN = (0, 502, 504)
+UNCERTAIN_STATUSES = (0, 502, 504)
 
 
 @dataclass(frozen=True)
-class Endpoints:
-    """All that the rules of histories need of a tier of processes."""
+class EndpointsOnly:
+    """Stands for the tier in a HistoryChecker, which needs only the endpoints here."""
 
     endpoints: dict[str, FakeEndpoint]
 
 
 class UpgradeChecker(HistoryChecker):
-    """The rules of histories on what clients and endpoints saw; the members' state is judged by their folders."""
+    """Checks the rules of histories that concern clients and endpoints; the stored state is checked separately."""
 
     def __init__(self, endpoints: list[FakeEndpoint], load: Load) -> None:
         by_id = {one.endpoint.id: one for one in endpoints}
-        super().__init__(Endpoints(by_id), Observations(load.turns, load.calls, load.orders))
+        super().__init__(EndpointsOnly(by_id), Observations(load.turns, load.calls, load.changes))
         self.load = load
 
     def check(self) -> None:
-        """Count every breach, while nothing is under way."""
-        executed = self._executed()
+        """Check all rules. No request may be in flight."""
+        executed = self._executions_by_request()
         self._check_calls(executed)
         self._check_turns(executed)
         self._check_budgets()
@@ -39,61 +47,64 @@
         self._check_streams()
 
     def _check_acknowledged(self, executed: dict) -> None:
-        turns = [seen.request_id for seen in self.load.turns if seen.answer.status == 200]
-        calls = [what.split()[1] for what, answer in self.load.calls if answer.status == 200]
+        turns = [seen.request_id for seen in self.load.turns if seen.response.status == 200]
+        calls = [call.split()[1] for call, response in self.load.calls if response.status == 200]
         self.broken["answered_but_not_run"] += sum(name not in executed for name in turns + calls)
 
     def _check_streams(self) -> None:
-        answers = [answer for _, answer in self.load.streams if answer.status == 200]
-        self.broken["stream_differs"] += sum(answer.body != WHOLE for answer in answers)
+        responses = [response for _, response in self.load.streams if response.status == 200]
+        self.broken["stream_differs"] += sum(response.body != COMPLETE_STREAM for response in responses)
 
 
-def judge_requests(endpoints: list[FakeEndpoint], load: Load) -> list[str]:
-    """Reasons why what clients and endpoints saw is wrong."""
-    rules = UpgradeChecker(endpoints, load)
-    rules.check()
-    return [f"rule {name} broken {count} times" for name, count in sorted(rules.broken.items()) if count]
+def request_violations(endpoints: list[FakeEndpoint], load: Load) -> list[str]:
+    """The rules that the observations of clients and endpoints violate, as text."""
+    checker = UpgradeChecker(endpoints, load)
+    checker.check()
+    return [f"rule {name} broken {count} times" for name, count in sorted(checker.broken.items()) if count]
 
 
-def judge_stored(exported: str, load: Load) -> list[str]:
-    """Reasons why the exported state of a copy that counts is wrong, while nothing is under way."""
+def stored_state_violations(exported: str, load: Load) -> list[str]:
+    """How an in-sync member's exported state contradicts the observations, as text. No request may be in flight."""
     stored = {entry["key"]: entry["value"] for entry in map(json.loads, exported.splitlines())}
-    found = [reason for one in load.conversations for reason in _budget_findings(one, stored, load)]
+    violations = [reason for one in load.conversations for reason in _budget_violations(one, stored, load)]
     for conversation in load.conversations:
-        for seen in conversation.whole:
+        for seen in conversation.complete_turns:
             turn = stored.get(f"turn/{seen.request_id}")
             if turn is None:
-                found.append(f"{seen.request_id} was acknowledged and is not stored")
+                violations.append(f"{seen.request_id} was acknowledged and is not stored")
             elif (turn.get("content"), turn.get("previous")) != (_stored_content(seen), seen.previous):
-                found.append(f"{seen.request_id} is stored with other content")
+                violations.append(f"{seen.request_id} is stored with other content")
     if stored.get("config/current", {}).get("body") != load.in_force:
-        found.append("the configuration stored is not the one acknowledged last")
-    return found
+        violations.append("the configuration stored is not the one acknowledged last")
+    return violations
 
 
 def _stored_content(seen: ObservedTurn) -> str:
-    """A turn's input and output, as they stand in an export."""
-    return base64.b64encode(seen.text + OUTPUT).decode()
+    """The input and output of a turn, encoded as in an export."""
+    return base64.b64encode(seen.text + TURN_OUTPUT).decode()
 
 
-def _budget_findings(conversation: Conversation, stored: dict, load: Load) -> list[str]:
-    """Does the control side count what the client does? A turn without a clear end may count for up to its most."""
-    tried = [seen for seen in load.turns if seen.program == conversation.program]
-    counted = sum(seen.answer.body.count(b"data:") * STRIDE for seen in tried)
-    unclear = sum(MAX_TOKENS for seen in tried if seen.answer.status in MAY_HAVE_RUN)
+def _budget_violations(conversation: Conversation, stored: dict, load: Load) -> list[str]:
+    """Compare charged and delivered tokens. A turn with an uncertain outcome may be charged up to its maximum."""
+    attempts = [seen for seen in load.turns if seen.program == conversation.program]
+    delivered = sum(seen.response.body.count(b"data:") * STRIDE for seen in attempts)
+    uncertain = sum(MAX_TOKENS for seen in attempts if seen.response.status in UNCERTAIN_STATUSES)
     program = stored.get(f"program/{conversation.program}", {"spent": 0, "open": {}})
     if not {"spent", "open"} <= program.keys():
-        return [f"{conversation.program} is stored in another form: {program}"]
-    told = program["spent"] + sum(program["open"].values())
-    if conversation.exhausted and not unclear and counted + MAX_TOKENS <= conversation.budget:
-        return [f"{conversation.program}: refused with {counted} of {conversation.budget} tokens spent"]
-    if counted <= told <= counted + unclear:
+        return [f"{conversation.program} is stored in an unexpected form: {program}"]
+    charged = program["spent"] + sum(program["open"].values())
+    if conversation.exhausted and not uncertain and delivered + MAX_TOKENS <= conversation.budget:
+        return [f"{conversation.program}: rejected with {delivered} of {conversation.budget} tokens spent"]
+    if delivered <= charged <= delivered + uncertain:
         return []
-    return [f"{conversation.program}: clients count {counted} tokens (and up to {unclear} unclear), control {told}"]
+    return [
+        f"{conversation.program}: clients count {delivered} tokens (and up to {uncertain} uncertain), "
+        f"control members count {charged}"
+    ]
 
 
 def failures(load: Load, windows: list[tuple[float, float]]) -> tuple[Counter[str], list[str]]:
-    """Requests that failed within the windows, by kind and status, and those that failed outside of all."""
+    """Count requests that failed within the windows, by kind and status, and list those that failed outside them."""
     within: Counter[str] = Counter()
     outside = []
     for one in load.sent:
--- a/lab/tier/world.py
+++ b/lab/tier/world.py
@@ -1,7 +1,7 @@
 """A discrete-event simulation of machines, their clocks and the links between them, all drawn from one seed.
 
-No sockets, no threads, no sleeps: events are called in order of their time, and equal seeds give equal runs, whatever
-Python's hash seed.
+It uses no sockets, threads or sleeps. Events run in the order of their simulated time, and equal seeds give equal runs
+for every value of PYTHONHASHSEED.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from lab.tier.machine import Event, Machine, ProcessEnded
 from lynxscale.coordination.messages import Message, encode
 
-DELAY_S = 0.002
-DELAY_SPREAD = (0.7, 1.5)
-"""A message takes the delay of its link times a factor drawn from this range."""
+DEFAULT_DELAY_S = 0.002
+DELAY_FACTOR_RANGE = (0.7, 1.5)
+"""The delay of each message is the delay of its link times a factor drawn from this range."""
 
 
 @frozen
 class Link:
-    """One direction of a link of its own. ``delay_s``: one way; ``loss``: the share of messages that it loses."""
+    """One direction of a link. ``delay_s``: one-way delay; ``loss``: the share of messages that are lost."""
 
     delay_s: float
     bytes_per_s: float = float("inf")
@@ -35,32 +35,32 @@
 class World:
     """The event queue of all machines, and the links between them.
 
-    ``delay_s``: one-way delay of a link; ``loss``: the probability with which a message is lost. ``links``: those, by
-    sender and receiver, that differ from this.
+    ``delay_s``: one-way delay of a link; ``loss``: the probability that a message is lost. ``links``: by sender and
+    receiver, the links that have other properties.
     """
 
-    def __init__(self, seed: int, delay_s: float = DELAY_S, loss: float = 0.0) -> None:
+    def __init__(self, seed: int, delay_s: float = DEFAULT_DELAY_S, loss: float = 0.0) -> None:
         self.random = Random(seed)
         self.delay_s = delay_s
         self.loss = loss
         self.time = 0.0
         self.machines: dict[str, Machine] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.partitions: set[tuple[str, str]] = set()  # sender and receiver
-        self.steps = 0  # messages handled and syncs done, of all machines
-        self.digest = 0  # CRC-32 of all messages carried: equal for equal runs
+        self.partitions: set[tuple[str, str]] = set()  # pairs of sender and receiver
+        self.steps = 0  # messages handled and disk syncs done on all machines
+        self.digest = 0  # CRC-32 of all messages sent: equal for equal runs
         self._calls_at_step: dict[int, Callable[[], object]] = {}
         self._events: list[tuple[float, int, Event]] = []
-        self._order = count().__next__
+        self._next_sequence_number = count().__next__
         self._last_arrival: dict[tuple[str, str], float] = {}
-        self._wire_free_at: dict[tuple[str, str], float] = {}
+        self._link_free_at: dict[tuple[str, str], float] = {}
 
     # Time --------------------------------------------------------------------------------------------
 
     def call_at(self, time: float, call: Callable[[], object], owner: Machine | None = None) -> Event:
-        """Schedule a call; while its owner is frozen it is put off."""
+        """Schedule a call. It is postponed while the process of its owner cannot run."""
         event = Event(call, owner)
-        heapq.heappush(self._events, (time, self._order(), event))
+        heapq.heappush(self._events, (time, self._next_sequence_number(), event))
         return event
 
     def run(self, until: float) -> None:
@@ -70,7 +70,7 @@
         self.time = until
 
     def run_until(self, condition: Callable[[], bool], within: float) -> bool:
-        """Run until the condition holds; False where it does not ``within`` so many seconds."""
+        """Run until the condition holds; returns False if it does not hold ``within`` this many seconds."""
         end = self.time + within
         while not condition():
             if not self._events or self._events[0][0] > end:
@@ -84,23 +84,23 @@
         if event.call is None:
             return
         if event.owner is not None and (runs_at := event.owner.runs_at(self.time)) > self.time:
-            self._put_off(event, runs_at)
+            self._postpone(event, runs_at)
             return
         with contextlib.suppress(ProcessEnded):
             event.call()
 
-    def _put_off(self, event: Event, time: float) -> None:
-        """The owner does not run now: its events keep their order. A cancelled one stays so."""
-        heapq.heappush(self._events, (time, self._order(), event))
+    def _postpone(self, event: Event, time: float) -> None:
+        """Reschedule an event whose owner cannot run now. Events of a machine keep their order, also when postponed."""
+        heapq.heappush(self._events, (time, self._next_sequence_number(), event))
 
     # Steps -------------------------------------------------------------------------------------------
 
     def call_at_step(self, number: int, call: Callable[[], object]) -> None:
-        """Make a call right after so many messages were handled and syncs done."""
+        """Make a call right after step ``number``; a step is a handled message or a completed sync."""
         self._calls_at_step[number] = call
 
     def count_step(self, machine: Machine) -> None:
-        """A message was handled or a sync done on a machine. Raises ProcessEnded where that has ended its process."""
+        """Count a handled message or a completed sync. Raises ProcessEnded if a call at this step ended the process."""
         self.steps += 1
         call = self._calls_at_step.pop(self.steps, None)
         if call is not None:
@@ -117,32 +117,34 @@
             self.machines[address] = Machine(self, address)
         return self.machines[address]
 
-    def partition(self, one: str, other: str, both_ways: bool = True) -> None:
-        """Drop all that one sends to the other from now on."""
-        self.partitions.add((one, other))
+    def partition(self, sender: str, receiver: str, both_ways: bool = True) -> None:
+        """Drop all messages from ``sender`` to ``receiver`` from now on; ``both_ways``: in the other direction too."""
+        self.partitions.add((sender, receiver))
         if both_ways:
-            self.partitions.add((other, one))
+            self.partitions.add((receiver, sender))
 
     def heal(self) -> None:
         """End all partitions."""
         self.partitions.clear()
 
     def deliver(self, source: str, target: str, message: Message) -> None:
-        """Carry a message over the link, in order, unless it is lost."""
+        """Send a message over a link. Messages of one link arrive in order, unless they are lost."""
         link = (source, target)
-        own = self.links.get(link)
-        loss = self.loss if own is None else max(self.loss, own.loss if self.loss else 0.0)
+        override = self.links.get(link)
+        loss = self.loss if override is None else max(self.loss, override.loss if self.loss else 0.0)
         if link in self.partitions or self.random.random() < loss:
             return
         payload = encode(message)
         self.digest = zlib.crc32(payload, zlib.crc32(f"{self.time:.9f}{source}{target}".encode(), self.digest))
         machine, sender = self.machine(target), self.machine(source)
-        begun = max(self.time, sender.frozen_until)
-        if speed := min(machine.bytes_per_s, sender.bytes_per_s, own.bytes_per_s if own else float("inf")):
-            begun = max(begun, self._wire_free_at.get(link, 0.0)) + len(payload) / speed
-            self._wire_free_at[link] = begun
-        delay_s = (own.delay_s if own else self.delay_s) * self.random.uniform(*DELAY_SPREAD)
-        arrival = max(begun + delay_s, self._last_arrival.get(link, 0.0))
+        transmitted_at = max(self.time, sender.frozen_until)
+        if bytes_per_s := min(
+            machine.bytes_per_s, sender.bytes_per_s, override.bytes_per_s if override else float("inf")
+        ):
+            transmitted_at = max(transmitted_at, self._link_free_at.get(link, 0.0)) + len(payload) / bytes_per_s
+            self._link_free_at[link] = transmitted_at
+        delay_s = (override.delay_s if override else self.delay_s) * self.random.uniform(*DELAY_FACTOR_RANGE)
+        arrival = max(transmitted_at + delay_s, self._last_arrival.get(link, 0.0))
         self._last_arrival[link] = arrival
         incarnation = machine.incarnation
         self.call_at(arrival, lambda: machine.on_arrival(incarnation, source, target, payload), machine)
--- a/tests/lab/test_histories.py
+++ b/tests/lab/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of whole tiers with faults break no rule."""
+"""Random histories of simulated tiers with faults break no rule."""
 
 import os
 import subprocess
@@ -19,21 +19,21 @@
     assert not History(seed, varied=True).play(), seed
 
 
-def test_a_history_that_cannot_go_on_counts_as_a_breach(monkeypatch):
+def test_a_history_that_ends_early_counts_as_a_breach(monkeypatch):
     monkeypatch.setattr(History, "play", raise_assertion)
-    told: list[int] = []
-    tally = play_range(1, 2, varied=False, on_breach=lambda seed, rules: told.append(seed))
-    assert tally.played == 2 and sorted(tally.broken) == told == [1, 2]
+    reported_seeds: list[int] = []
+    tally = play_range(1, 2, varied=False, on_breach=lambda seed, rules: reported_seeds.append(seed))
+    assert tally.played == 2 and sorted(tally.broken) == reported_seeds == [1, 2]
 
 
 def raise_assertion(history: History) -> None:
-    """A history that finds no primary."""
+    """Replaces History.play by a history that finds no primary."""
     raise AssertionError("no primary in time")
 
 
 @pytest.mark.parametrize("seed", [3, 25])
-def test_a_history_follows_from_its_seed_whatever_the_hash_seed_of_python(seed):
-    """Seen on these two: what was sent first hung on the order of a set."""
+def test_a_history_is_determined_by_its_seed_for_every_hash_seed(seed):
+    """Guards against iteration over sets: for these seeds, the order of sent messages once depended on it."""
     play = (
         f"from lab.tier.histories import History; h = History({seed}); h.play(); print(h.world.digest, h.world.steps)"
     )
--- a/tests/lab/test_machine.py
+++ b/tests/lab/test_machine.py
@@ -1,4 +1,4 @@
-"""Simulated machines: processor quotas and links of their own."""
+"""Simulated machines: processor quotas, and links with their own properties."""
 
 import pytest
 
@@ -15,8 +15,8 @@
     assert all(0 <= quota.runs_at(number / 997) - number / 997 <= 0.0401 for number in range(997))
 
 
-def test_events_that_a_quota_puts_off_keep_their_order():
-    """Seen in drawn histories: by rounding, bytes of a stream overtook earlier ones."""
+def test_events_that_a_quota_postpones_keep_their_order():
+    """Guards against rounding of postponed times, by which bytes of a stream once overtook earlier ones."""
     world = World(1)
     machine = world.machine("a:1")
     machine.quota = ProcessorQuota(0.3, 0.123)
@@ -27,7 +27,7 @@
     assert order == list(range(3000))
 
 
-def test_a_link_of_its_own_has_its_delay_loss_and_bandwidth_in_one_direction():
+def test_a_link_has_its_own_delay_loss_and_bandwidth_in_each_direction():
     world = World(1, loss=0.001)
     arrivals: dict[str, list[float]] = {"a:1": [], "b:1": []}
     for address, times in arrivals.items():
--- a/tests/lab/test_models.py
+++ b/tests/lab/test_models.py
@@ -1,4 +1,4 @@
-"""The models of the tier hold their invariants in every order of events."""
+"""The models of the tier satisfy their invariants in every order of events."""
 
 import pytest
 
@@ -8,6 +8,6 @@
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda model: model.name)
 def test_no_order_of_events_violates_an_invariant(model):
-    """Within quick bounds; the wide ones: python -m lab.tier.models."""
+    """Within the quick bounds; for the wide bounds, run ``python -m lab.tier.models``."""
     for bounds in model.bounds(Scope.QUICK):
         assert explore(lambda: model.make(bounds)) > 1  # noqa: B023
--- a/tests/lab/test_mutations.py
+++ b/tests/lab/test_mutations.py
@@ -1,4 +1,4 @@
-"""The laboratory detects mutations of the tier."""
+"""Random histories and searches of models detect mutations of the tier."""
 
 import pytest
 
@@ -33,5 +33,5 @@
     "mutation", [one for one in mutations.ALL if one.name in QUICKLY_DETECTED], ids=lambda one: one.name
 )
 def test_a_mutation_is_detected(mutation):
-    """All of them, within more histories: python -m lab.tier.mutations."""
+    """A quick selection; for all mutations and more histories, run ``python -m lab.tier.mutations``."""
     assert mutations.detect(mutation, max_histories=20)
