--- a/lab/tier/bench_turn.py
+++ b/lab/tier/bench_turn.py
@@ -148,10 +148,10 @@
     if not (options.checkout / "lynxscale").is_dir():
         print(f"{options.checkout}: no checkout of lynxscale", file=sys.stderr)
         return 2
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         failed = asyncio.run(compare(options.checkout, options.rounds, options.turns, Path(folder)))
-    print(f"{time.monotonic() - begun:.0f} s")
+    print(f"{time.monotonic() - started_at:.0f} s")
     return int(failed > 0)
 
 
--- a/lab/tier/failover_time.py
+++ b/lab/tier/failover_time.py
@@ -49,12 +49,12 @@
         _keep_writing(group)
     world.run(world.time + WARM_UP_S + random.uniform(0.0, 0.5))
     lost_primary = address_of(group.wait_for_leader(5.0).member_id)
-    begun = world.time
+    lost_at = world.time
     _inject_fault(group, lost_primary, case.fault)
     committed: list[bool] = []
     _try_to_write(group, lost_primary, committed)
     world.run_until(lambda: True in committed, MAX_FAILOVER_S)
-    return world.time - begun
+    return world.time - lost_at
 
 
 def _inject_fault(group: ControlGroup, address: str, fault: str) -> None:
--- a/lab/tier/fault_injection.py
+++ b/lab/tier/fault_injection.py
@@ -25,7 +25,7 @@
 
     def __init__(self, tier: SimulatedTier) -> None:
         self.tier = tier
-        self.draining: dict[str, float] = {}  # by endpoint id: the time at which draining began
+        self.draining: dict[str, float] = {}  # endpoint ids, with the time at which draining began
         self._random = tier.world.random
         # Faults are drawn by their position here: another order would change the history of each seed.
         self._data_plane_faults: tuple[Callable[[str], None], ...] = (
@@ -120,12 +120,12 @@
                 self._partition(host, other, self._draw_two_way())
 
     def _partition_one_link(self, host: str) -> None:
-        other = self._random.choice([one for one in self.tier.control_hosts if one != host])
+        other = self._random.choice([candidate for candidate in self.tier.control_hosts if candidate != host])
         self._partition(host, other, self._draw_two_way())
 
     def _kill_all_members(self, host: str) -> None:
-        for one in self.tier.control_hosts:
-            self.tier.kill_control(one, power=True)
+        for member_host in self.tier.control_hosts:
+            self.tier.kill_control(member_host, power=True)
 
     def _fill_disk(self, host: str) -> None:
         self._machine(host).files.full = True
@@ -139,7 +139,9 @@
         if batches:
             files.corrupt(self._random.choice(batches), self._random)
         self.tier.start_control(host)
-        primary_host = next((one for one, service in self.tier.controls.items() if service is primary), None)
+        primary_host = next(
+            (member_host for member_host, service in self.tier.controls.items() if service is primary), None
+        )
         if primary_host is not None and self._random.random() < POWER_LOSS_PROBABILITY:
             self.tier.kill_control(primary_host, power=True)
 
@@ -158,15 +160,15 @@
     def _partition_halves(self, host: str) -> None:
         hosts = self._random.sample(self.tier.control_hosts, len(self.tier.control_hosts))
         half = len(hosts) // 2
-        for one in hosts[:half]:
-            for other in hosts[half:]:
-                self._partition(one, other)
+        for first in hosts[:half]:
+            for second in hosts[half:]:
+                self._partition(first, second)
 
     def _lose_disks_amid_power_loss(self, host: str) -> None:
         """All members lose power, as many as tolerated lose their disks too, and all relays are killed."""
         lost = self._random.sample(self.tier.control_hosts, self.tier.tolerated)
-        for one in self.tier.control_hosts:
-            self.tier.kill_control(one, power=True, wipe=one in lost)
+        for member_host in self.tier.control_hosts:
+            self.tier.kill_control(member_host, power=True, wipe=member_host in lost)
         for relay in self.tier.relay_hosts:
             self.tier.kill_relay(relay)
 
--- a/lab/tier/histories.py
+++ b/lab/tier/histories.py
@@ -27,7 +27,7 @@
 from lynxscale.runtime.http_types import Head, Request
 
 ACTIONS_PER_HISTORY = 40
-ACTION_WEIGHTS = (6, 4, 2, 2)  # of a turn, a call, a configuration change and a fault
+ACTION_WEIGHTS = (6, 4, 2, 2)  # weights of a turn, a call, a configuration change and a fault
 PAUSE_RANGE_S = (0.02, 0.5)
 LOSS_PROBABILITY = 0.01
 PROGRAMS = 4
@@ -86,7 +86,7 @@
 
     def _watch_invariants(self) -> None:
         """Check periodically the rules whose violation is not visible at the end."""
-        leaders = sum(one.member.leads() for one in self.tier.controls.values())
+        leaders = sum(service.member.leads() for service in self.tier.controls.values())
         if leaders > 1:
             self.broken["two_primaries"] += 1
         for relay in self.tier.relays.values():
@@ -157,7 +157,7 @@
         change = ObservedChange(base, default_configuration(base + self.random.randint(1, 3)))
         route = change.table["routes"][0]
         route["target-latency-ms"] = 200 + len(self.changes)
-        tables_of_base = [one.table for one in self.changes if one.table["generation"] == base]
+        tables_of_base = [earlier.table for earlier in self.changes if earlier.table["generation"] == base]
         if len(tables_of_base) == 1 and len(self.changes) % 2:
             # All configurations of a history differ only in their first route.
             change.update = {"generation": change.table["generation"], "upsert": {"routes": [route]}}
@@ -185,7 +185,7 @@
 
 def play_range(first: int, last: int, varied: bool, on_breach: Callable[[int, Counter[str]], None]) -> Tally:
     """Play the histories of a range of seeds. A history that ends early with an AssertionError counts as a breach."""
-    begun = time.monotonic()
+    started_at = time.monotonic()
     broken: dict[int, Counter[str]] = {}
     played = complete_turns = turns = 0
     for seed in range(first, last + 1):
@@ -201,7 +201,7 @@
         if rules:
             broken[seed] = rules
             on_breach(seed, rules)
-    return Tally(played, broken, turns, complete_turns, time.monotonic() - begun)
+    return Tally(played, broken, turns, complete_turns, time.monotonic() - started_at)
 
 
 def main() -> int:
--- a/lab/tier/history_checker.py
+++ b/lab/tier/history_checker.py
@@ -104,7 +104,7 @@
         self._check_changes()
         self._check_register()
         in_sync = self.tier.primary().member.record.in_sync
-        replicas = [one.member for one in self.tier.controls.values() if one.member.member_id in in_sync]
+        replicas = [service.member for service in self.tier.controls.values() if service.member.member_id in in_sync]
         checksums = {member.store.checksum() for member in replicas}
         # All members have run for seconds: by now there must be as many in-sync replicas as voters are wanted.
         if len(replicas) < voters_wanted(self.tier.tolerated):
--- a/lab/tier/local.py
+++ b/lab/tier/local.py
@@ -120,7 +120,7 @@
     def settings_text(self, name: str, bootstrap: bool) -> str:
         """The content of the settings file of a process."""
         number = int(name.rpartition("-")[2])
-        seeds = [self.control(one) for one in self.control_names]
+        seeds = [self.control(control_name) for control_name in self.control_names]
         listen = (
             f'control = "{self.control(name)}"'
             if name.startswith("control")
--- a/lab/tier/models/__main__.py
+++ b/lab/tier/models/__main__.py
@@ -20,14 +20,14 @@
         if len(sys.argv) > 1 and model.name not in sys.argv[1:]:
             continue
         for bounds in model.bounds(Scope.WIDE):
-            begun = time.monotonic()
+            started_at = time.monotonic()
             try:
                 states = explore(lambda m=model, b=bounds: m.make(b), MAX_STATES)
                 outcome = f"{states} states, no breach"
             except InvariantViolation as violation:
                 broken += 1
                 outcome = f"BREACH: {violation}"
-            print(f"{model.name} {bounds}: {outcome}, {time.monotonic() - begun:.0f} s", flush=True)
+            print(f"{model.name} {bounds}: {outcome}, {time.monotonic() - started_at:.0f} s", flush=True)
     return int(broken > 0)
 
 
--- a/lab/tier/models/admission.py
+++ b/lab/tier/models/admission.py
@@ -103,7 +103,11 @@
         if action in ("loses its disk", "becomes unreachable"):
             return member.present and len(self._lost_voters() - {name}) < self.bounds.tolerated
         if action == "is to be drained":
-            remaining = [one for one, other in self.members.items() if one != name and self._remains_member(other)]
+            remaining = [
+                other_name
+                for other_name, other in self.members.items()
+                if other_name != name and self._remains_member(other)
+            ]
             return not member.retiring and len(remaining) >= max(3, 2 * self.bounds.tolerated + 1)
         return not member.leaving
 
@@ -114,16 +118,24 @@
     def _lost_voters(self) -> set[str]:
         """Voters and in-sync members that are unreachable or permanently lost."""
         named = {*self.record.voters, *self.record.in_sync}
-        return {one for one in named if self.members[one].permanently_lost or not self.members[one].present}
+        return {
+            other_name
+            for other_name in named
+            if self.members[other_name].permanently_lost or not self.members[other_name].present
+        }
 
     @property
     def _primary_has_majority(self) -> bool:
         member = self.members[self.primary]
-        present = {one for one, other in self.members.items() if other.present and not other.permanently_lost}
+        present = {
+            other_name for other_name, other in self.members.items() if other.present and not other.permanently_lost
+        }
         return member.present and not member.permanently_lost and is_majority(self.record.voters, present)
 
     def _possible_successors(self) -> list[str]:
-        present = {one for one, other in self.members.items() if other.present and not other.permanently_lost}
+        present = {
+            other_name for other_name, other in self.members.items() if other.present and not other.permanently_lost
+        }
         if not is_majority(self.record.voters, present):
             return []
         voters = set(self.record.voters) & set(self.record.in_sync) & present
@@ -144,7 +156,7 @@
             member.present = False
         elif action == "returns":
             member.present = True
-            # It lacks what was committed meanwhile, unless it is in sync: then nothing was committed without it.
+            # A returning member lacks the writes committed meanwhile; nothing is committed without an in-sync member.
             member.up_to_date = member.up_to_date and name in self.record.in_sync
         elif action == "is asked to stop":
             member.leaving = True
@@ -158,8 +170,8 @@
             self.record = EpochRecord(self.record.epoch, name, self.record.in_sync, self.record.voters)
         else:
             self.record = self._plan()
-            for one, other in self.members.items():
-                other.up_to_date = other.up_to_date and one in self.record.in_sync
+            for other_name, other in self.members.items():
+                other.up_to_date = other.up_to_date and other_name in self.record.in_sync
 
     def _plan(self) -> EpochRecord | None:
         planned = plan_next_record(self._plan_input(), self.record.epoch)
@@ -167,9 +179,9 @@
 
     def _plan_input(self) -> PlanInput:
         peers = {
-            one: PeerView(0.0 if member.present else -100.0, one, member.leaving)
-            for one, member in self.members.items()
-            if one != self.primary
+            peer: PeerView(0.0 if member.present else -100.0, peer, member.leaving)
+            for peer, member in self.members.items()
+            if peer != self.primary
         }
         return PlanInput(
             base=self.record,
@@ -178,17 +190,17 @@
             unresponsive_after=UNREACHABLE_S,
             tolerated=self.bounds.tolerated,
             peers=peers,
-            caught_up={one for one, member in self.members.items() if member.up_to_date},
+            caught_up={peer for peer, member in self.members.items() if member.up_to_date},
             lagging=set(),
-            behind={one for one in self.record.in_sync if not self.members[one].up_to_date},
-            retiring={one for one, member in self.members.items() if member.retiring},
+            behind={peer for peer in self.record.in_sync if not self.members[peer].up_to_date},
+            retiring={peer for peer, member in self.members.items() if member.retiring},
         )
 
     def key(self) -> Hashable:
         """Part of StateMachine. States that differ only in their epoch are equal."""
         members = tuple(
-            (name, one.present, one.permanently_lost, one.up_to_date, one.leaving, one.retiring)
-            for name, one in sorted(self.members.items())
+            (name, member.present, member.permanently_lost, member.up_to_date, member.leaving, member.retiring)
+            for name, member in sorted(self.members.items())
         )
         return (
             self.record.primary,
@@ -203,10 +215,10 @@
         record = self.record
         if not set(record.in_sync) <= set(record.voters):
             raise InvariantViolation(f"an in-sync member is not a voter: {record}")
-        intact = {one for one in record.voters if not self.members[one].permanently_lost}
+        intact = {voter for voter in record.voters if not self.members[voter].permanently_lost}
         if not is_majority(record.voters, intact):
             raise InvariantViolation(f"no majority is left of {record.voters}")
-        if not any(one in intact and self.members[one].up_to_date for one in record.in_sync):
+        if not any(voter in intact and self.members[voter].up_to_date for voter in record.in_sync):
             raise InvariantViolation(f"no up-to-date replica is left of {record.in_sync}")
 
 
--- a/lab/tier/models/calls.py
+++ b/lab/tier/models/calls.py
@@ -67,7 +67,7 @@
 
 
 class Call:
-    """What the relay receives for one attempt. Implements AttemptListener."""
+    """A call of the relay, with the events of its attempt. Implements AttemptListener."""
 
     def __init__(self, number: int) -> None:
         self.id = b"r%d" % number
@@ -104,7 +104,7 @@
         self.dial_outcome = ""  # empty while the dial is in progress
         self.calls: list[Call] = []
         self.attempts: list[Attempt] = []
-        self.responses_sent: list[tuple[str, int]] = []  # by the server, with the number of the call
+        self.responses_sent: list[tuple[str, int]] = []  # responses of the server, with the call number
         self.server_closed = False  # whether the server has closed or reset the connection
         self._clock = clock
         self._begin_call()
--- a/lab/tier/models/election.py
+++ b/lab/tier/models/election.py
@@ -98,9 +98,9 @@
         """Send one heartbeat, which requests the lease."""
         record = self.acceptor.record
         request = LeaseRequest(record, self.lease.begin_round())
-        for one in record.voters:
-            if one != self.acceptor.member:
-                self.send(address_of(one), request)
+        for voter in record.voters:
+            if voter != self.acceptor.member:
+                self.send(address_of(voter), request)
         if self.acceptor.grant(request):
             self.lease.on_grant(request.round, self.acceptor.member, record.voters)
 
@@ -174,7 +174,7 @@
         self._steps = bounds.time_steps
         self._partitions = bounds.partitions
         self._links: dict[tuple[str, str], deque[Message]] = {}
-        self._accepted: dict[int, dict[str, set[str]]] = {}  # by epoch and record: the members that accepted it
+        self._accepted: dict[int, dict[str, set[str]]] = {}  # accepting members, by epoch and record
         self._records: dict[str, EpochRecord] = {}
         for event in bounds.initial_events:
             self.apply(event)
@@ -248,7 +248,7 @@
             )
             for node in self.nodes.values()
         )
-        links = tuple((link, *(encode(one) for one in messages)) for link, messages in self._links.items())
+        links = tuple((link, *(encode(message) for message in messages)) for link, messages in self._links.items())
         return nodes, links, frozen(self._remaining_events), self._steps, self._partitions, frozen(self._accepted)
 
     def check(self) -> None:
--- a/lab/tier/models/transfer.py
+++ b/lab/tier/models/transfer.py
@@ -87,7 +87,7 @@
         for _ in INITIAL_WRITES:
             self._submit()
             self._flush()
-        self.store.recent_batches = type(self.store.recent_batches)()  # so that the follower needs a snapshot
+        self.store.recent_batches = type(self.store.recent_batches)()  # without batches, the follower needs a snapshot
         self._start_follower()
         self._start_primary()
 
--- a/lab/tier/mutations/__main__.py
+++ b/lab/tier/mutations/__main__.py
@@ -16,10 +16,10 @@
     for mutation in ALL:
         if len(sys.argv) > 1 and mutation.name not in sys.argv[1:]:
             continue
-        begun = time.monotonic()
+        started_at = time.monotonic()
         found = detect(mutation)
         undetected += not found
-        print(f"{mutation.name}: {found or 'NOT FOUND'}, {time.monotonic() - begun:.0f} s", flush=True)
+        print(f"{mutation.name}: {found or 'NOT FOUND'}, {time.monotonic() - started_at:.0f} s", flush=True)
     return int(undetected > 0)
 
 
--- a/lab/tier/rolling_upgrade.py
+++ b/lab/tier/rolling_upgrade.py
@@ -40,7 +40,7 @@
 COMMAND_TIMEOUT_S = 30.0
 MIN_TURNS_PER_RELAY = 10  # complete turns through each relay before the next replacement
 MAX_PRINTED_REASONS = 20
-MAX_UNEXPLAINED_CHANGES = 10  # of the primary: a busy machine can stall it for longer than its lease of 0.4 s
+MAX_UNEXPLAINED_CHANGES = 10  # a busy machine can stall a primary for longer than its lease of 0.4 s
 EXCUSED_BEFORE_S, EXCUSED_AFTER_S = 3.0, 3.0  # around an unexplained change of primary or a stall
 FAULT_LOG_WORDS = (
     "Traceback",
@@ -139,7 +139,7 @@
         primary = statuses[leading[0]]
         if any(statuses[name]["primary"] != primary["primary"] for name in self.control_names):
             return False
-        in_sync = {one["node"] for one in primary["replicas"] if one["in_sync"]} | {leading[0]}
+        in_sync = {replica["node"] for replica in primary["replicas"] if replica["in_sync"]} | {leading[0]}
         relays = [statuses[name] for name in self.relay_names]
         return (
             in_sync == set(self.control_names)
@@ -320,14 +320,14 @@
 
         async def applied() -> bool:
             statuses = [await self.tier.status(name) for name in self.names]
-            return all(one.get("configuration") == newest["generation"] for one in statuses)
+            return all(status.get("configuration") == newest["generation"] for status in statuses)
 
         await wait_until(applied, APPLY_TIMEOUT_S, f"all processes hold configuration {newest['generation']}")
 
     async def _check_stored(self) -> None:
         """Stop a backup, check its stored state, and start it again. No request is in flight meanwhile."""
         primary = await self.tier.primary()
-        name = self.random.choice([one for one in self.tier.control_names if one != primary])
+        name = self.random.choice([candidate for candidate in self.tier.control_names if candidate != primary])
         await self._end([name])
         self.reasons += stored_state_violations(await self._read_folder(name), self.load)
         self.tier.launch(name)
@@ -381,7 +381,7 @@
             lines.append(f"{step.description:20} {length:>8} {failed:>7} {step.served.total():>7}  {step.version_mix}")
         lines += [f"turns with {pair}: {count}" for pair, count in sorted(self.pairs.items())]
         within, outside = failures(self.load, self.excused_windows)
-        kinds = Counter(one.kind for one in self.load.sent)
+        kinds = Counter(request.kind for request in self.load.sent)
         lines.append("requests: " + ", ".join(f"{kind} {count}" for kind, count in sorted(kinds.items())))
         failed_by_kind = ", ".join(f"{failure}: {count}" for failure, count in sorted(within.items()))
         lines.append(f"failed within windows: {within.total()}" + (f" ({failed_by_kind})" if failed_by_kind else ""))
@@ -390,7 +390,9 @@
         lines.append(
             f"conversations: {len(self.load.conversations)}, configuration changes: {len(self.load.changes) - 1}"
         )
-        lines.append(f"configuration changes sent again as undecided: {sum(one.undecided for one in self.load.sent)}")
+        lines.append(
+            f"configuration changes sent again as undecided: {sum(request.undecided for request in self.load.sent)}"
+        )
         lines.append(f"changes of primary that no step explains: {len(self._unexplained_changes())}")
         lines += [f"WRONG: {reason}" for reason in self.reasons[:MAX_PRINTED_REASONS]]
         if len(self.reasons) > MAX_PRINTED_REASONS:
--- a/lab/tier/second_failure.py
+++ b/lab/tier/second_failure.py
@@ -210,9 +210,9 @@
 def members_by_rank(group: ControlGroup) -> list[str]:
     """The addresses of the present voters, the primary first."""
     leader = group.wait_for_leader()
-    voters = [address_of(one) for one in leader.record.voters]
+    voters = [address_of(voter) for voter in leader.record.voters]
     primary = address_of(leader.member_id)
-    return [primary, *(one for one in voters if one != primary and one in group.members)]
+    return [primary, *(address for address in voters if address != primary and address in group.members)]
 
 
 class Run:
--- a/lab/tier/simulated_tier.py
+++ b/lab/tier/simulated_tier.py
@@ -23,7 +23,7 @@
 MODEL, TOOLS = "model", "tools"
 HOST = "tier.example"
 FIRST_PUSH_TIMEOUT_S, PUSH_RETRY_INTERVAL_S = 10.0, 0.1
-"""How long, and how often, a rejected first configuration is sent again."""
+"""How long the first configuration is sent again while it is rejected, and the interval between the requests."""
 ZONES = ("north", "south", "west")
 
 
@@ -86,7 +86,7 @@
 
     def settings(self, host: str, bootstrap: bool, listen: Listen, number: int) -> Settings:
         """The settings of the process on a host."""
-        seeds = tuple(f"{one}:{CONTROL_PORT}" for one in self.control_hosts[:3])
+        seeds = tuple(f"{control_host}:{CONTROL_PORT}" for control_host in self.control_hosts[:3])
         return Settings(
             node_name=f"node-{host}",
             ip=host,
@@ -160,7 +160,7 @@
 
     def primary(self) -> ControlService | None:
         """The control process that acts as primary, if there is one."""
-        return next((one for one in self.controls.values() if one.member.leads()), None)
+        return next((service for service in self.controls.values() if service.member.leads()), None)
 
     def operator_call(self, method: str, target: str, body: bytes = b"", base: str | None = None) -> ClientResponse:
         """Send one request to the primary and wait for its end."""
@@ -189,7 +189,9 @@
         while (status := self.push(default_configuration(), 0).status) in (0, 503) and self.world.time < end:
             self.world.run(self.world.time + PUSH_RETRY_INTERVAL_S)
         assert status == 200, f"the first configuration gets {status}"
-        assert self.world.run_until(lambda: all(one.ready for one in self.relays.values()), 5.0), "not ready in time"
+        assert self.world.run_until(lambda: all(relay.ready for relay in self.relays.values()), 5.0), (
+            "not ready in time"
+        )
         return self
 
     # Clients -----------------------------------------------------------------------------------------
--- a/lab/tier/upgrade_load.py
+++ b/lab/tier/upgrade_load.py
@@ -27,8 +27,8 @@
 BUDGET_SPENT_STATUS = 402
 UNDECIDED_STATUS = 503
 RETENTION_S = 900.0  # longer than any run
-BRANCH_PROBABILITY = 1 / 6  # that a turn continues a random earlier turn instead of the last
-MAX_PAUSE_S = 0.2  # between two requests of a client; sets the rate of the load
+BRANCH_PROBABILITY = 1 / 6  # probability that a turn continues a random earlier turn, not the last
+MAX_PAUSE_S = 0.2  # pause between two requests of a client; sets the rate of the load
 MAX_CHANGE_PAUSE_S = 0.4
 POLL_INTERVAL_S = 0.05
 MIN_STALL_S = 0.1  # a quarter of the leader's lease
@@ -80,8 +80,8 @@
     kind: str
     request_id: str
     process: str
-    begun: float
-    ended: float
+    started_at: float
+    ended_at: float
     status: int
 
     @property
@@ -162,12 +162,12 @@
             for name in self.tier.relay_names:
                 ready = (await self.tier.call(self.tier.readiness(name), "GET", "/ready")).status == 200
                 if ready != (name in self._ready):
-                    self._ready = [one for one in self._ready if one != name] + [name] * ready
+                    self._ready = [other for other in self._ready if other != name] + [name] * ready
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _watch_primary(self) -> None:
         while True:
-            with contextlib.suppress(TimeoutError):  # at times all members are stopped
+            with contextlib.suppress(TimeoutError):  # all members are stopped in some steps
                 primary = await self.tier.primary()
                 if not self.primaries or primary != self.primaries[-1][1]:
                     self.primaries.append((time.monotonic(), primary))
@@ -185,7 +185,9 @@
     # Clients -----------------------------------------------------------------------------------------
 
     async def _send_random_turn(self) -> None:
-        idle = [one for one in self.conversations if not one.busy and not one.exhausted]
+        idle = [
+            conversation for conversation in self.conversations if not conversation.busy and not conversation.exhausted
+        ]
         if idle:
             await self.turn(self.random.choice(idle))
 
@@ -220,10 +222,10 @@
 
     async def _send(self, kind: str, name: str, path: str, body: bytes, fields: dict[str, str]) -> ClientResult:
         relay = await self._pick_relay()
-        begun = time.monotonic()
+        started_at = time.monotonic()
         head = tuple((key.encode(), value.encode()) for key, value in {"lynxscale-request-id": name, **fields}.items())
         response = await self.tier.call(self.tier.frontend(relay), "POST", path, body, head)
-        self._record(kind, name, relay, begun, response)
+        self._record(kind, name, relay, started_at, response)
         return ClientResult(response.status, response.body)
 
     async def _pick_relay(self) -> str:
@@ -235,8 +237,8 @@
         self._number += 1
         return f"{kind}-{self._number}"
 
-    def _record(self, kind: str, name: str, process: str, begun: float, response: Response) -> None:
-        self.sent.append(Sent(kind, name, process, begun, time.monotonic(), response.status))
+    def _record(self, kind: str, name: str, process: str, started_at: float, response: Response) -> None:
+        self.sent.append(Sent(kind, name, process, started_at, time.monotonic(), response.status))
 
     # The operator ------------------------------------------------------------------------------------
 
@@ -258,9 +260,9 @@
 
         async def acknowledged() -> bool:
             member = self.random.choice(self.tier.control_names)
-            begun = time.monotonic()
+            started_at = time.monotonic()
             response = await self.tier.call(self.tier.control(member), "POST", path, body, fields)
-            self._record("change", f"{path} {change.base}", member, begun, response)
+            self._record("change", f"{path} {change.base}", member, started_at, response)
             change.responses.append(ClientResult(response.status, response.body))
             if response.status not in (0, 200, UNDECIDED_STATUS):
                 self.faults.append(
@@ -292,5 +294,7 @@
     def complete_turns_by_relay(self, since: float) -> Counter[str]:
         """The number of complete turns that began since a time, by relay."""
         return Counter(
-            one.process for one in self.sent if one.kind == "turn" and one.status == 200 and one.begun >= since
+            request.process
+            for request in self.sent
+            if request.kind == "turn" and request.status == 200 and request.started_at >= since
         )
--- a/lab/tier/upgrade_rules.py
+++ b/lab/tier/upgrade_rules.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class EndpointsOnly:
-    """Stands for the tier in a HistoryChecker, which needs only the endpoints here."""
+    """Replaces the tier in a HistoryChecker, which uses only the endpoints here."""
 
     endpoints: dict[str, FakeEndpoint]
 
@@ -33,7 +33,7 @@
     """Checks the rules of histories that concern clients and endpoints; the stored state is checked separately."""
 
     def __init__(self, endpoints: list[FakeEndpoint], load: Load) -> None:
-        by_id = {one.endpoint.id: one for one in endpoints}
+        by_id = {endpoint.endpoint.id: endpoint for endpoint in endpoints}
         super().__init__(EndpointsOnly(by_id), Observations(load.turns, load.calls, load.changes))
         self.load = load
 
@@ -107,11 +107,13 @@
     """Count requests that failed within the windows, by kind and status, and list those that failed outside them."""
     within: Counter[str] = Counter()
     outside = []
-    for one in load.sent:
-        if not one.failed:
+    for request in load.sent:
+        if not request.failed:
             continue
-        if any(one.begun <= end and one.ended >= begin for begin, end in windows):
-            within[f"{one.kind} {one.status}"] += 1
+        if any(request.started_at <= end and request.ended_at >= begin for begin, end in windows):
+            within[f"{request.kind} {request.status}"] += 1
         else:
-            outside.append(f"{one.kind} {one.request_id} at {one.process} failed outside all windows: {one.status}")
+            outside.append(
+                f"{request.kind} {request.request_id} at {request.process} failed outside all windows: {request.status}"
+            )
     return within, outside
