--- a/tests/controlplane/test_program_state.py
+++ b/tests/controlplane/test_program_state.py
@@ -52,7 +52,7 @@
 def test_a_budget_is_spent_once_and_further_turns_get_402():
     """Each turn reserves its maximum of 40 tokens and uses all of them, so a budget of 120 admits three turns."""
     tier = settled_tier()
-    statuses = [tier.turn("p", 120, most=40, relay=tier.relay_hosts[n % 3]).status for n in range(4)]
+    statuses = [tier.turn("p", 120, max_tokens=40, relay=tier.relay_hosts[n % 3]).status for n in range(4)]
     assert statuses == [200, 200, 200, 402]
 
 
@@ -87,5 +87,5 @@
     assert answer.status == 503
     tier.world.heal()
     tier.world.run(tier.world.time + 3)
-    again = tier.turn("p", 40, most=40)
+    again = tier.turn("p", 40, max_tokens=40)
     assert again.status == 200
--- a/tests/coordination/test_election.py
+++ b/tests/coordination/test_election.py
@@ -18,7 +18,7 @@
 @pytest.mark.parametrize(("sync_s", "median_s", "most_s"), [(0.0, 0.40, 0.46), (0.0092, 0.53, 0.8), (0.03, 0.96, 1.1)])
 def test_failover_time_on_fast_and_slow_disks(how, sync_s, median_s, most_s):
     """Regression: a failover took 1.4 to 1.7 s, because candidates displaced each other."""
-    times = sorted(failover_time_s(FailoverCase(seed, sync_s, how=how)) for seed in range(1, 10))
+    times = sorted(failover_time_s(FailoverCase(seed, sync_s, fault=how)) for seed in range(1, 10))
     assert times[len(times) // 2] <= median_s and times[-1] <= most_s, times
 
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("how", ["kill", "cut", "mute"])
 def test_failover_time_with_promises_stored_before_the_lease_ends(how):
     """Without promises stored in advance it took 0.56 s at the median and 0.69 s at p95, with 9.2 ms per sync."""
-    times = sorted(failover_time_s(FailoverCase(seed, 0.0092, how=how)) for seed in range(1, 21))
+    times = sorted(failover_time_s(FailoverCase(seed, 0.0092, fault=how)) for seed in range(1, 21))
     assert times[10] <= 0.50 and times[19] <= 0.60, times
 
 
--- a/tests/discovery/test_endpoint_poller.py
+++ b/tests/discovery/test_endpoint_poller.py
@@ -74,7 +74,7 @@
     platform = PagedPlatform(tier, pages)
     received: list[list[Endpoint]] = []
     clock = world.machine("10.9.0.2:1").clock()
-    poller = EndpointPoller(platform.address, clock, tier.streams.dialer("10.9.0.2:1"), received.append)
+    poller = EndpointPoller(platform.address, clock, tier.tcp.dialer("10.9.0.2:1"), received.append)
     poller.start()
     assert world.run_until(lambda: platform.pages >= MAX_PAGES, 30.0)
     world.run(world.time + 0.1)
--- a/tests/lab/test_linearizability.py
+++ b/tests/lab/test_linearizability.py
@@ -6,7 +6,7 @@
 import pytest
 
 from lab.linearizability import MAX_STATES, Operation, TooManyOrdersError, is_linearizable
-from lab.tier.register_history import CHANGE, READ, RegisterCall, answers_are_linearizable
+from lab.tier.register_history import CHANGE, READ, RegisterCall, responses_are_linearizable
 
 
 def register(state: int, call: tuple[str, int]) -> Iterator[int]:
@@ -77,4 +77,4 @@
     ],
 )
 def test_answers_on_the_configuration_that_one_copy_could_have_given(operations, possible):
-    assert answers_are_linearizable(operations) == possible
+    assert responses_are_linearizable(operations) == possible
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from lab.tier.rolling_upgrade import THIS_CHECKOUT, Checkout, Upgrade, UpgradeTier, run
-from lab.tier.upgrade_load import ClientAnswer, Load
-from lab.tier.upgrade_rules import failures, judge_requests, judge_stored
+from lab.tier.upgrade_load import ClientResult, Load
+from lab.tier.upgrade_rules import failures, request_violations, stored_state_violations
 
 NETWORK = 92
 SEED = 1
@@ -28,7 +28,7 @@
     asyncio.run(run(upgrade, replace_a_backup_and_a_relay))
     print(upgrade.report())
     assert upgrade.reasons == []
-    assert upgrade.pairs["old primary, new copy"] and upgrade.pairs["old primary, new relay"]
+    assert upgrade.pairs["old primary, new backup"] and upgrade.pairs["old primary, new relay"]
     assert not upgrade.tier.processes
     check_that_losses_are_found(upgrade)
 
@@ -36,9 +36,9 @@
 def check_that_losses_are_found(upgrade: Upgrade) -> None:
     """The observations of the run break no rule, and each loss or duplicate injected into them is reported."""
     load = upgrade.load
-    assert judge_requests(upgrade.tier.endpoints, load) == []
-    last = load.conversations[0].whole[-1]
-    stored = judge_stored('{"key": "config/current", "value": {"body": 0}}', load)
+    assert request_violations(upgrade.tier.endpoints, load) == []
+    last = load.conversations[0].complete_turns[-1]
+    stored = stored_state_violations('{"key": "config/current", "value": {"body": 0}}', load)
     assert f"{last.request_id} was acknowledged and is not stored" in stored
     assert "the configuration stored is not the one acknowledged last" in stored
     assert any(reason.startswith("program-0: clients count") for reason in stored)
@@ -48,8 +48,8 @@
 def check_request_losses_are_found(upgrade: Upgrade, load: Load) -> None:
     executed = next(endpoint.executed for endpoint in upgrade.tier.endpoints if endpoint.executed)
     executed.append(next(request for request in executed if request.target == "/kept/stream"))
-    load.calls.append(("/book/1 nobody", ClientAnswer(200, b"done")))
-    reasons = judge_requests(upgrade.tier.endpoints, load)
+    load.calls.append(("/book/1 nobody", ClientResult(200, b"done")))
+    reasons = request_violations(upgrade.tier.endpoints, load)
     assert reasons == ["rule answered_but_not_run broken 1 times", "rule twice broken 1 times"]
     windows = [(step.begin, step.end) for step in upgrade.steps]
     load.sent.append(type(load.sent[0])("turn", "late", "relay-1", 1.0, 2.0, 502))
