--- a/lab/__init__.py
+++ b/lab/__init__.py
@@ -1,1 +1,1 @@
-"""What the project tries itself with: stand-ins, load and benchmarks, on loopback. Not imported by the daemon."""
+"""Test stand-ins, load generators, simulators and benchmarks, all on loopback. The daemon imports none of them."""
--- a/lab/bench_cluster.py
+++ b/lab/bench_cluster.py
@@ -1,7 +1,7 @@
-"""Figures of the cluster's membership, against two baselines in the same run: ``make bench-cluster``.
+"""Benchmark of the cluster membership against two baselines in the same run: ``make bench-cluster``.
 
-Baselines: plain heartbeats of all to all with a fixed time-out, and the program without a cluster. On real processes
-up to sixteen nodes; beyond, the state machines in simulated time.
+The baselines are all-to-all heartbeats with a fixed timeout, and the relay without a cluster. Up to sixteen nodes run
+as real processes; larger clusters run as state machines in simulated time.
 """
 
 from __future__ import annotations
@@ -17,93 +17,93 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from lab.clients import Desk
-from lab.cluster.links import Weather
+from lab.clients import LoadGenerator
+from lab.cluster.links import LinkConditions
 from lab.cluster.nodes import Cluster
 from lab.cluster.simulate import SECOND, World
 from lab.demo import DESTINATIONS
 from lab.traffic import fresh_folder, usage
 from lynxscale.relay.cluster.membership_table import State
 
-PARTS = ("sim", "false", "kills", "rest", "loss", "core", "cost")
-HEARTBEAT_S, TIMEOUT_S, HEARTBEAT_BYTES = 0.5, 2.0, 40
+SECTIONS = ("sim", "false", "kills", "rest", "loss", "core", "cost")
+HEARTBEAT_INTERVAL_S, FAILURE_TIMEOUT_S, HEARTBEAT_BYTES = 0.5, 2.0, 40
 
 
 class Heartbeats:
-    """The baseline: each tells every other that it is there, and whoever is silent for so long has failed."""
+    """The baseline: every node sends heartbeats to every other, and a node without one for the timeout has failed."""
 
     def __init__(self, nodes: int, seed: int, loss: float) -> None:
-        self.nodes, self.loss, self.chance = nodes, loss, random.Random(seed)
+        self.nodes, self.loss, self.rng = nodes, loss, random.Random(seed)
 
     def false_failures(self, seconds: float) -> int:
-        """How often one that is there is held to have failed, over all pairs."""
+        """How often a running node is believed to have failed, over all pairs."""
         found = 0
-        silent = int(TIMEOUT_S / HEARTBEAT_S)
+        silent = int(FAILURE_TIMEOUT_S / HEARTBEAT_INTERVAL_S)
         for _ in range(self.nodes * (self.nodes - 1)):
             missed = 0
-            for _ in range(int(seconds / HEARTBEAT_S)):
-                missed = missed + 1 if self.chance.random() < self.loss else 0
+            for _ in range(int(seconds / HEARTBEAT_INTERVAL_S)):
+                missed = missed + 1 if self.rng.random() < self.loss else 0
                 found += missed == silent
         return found
 
     def bytes_per_s(self) -> float:
-        return (self.nodes - 1) * HEARTBEAT_BYTES / HEARTBEAT_S
+        return (self.nodes - 1) * HEARTBEAT_BYTES / HEARTBEAT_INTERVAL_S
 
 
 def simulated(nodes: int, seed: int, loss: float, seconds: int, measure: bool = False) -> World:
-    """A cluster that has formed, and has run under loss for so long."""
+    """A simulated cluster that has formed, and then has run under this loss for that many seconds."""
     world = World(nodes, seed, measure=measure)
     for name in world.names:
-        world.at(world.chance.randrange(SECOND), world.start, name)
-    if not world.until_agreed(world.names, 300 * SECOND):
-        raise RuntimeError(f"{nodes} nodes did not form")
-    for path in world.paths.values():
-        path.loss = loss
+        world.at(world.rng.randrange(SECOND), world.start, name)
+    if not world.run_until_agreed(world.names, 300 * SECOND):
+        raise RuntimeError(f"{nodes} nodes did not form a view")
+    for link in world.network.values():
+        link.loss = loss
     world.bytes = world.datagrams = world.false_failures = 0
     world.cpu_s = 0.0
     world.run(world.now + seconds * SECOND)
     return world
 
 
-def stops(world: World, until: int) -> list[tuple[str, int, int]]:
-    """Each 20 s one node stands still for 4 s; which, from when and until when."""
+def pauses(world: World, until: int) -> list[tuple[str, int, int]]:
+    """Every 20 s one node is paused for 4 s; returns each pause as (node, start, end)."""
     found, at = [], world.now + SECOND
     while at < until - 10 * SECOND:
-        name = world.chance.choice(world.names)
+        name = world.rng.choice(world.names)
         found.append((name, at, at + 4 * SECOND))
         world.at(at, world.pause, name)
-        world.at(at + 4 * SECOND, world.go_on, name)
+        world.at(at + 4 * SECOND, world.resume, name)
         at += 20 * SECOND
     return found
 
 
-def one_way(world: World, until: int) -> list[tuple[str, int, int]]:
-    """Each 10 s another node cannot reach some others, fewer than half, which reach it."""
+def one_way_cuts(world: World, until: int) -> list[tuple[str, int, int]]:
+    """For 10 s at a time, one node can't reach some others, fewer than half, though they reach it."""
     at = world.now + SECOND
     while at < until:
-        name = world.chance.choice(world.names)
+        name = world.rng.choice(world.names)
         others = [other for other in world.names if other != name]
-        for other in world.chance.sample(others, (len(world.names) - 1) // 2):
-            world.at(at, setattr, world.paths[name, other], "cut", True)
-            world.at(at + 10 * SECOND, setattr, world.paths[name, other], "cut", False)
+        for other in world.rng.sample(others, (len(world.names) - 1) // 2):
+            world.at(at, setattr, world.network[name, other], "cut", True)
+            world.at(at + 10 * SECOND, setattr, world.network[name, other], "cut", False)
         at += 10 * SECOND
     return []
 
 
-def lossy(share: float) -> Callable[[World, int], list]:
-    def strike(world: World, _until: int) -> list:
-        for path in world.paths.values():
-            path.loss = share
+def constant_loss(share: float) -> Callable[[World, int], list]:
+    def inject(world: World, _until: int) -> list:
+        for link in world.network.values():
+            link.loss = share
         return []
 
-    return strike
+    return inject
 
 
-def removals(nodes: int, seed: int, seconds: int, strike: Callable[[World, int], list]) -> tuple[int, int]:
-    """How many a view went on without, of those that were struck (until 5 s behind it) and of those that were not."""
+def removals(nodes: int, seed: int, seconds: int, inject: Callable[[World, int], list]) -> tuple[int, int]:
+    """Counts removals from the view: of nodes that were affected by a fault, until 5 s after it, and of all others."""
     world = simulated(nodes, seed, 0.0, 5)
     until = world.now + seconds * SECOND
-    struck = strike(world, until)
+    affected = inject(world, until)
     begun, numbers, found = len(world.log), set(world.digests), [0, 0]
     world.run(until)
     for at, _, event, fields in world.log[begun:]:
@@ -111,13 +111,13 @@
             numbers.add(fields["number"])
             for one in fields["gone"].split():
                 name = one.partition("/")[0]
-                found[not any(who == name and frm <= at < to + 5 * SECOND for who, frm, to in struck)] += 1
+                found[not any(who == name and frm <= at < to + 5 * SECOND for who, frm, to in affected)] += 1
     return found[0], found[1]
 
 
 def kill_times(nodes: int, seeds: range) -> dict[str, list[float]]:
-    """Seconds from a kill to: first suspicion; failed at the first, the median and the last node; out of the view at
-    all."""
+    """Seconds from a kill until the node is: suspected by a first node; failed at the first, the median and the last
+    node; removed from the view at all nodes."""
     found: dict[str, list[float]] = {
         "suspected": [],
         "failed_first": [],
@@ -151,63 +151,63 @@
     return found
 
 
-def row(times: list[float]) -> str:
+def describe(times: list[float]) -> str:
     return f"median {statistics.median(times):.2f}, worst {max(times):.2f}" if times else "never"
 
 
-async def real_kills(count: int, rounds: int, folder: Path) -> list[float]:
-    """Seconds from SIGKILL to a view without the node at all others, by their doors."""
+async def measure_kills(count: int, rounds: int, folder: Path) -> list[float]:
+    """Seconds from SIGKILL until all others report a view without the node."""
     found = []
     async with Cluster(folder, count, 1) as cluster:
         await cluster.start()
-        if await cluster.agreed(cluster.names, 30) is None:
-            raise RuntimeError("no view")
-        for place in range(rounds):
-            name = cluster.names[place % count]
+        if await cluster.wait_for_agreement(cluster.names, 30) is None:
+            raise RuntimeError("no view of all nodes")
+        for round_number in range(rounds):
+            name = cluster.names[round_number % count]
             await asyncio.sleep(3.0)
             await cluster.nodes[name].stop(signal.SIGKILL)
             killed = time.monotonic()
-            if await cluster.agreed([one for one in cluster.names if one != name], 30) is None:
-                raise RuntimeError("not voted out")
+            if await cluster.wait_for_agreement([one for one in cluster.names if one != name], 30) is None:
+                raise RuntimeError("the killed node was not removed from the view")
             found.append(time.monotonic() - killed)
             await cluster.nodes[name].start()
-            if await cluster.agreed(cluster.names, 60) is None:
-                raise RuntimeError("not back")
+            if await cluster.wait_for_agreement(cluster.names, 60) is None:
+                raise RuntimeError("the restarted node did not rejoin")
     return found
 
 
-async def real_rest(
+async def measure_running_cluster(
     count: int,
     seconds: float,
     folder: Path,
     loss: float = 0.0,
     rate: float = 0.0,
-    alone: bool = False,
+    without_cluster: bool = False,
     cores: set[int] | None = None,
 ) -> dict[str, float]:
-    """What a node costs: bytes and datagrams it sends, CPU share, memory; with ``rate`` messages a second to the first,
-    its CPU a message. ``alone``: the program without a cluster."""
+    """Resources of one node: bytes and datagrams sent, CPU share, memory, and, with ``rate`` messages per second, CPU
+    time per message. ``without_cluster``: the relay with an empty cluster configuration."""
     async with Cluster(folder, count, 1) as cluster:
-        if alone:
+        if without_cluster:
             for node in cluster.nodes.values():
                 (node.folder / "cluster.conf").write_text("")
         await cluster.start()
-        if not alone and await cluster.agreed(cluster.names, 30) is None:
-            raise RuntimeError("no view")
+        if not without_cluster and await cluster.wait_for_agreement(cluster.names, 30) is None:
+            raise RuntimeError("no view of all nodes")
         for node in cluster.nodes.values() if cores else ():
             for task in Path(f"/proc/{node.process.pid}/task").iterdir():
                 os.sched_setaffinity(int(task.name), cores)
         for link in cluster.mesh.links.values():
-            link.weather = Weather(loss=loss)
+            link.conditions = LinkConditions(loss=loss)
         first = cluster.nodes[cluster.names[0]]
         sent, spent = cluster.mesh.sent_by(first.name), usage(first.process.pid, "VmRSS")[0]
-        began = time.monotonic()
-        desk = Desk(first.port, 1, DESTINATIONS, connections=8, left=12.0)
+        started_at = time.monotonic()
+        generator = LoadGenerator(first.port, 1, DESTINATIONS, connections=8, left=12.0)
         if rate:
-            await desk.run(range(int(rate * seconds)), rate)
+            await generator.run(range(int(rate * seconds)), rate)
         else:
             await asyncio.sleep(seconds)
-        took = time.monotonic() - began
+        took = time.monotonic() - started_at
         cpu, memory = usage(first.process.pid, "VmRSS")
         after = cluster.mesh.sent_by(first.name)
         removals = sum(
@@ -222,21 +222,21 @@
             "cpu_share": (cpu - spent) / took,
             "rss_mb": memory / 1024,
             "removals": removals,
-            "cpu_us_message": (cpu - spent) * 1e6 / max(1, len(desk.sent)),
+            "cpu_us_message": (cpu - spent) * 1e6 / max(1, len(generator.sent)),
         }
 
 
 def main() -> None:
     parser = argparse.ArgumentParser()
-    parser.add_argument("--only", default="", help="parts by comma: " + ", ".join(PARTS))
+    parser.add_argument("--only", default="", help="sections, separated by commas: " + ", ".join(SECTIONS))
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--rounds", type=int, default=6)
-    told = parser.parse_args()
-    parts = set(told.only.split(",") if told.only else PARTS)
-    if "sim" in parts:
+    options = parser.parse_args()
+    sections = set(options.only.split(",") if options.only else SECTIONS)
+    if "sim" in sections:
         for nodes in (3, 5, 16, 50):
             times = kill_times(nodes, range(10 if nodes < 50 else 2))
-            print(f"simulated, {nodes} nodes, kill to: " + "; ".join(f"{k} {row(v)} s" for k, v in times.items()))
+            print(f"simulated, {nodes} nodes, kill to: " + "; ".join(f"{k} {describe(v)} s" for k, v in times.items()))
         for nodes, seconds in ((5, 20), (50, 20), (200, 10)):
             world = simulated(nodes, 1, 0.0, seconds, measure=True)
             print(
@@ -246,59 +246,61 @@
                 f"{Heartbeats(nodes, 1, 0).bytes_per_s():.0f} bytes",
                 flush=True,
             )
-    if "false" in parts:
+    if "false" in sections:
         for loss in (0.0, 0.1, 0.3):
             print(
                 f"heartbeats, 5 nodes, one hour at {loss:.0%} loss: {Heartbeats(5, 1, loss).false_failures(3600)} "
                 "believed failed in error"
             )
-        for what, strike in (
-            ("no loss", lossy(0.0)),
-            ("10 % loss", lossy(0.1)),
-            ("30 % loss", lossy(0.3)),
-            ("one-way cuts", one_way),
-            ("stops of 4 s", stops),
+        for what, inject in (
+            ("no loss", constant_loss(0.0)),
+            ("10 % loss", constant_loss(0.1)),
+            ("30 % loss", constant_loss(0.3)),
+            ("one-way cuts", one_way_cuts),
+            ("stops of 4 s", pauses),
         ):
-            of_struck, of_others = removals(5, 1, 3600, strike)
+            of_struck, of_others = removals(5, 1, 3600, inject)
             print(
                 f"simulated, 5 nodes, one hour of {what}: {of_others} removed in error, {of_struck} that stood still",
                 flush=True,
             )
-    for count in (3, 5, 16) if "kills" in parts else ():
+    for count in (3, 5, 16) if "kills" in sections else ():
         with fresh_folder() as folder:
             print(
                 f"{count} processes, SIGKILL to the view without it: "
-                f"{row(asyncio.run(real_kills(count, told.rounds if count < 16 else 3, Path(folder))))} s"
+                f"{describe(asyncio.run(measure_kills(count, options.rounds if count < 16 else 3, Path(folder))))} s"
             )
-    for count in (3, 5, 16) if "rest" in parts else ():
+    for count in (3, 5, 16) if "rest" in sections else ():
         with fresh_folder() as one, fresh_folder() as other:
-            with_ = asyncio.run(real_rest(count, told.seconds, Path(one)))
-            without = asyncio.run(real_rest(count, told.seconds, Path(other), alone=True))
+            with_ = asyncio.run(measure_running_cluster(count, options.seconds, Path(one)))
+            without = asyncio.run(measure_running_cluster(count, options.seconds, Path(other), without_cluster=True))
             print(
                 f"{count} processes at rest: {with_['bytes_s']:.0f} bytes and {with_['datagrams_s']:.1f} datagrams a "
                 f"second; CPU {with_['cpu_share']:.2%} of a core, without a cluster {without['cpu_share']:.2%}; "
                 f"memory {with_['rss_mb']:.1f} MB, without {without['rss_mb']:.1f}"
             )
-    if "loss" in parts:
+    if "loss" in sections:
         with fresh_folder() as folder:
-            bad = asyncio.run(real_rest(5, told.seconds * 3, Path(folder), loss=0.3))
+            bad = asyncio.run(measure_running_cluster(5, options.seconds * 3, Path(folder), loss=0.3))
             print(
-                f"5 processes, {told.seconds * 3:.0f} s at 30 % loss: {bad['removals']:.0f} removals, "
+                f"5 processes, {options.seconds * 3:.0f} s at 30 % loss: {bad['removals']:.0f} removals, "
                 f"{bad['bytes_s']:.0f} bytes a second"
             )
-    if "core" in parts:
+    if "core" in sections:
         with fresh_folder() as folder:
-            crowded = asyncio.run(real_rest(5, told.seconds * 3, Path(folder), rate=50.0, cores={0}))
+            crowded = asyncio.run(measure_running_cluster(5, options.seconds * 3, Path(folder), rate=50.0, cores={0}))
             print(
-                f"5 processes on one core, {told.seconds * 3:.0f} s, 50 messages a second to one of them: "
+                f"5 processes on one core, {options.seconds * 3:.0f} s, 50 messages a second to one of them: "
                 f"{crowded['removals']:.0f} removals"
             )
-    if "cost" in parts:
+    if "cost" in sections:
         ratios = []
         for _ in range(3):
             with fresh_folder() as one, fresh_folder() as other:
-                with_ = asyncio.run(real_rest(3, told.seconds, Path(one), rate=100.0))
-                without = asyncio.run(real_rest(3, told.seconds, Path(other), rate=100.0, alone=True))
+                with_ = asyncio.run(measure_running_cluster(3, options.seconds, Path(one), rate=100.0))
+                without = asyncio.run(
+                    measure_running_cluster(3, options.seconds, Path(other), rate=100.0, without_cluster=True)
+                )
                 ratios.append(with_["cpu_us_message"] / without["cpu_us_message"])
         print(
             f"CPU a message with a cluster of 3 against without, 100 a second: median "
--- a/lab/bench_flood.py
+++ b/lab/bench_flood.py
@@ -1,7 +1,7 @@
-"""CPU of the relay on a flood of bad clients: ``python -m lab.bench_flood [--other CHECKOUT]``.
+"""CPU cost of clients that send invalid requests: ``python -m lab.bench_flood [--other CHECKOUT]``.
 
-Each connection brings what is no request and is closed by the relay, which logs a line for it. With ``--other`` a relay
-of another checkout (with a .venv of its own or this one) gets the same flood at the same time.
+The relay closes each such connection and logs a line. With ``--other`` a relay of another checkout (with its own .venv
+or this one) gets the same load at the same time.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 import click
 
 import lab.traffic as traffic
-from lab.traffic import Load, Stage, fresh_folder
+from lab.traffic import Load, RelayUnderLoad, fresh_folder
 
 
-async def _bad(port: int, many: int) -> None:
-    for _ in range(many):
+async def _send_invalid_requests(port: int, count: int) -> None:
+    for _ in range(count):
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"\x16\x03\x01 no request\r\n\r\n")
         await reader.read()
@@ -27,16 +27,16 @@
 
 
 def flood(job: tuple[str, int]) -> float:
-    """CPU (µs) a bad client of the relay in a checkout."""
+    """CPU time (µs) per invalid request, of the relay in a checkout."""
     checkout, clients = job
     traffic.ROOT = Path(checkout)
 
     async def run(folder: Path) -> float:
-        async with Stage(folder, Load()) as stage:
-            await _bad(stage.port, 200)
-            before, _peak = stage.usage()
-            await asyncio.gather(*(_bad(stage.port, clients // 8) for _ in range(8)))
-            return (stage.usage()[0] - before) / clients * 1e6
+        async with RelayUnderLoad(folder, Load()) as relay:
+            await _send_invalid_requests(relay.port, 200)
+            before, _peak = relay.usage()
+            await asyncio.gather(*(_send_invalid_requests(relay.port, clients // 8) for _ in range(8)))
+            return (relay.usage()[0] - before) / clients * 1e6
 
     with fresh_folder() as name:
         return asyncio.run(run(Path(name)))
@@ -45,9 +45,9 @@
 @click.command()
 @click.option("--clients", default=4000)
 @click.option("--pairs", default=5)
-@click.option("--other", type=click.Path(exists=True, file_okay=False), help="A checkout to set beside this one.")
+@click.option("--other", type=click.Path(exists=True, file_okay=False), help="A checkout to compare with this one.")
 def main(clients: int, pairs: int, other: str | None) -> None:
-    """Print the CPU a bad client, and the ratio to the other checkout's."""
+    """Print the CPU time per invalid request, and its ratio to the other checkout's."""
     here = str(traffic.ROOT)
     checkouts = [here, other or here]
     with multiprocessing.get_context("spawn").Pool(2) as pool:
--- a/lab/bench_journal.py
+++ b/lab/bench_journal.py
@@ -1,4 +1,4 @@
-"""Figures of the journal: time of a message, pauses, bytes written for a byte kept, recovery."""
+"""Benchmark of the journal: time per message, longest pause, write amplification, recovery time."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 BODY = bytes(200)
 
 
-def before(checkout: str):
-    """The journal of an older checkout, from its one file."""
+def load_older_journal(checkout: str):
+    """Load the journal module of an older checkout, in which it is a single file."""
     path = Path(checkout, "lynxscale", "journal.py")
     if not path.is_file():
-        raise click.ClickException(f"{path}: no such file: want a checkout whose journal is one file")
+        raise click.ClickException(f"{path}: no such file; --other needs a checkout whose journal is a single module")
     spec = importlib.util.spec_from_file_location("journal_before", path)
     module = importlib.util.module_from_spec(spec)
     sys.modules["journal_before"] = module
@@ -40,8 +40,9 @@
     return journal
 
 
-def messages(accept, record_attempt, complete, kind, held: int, count: int, turn) -> tuple[float, float]:
-    """µs of a message (taken, tried, ended, with so many held besides), and the longest call or turn in ms."""
+def time_messages(accept, record_attempt, complete, kind, held: int, count: int, turn) -> tuple[float, float]:
+    """Mean time (µs) to accept, attempt and complete a message while ``held`` others are pending, and the longest such
+    step in ms."""
     for number in range(held):
         accept(number, entry(kind, number))
         turn()
@@ -57,38 +58,38 @@
     return (last - begun) / count / 1000, longest / 1e6
 
 
-def pauses(folder: Path, other: str | None, held: int, count: int) -> None:
+def measure_messages(folder: Path, other: str | None, held: int, count: int) -> None:
     budget = max(3_000_000, held * 1600)
     cells = []
     (folder / "new").mkdir()
     journal = open_new(folder / "new", budget)
     calls = (journal.accept, journal.record_attempt, journal.complete)
-    spent, longest = messages(*calls, Entry, held, count, journal.maintain)
+    spent, longest = time_messages(*calls, Entry, held, count, journal.maintain)
     cells.append(f"{spent:.1f} us a message, longest turn {longest:.1f} ms")
     journal.close()
     begun = time.perf_counter()
     again = reopened(folder / "new", budget)
     cells.append(f"recovery {(time.perf_counter() - begun) * 1000:.0f} ms of {again[1] / 1e6:.1f} MB")
     if other:
-        module = before(other)
+        module = load_older_journal(other)
         (folder / "old").mkdir()
         old = module.Journal(folder / "old", budget)
         old.open()
         old.begin({})
-        spent, longest = messages(old.take, old.tried, old.end, module.Entry, held, count, lambda: None)
+        spent, longest = time_messages(old.take, old.tried, old.end, module.Entry, held, count, lambda: None)
         cells.append(f"the one before: {spent:.1f} us, longest {longest:.1f} ms")
         old.close()
     click.echo(f"{held} held: {'; '.join(cells)}")
 
 
 def reopened(folder: Path, budget: int) -> tuple[list[Entry], int]:
-    """What a new process would find, and the bytes that it reads."""
+    """Reopen the journal; its entries, and the bytes that were read."""
     size = sum(path.stat().st_size for path in folder.iterdir())
     return Journal(FolderStorage(folder), budget, lambda: 1).open(), size
 
 
-class Counting(FolderStorage):
-    """Counts what is written."""
+class CountingStorage(FolderStorage):
+    """Counts the bytes written."""
 
     written = 0
 
@@ -98,21 +99,21 @@
 
 
 def amplification(folder: Path, budget: int, share: float, count: int) -> None:
-    """Bytes written for a byte of records, at a share of the live bytes that are allowed."""
-    port = Counting(folder)
-    journal = Journal(port, budget, lambda: 1)
+    """Print the bytes written per byte of records, with the live bytes at this share of their limit."""
+    storage = CountingStorage(folder)
+    journal = Journal(storage, budget, lambda: 1)
     journal.assign_numbers(dict(enumerate(journal.open())))
-    number, first, own, most = 0, 0, 0, 0
+    number, first, record_bytes, peak_bytes = 0, 0, 0, 0
     refused = 0
     while number < count:
         while journal.plan.live > share * journal.plan.max_live:
             journal.complete(first)
-            own += 29
+            record_bytes += 29
             first += 1
         try:
-            before_ = journal.plan.live
+            live_before = journal.plan.live
             journal.accept(number, entry(Entry, number))
-            own += journal.plan.live - before_ if journal.plan.live > before_ else 330
+            record_bytes += journal.plan.live - live_before if journal.plan.live > live_before else 330
             number += 1
         except JournalFullError:
             refused += 1
@@ -120,23 +121,24 @@
             first += 1
         journal.maintain()
         if not number % 500:
-            most = max(most, sum(allocated_size(path.stat().st_size) for path in folder.iterdir()))
+            peak_bytes = max(peak_bytes, sum(allocated_size(path.stat().st_size) for path in folder.iterdir()))
     journal.close()
     click.echo(
-        f"filled to {share:.0%} of what may be live: {port.written / own:.2f} bytes written a byte of records; "
-        f"at most {most / budget:.2f} of the budget on disk; {refused} refused"
+        f"filled to {share:.0%} of what may be live: {storage.written / record_bytes:.2f} bytes written "
+        f"a byte of records; "
+        f"at most {peak_bytes / budget:.2f} of the budget on disk; {refused} refused"
     )
 
 
 @click.command()
-@click.option("--other", type=click.Path(file_okay=False), help="A checkout with the journal before, to compare with.")
+@click.option("--other", type=click.Path(file_okay=False), help="An older checkout whose journal to compare with.")
 @click.option("--held", default="100,10000,200000")
-@click.option("--count", default=20_000, help="Messages that are timed.")
+@click.option("--count", default=20_000, help="Number of messages timed.")
 def main(other: str | None, held: str, count: int) -> None:
     """Print the figures, a line each."""
     for text in held.split(","):
         with fresh_folder() as name:
-            pauses(Path(name), other, int(text), count)
+            measure_messages(Path(name), other, int(text), count)
     for share in (0.3, 0.6, 0.9):
         with fresh_folder() as name:
             amplification(Path(name), 3_000_000, share, 30_000)
--- a/lab/bench_operation.py
+++ b/lab/bench_operation.py
@@ -1,7 +1,7 @@
-"""How long an operator waits at the door: with all held that may be, during a recovery and through an upgrade.
+"""Latency of the admin server: with the message queue full, during a recovery and through an upgrade.
 
-Prints, for each, the worst and the middle answer at the door and the longest turn of the loop, as shares of the second
-that an answer may take. Everything is on loopback; ports come from the system.
+Prints, for each, the worst and the median latency and the longest event loop iteration, as shares of the second that
+a response may take. Everything is on loopback, on ephemeral ports.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 from lab.standins import Client, Discovery, Server, message, reply, row, settings, until
 
-HELD, FEEDERS, ALLOWED = 400, 16, 1.0  # s
+MAX_HELD, FEEDER_THREADS, ALLOWED_S = 400, 16, 1.0  # s
 TURN = re.compile(r"longest_turn_ms=(\d+)")
 
 
@@ -39,7 +39,7 @@
             "name": "bench",
             "seed": "1",
             "limits": {"sockets": 512, "disk_mb": 3},
-            "settings": settings(most_held=HELD),
+            "settings": settings(most_held=MAX_HELD),
             "known": {"generation": 1, "reset": True, "instances": self.discovery.rows},
         }
         (folder / "config.json").write_text(json.dumps(table))
@@ -63,12 +63,12 @@
             process = subprocess.Popen(
                 [sys.executable, "-m", "lynxscale"], env=env, stdout=log, stderr=log, pass_fds=(self.listener.fileno(),)
             )
-        until(lambda: self.ask(admin) is not None, "the yes")
+        until(lambda: self.ask(admin) is not None, "the admin server to answer")
         return process, admin
 
     @staticmethod
     def ask(admin: int) -> float | None:
-        """Seconds until the door's answer."""
+        """Seconds until the admin server's response; None without one."""
         begun = time.monotonic()
         with suppress(OSError):
             client = Client(admin)
@@ -88,7 +88,7 @@
                         break
                 client.close()
 
-    def span(self, what: str, admin: int, seconds: float) -> None:
+    def measure(self, what: str, admin: int, seconds: float) -> None:
         at, waits, end = self.log.stat().st_size, [], time.monotonic() + seconds
         while time.monotonic() < end:
             if (took := self.ask(admin)) is not None:
@@ -96,8 +96,8 @@
             time.sleep(0.02)
         turns = [int(ms) for ms in TURN.findall(self.log.read_bytes()[at:].decode())]
         print(
-            f"{what:12}  door worst {max(waits) / ALLOWED:.3f}  middle {statistics.median(waits) / ALLOWED:.3f}  "
-            f"longest turn {max(turns, default=0) / 1000 / ALLOWED:.3f}  ({len(waits)} asked)"
+            f"{what:12}  admin worst {max(waits) / ALLOWED_S:.3f}  median {statistics.median(waits) / ALLOWED_S:.3f}  "
+            f"longest turn {max(turns, default=0) / 1000 / ALLOWED_S:.3f}  ({len(waits)} asked)"
         )
 
 
@@ -105,20 +105,20 @@
     with tempfile.TemporaryDirectory() as folder:
         bench, stop = Bench(Path(folder)), threading.Event()
         process, admin = bench.start()
-        feeders = [threading.Thread(target=bench.feed, args=(stop, f"f{place}")) for place in range(FEEDERS)]
+        feeders = [threading.Thread(target=bench.feed, args=(stop, f"f{index}")) for index in range(FEEDER_THREADS)]
         try:
             for feeder in feeders:
                 feeder.start()
-            bench.span("queue full", admin, 4.0)
-            heir, its = bench.start()
+            bench.measure("queue full", admin, 4.0)
+            successor, successor_admin = bench.start()
             process.send_signal(signal.SIGTERM)
-            bench.span("upgrade", its, 4.0)
+            bench.measure("upgrade", successor_admin, 4.0)
             process.wait(5)
-            process, admin = heir, its
+            process, admin = successor, successor_admin
             process.kill()
             process.wait()
             process, admin = bench.start()
-            bench.span("recovery", admin, 3.0)
+            bench.measure("recovery", admin, 3.0)
         finally:
             stop.set()
             for feeder in feeders:
--- a/lab/bench_trace.py
+++ b/lab/bench_trace.py
@@ -1,6 +1,6 @@
-"""Measures the trace format, the recorder and the tools: ``make bench-trace``; the figures stand in the design note.
+"""Benchmark of the trace format, the recorder and the tools: ``make bench-trace``.
 
-``--big`` is the size of the large file that the tools' memory is measured with; ``--only`` picks parts.
+``--big`` is the size of the large file with which the tools' memory is measured; ``--only`` selects sections.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
 from lynxscale.trace.view import objects
 from lynxscale.trace.writer import Output
 
-ZERO = 1_790_000_000_000_000
+START_US = 1_790_000_000_000_000
 LEVELS = ("ends", "tries", "decisions")
 
 
-def run_at(job: tuple[str | None, int, int, int]) -> tuple[float, int, dict[str, int]]:
-    """CPU (µs) a message, taken messages, and bytes by form, of one relay at a level."""
+def run_relay(job: tuple[str | None, int, int, int]) -> tuple[float, int, dict[str, int]]:
+    """Run one relay with a trace of this level: CPU time (µs) per message, accepted messages, and bytes by format."""
     level, messages, rate, seed = job
     with fresh_folder() as name:
         folder = Path(name)
@@ -50,7 +50,7 @@
 
 
 def forms(folder: Path) -> dict[str, int]:
-    """Bytes of what is recorded in a folder: as it is, as JSON lines, and those in zstandard."""
+    """Size of the traces in a folder: as recorded, as JSON lines, and as compressed JSON lines."""
     files = sorted(folder.glob("*.lxt"))
     lines = b"".join(orjson.dumps(row) + b"\n" for frame in Merge(files) for row in objects(frame))
     return {
@@ -61,10 +61,10 @@
 
 
 def sizes_and_cpu(pairs: int) -> None:
-    """Bytes a message by level, and CPU against a relay without a trace that runs at the same time."""
+    """Print bytes per message by level, and CPU time against a relay without a trace that runs at the same time."""
     with multiprocessing.Pool(2) as pool:
         for level in LEVELS:
-            _cpu, taken, sizes = run_at((level, 3000, 300, 1))
+            _cpu, taken, sizes = run_relay((level, 3000, 300, 1))
             shown = "  ".join(f"{form} {size / taken:.1f}" for form, size in sizes.items())
             click.echo(
                 f"bytes a message, level {level}: {shown}  "
@@ -75,7 +75,7 @@
             ratios, added = [], []
             for seed in range(pairs):
                 (with_, _t, _s), (without, _u, _v) = pool.map(
-                    run_at, [(level, 3000, 300, seed), (None, 3000, 300, seed)], chunksize=1
+                    run_relay, [(level, 3000, 300, seed), (None, 3000, 300, seed)], chunksize=1
                 )
                 ratios.append(with_ / without)
                 added.append(with_ - without)
@@ -86,18 +86,18 @@
             )
 
 
-class Told:
-    """A message as the core hands it on."""
+class EnvelopeStub:
+    """A message with the attributes that the recorder reads."""
 
     def __init__(self, number: int) -> None:
         self.id, self.dest, self.body = f"{random.getrandbits(64):016x}", number % 16, b""
 
 
 def recorder_speed(messages: int = 30_000) -> None:
-    """Records a second by the recorder alone, with batches of 20 messages."""
+    """Print the recorder's records per second, in batches of 20 messages."""
     with fresh_folder() as name:
         due: list = []
-        one = Recorder(
+        recorder = Recorder(
             TraceConf(folder=name),
             settings_from(settings()),
             "lab",
@@ -106,60 +106,64 @@
             click.echo,
             lambda _after, act: due.append(act),
         )
-        told = [Told(number) for number in range(messages)]
+        envelopes = [EnvelopeStub(number) for number in range(messages)]
         now = begun = time.process_time_ns()
-        for number, envelope in enumerate(told):
+        for number, envelope in enumerate(envelopes):
             now += 1000
-            one.message(now, number, envelope, number % 3, number % 3, 15_900_123)
-            one.admitted(now, number, "taken", 0.0)
-            one.attempt_started(now, number, 0, number % 32, 1_234_567, False)
-            one.turn_ended()
+            recorder.message(now, number, envelope, number % 3, number % 3, 15_900_123)
+            recorder.admitted(now, number, "taken", 0.0)
+            recorder.attempt_started(now, number, 0, number % 32, 1_234_567, False)
+            recorder.turn_ended()
             now += 1000
-            one.attempt_ended(now, number, 0, number % 32, 1, 20_123, 0.0, False, (0.5, 500.0))
-            one.ended(now, number, "delivered")
-            one.forgotten(now, number)
-            one.turn_ended()
+            recorder.attempt_ended(now, number, 0, number % 32, 1, 20_123, 0.0, False, (0.5, 500.0))
+            recorder.ended(now, number, "delivered")
+            recorder.forgotten(now, number)
+            recorder.turn_ended()
             if number % 20 == 19:
                 due.pop()()
         spent = time.process_time_ns() - begun
-        one.stop(now, 0)
+        recorder.stop(now, 0)
         click.echo(
             f"recorder alone, level tries: {messages * 5 / spent * 1e9:,.0f} records a second, "
             f"{spent / messages / 1000:.1f} us a message"
         )
 
 
-def an_hour(rate: float) -> Iterator[Frame]:
-    """An hour of one relay at so many messages a second, each with a try and an end."""
-    chance, seq, at = random.Random(7), 0, 0.0
+def hour_of_records(rate: float) -> Iterator[Frame]:
+    """Frames of one relay over an hour at ``rate`` messages per second, each with one attempt and an end."""
+    rng, seq, at = random.Random(7), 0, 0.0
     source, number = "lab/0123456789ab", 0
     start = settings()
     yield Frame(
         source,
         0,
         0,
-        ZERO,
+        START_US,
         [(r.START, ["lab", "0123456789ab", "1", "tries", 1.0, "", "1", orjson.dumps(start).decode(), "x"])],
     )
     seq = 1
     while at < 3600e6:
-        at += chance.expovariate(rate / 1e6)
+        at += rng.expovariate(rate / 1e6)
         number += 1
-        grade = chance.choices(range(3), [row[-1] for row in CLASSES])[0]
-        tenant = chance.randrange(3)
-        dest = chance.randrange(16)
+        message_class = rng.choices(range(3), [row[-1] for row in CLASSES])[0]
+        tenant = rng.randrange(3)
+        dest = rng.randrange(16)
         msg = r.Msg(
-            number, f"{chance.getrandbits(64):016x}", (grade, CLASSES[grade][0]), (tenant, TENANTS[tenant]), dest
+            number,
+            f"{rng.getrandbits(64):016x}",
+            (message_class, CLASSES[message_class][0]),
+            (tenant, TENANTS[tenant]),
+            dest,
         )
         endpoint = (dest, f"s-{dest:04x}")
-        latency = int(20_000 * chance.lognormvariate(0, 0.4))
+        latency = int(20_000 * rng.lognormvariate(0, 0.4))
         for gap, found in (
             (
                 0,
                 [
-                    (r.MESSAGE, [msg, 15_900_000, chance.randrange(100, 300), 0]),
+                    (r.MESSAGE, [msg, 15_900_000, rng.randrange(100, 300), 0]),
                     (r.ADMIT, [msg, r.reason("taken"), 0.0]),
-                    (r.TRY_START, [msg, 0, endpoint, chance.randrange(1_000_000, 9_000_000), False]),
+                    (r.TRY_START, [msg, 0, endpoint, rng.randrange(1_000_000, 9_000_000), False]),
                 ],
             ),
             (
@@ -167,18 +171,18 @@
                 [
                     (
                         r.TRY_END,
-                        [msg, 0, endpoint, r.reason("ok"), latency, 0.0, False, (round(chance.random(), 3), 5.5)],
+                        [msg, 0, endpoint, r.reason("ok"), latency, 0.0, False, (round(rng.random(), 3), 5.5)],
                     ),
                     (r.END, [msg, r.reason("delivered"), 0.0]),
                 ],
             ),
         ):
-            yield Frame(source, int(at) + gap, seq, ZERO, found)
+            yield Frame(source, int(at) + gap, seq, START_US, found)
             seq += len(found)
 
 
-def tile(source: Path, target: Path, size: int) -> None:
-    """A file of that size from the blocks of a smaller one, over and over, each time later."""
+def repeat_blocks(source: Path, target: Path, size: int) -> None:
+    """Write a file of this size by repeating the blocks of a smaller one, with later times in each repetition."""
     with Reader(source) as reader:
         data = source.read_bytes()
         places = list(reader.index())
@@ -186,7 +190,7 @@
         records = sum(place.summary.records for place in places)
         index, number, again = v2.IndexBuilder(), 0, 0
         with open(target, "wb") as out:
-            at = out.write(pack_head(Head(2, 0, ZERO, "tile")))
+            at = out.write(pack_head(Head(2, 0, START_US, "tile")))
             while at < size:
                 for place in places:
                     head = v2.read_block_head(data, place.offset)
@@ -220,8 +224,8 @@
             out.write(index.pack(at))
 
 
-def tool(*words: object) -> tuple[float, float]:
-    """Seconds and peak memory (MB) of a command."""
+def run_tool(*words: object) -> tuple[float, float]:
+    """Run a trace command; its seconds and peak memory (MB)."""
     begun = time.monotonic()
     process = subprocess.Popen(
         [sys.executable, "-m", "lynxscale", "trace", *map(str, words)],
@@ -235,25 +239,25 @@
 
 
 def minute_of_an_hour(folder: Path, hour: Path) -> None:
-    """Cutting one minute by the index, by the blocks' summaries, and by reading all."""
-    since = ZERO / 1e6 + 1800
+    """Time to cut one minute out of an hour: by the index, by block summaries, and by a full scan."""
+    since = START_US / 1e6 + 1800
     words = ["--from", since, "--to", since + 60, "-o", folder / "minute.lxt"]
     bare, old = folder / "bare.lxt", folder / "old.lxt"
     with Reader(hour) as reader:
         end = list(reader.index())[-1]
     bare.write_bytes(hour.read_bytes()[: end.offset + end.size])
-    tool("convert", "--to-version", 1, "-o", old, hour)
+    run_tool("convert", "--to-version", 1, "-o", old, hour)
     for what, path in (("its index", hour), ("summaries, as it has no index", bare), ("a scan, in version 1", old)):
-        spent = min(tool("cut", *words, path)[0] for _ in range(3))
+        spent = min(run_tool("cut", *words, path)[0] for _ in range(3))
         click.echo(f"one minute of an hour ({hour.stat().st_size / 1e6:.1f} MB) by {what}: {spent:.2f} s")
 
 
 def memory(folder: Path, hour: Path, small: int, big: int, all_tools: bool) -> None:
-    """Peak memory of the tools at two sizes."""
+    """Print the peak memory of the tools for files of two sizes."""
     key = folder / "key"
     key.write_text("0123456789abcdef")
     out = folder / "out.lxt"
-    jobs = [("info",), ("cut", "--from", ZERO / 1e6 + 600, "--to", ZERO / 1e6 + 660, "-o", out)]
+    jobs = [("info",), ("cut", "--from", START_US / 1e6 + 600, "--to", START_US / 1e6 + 660, "-o", out)]
     if all_tools:
         jobs += [
             ("verify",),
@@ -268,14 +272,14 @@
     files = []
     for size in (small, big):
         files.append(folder / f"{size}.lxt")
-        tile(hour, files[-1], size)
+        repeat_blocks(hour, files[-1], size)
     for job in jobs:
         cells = []
         for path in files:
             try:
-                spent, peak = tool(job[0], *job[1:], path)
+                spent, peak = run_tool(job[0], *job[1:], path)
             except click.ClickException:
-                spent, peak = 0.0, 0.0  # no such message: its answer is exit code 1
+                spent, peak = 0.0, 0.0  # ``message`` exits with 1, as the id doesn't exist
             cells.append(f"{path.stat().st_size / 1e6:.0f} MB: {peak:.0f} MB, {spent:.1f} s")
             out.unlink(missing_ok=True)
         click.echo(f"peak memory of {' '.join(map(str, job[:3]))}: " + "   ".join(cells))
@@ -302,7 +306,7 @@
             folder = Path(name)
             hour = folder / "hour.lxt"
             with Output(hour) as out:
-                for frame in an_hour(20.0):
+                for frame in hour_of_records(20.0):
                     out.put(frame)
             if wanted("cut"):
                 minute_of_an_hour(folder, hour)
--- a/lab/clients.py
+++ b/lab/clients.py
@@ -1,4 +1,4 @@
-"""Tournament desks as stand-ins: messages drawn from a seed, handed in over some connections at a rate."""
+"""Load generation: messages drawn from a seed, sent over several connections at a given rate."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from lab.rules import Sent
+from lab.rules import SentMessage
 
 CLASSES = (
     ("aviso-ronda", "idempotent", 3000.0, 16000.0, 1.0, 0.4, 0.55),
@@ -17,8 +17,8 @@
 TENANTS = ("club-donostia", "club-oviedo", "club-santander")
 
 
-async def request_of(reader: asyncio.StreamReader) -> bytes:
-    """The head of a request or answer whose body has been read past; empty at the end."""
+async def read_head(reader: asyncio.StreamReader) -> bytes:
+    """Read a request or response and return its head; empty at the end of the stream."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError:
@@ -30,43 +30,43 @@
 
 
 @dataclass
-class Desk:
-    """Who hands in. ``sent`` has every message with what was heard at once."""
+class LoadGenerator:
+    """A client that sends messages. ``sent`` has each message with the status of its response."""
 
     port: int
     seed: int = 1
     destinations: int = 16
     connections: int = 24
-    left: float | None = None  # seconds that each message has; None: nearly its class's
-    sent: dict[str, Sent] = field(default_factory=dict)
+    left: float | None = None  # seconds until a message's deadline; None: its class's deadline less 0.1 s
+    sent: dict[str, SentMessage] = field(default_factory=dict)
 
     def message(self, number: int) -> tuple[str, str, bytes]:
-        """The id, class and request of a message by its number; always the same ones."""
-        chance = random.Random(f"{self.seed} {number}")
-        grade = chance.choices(CLASSES, [row[-1] for row in CLASSES])[0]
-        body = bytes(chance.randrange(100, 300))
-        tenant = chance.choices(TENANTS, (40, 36, 24))[0]
-        id_ = f"{chance.getrandbits(64):016x}"
-        left = grade[3] / 1000 - 0.1 if self.left is None else self.left
+        """The id, class and request of a message; they depend only on the seed and the number."""
+        rng = random.Random(f"{self.seed} {number}")
+        message_class = rng.choices(CLASSES, [row[-1] for row in CLASSES])[0]
+        body = bytes(rng.randrange(100, 300))
+        tenant = rng.choices(TENANTS, (40, 36, 24))[0]
+        id_ = f"{rng.getrandbits(64):016x}"
+        left = message_class[3] / 1000 - 0.1 if self.left is None else self.left
         return (
             id_,
-            grade[0],
+            message_class[0],
             (
-                f"POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: {id_}\r\nReq-Kind: {grade[0]}\r\n"
+                f"POST /api HTTP/1.1\r\nHost: x\r\nReq-Id: {id_}\r\nReq-Kind: {message_class[0]}\r\n"
                 f"Req-Owner: {tenant}\r\nReq-Deadline: {left:.3f}\r\n"
-                f"Idempotency-Key: {chance.getrandbits(128):032x}\r\n"
-                f"X-Envelope: dest={chance.randrange(self.destinations)}\r\nContent-Length: {len(body)}\r\n\r\n"
+                f"Idempotency-Key: {rng.getrandbits(128):032x}\r\n"
+                f"X-Envelope: dest={rng.randrange(self.destinations)}\r\nContent-Length: {len(body)}\r\n\r\n"
             ).encode()
             + body,
         )
 
     async def run(self, numbers: Iterable[int], rate: float) -> None:
-        """Hand in these messages, so many a second; ends when each was answered or its connection has ended."""
+        """Send these messages at ``rate`` per second; returns when each was answered or lost its connection."""
         loop, queue = asyncio.get_running_loop(), asyncio.Queue()
         clients = [asyncio.create_task(self._client(queue)) for _ in range(self.connections)]
-        begun = loop.time()
-        for place, number in enumerate(numbers):
-            await asyncio.sleep(max(0.0, begun + place / rate - loop.time()))
+        started_at = loop.time()
+        for index, number in enumerate(numbers):
+            await asyncio.sleep(max(0.0, started_at + index / rate - loop.time()))
             queue.put_nowait(self.message(number))
         for _ in clients:
             queue.put_nowait(None)
@@ -74,15 +74,15 @@
 
     async def _client(self, queue: asyncio.Queue) -> None:
         reader = writer = None
-        while (given := await queue.get()) is not None:
-            id_, cls, data = given
-            sent = self.sent[id_] = Sent(cls)
+        while (request := await queue.get()) is not None:
+            id_, cls, data = request
+            sent = self.sent[id_] = SentMessage(cls)
             try:
                 if writer is None:
                     reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
                 writer.write(data)
-                words = (await request_of(reader)).split()
-                sent.status = int(words[1]) if len(words) > 1 else 0
+                status_line = (await read_head(reader)).split()
+                sent.status = int(status_line[1]) if len(status_line) > 1 else 0
             except (OSError, asyncio.IncompleteReadError):
                 pass
             if not sent.status:
--- a/lab/cluster/explore.py
+++ b/lab/cluster/explore.py
@@ -1,12 +1,12 @@
-"""Views alone, as they run in service, in orders that a hostile scheduler chooses: seeded walks over what can happen.
+"""Seeded random walks through the view agreement, by an adversarial scheduler: ``python -m lab.cluster.explore``.
 
-Messages come late, twice, out of order or never; writes are done late or lost with the process; processes end at
-any step, and start anew with their disk, with an older one whose last votes others have heard, or with none. Each walk
-draws its own weights of these (swarm testing: Groce and others, 2012), as what is rare in all walks alike is never met
-twice in a row.
+Messages arrive late, twice, out of order or never; writes complete late or are lost with the process; processes end at
+any step, and restart with their disk, with an older one (if the others know of the writes that it lacks), or with none.
+Each walk draws its own weights of these actions (swarm testing: Groce et al., 2012), since with the same weights in all
+walks two rare actions would hardly ever follow one another.
 
-Judged after each step: no two views of one number differ; nobody may act in a view while somebody acts in a later one
-without its life.
+Checked after each step: no two views with one number differ, and no node may act in a view while another acts in a
+later view that excludes its incarnation.
 """
 
 from __future__ import annotations
@@ -22,16 +22,14 @@
 from lynxscale.relay.cluster.timing import ViewTiming
 from lynxscale.relay.cluster.view_change import ViewAgreement
 
-LEASES, VOTES = (
-    ViewTiming(),
-    ViewTiming(lease=1),
-)  # half of the walks leave leases aside, so that votes come thick and fast
-JUMP = LEASES.lease // 3
+# Half of the walks use no leases, for more votes per walk.
+WITH_LEASES, WITHOUT_LEASES = ViewTiming(), ViewTiming(lease=1)
+TIME_STEP_US = WITH_LEASES.lease // 3
 
 
 @dataclass
-class Place:
-    """A node: what its disk has, the process that runs, and writes that are not done."""
+class SimulatedNode:
+    """A node: its disk, its process if it runs, and the pending writes."""
 
     name: str
     generation: int = 0
@@ -39,227 +37,231 @@
     older: list[DurableState] = field(default_factory=list)
     agreement: ViewAgreement | None = None
     membership: MembershipTable | None = None
-    write_count: int = 0  # of what is on disk, as it tells in its frames
+    write_count: int = 0  # of the state on disk, as its frames report it
     writes: list[PersistState] = field(default_factory=list)
 
 
 class Walk:
-    """``mistake`` may change each Views that is made."""
+    """One walk. ``mistake`` is called with each new agreement and may change it, for tests of this checker."""
 
     def __init__(self, nodes: int, seed: int, mistake: Callable[[ViewAgreement], None] | None = None) -> None:
-        self.chance, self.mistake = random.Random(f"{seed} walk"), mistake
-        self.terms = LEASES if seed % 2 else VOTES
+        self.rng, self.mistake = random.Random(f"{seed} walk"), mistake
+        self.timing = WITH_LEASES if seed % 2 else WITHOUT_LEASES
         self.names = [f"r{k + 1}" for k in range(nodes)]
         self.now = 0
-        self.places = {name: Place(name) for name in self.names}
-        self.flying: list[tuple[str, Identity, str, object, int, int]] = []
+        self.simulated_nodes = {name: SimulatedNode(name) for name in self.names}
+        self.in_flight: list[tuple[str, Identity, str, object, int, int]] = []
         self.decided: dict[int, View] = {}
-        self.trail: list[str] = []
-        self._boot = self._forgotten = 0
-        self._apart = ""  # the node that nothing reaches and that reaches nobody, if any
-        self._acts = (
+        self.trace: list[str] = []
+        self._boot = self._lost_states = 0
+        self._isolated = ""  # name of the isolated node, if any
+        self._actions = (
             self._deliver,
             self._write,
             self._propose,
-            self._ask,
+            self._request_leases,
             self._wait,
-            self._crash,
-            self._back,
+            self._stop_process,
+            self._start_process,
             self._exchange,
-            self._forget,
-            self._bounce,
-            self._cut,
+            self._lose_state,
+            self._restart,
+            self._toggle_isolation,
         )
-        wide = 2.0 if seed % 4 > 1 else 1.0
+        spread = 2.0 if seed % 4 > 1 else 1.0
         self._weights = [
-            usual * 2 ** self.chance.uniform(-wide, wide) for usual in (80, 40, 2, 4, 2.5, 0.3, 4, 4, 0.12, 0.6, 0.8)
+            weight * 2 ** self.rng.uniform(-spread, spread) for weight in (80, 40, 2, 4, 2.5, 0.3, 4, 4, 0.12, 0.6, 0.8)
         ]
-        if self.terms is VOTES:
-            self._weights[3] = 0.0  # nobody asks for leases
+        if self.timing is WITHOUT_LEASES:
+            self._weights[3] = 0.0  # no lease requests
             self._weights[2] *= 2
-            self._weights[9] *= 3  # votes are forgotten, if at all, by a process that starts anew
+            self._weights[9] *= 3  # only a restart can make a faulty process forget votes
         members = self.names if nodes < 5 else self.names[:3]
         first = View(1, 7, tuple(Identity(name, 1, k + 1) for k, name in enumerate(members)))
         self._boot = nodes
-        for number, place in enumerate(self.places.values()):
-            place.disk = DurableState(first, votes=number < len(members))
-            self._start(place, Identity(place.name, 1, number + 1))
-
-    def _start(self, place: Place, me: Identity) -> None:
-        place.generation = me.generation
-        place.membership = MembershipTable(self.names)
-        place.agreement = ViewAgreement(me, self.names, "walk", self.now, place.disk, place.membership, {}, self.terms)
-        place.write_count = place.agreement.durable.write_count
-        place.writes = []
+        for number, node in enumerate(self.simulated_nodes.values()):
+            node.disk = DurableState(first, votes=number < len(members))
+            self._start(node, Identity(node.name, 1, number + 1))
+
+    def _start(self, node: SimulatedNode, me: Identity) -> None:
+        node.generation = me.generation
+        node.membership = MembershipTable(self.names)
+        node.agreement = ViewAgreement(me, self.names, "walk", self.now, node.disk, node.membership, {}, self.timing)
+        node.write_count = node.agreement.durable.write_count
+        node.writes = []
         if self.mistake is not None:
-            self.mistake(place.agreement)
+            self.mistake(node.agreement)
 
-    def _carry(self, place: Place, orders: list) -> None:
-        queue = list(orders)
+    def _execute(self, node: SimulatedNode, instructions: list) -> None:
+        queue = list(instructions)
         while queue:
-            order = queue.pop(0)
-            if isinstance(order, SendViewMessage):
-                if order.to == place.name:
-                    queue += place.agreement.receive(self.now, place.name, place.agreement.me, order.message)
+            instruction = queue.pop(0)
+            if isinstance(instruction, SendViewMessage):
+                if instruction.to == node.name:
+                    queue += node.agreement.receive(self.now, node.name, node.agreement.me, instruction.message)
                 else:
-                    self.flying.append(
+                    self.in_flight.append(
                         (
-                            place.name,
-                            place.agreement.me,
-                            order.to,
-                            order.message,
-                            place.agreement.number,
-                            place.write_count,
+                            node.name,
+                            node.agreement.me,
+                            instruction.to,
+                            instruction.message,
+                            node.agreement.number,
+                            node.write_count,
                         )
                     )
-            elif isinstance(order, PersistState):
-                place.writes.append(order)
-        self._judge(place)
+            elif isinstance(instruction, PersistState):
+                node.writes.append(instruction)
+        self._check_invariants(node)
 
-    # What may happen next ------------------------------------------------------------------------
+    # Actions -------------------------------------------------------------------------------------
 
     def step(self) -> None:
-        """One thing, drawn by its weight."""
-        act = self.chance.choices(self._acts, self._weights)[0]
-        act(self.places[self.chance.choice(self.names)])
+        """Take one action, drawn by weight."""
+        action = self.rng.choices(self._actions, self._weights)[0]
+        action(self.simulated_nodes[self.rng.choice(self.names)])
 
-    def _deliver(self, _place: Place) -> None:
-        if not self.flying:
+    def _deliver(self, _node: SimulatedNode) -> None:
+        if not self.in_flight:
             return
-        number = self.chance.randrange(len(self.flying)) if self.chance.random() < 0.5 else 0
-        sender, identity, to, word, view, mark = self.flying[number]
-        if self.chance.random() < 0.85:
-            self.flying.pop(number)  # else it comes once more
-        place = self.places[to]
-        if self._apart in (sender, to):
+        number = self.rng.randrange(len(self.in_flight)) if self.rng.random() < 0.5 else 0
+        sender, identity, to, message, view, write_count = self.in_flight[number]
+        if self.rng.random() < 0.85:
+            self.in_flight.pop(number)  # else it is delivered once more
+        node = self.simulated_nodes[to]
+        if self._isolated in (sender, to):
             return
-        if place.agreement is None or self.chance.random() < 0.1:
+        if node.agreement is None or self.rng.random() < 0.1:
             return
-        self.trail.append(f"{sender}>{to} {word}")
-        self._carry(place, place.agreement.peer_view_seen(self.now, sender, view, mark))
-        self._carry(place, place.agreement.receive(self.now, sender, identity, word))
+        self.trace.append(f"{sender}>{to} {message}")
+        self._execute(node, node.agreement.peer_view_seen(self.now, sender, view, write_count))
+        self._execute(node, node.agreement.receive(self.now, sender, identity, message))
 
-    def _write(self, place: Place) -> None:
-        if place.agreement is None or not place.writes:
+    def _write(self, node: SimulatedNode) -> None:
+        if node.agreement is None or not node.writes:
             return
-        order = place.writes.pop(0)
-        if place.disk is not None:
-            place.older.append(place.disk)
-        place.disk, place.write_count = order.durable, max(place.write_count, order.durable.write_count)
-        self.trail.append(f"{place.name} writes")
-        self._carry(place, list(order.then))
-
-    def _propose(self, place: Place) -> None:
-        agreement = place.agreement
+        instruction = node.writes.pop(0)
+        if node.disk is not None:
+            node.older.append(node.disk)
+        node.disk, node.write_count = instruction.durable, max(node.write_count, instruction.durable.write_count)
+        self.trace.append(f"{node.name} writes")
+        self._execute(node, list(instruction.then))
+
+    def _propose(self, node: SimulatedNode) -> None:
+        agreement = node.agreement
         if agreement is None or agreement.view is None or not agreement.votes(self.now):
             return
-        if agreement.proposing and self.chance.random() < 0.8:
+        if agreement.proposing and self.rng.random() < 0.8:
             return
         view = agreement.view
-        removed = [one.name for one in view.members if one.name != place.name]
-        if self._apart in removed and self.chance.random() < 0.7:
-            removed = [self._apart]
+        removed = [one.name for one in view.members if one.name != node.name]
+        if self._isolated in removed and self.rng.random() < 0.7:
+            removed = [self._isolated]
         added = [
             other.agreement.me
-            for other in self.places.values()
+            for other in self.simulated_nodes.values()
             if other.agreement is not None and view.identity_of(other.name) != other.agreement.me
         ]
-        self.chance.shuffle(removed)
+        self.rng.shuffle(removed)
         change = MembershipChange(
-            tuple(sorted(removed[: self.chance.randint(0, (len(view.members) - 1) // 2)])),
-            tuple(one for one in added if self.chance.random() < 0.7),
+            tuple(sorted(removed[: self.rng.randint(0, (len(view.members) - 1) // 2)])),
+            tuple(one for one in added if self.rng.random() < 0.7),
         )
         change = MembershipChange(
             tuple(name for name in change.removed if name not in {one.name for one in change.added}), change.added
         )
         if change.removed or change.added or agreement.durable.accepted:
-            self.trail.append(f"{place.name} proposes {change}")
-            self._carry(place, agreement.propose(self.now, agreement.durable.accepted or change))
-
-    def _ask(self, place: Place) -> None:
-        if place.agreement is not None:
-            self._carry(place, place.agreement.request_leases(self.now))
-
-    def _wait(self, _place: Place) -> None:
-        self.now += JUMP
-        self.trail.append("time goes on")
-        for place in self.places.values():
-            if place.agreement is not None and self.chance.random() < 0.5:
-                self._carry(place, place.agreement.tick(self.now))
-
-    def _crash(self, place: Place) -> None:
-        if place.agreement is not None:
-            self.trail.append(f"{place.name} ends")
-            place.agreement, place.writes = None, []
-
-    def _back(self, place: Place) -> None:
-        if place.agreement is not None:
+            self.trace.append(f"{node.name} proposes {change}")
+            self._execute(node, agreement.propose(self.now, agreement.durable.accepted or change))
+
+    def _request_leases(self, node: SimulatedNode) -> None:
+        if node.agreement is not None:
+            self._execute(node, node.agreement.request_leases(self.now))
+
+    def _wait(self, _node: SimulatedNode) -> None:
+        self.now += TIME_STEP_US
+        self.trace.append("time advances")
+        for node in self.simulated_nodes.values():
+            if node.agreement is not None and self.rng.random() < 0.5:
+                self._execute(node, node.agreement.tick(self.now))
+
+    def _stop_process(self, node: SimulatedNode) -> None:
+        if node.agreement is not None:
+            self.trace.append(f"{node.name} ends")
+            node.agreement, node.writes = None, []
+
+    def _start_process(self, node: SimulatedNode) -> None:
+        if node.agreement is not None:
             return
         self._boot += 1
-        self.trail.append(f"{place.name} starts")
-        self._start(place, Identity(place.name, place.generation + 1, self._boot))
+        self.trace.append(f"{node.name} starts")
+        self._start(node, Identity(node.name, node.generation + 1, self._boot))
 
-    def _cut(self, place: Place) -> None:
-        """One is cut off from now on, of those that may act if there are any; or nobody is any more."""
+    def _toggle_isolation(self, node: SimulatedNode) -> None:
+        """End the isolation of a node, or isolate one, if possible one that may act."""
         acting = [
-            one.name for one in self.places.values() if one.agreement is not None and one.agreement.may_act(self.now)
+            one.name
+            for one in self.simulated_nodes.values()
+            if one.agreement is not None and one.agreement.may_act(self.now)
         ]
-        self._apart = "" if self._apart else self.chance.choice(acting or [place.name])
-        self.trail.append(f"{self._apart or 'nobody'} is cut off")
-
-    def _bounce(self, place: Place) -> None:
-        """It ends, starts and hears what the others remember, all in a moment; sometimes with its memory lost."""
-        self._crash(place)
-        if self.chance.random() < 0.3:
-            self._forget(place)
-        self._back(place)
-        for other in self.places.values():
-            self._exchange(place, other)
-
-    def _exchange(self, place: Place, with_: Place | None = None) -> None:
-        other = with_ or self.places[self.chance.choice(self.names)]
-        if self._apart in (place.name, other.name):
+        self._isolated = "" if self._isolated else self.rng.choice(acting or [node.name])
+        self.trace.append(f"{self._isolated or 'nobody'} is isolated")
+
+    def _restart(self, node: SimulatedNode) -> None:
+        """Restart at once, sometimes with the durable state lost, and exchange state with all others."""
+        self._stop_process(node)
+        if self.rng.random() < 0.3:
+            self._lose_state(node)
+        self._start_process(node)
+        for other in self.simulated_nodes.values():
+            self._exchange(node, other)
+
+    def _exchange(self, node: SimulatedNode, with_: SimulatedNode | None = None) -> None:
+        other = with_ or self.simulated_nodes[self.rng.choice(self.names)]
+        if self._isolated in (node.name, other.name):
             return
-        if other is place or place.agreement is None or other.agreement is None:
+        if other is node or node.agreement is None or other.agreement is None:
             return
-        self.trail.append(f"{place.name} and {other.name} exchange")
-        for one, far in ((place, other), (other, place)):
-            marks = far.agreement.write_counts | {far.name: far.write_count}
-            self._carry(one, one.agreement.peer_view_seen(self.now, far.name, far.agreement.number, far.write_count))
-            self._carry(one, one.agreement.receive_exchange(self.now, far.name, far.agreement.view, marks))
-            if far.agreement is not None and one.membership is not None:
-                one.membership.merge(MemberUpdate(*far.agreement.me, 0, State.ALIVE), self.now)
-
-    def _forget(self, place: Place) -> None:
-        """Its memory is lost, or an older one comes back: of the older ones, one whose last votes the others know."""
+        self.trace.append(f"{node.name} and {other.name} exchange")
+        for one, peer in ((node, other), (other, node)):
+            write_counts = peer.agreement.write_counts | {peer.name: peer.write_count}
+            self._execute(
+                one, one.agreement.peer_view_seen(self.now, peer.name, peer.agreement.number, peer.write_count)
+            )
+            self._execute(one, one.agreement.receive_exchange(self.now, peer.name, peer.agreement.view, write_counts))
+            if peer.agreement is not None and one.membership is not None:
+                one.membership.merge(MemberUpdate(*peer.agreement.me, 0, State.ALIVE), self.now)
+
+    def _lose_state(self, node: SimulatedNode) -> None:
+        """Lose the durable state, or roll it back, if the others know of the writes that are lost by it."""
         known = all(
-            place.write_count <= dict(other.disk.peer_write_counts).get(place.name, 0)
-            for other in self.places.values()
-            if other is not place and other.disk is not None
+            node.write_count <= dict(other.disk.peer_write_counts).get(node.name, 0)
+            for other in self.simulated_nodes.values()
+            if other is not node and other.disk is not None
         )
-        if self._forgotten >= (len(self.names) - 1) // 2:
-            return  # with more of them no majority remembers, and nothing happens any more
-        if self.chance.random() < 0.5 and place.older and known:
-            place.disk = self.chance.choice(place.older)
-        elif self.chance.random() < 0.5:
-            place.disk = None
+        if self._lost_states >= (len(self.names) - 1) // 2:
+            return  # with more of them no majority has its state, and no view can be decided
+        if self.rng.random() < 0.5 and node.older and known:
+            node.disk = self.rng.choice(node.older)
+        elif self.rng.random() < 0.5:
+            node.disk = None
         else:
             return
-        self._forgotten += 1
-        self.trail.append(f"{place.name} forgets")
-        place.agreement, place.writes, place.older = None, [], []
+        self._lost_states += 1
+        self.trace.append(f"{node.name} loses its state")
+        node.agreement, node.writes, node.older = None, [], []
 
-    # Judging -------------------------------------------------------------------------------------
+    # Invariants ----------------------------------------------------------------------------------
 
-    def _judge(self, place: Place) -> None:
-        view = place.agreement.view
+    def _check_invariants(self, node: SimulatedNode) -> None:
+        view = node.agreement.view
         if view is not None:
             known = self.decided.setdefault(view.number, view)
             if known != view:
                 raise InvariantViolation(f"view {view.number} is {known} and {view}")
         acting = [
             (other.agreement.view, other.agreement.me)
-            for other in self.places.values()
+            for other in self.simulated_nodes.values()
             if other.agreement is not None and other.agreement.may_act(self.now)
         ]
         for one, me in acting:
@@ -271,20 +273,20 @@
 
 
 def walk(nodes: int, seed: int, steps: int = 1200, mistake: Callable[[ViewAgreement], None] | None = None) -> Walk:
-    """One seeded walk. Raises InvariantViolation, with the seed and the last steps."""
+    """Run one seeded walk. Raises InvariantViolation, with the seed and the last steps."""
     one = Walk(nodes, seed, mistake)
     try:
         for _ in range(steps):
             one.step()
     except InvariantViolation as breach:
         raise InvariantViolation(
-            f"walk {seed}, {nodes} nodes: {breach}; the last steps: {'; '.join(one.trail[-12:])}"
+            f"walk {seed}, {nodes} nodes: {breach}; the last steps: {'; '.join(one.trace[-12:])}"
         ) from breach
     return one
 
 
 def main() -> None:
-    """``python -m lab.cluster.explore FIRST LAST [NODES]``: these walks; exit code 1 with the first breach."""
+    """``python -m lab.cluster.explore FIRST LAST [NODES]``: run these walks; exit code 1 at the first violation."""
     import sys
 
     first, last = int(sys.argv[1]), int(sys.argv[2])
--- a/lab/cluster/faults.py
+++ b/lab/cluster/faults.py
@@ -1,4 +1,4 @@
-"""Faults drawn from a seed: what happens to which node or link, when, and for how long."""
+"""Fault schedules drawn from a seed, and the injection of each fault into a running cluster."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from dataclasses import dataclass
 
 from lab.cluster import odd
-from lab.cluster.links import Weather
+from lab.cluster.links import LinkConditions
 from lab.cluster.nodes import Cluster, Node
-from lab.partner import Mood
+from lab.partner import EndpointBehaviour
 from lynxscale.relay.cluster import frame
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """``at`` and ``lasts`` in seconds; ``nodes`` whom it strikes."""
+    """One scheduled fault and the nodes that it affects. ``start_s`` counts from the begin of the run."""
 
-    at: float
-    lasts: float
+    start_s: float
+    duration_s: float
     kind: str
     nodes: tuple[str, ...]
 
     def __str__(self) -> str:
-        return f"{self.at:5.1f} s  {self.kind} {' '.join(self.nodes)}, for {self.lasts:.1f} s"
+        return f"{self.start_s:5.1f} s  {self.kind} {' '.join(self.nodes)}, for {self.duration_s:.1f} s"
 
 
-# Of processes; ``early`` is a kill in a start, ``all`` one of all nodes at once. Those in FORGETS take a node's memory:
-# not more than one at a time, else no majority remembers.
-PROCESS = ("kill", "stop", "term", "early", "all", "forget", "older")
-FORGETS = ("forget", "older")
-LINK = (
+# Faults of processes: ``early`` kills a process while it starts, ``all`` kills all nodes at once. Those of
+# STATE_LOSS_FAULTS take a node's durable state away, one node at a time, as else no majority may have its state.
+PROCESS_FAULTS = ("kill", "stop", "term", "early", "all", "forget", "older")
+STATE_LOSS_FAULTS = ("forget", "older")
+LINK_FAULTS = (
     "loss",
     "late",
     "outbound_cut",
@@ -51,212 +51,229 @@
     "replayed",
     "garbage",
 )
-# Of the partner, for all nodes; of a node's wall clock, and of how long its disk takes to sync, in seconds.
-MOODS = {
-    "slow_partner": Mood(latency_ms=400),
-    "refusing_partner": Mood(refusing=0.5, wait_s=0.2),
-    "failing_partner": Mood(failing=0.2, dropping=0.1),
+# Faults of the partner, which affect all nodes.
+PARTNER_FAULTS = {
+    "slow_partner": EndpointBehaviour(latency_ms=400),
+    "refusing_partner": EndpointBehaviour(refusing=0.5, wait_s=0.2),
+    "failing_partner": EndpointBehaviour(failing=0.2, dropping=0.1),
 }
-ODD = {"wall": (odd.WALL, (-3600.0, 3600.0)), "slow_disk": (odd.SYNC, (0.05, 0.2, 0.6))}
-BESIDE = (*MOODS, *ODD)
-ALL = PROCESS + LINK + BESIDE
-REST = 1.0  # seconds at the end without a new fault
-SPANS = (0.3, 1.0, 3.0, 6.0)  # seconds, as are those below, for which one process stands still in a long run
-STOPS = (0.1, *SPANS, 20.0, 42.0)
-STOPS_FROM = 300.0
-START_TAKES = 1.0  # seconds at most, until a process serves
+# Faults of a node's wall clock (offset in seconds) and of its disk (seconds for each sync).
+SYSTEM_FAULTS = {"wall": (odd.WALL_CLOCK_OFFSET, (-3600.0, 3600.0)), "slow_disk": (odd.SYNC_DELAY, (0.05, 0.2, 0.6))}
+ENVIRONMENT_FAULTS = (*PARTNER_FAULTS, *SYSTEM_FAULTS)
+ALL = PROCESS_FAULTS + LINK_FAULTS + ENVIRONMENT_FAULTS
+QUIET_END_S = 1.0  # no fault starts this close to the end
+DURATIONS_S = (0.3, 1.0, 3.0, 6.0)
+# Runs of at least LONG_RUN_S pause processes for these durations instead.
+LONG_RUN_PAUSES_S = (0.1, *DURATIONS_S, 20.0, 42.0)
+LONG_RUN_S = 300.0
+MAX_START_S = 1.0  # upper bound of the time that a process takes to start
 
 
 def draw(seed: int, names: list[str], seconds: float, at_once: int = 1, kinds: tuple[str, ...] = ALL) -> list[Fault]:
-    """Faults one behind the other, or ``at_once`` such rows side by side; most strike less than half of the nodes."""
-    found = []
-    forgets_at = -1.0
-    for row in range(at_once):
-        chance = random.Random(f"{seed} {row} faults")
-        at = chance.uniform(0.2, 1.0)
-        while at < seconds - REST:
-            kind = chance.choice(kinds)
-            spans = STOPS if kind == "stop" and seconds >= STOPS_FROM else SPANS
-            lasts = min(chance.choice(spans) * chance.uniform(0.7, 1.4), seconds - at)
-            if kind in FORGETS:
-                if row or at < forgets_at:
+    """Draw ``at_once`` concurrent sequences of faults. Most faults affect less than half of the nodes."""
+    faults = []
+    state_loss_allowed_at = -1.0
+    for sequence in range(at_once):
+        rng = random.Random(f"{seed} {sequence} faults")
+        at = rng.uniform(0.2, 1.0)
+        while at < seconds - QUIET_END_S:
+            kind = rng.choice(kinds)
+            durations = LONG_RUN_PAUSES_S if kind == "stop" and seconds >= LONG_RUN_S else DURATIONS_S
+            duration_s = min(rng.choice(durations) * rng.uniform(0.7, 1.4), seconds - at)
+            if kind in STATE_LOSS_FAULTS:
+                if sequence or at < state_loss_allowed_at:
                     at += 0.05
                     continue
-                forgets_at = at + lasts + 12.0  # until a view has it again
-            most = max(1, (len(names) - 1) // 2)
-            few = chance.randint(1, most) if kind in ("kill", "stop", "isolated") and not row else 1
-            few = {"one_way": 2, "all": len(names)}.get(kind, few)
-            found.append(Fault(at, lasts, kind, tuple(sorted(chance.sample(names, few)))))
-            at += lasts + chance.uniform(0.2, 2.0)
-    return sorted(found, key=lambda fault: fault.at)
+                state_loss_allowed_at = at + duration_s + 12.0  # until the node is a member of a view again
+            max_targets = max(1, (len(names) - 1) // 2)
+            target_count = rng.randint(1, max_targets) if kind in ("kill", "stop", "isolated") and not sequence else 1
+            target_count = {"one_way": 2, "all": len(names)}.get(kind, target_count)
+            faults.append(Fault(at, duration_s, kind, tuple(sorted(rng.sample(names, target_count)))))
+            at += duration_s + rng.uniform(0.2, 2.0)
+    return sorted(faults, key=lambda fault: fault.start_s)
 
 
-class Weathers:
-    """Weather of links by several faults at once: the worst of each; and the partner's mood: the last that came."""
+class ActiveFaults:
+    """Combines concurrent faults: each link gets the worst conditions, the partner the behaviour that was set last."""
 
     def __init__(self, cluster: Cluster) -> None:
-        self._cluster, self._usual = cluster, cluster.partner.mood
-        self._moods: dict[int, Mood] = {}
-        self._told: dict[int, dict[tuple[str, str], Weather]] = {}
+        self._cluster, self._default_behaviour = cluster, cluster.partner.behaviour
+        self._behaviours: dict[int, EndpointBehaviour] = {}
+        self._conditions: dict[int, dict[tuple[str, str], LinkConditions]] = {}
 
-    def put(self, fault: int, weathers: dict[tuple[str, str], Weather]) -> None:
-        self._told[fault] = weathers
+    def set_conditions(self, fault: int, conditions: dict[tuple[str, str], LinkConditions]) -> None:
+        self._conditions[fault] = conditions
         self._apply()
 
-    def over(self, fault: int) -> None:
-        self._told.pop(fault, None)
+    def remove(self, fault: int) -> None:
+        self._conditions.pop(fault, None)
         self._apply()
 
-    def put_mood(self, fault: int, mood: Mood | None) -> None:
-        self._moods.pop(fault, None)
-        if mood is not None:
-            self._moods[fault] = mood
-        self._cluster.partner.mood = next(reversed(self._moods.values()), self._usual)
+    def set_partner_behaviour(self, fault: int, behaviour: EndpointBehaviour | None) -> None:
+        self._behaviours.pop(fault, None)
+        if behaviour is not None:
+            self._behaviours[fault] = behaviour
+        self._cluster.partner.behaviour = next(reversed(self._behaviours.values()), self._default_behaviour)
 
     def _apply(self) -> None:
-        for way, link in self._cluster.mesh.links.items():
-            all_ = [weathers[way] for weathers in self._told.values() if way in weathers]
-            link.weather = Weather(
-                cut=any(one.cut for one in all_),
-                loss=max((one.loss for one in all_), default=0.0),
-                delay_ms=max((one.delay_ms for one in all_), default=0.0),
-                jitter_ms=max((one.jitter_ms for one in all_), default=0.0),
-                doubled=max((one.doubled for one in all_), default=0.0),
-                spoilt=max((one.spoilt for one in all_), default=0.0),
-                bytes_per_s=max((one.bytes_per_s for one in all_), default=0.0),
-                cut_at=min((one.cut_at for one in all_ if one.cut_at is not None), default=None),
-                refused=any(one.refused for one in all_),
+        for pair, link in self._cluster.mesh.links.items():
+            active = [conditions[pair] for conditions in self._conditions.values() if pair in conditions]
+            link.conditions = LinkConditions(
+                cut=any(one.cut for one in active),
+                loss=max((one.loss for one in active), default=0.0),
+                delay_ms=max((one.delay_ms for one in active), default=0.0),
+                jitter_ms=max((one.jitter_ms for one in active), default=0.0),
+                duplicated=max((one.duplicated for one in active), default=0.0),
+                corrupted=max((one.corrupted for one in active), default=0.0),
+                bytes_per_s=max((one.bytes_per_s for one in active), default=0.0),
+                reset_after_bytes=min(
+                    (one.reset_after_bytes for one in active if one.reset_after_bytes is not None), default=None
+                ),
+                refused=any(one.refused for one in active),
             )
 
 
-def ways_of(
-    kind: str, struck: tuple[str, ...], names: list[str], chance: random.Random
-) -> dict[tuple[str, str], Weather]:
-    """The weather of each link that a fault of this kind touches."""
-    pairs = [(frm, to) for frm in names for to in names if frm != to]
-    one = struck[0]
+def conditions_of(
+    kind: str, targets: tuple[str, ...], names: list[str], rng: random.Random
+) -> dict[tuple[str, str], LinkConditions]:
+    """The conditions of each link that a fault of this kind affects."""
+    pairs = [(source, to) for source in names for to in names if source != to]
+    target = targets[0]
     if kind in ("loss", "late", "doubled", "spoilt", "refused", "trickle"):
-        weather = {
-            "loss": Weather(loss=chance.choice((0.1, 0.3, 0.6, 0.8))),
-            "late": Weather(delay_ms=chance.choice((20, 80)), jitter_ms=chance.choice((50, 200))),
-            "doubled": Weather(doubled=0.5),
-            "spoilt": Weather(spoilt=0.3),
-            "refused": Weather(refused=True),
-            "trickle": Weather(bytes_per_s=1000, cut_at=chance.choice((None, 1, 40, 200))),
+        conditions = {
+            "loss": LinkConditions(loss=rng.choice((0.1, 0.3, 0.6, 0.8))),
+            "late": LinkConditions(delay_ms=rng.choice((20, 80)), jitter_ms=rng.choice((50, 200))),
+            "doubled": LinkConditions(duplicated=0.5),
+            "spoilt": LinkConditions(corrupted=0.3),
+            "refused": LinkConditions(refused=True),
+            "trickle": LinkConditions(bytes_per_s=1000, reset_after_bytes=rng.choice((None, 1, 40, 200))),
         }[kind]
-        touched = pairs if chance.random() < 0.5 else [way for way in pairs if one in way]
-        return {way: weather for way in touched}
-    cut = Weather(cut=True)
-    place = {name: k for k, name in enumerate(names)}
+        affected = pairs if rng.random() < 0.5 else [pair for pair in pairs if target in pair]
+        return {pair: conditions for pair in affected}
+    cut = LinkConditions(cut=True)
+    position = {name: k for k, name in enumerate(names)}
     half = set(names[: (len(names) + 1) // 2])
-    apart: dict[str, Callable[[str, str], bool]] = {
-        "outbound_cut": lambda frm, to: frm == one,
-        "inbound_cut": lambda frm, to: to == one,
-        "one_way": lambda frm, to: frm == one and to == struck[-1],
-        "isolated": lambda frm, to: (frm in struck) != (to in struck),
-        "flapping": lambda frm, to: one in (frm, to),
-        "halves": lambda frm, to: (frm in half) != (to in half),
-        "bridge": lambda frm, to: one not in (frm, to) and (frm in half) != (to in half),
-        "ring": lambda frm, to: (place[frm] - place[to]) % len(names) not in (1, len(names) - 1),
+    is_cut: dict[str, Callable[[str, str], bool]] = {
+        "outbound_cut": lambda source, to: source == target,
+        "inbound_cut": lambda source, to: to == target,
+        "one_way": lambda source, to: source == target and to == targets[-1],
+        "isolated": lambda source, to: (source in targets) != (to in targets),
+        "flapping": lambda source, to: target in (source, to),
+        "halves": lambda source, to: (source in half) != (to in half),
+        "bridge": lambda source, to: target not in (source, to) and (source in half) != (to in half),
+        "ring": lambda source, to: (position[source] - position[to]) % len(names) not in (1, len(names) - 1),
     }
-    return {(frm, to): cut for frm, to in pairs if apart[kind](frm, to)}
+    return {(source, to): cut for source, to in pairs if is_cut[kind](source, to)}
 
 
-async def strike(
-    cluster: Cluster, weathers: Weathers, number: int, fault: Fault, seed: int, left: list[str], busy: set[str]
+async def inject(
+    cluster: Cluster,
+    active_faults: ActiveFaults,
+    number: int,
+    fault: Fault,
+    seed: int,
+    stopped_boots: list[str],
+    busy: set[str],
 ) -> None:
-    """Carry one fault out and make it good again. ``busy``: nodes that another process fault has in hand; ``left``
-    gets the boots of processes that are told to stop."""
-    chance = random.Random(f"{seed} {number} strike")
-    if fault.kind in PROCESS:
-        ours = [cluster.nodes[name] for name in fault.nodes if name not in busy]
-        busy.update(node.name for node in ours)
+    """Inject one fault, wait for its duration, and undo it.
+
+    ``busy``: nodes that a process fault affects at the moment; others skip them. ``stopped_boots`` collects the boot
+    ids of processes that are asked to stop.
+    """
+    rng = random.Random(f"{seed} {number} strike")
+    if fault.kind in PROCESS_FAULTS:
+        nodes = [cluster.nodes[name] for name in fault.nodes if name not in busy]
+        busy.update(node.name for node in nodes)
         try:
-            await asyncio.gather(*(_process(fault, cluster, node, left, chance.random()) for node in ours))
+            await asyncio.gather(
+                *(_inject_process_fault(fault, cluster, node, stopped_boots, rng.random()) for node in nodes)
+            )
         finally:
-            busy.difference_update(node.name for node in ours)
-    elif fault.kind in MOODS:
-        weathers.put_mood(number, MOODS[fault.kind])
-        await asyncio.sleep(fault.lasts)
-        weathers.put_mood(number, None)
-    elif fault.kind in ODD:
-        place, values = ODD[fault.kind]
+            busy.difference_update(node.name for node in nodes)
+    elif fault.kind in PARTNER_FAULTS:
+        active_faults.set_partner_behaviour(number, PARTNER_FAULTS[fault.kind])
+        await asyncio.sleep(fault.duration_s)
+        active_faults.set_partner_behaviour(number, None)
+    elif fault.kind in SYSTEM_FAULTS:
+        slot, values = SYSTEM_FAULTS[fault.kind]
         folders = [cluster.nodes[name].folder for name in fault.nodes]
         for folder in folders:
-            odd.put(folder, place, chance.choice(values))
-        await asyncio.sleep(fault.lasts)
+            odd.set_value(folder, slot, rng.choice(values))
+        await asyncio.sleep(fault.duration_s)
         for folder in folders:
-            odd.put(folder, place, 0.0)
+            odd.set_value(folder, slot, 0.0)
     elif fault.kind in ("replayed", "garbage"):
-        await _noise(cluster, fault, chance)
+        await _inject_frames(cluster, fault, rng)
     else:
-        told = ways_of(fault.kind, fault.nodes, cluster.names, chance)
+        conditions = conditions_of(fault.kind, fault.nodes, cluster.names, rng)
         if fault.kind == "flapping":
-            for _ in range(max(1, int(fault.lasts / 0.8))):
-                weathers.put(number, told)
+            for _ in range(max(1, int(fault.duration_s / 0.8))):
+                active_faults.set_conditions(number, conditions)
                 await asyncio.sleep(0.4)
-                weathers.over(number)
+                active_faults.remove(number)
                 await asyncio.sleep(0.4)
         else:
-            weathers.put(number, told)
-            await asyncio.sleep(fault.lasts)
-            weathers.over(number)
+            active_faults.set_conditions(number, conditions)
+            await asyncio.sleep(fault.duration_s)
+            active_faults.remove(number)
 
 
-async def _all_in_view(cluster: Cluster, but: Node) -> bool:
-    """Do the others all belong to the view? With fewer, one memory lost may leave no majority that remembers, and
-    nobody decides any more: so by design, and not looked for here."""
-    looks = await cluster.looks()
-    views = [seen.status["view"] for name, seen in looks.items() if name != but.name]
+async def _all_in_view(cluster: Cluster, excluded: Node) -> bool:
+    """Whether all other nodes are members of a complete view. With fewer of them, the loss of one node's state may
+    leave no majority that has its state, and no view can be decided any more; that is by design and not tested here."""
+    observations = await cluster.query_all()
+    views = [observation.status["view"] for name, observation in observations.items() if name != excluded.name]
     return len(views) == len(cluster.names) - 1 and all(
         view is not None and len(view["members"]) == len(cluster.names) for view in views
     )
 
 
-async def _process(fault: Fault, cluster: Cluster, node: Node, left: list[str], share: float) -> None:
-    """``share``: of the fault's time or of a start, where it lets that choose."""
+async def _inject_process_fault(
+    fault: Fault, cluster: Cluster, node: Node, stopped_boots: list[str], fraction: float
+) -> None:
+    """``fraction``: of the fault's duration or of a process start, for kinds whose timing is drawn."""
     if fault.kind == "stop":
         node.pause()
-        await asyncio.sleep(fault.lasts)
-        node.go_on()
+        await asyncio.sleep(fault.duration_s)
+        node.resume()
         return
     if fault.kind == "older":
-        node.copy_memory("older")
-        await asyncio.sleep(fault.lasts)
+        node.backup_state("older")
+        await asyncio.sleep(fault.duration_s)
     if fault.kind == "term":
-        seen = await node.look()
-        if seen is not None:
-            left.append(seen.status["boot"])
+        observation = await node.query_status()
+        if observation is not None:
+            stopped_boots.append(observation.status["boot"])
     await node.stop(signal.SIGTERM if fault.kind == "term" else signal.SIGKILL)
     if fault.kind == "early":
         await node.spawn()
-        await asyncio.sleep(share * START_TAKES)
+        await asyncio.sleep(fraction * MAX_START_S)
         await node.stop(signal.SIGKILL)
-    if fault.kind not in FORGETS:
-        await asyncio.sleep(fault.lasts * (share if fault.kind == "all" else 1.0))
-    if fault.kind in FORGETS and await _all_in_view(cluster, node):
-        node.put_memory("older" if fault.kind == "older" else None)
+    if fault.kind not in STATE_LOSS_FAULTS:
+        await asyncio.sleep(fault.duration_s * (fraction if fault.kind == "all" else 1.0))
+    if fault.kind in STATE_LOSS_FAULTS and await _all_in_view(cluster, node):
+        node.restore_state("older" if fault.kind == "older" else None)
     await node.start()
 
 
-async def _noise(cluster: Cluster, fault: Fault, chance: random.Random) -> None:
-    """Frames that were sent once are sent again, or bytes that are none, to one node from all others."""
+async def _inject_frames(cluster: Cluster, fault: Fault, rng: random.Random) -> None:
+    """Send recorded frames again (``replayed``), or bytes that are no valid frame, to one node from all others."""
     to = fault.nodes[0]
     links = [link for (_, name), link in cluster.mesh.links.items() if name == to]
     if fault.kind == "replayed":
-        # Each has recorders of its own: another such fault may begin or end meanwhile.
+        # Each fault has its own recorders, since another replay may begin or end meanwhile.
         recorders = [(link, deque(maxlen=256)) for link in links]
         for link, recorder in recorders:
             link.recorders.append(recorder)
-        await asyncio.sleep(fault.lasts)
+        await asyncio.sleep(fault.duration_s)
         for link, recorder in recorders:
             link.recorders = [one for one in link.recorders if one is not recorder]
             for data in recorder:
                 link.send(data)
         return
     for _ in range(200):
-        data = chance.randbytes(chance.choice((0, 1, 9, 40, 1200)))
-        if chance.random() < 0.5:
-            data = frame.MAGIC + bytes([frame.VERSION]) + data  # as if ours, of any length and any cluster
-        chance.choice(links).send(data)
-        await asyncio.sleep(fault.lasts / 200)
+        data = rng.randbytes(rng.choice((0, 1, 9, 40, 1200)))
+        if rng.random() < 0.5:
+            data = frame.MAGIC + bytes([frame.VERSION]) + data  # a valid magic and version, then random bytes
+        rng.choice(links).send(data)
+        await asyncio.sleep(fault.duration_s / 200)
--- a/lab/cluster/judge.py
+++ b/lab/cluster/judge.py
@@ -1,9 +1,9 @@
-"""What nodes said from outside, held against what is promised of views and leases. It knows nothing of the program.
+"""Checks the statuses that nodes report against the guarantees of views and leases, without using their code.
 
-A node says at its door which view it has, and how long it may act yet. What it said was true at some moment between the
-question and the answer; only what is so for every such moment is called a breach.
+A node's admin server reports its current view, and for how long the node may still act. The answer was true at some
+time between the request and the response; only what is a violation at every such time is reported as a breach.
 
-Judged as it comes: an hour of sixteen nodes is a million answers of 30 kB each, of which only what counts is kept.
+Answers are checked as they arrive and not stored: an hour of sixteen nodes gives a million answers of 30 kB each.
 """
 
 from __future__ import annotations
@@ -12,89 +12,105 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from lab.cluster.nodes import Seen
+from lab.cluster.nodes import StatusObservation
 
-Life = tuple[str, int, str]
+Incarnation = tuple[str, int, str]
 
 
 @dataclass
 class Verdict:
-    """``table``: by node, how often it said what it is; ``breaches`` in words."""
+    """``table``: by node, how often it reported each standing; ``breaches``: a text for each violation."""
 
     table: dict[str, Counter] = field(default_factory=dict)
-    views: dict[int, str] = field(default_factory=dict)  # members by number
+    views: dict[int, str] = field(default_factory=dict)  # by view number: its members
     breaches: list[str] = field(default_factory=list)
-    removals: Counter = field(default_factory=Counter)  # lives that a view has gone on without, by node
+    removals: Counter = field(default_factory=Counter)  # by node: incarnations that a later view excludes
 
     @property
-    def looks(self) -> int:
+    def observations(self) -> int:
         return sum(row.total() for row in self.table.values())
 
 
-def lives_of(view: dict) -> frozenset[Life]:
+def incarnations_of(view: dict) -> frozenset[Incarnation]:
     return frozenset((one["name"], one["life"], one["boot"]) for one in view["members"])
 
 
-class Judge:
-    """``saw`` is told each answer; those of one node in the order in which they were heard."""
+class ViewChecker:
+    """Takes each answer by ``observe``; answers of one node must come in the order in which they arrived."""
 
     def __init__(self) -> None:
-        self._found = Verdict()
-        self._digests: dict[int, tuple[str, str]] = {}  # by number: digest, and who said so
-        self._members: dict[int, frozenset[Life]] = {}
-        self._acted: dict[int, tuple[float, str]] = {}  # by number: the earliest moment by which someone surely acted
-        self._newest: dict[tuple[str, str], int] = {}
-        self._held: dict[tuple[Life, int], float] = {}  # by life and number: until when it might act, as it said
-
-    def saw(self, seen: Seen) -> None:
-        found, status, view = self._found, seen.status, seen.status["view"]
-        found.table.setdefault(seen.node, Counter())[status["standing"]] += 1
+        self._verdict = Verdict()
+        self._digest_by_view: dict[
+            int, tuple[str, str]
+        ] = {}  # by view number: its digest, and the node that reported it
+        self._members_by_view: dict[int, frozenset[Incarnation]] = {}
+        self._acted_by_view: dict[int, tuple[float, str]] = {}  # by view number: earliest certain lease, and whose
+        self._newest_by_process: dict[tuple[str, str], int] = {}
+        self._lease_ends: dict[
+            tuple[Incarnation, int], float
+        ] = {}  # by incarnation and view number: the latest end of a lease
+
+    def observe(self, observation: StatusObservation) -> None:
+        found, status, view = self._verdict, observation.status, observation.status["view"]
+        found.table.setdefault(observation.node, Counter())[status["standing"]] += 1
         if status["split"]:
-            self._breach(f"{seen.node} met a contradiction: {status['split']}")
+            self._add_breach(f"{observation.node} reports two conflicting views: {status['split']}")
         if view is None:
             return
-        number, process = view["number"], (seen.node, status["boot"])
-        digest, by = self._digests.setdefault(number, (view["digest"], seen.node))
+        number, process = view["number"], (observation.node, status["boot"])
+        digest, by = self._digest_by_view.setdefault(number, (view["digest"], observation.node))
         if digest != view["digest"]:
-            self._breach(f"view {number} is {view['digest']} at {seen.node} and {digest} at {by}")
-        if number not in self._members:
-            self._members[number] = lives_of(view)
-            found.views[number] = " ".join(sorted(f"{name}/{life}" for name, life, _ in self._members[number]))
-        newest = self._newest.get(process, 0)
+            self._add_breach(f"view {number} is {view['digest']} at {observation.node} and {digest} at {by}")
+        if number not in self._members_by_view:
+            self._members_by_view[number] = incarnations_of(view)
+            found.views[number] = " ".join(
+                sorted(f"{name}/{incarnation}" for name, incarnation, _ in self._members_by_view[number])
+            )
+        newest = self._newest_by_process.get(process, 0)
         if number < newest:
-            self._breach(f"{seen.node} went from view {newest} back to {number}")
-        self._newest[process] = max(number, newest)
+            self._add_breach(f"{observation.node} went from view {newest} back to {number}")
+        self._newest_by_process[process] = max(number, newest)
         if status["lease_ms"]:
-            self._acted[number] = min(self._acted.get(number, (seen.heard, seen.node)), (seen.heard, seen.node))
-            life = (seen.node, status["life"], status["boot"])
-            until = seen.asked + status["lease_ms"] / 1000
-            self._held[life, number] = max(until, self._held.get((life, number), until))
-
-    def verdict(self, left: Iterable[str] = ()) -> Verdict:
-        """``left``: boots of processes that were told to stop, and so may give up what they hold at once."""
-        found, left = replace(self._found, breaches=[*self._found.breaches], removals=Counter()), frozenset(left)
-        for (life, number), until in self._held.items():
-            if life[2] not in left:
-                found.breaches += self._held_too_long(life, number, until)
-        for number in sorted(self._members):
-            for name, _, _ in self._members.get(number - 1, frozenset()) - self._members[number]:
+            self._acted_by_view[number] = min(
+                self._acted_by_view.get(number, (observation.answered_at, observation.node)),
+                (observation.answered_at, observation.node),
+            )
+            incarnation = (observation.node, status["life"], status["boot"])
+            until = observation.asked_at + status["lease_ms"] / 1000
+            self._lease_ends[incarnation, number] = max(until, self._lease_ends.get((incarnation, number), until))
+
+    def verdict(self, stopped_boots: Iterable[str] = ()) -> Verdict:
+        """``stopped_boots``: boot ids of processes that were asked to stop, and so may give up a lease early."""
+        found, stopped_boots = (
+            replace(self._verdict, breaches=[*self._verdict.breaches], removals=Counter()),
+            frozenset(stopped_boots),
+        )
+        for (incarnation, number), until in self._lease_ends.items():
+            if incarnation[2] not in stopped_boots:
+                found.breaches += self._lease_breaches(incarnation, number, until)
+        for number in sorted(self._members_by_view):
+            for name, _, _ in self._members_by_view.get(number - 1, frozenset()) - self._members_by_view[number]:
                 found.removals[name] += 1
         return found
 
-    def _breach(self, words: str) -> None:
-        """Once: a node says it at each answer."""
-        if words not in self._found.breaches:
-            self._found.breaches.append(words)
-
-    def _held_too_long(self, life: Life, number: int, until: float) -> list[str]:
-        """Might a node act at a moment when another surely acted in a later view without it?"""
-        name, count, _ = life
-        words = [f"{name} acts in view {number}, which it is not in"] if life not in self._members[number] else []
-        for later, (moment, by) in sorted(self._acted.items()):
-            if later > number and life not in self._members[later] and until > moment:
+    def _add_breach(self, text: str) -> None:
+        """Add a breach once: a node may report it with each answer."""
+        if text not in self._verdict.breaches:
+            self._verdict.breaches.append(text)
+
+    def _lease_breaches(self, incarnation: Incarnation, number: int, until: float) -> list[str]:
+        """Breaches by a node that might act after another certainly acted in a later view that excludes it."""
+        name, generation, _ = incarnation
+        texts = (
+            [f"{name} acts in view {number}, which it is not in"]
+            if incarnation not in self._members_by_view[number]
+            else []
+        )
+        for later, (acted_at, by) in sorted(self._acted_by_view.items()):
+            if later > number and incarnation not in self._members_by_view[later] and until > acted_at:
                 return [
-                    *words,
-                    f"{name} (life {count}) may act in view {number} until {until:.3f}, and {by} acted in "
-                    f"view {later}, which is without it, by {moment:.3f}",
+                    *texts,
+                    f"{name} (life {generation}) may act in view {number} until {until:.3f}, and {by} acted in "
+                    f"view {later}, which excludes it, by {acted_at:.3f}",
                 ]
-        return words
+        return texts
--- a/lab/cluster/links.py
+++ b/lab/cluster/links.py
@@ -1,8 +1,8 @@
-"""Directed links between nodes, each a stand-in for the way from one to another, on UDP and TCP at one port.
+"""Proxies for UDP and TCP that degrade the network between two nodes, one link for each direction.
 
-What ``a`` sends to ``b`` goes through the link a>b; what comes back on a connection that ``a`` opened goes under the
-weather of b>a. A datagram may be lost, late, doubled, out of order or spoilt; a stream may be late, spoilt, slow, stand
-still with its connection open, be cut at a byte or be refused.
+What ``a`` sends to ``b`` goes through the link a>b; what comes back on a connection that ``a`` opened is subject to the
+conditions of b>a. Datagrams may be lost, delayed, duplicated, reordered or corrupted; streams may be delayed,
+corrupted, throttled, stalled with the connection open, reset after a number of bytes, or refused.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-CHUNK = 16 << 10
+CHUNK_BYTES = 16 << 10
 
 
 @dataclass
-class Weather:
-    """Of one direction. Shares are of datagrams, or of a stream's pieces; a lost piece of a stream comes later instead,
-    as its kernel would send it again."""
+class LinkConditions:
+    """Network conditions of one direction. Shares are of datagrams, or of the chunks of a stream; a lost chunk of a
+    stream is delayed instead, as TCP would retransmit it."""
 
-    cut: bool = False  # nothing passes; streams stand still with their connection open
+    cut: bool = False  # nothing passes; streams stall with their connection open
     loss: float = 0.0
     delay_ms: float = 0.0
-    jitter_ms: float = 0.0  # more than the gap between two datagrams puts them out of order
-    doubled: float = 0.0
-    spoilt: float = 0.0  # a bit is flipped
-    bytes_per_s: float = 0.0  # of a stream; 0: no bound
-    cut_at: int | None = None  # a stream ends, by a reset, after so many bytes
-    refused: bool = False  # streams are not accepted
-
-    def spoil(self, chance: random.Random, data: bytes) -> bytes:
-        if not data or chance.random() >= self.spoilt:
+    jitter_ms: float = 0.0  # if longer than the gap between two datagrams, they are reordered
+    duplicated: float = 0.0
+    corrupted: float = 0.0  # one bit is flipped
+    bytes_per_s: float = 0.0  # of a stream; 0: unlimited
+    reset_after_bytes: int | None = None  # a stream is reset after that many bytes
+    refused: bool = False  # new streams are reset at once
+
+    def corrupt(self, rng: random.Random, data: bytes) -> bytes:
+        if not data or rng.random() >= self.corrupted:
             return data
-        at = chance.randrange(len(data))
-        return data[:at] + bytes([data[at] ^ 1 << chance.randrange(8)]) + data[at + 1 :]
+        at = rng.randrange(len(data))
+        return data[:at] + bytes([data[at] ^ 1 << rng.randrange(8)]) + data[at + 1 :]
 
-    def late(self, chance: random.Random) -> float:
-        """Seconds on the way."""
-        return (self.delay_ms + self.jitter_ms * chance.random()) / 1000
+    def delay_s(self, rng: random.Random) -> float:
+        """A random delay in seconds."""
+        return (self.delay_ms + self.jitter_ms * rng.random()) / 1000
 
 
 @dataclass
-class Passed:
-    """What a link has carried, before its weather."""
+class LinkTraffic:
+    """What was sent into a link, including what it then lost."""
 
     datagrams: int = 0
     bytes: int = 0
@@ -51,21 +51,21 @@
 
 
 class Link(asyncio.DatagramProtocol):
-    """From ``frm`` to ``to``, whose address is ``where``; ``back`` is the link the other way."""
+    """A proxy from node ``source`` to node ``to`` at ``address``; ``reverse`` is the link of the other direction."""
 
-    def __init__(self, frm: str, to: str, where: tuple[str, int], seed: int) -> None:
-        self.frm, self.to, self.where = frm, to, where
-        self.weather, self.passed = Weather(), Passed()
-        self.back: Link | None = None
+    def __init__(self, source: str, to: str, address: tuple[str, int], seed: int) -> None:
+        self.source, self.to, self.address = source, to, address
+        self.conditions, self.traffic = LinkConditions(), LinkTraffic()
+        self.reverse: Link | None = None
         self.port = 0
-        self.recorders: list[deque[bytes]] = []  # of those who want to send frames once more
-        self._chance = random.Random(f"{seed} {frm} {to}")
+        self.recorders: list[deque[bytes]] = []  # receive each datagram, for replay
+        self._rng = random.Random(f"{seed} {source} {to}")
         self._transport: asyncio.DatagramTransport | None = None
         self._server: asyncio.Server | None = None
-        self._pipes: set[asyncio.Task] = set()
+        self._stream_tasks: set[asyncio.Task] = set()
 
     async def open(self) -> None:
-        """Listen at a port of the system's that is free on UDP and TCP alike."""
+        """Listen on an ephemeral port that is free on both UDP and TCP."""
         loop = asyncio.get_running_loop()
         while True:
             self._server = await asyncio.start_server(self._stream, "127.0.0.1", 0)
@@ -83,80 +83,82 @@
             self._server.close()
         if self._transport is not None:
             self._transport.close()
-        for pipe in list(self._pipes):
-            pipe.cancel()
+        for task in list(self._stream_tasks):
+            task.cancel()
 
     # Datagrams -----------------------------------------------------------------------------------
 
     def datagram_received(self, data: bytes, _addr: tuple) -> None:
-        self.passed.datagrams += 1
-        self.passed.bytes += len(data)
+        self.traffic.datagrams += 1
+        self.traffic.bytes += len(data)
         for recorder in self.recorders:
             recorder.append(data)
         self.send(data)
 
     def error_received(self, _exc: Exception) -> None:
-        """Nobody listens at the far end: lost."""
+        """Nobody listens at the receiver's port: the datagram is lost."""
 
     def send(self, data: bytes) -> None:
-        """A datagram, by whoever, under this link's weather."""
-        weather, chance = self.weather, self._chance
-        if weather.cut or chance.random() < weather.loss:
+        """Send a datagram to the receiver, subject to this link's conditions."""
+        conditions, rng = self.conditions, self._rng
+        if conditions.cut or rng.random() < conditions.loss:
             return
-        for _ in range(2 if chance.random() < weather.doubled else 1):
-            spoilt, late = weather.spoil(chance, data), weather.late(chance)
-            if late:
-                asyncio.get_running_loop().call_later(late, self._deliver, spoilt)
+        for _ in range(2 if rng.random() < conditions.duplicated else 1):
+            corrupted, delay = conditions.corrupt(rng, data), conditions.delay_s(rng)
+            if delay:
+                asyncio.get_running_loop().call_later(delay, self._deliver, corrupted)
             else:
-                self._deliver(spoilt)
+                self._deliver(corrupted)
 
     def _deliver(self, data: bytes) -> None:
-        if self._transport is not None and not self._transport.is_closing() and not self.weather.cut:
-            self._transport.sendto(data, self.where)
+        if self._transport is not None and not self._transport.is_closing() and not self.conditions.cut:
+            self._transport.sendto(data, self.address)
 
     # Streams -------------------------------------------------------------------------------------
 
     async def _stream(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.passed.streams += 1
+        self.traffic.streams += 1
         task = asyncio.current_task()
-        self._pipes.add(task)
-        far = None
+        self._stream_tasks.add(task)
+        remote = None
         try:
-            if self.weather.refused:
+            if self.conditions.refused:
                 writer.transport.abort()
                 return
-            while self.weather.cut or self.back.weather.cut:
+            while self.conditions.cut or self.reverse.conditions.cut:
                 await asyncio.sleep(0.02)
-            far_reader, far = await asyncio.open_connection(*self.where)
-            ends = [writer.transport, far.transport]
-            await asyncio.gather(self._pipe(reader, far, ends), self.back._pipe(far_reader, writer, ends))
+            remote_reader, remote = await asyncio.open_connection(*self.address)
+            transports = [writer.transport, remote.transport]
+            await asyncio.gather(
+                self._forward(reader, remote, transports), self.reverse._forward(remote_reader, writer, transports)
+            )
         except (OSError, asyncio.CancelledError):
             pass
         finally:
-            self._pipes.discard(task)
-            for one in (writer, far):
+            self._stream_tasks.discard(task)
+            for one in (writer, remote):
                 if one is not None:
                     one.transport.abort()
 
-    async def _pipe(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, ends: list) -> None:
-        """One direction of a stream, under this link's weather."""
-        sent, chance = 0, self._chance
-        while data := await reader.read(CHUNK):
-            weather = self.weather
-            await asyncio.sleep(weather.late(chance) + (0.2 if chance.random() < weather.loss else 0.0))
-            while self.weather.cut:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, transports: list) -> None:
+        """Forward one direction of a stream, subject to this link's conditions."""
+        sent, rng = 0, self._rng
+        while data := await reader.read(CHUNK_BYTES):
+            conditions = self.conditions
+            await asyncio.sleep(conditions.delay_s(rng) + (0.2 if rng.random() < conditions.loss else 0.0))
+            while self.conditions.cut:
                 await asyncio.sleep(0.02)
-            data = weather.spoil(chance, data)
-            if weather.cut_at is not None and sent + len(data) >= weather.cut_at:
-                writer.write(data[: max(0, weather.cut_at - sent)])
+            data = conditions.corrupt(rng, data)
+            if conditions.reset_after_bytes is not None and sent + len(data) >= conditions.reset_after_bytes:
+                writer.write(data[: max(0, conditions.reset_after_bytes - sent)])
                 await writer.drain()
-                for end in ends:
-                    end.abort()
+                for transport in transports:
+                    transport.abort()
                 return
-            if weather.bytes_per_s:
+            if conditions.bytes_per_s:
                 for at in range(0, len(data), 64):
                     writer.write(data[at : at + 64])
-                    await asyncio.sleep(min(64, len(data) - at) / weather.bytes_per_s)
+                    await asyncio.sleep(min(64, len(data) - at) / conditions.bytes_per_s)
             else:
                 writer.write(data)
             sent += len(data)
@@ -167,30 +169,30 @@
 
 @dataclass
 class Mesh:
-    """All the links between some nodes, by (from, to)."""
+    """All links between the nodes of a cluster, by (source, to)."""
 
     seed: int
     links: dict[tuple[str, str], Link] = field(default_factory=dict)
 
-    async def add(self, frm: str, to: str, where: tuple[str, int]) -> None:
-        link = self.links[frm, to] = Link(frm, to, where, self.seed)
+    async def add(self, source: str, to: str, address: tuple[str, int]) -> None:
+        link = self.links[source, to] = Link(source, to, address, self.seed)
         await link.open()
-        back = self.links.get((to, frm))
-        if back is not None:
-            link.back, back.back = back, link
+        reverse = self.links.get((to, source))
+        if reverse is not None:
+            link.reverse, reverse.reverse = reverse, link
 
-    def weather(self, frm: str, to: str, weather: Weather) -> None:
-        self.links[frm, to].weather = weather
+    def set_conditions(self, source: str, to: str, conditions: LinkConditions) -> None:
+        self.links[source, to].conditions = conditions
 
-    def calm(self) -> None:
-        """All links are whole again."""
+    def restore_all(self) -> None:
+        """End the conditions of all links."""
         for link in self.links.values():
-            link.weather = Weather()
+            link.conditions = LinkConditions()
 
-    def sent_by(self, name: str) -> Passed:
-        """What a node has sent to all others."""
-        ours = [link.passed for (frm, _), link in self.links.items() if frm == name]
-        return Passed(
+    def sent_by(self, name: str) -> LinkTraffic:
+        """The traffic that a node has sent to all others."""
+        ours = [link.traffic for (source, _), link in self.links.items() if source == name]
+        return LinkTraffic(
             sum(one.datagrams for one in ours), sum(one.bytes for one in ours), sum(one.streams for one in ours)
         )
 
--- a/lab/cluster/mistakes.py
+++ b/lab/cluster/mistakes.py
@@ -1,6 +1,6 @@
-"""Mistakes put into the views on purpose: each checker has to find them, else it proves nothing.
+"""Faulty variants of the view agreement, which the checkers must detect.
 
-Each is a class that takes the place of ``Views`` in a process: ``spoil`` makes one of it.
+Each is a subclass of ViewAgreement; ``inject`` turns an agreement that a process runs into one of them.
 """
 
 from __future__ import annotations
@@ -14,61 +14,63 @@
 from lynxscale.relay.cluster.view_change import ViewAgreement
 
 
-class Spoilt(ViewAgreement):
-    """``begin`` is called where a process starts."""
+class FaultyViewAgreement(ViewAgreement):
+    """A view agreement with one mistake. ``on_start`` is called when the process starts."""
 
-    def begin(self, now: int) -> None:
-        """What is wrong from the start on."""
+    def on_start(self, now: int) -> None:
+        """Hook for mistakes in the initial state."""
 
     @contextmanager
-    def _unaware(self, **fields: object) -> Iterator[None]:
-        """As if its memory had these fields instead, until the end of the block; what is kept in it is not."""
-        kept = self.durable
-        self.durable = kept._replace(**fields)
+    def _with_durable(self, **fields: object) -> Iterator[None]:
+        """Replace fields of the durable state within the block; changes that are made in it are discarded."""
+        saved = self.durable
+        self.durable = saved._replace(**fields)
         try:
             yield
         finally:
-            self.durable = kept
+            self.durable = saved
 
 
-class VoteForgotten(Spoilt):
-    """A vote does not outlive a restart."""
+class ForgetsVoteOnRestart(FaultyViewAgreement):
+    """A restarted process forgets its votes."""
 
-    def begin(self, now: int) -> None:
+    def on_start(self, now: int) -> None:
         self.durable = self.durable._replace(promised=NO_BALLOT, ballot=NO_BALLOT, accepted=None)
 
 
-class SaidBeforeWritten(Spoilt):
-    """A vote is said before it is on disk."""
+class SendsVoteBeforePersisting(FaultyViewAgreement):
+    """A vote is sent before it is on disk."""
 
     def _persist(self, durable: DurableState, *then: SendViewMessage) -> None:
         super()._persist(durable, *then)
         self._instructions[-1:] = [*then, PersistState(self.durable, ())]
 
 
-class FenceNotLookedAt(Spoilt):
-    """What was granted does not hold up a removal."""
+class IgnoresGrantedLeases(FaultyViewAgreement):
+    """A removal doesn't wait for the end of granted leases."""
 
     def _take_instructions(self, now: int) -> list[ViewInstruction]:
         self._granted_until.clear()
         return super()._take_instructions(now)
 
 
-class HalfIsEnough(Spoilt):
+class HalfIsAQuorum(FaultyViewAgreement):
+    """Half of the acceptors are enough for a decision."""
+
     def _is_quorum(self, names) -> bool:
         return 2 * len(set(names) & set(self._acceptors())) >= len(self._acceptors())
 
 
-class OlderPromiseBroken(Spoilt):
-    """A lower ballot is voted for after a higher one was promised."""
+class BreaksOlderPromise(FaultyViewAgreement):
+    """A lower ballot is accepted although a higher one was promised."""
 
     def _check_ballot(self, now, sender, ballot, message) -> bool:
-        with self._unaware(promised=NO_BALLOT):
+        with self._with_durable(promised=NO_BALLOT):
             return super()._check_ballot(now, sender, ballot, message)
 
 
-class AcceptedIgnored(Spoilt):
-    """What others have accepted before does not bind a proposer."""
+class IgnoresAcceptedChange(FaultyViewAgreement):
+    """A proposer ignores changes that others have accepted before."""
 
     def receive(self, now, sender, identity, message: ViewMessage) -> list[ViewInstruction]:
         if isinstance(message, Promise):
@@ -76,53 +78,55 @@
         return super().receive(now, sender, identity, message)
 
 
-class LeaseTooLong(Spoilt):
+class LeaseTooLong(FaultyViewAgreement):
+    """A member acts for longer than its lease."""
+
     def lease_until(self, now: int) -> int:
         until = super().lease_until(now)
         return until and until + 3 * self.timing.lease
 
 
-class NoWaitAfterAStart(Spoilt):
-    """A process that starts has forgotten what it granted, and does not wait until that has run out."""
+class NoRemovalDelayAfterStart(FaultyViewAgreement):
+    """A process that has restarted doesn't wait for leases that it may have granted before."""
 
-    def begin(self, now: int) -> None:
+    def on_start(self, now: int) -> None:
         self._no_removal_until = now
 
 
-class NoWaitAfterAView(Spoilt):
-    """A removal is accepted at once after a view, though who has not heard of it may hold a lease of the one before."""
+class NoRemovalDelayAfterView(FaultyViewAgreement):
+    """A removal is accepted at once after a view change, while nodes of the old view may still hold a lease."""
 
     def _install(self, now, view) -> None:
         super()._install(now, view)
         self._no_removal_until = now
 
 
-class GrantsAfterAccepting(Spoilt):
-    """Leases are granted by one who has accepted the next view."""
+class GrantsAfterAccepting(FaultyViewAgreement):
+    """A node that has accepted the next view still grants leases of the current one."""
 
     def receive(self, now, sender, identity, message: ViewMessage) -> list[ViewInstruction]:
         if not isinstance(message, LeaseRequest):
             return super().receive(now, sender, identity, message)
-        with self._unaware(accepted=None):
+        with self._with_durable(accepted=None):
             return super().receive(now, sender, identity, message)
 
 
-class VotesWithoutAsking(Spoilt):
-    """Who has started does not ask the others what they remember of it."""
+class VotesBeforeExchanges(FaultyViewAgreement):
+    """A restarted node votes before it has learned from the others what they know of its earlier votes."""
 
     def votes(self, now: int) -> bool:
         return super().votes(now) or (self.durable.votes and self.view is not None and self.me.name in self.view.names)
 
 
-class LossNotMinded(Spoilt):
-    """Others remember more of this node than it does, and it votes all the same."""
+class IgnoresStateRollback(FaultyViewAgreement):
+    """A node votes although others know of later writes than its durable state has."""
 
     def _state_rolled_back(self, write_count: int) -> None:
         self.durable = self.durable._replace(write_count=write_count)
 
 
-class LostMemoryVotes(Spoilt):
-    """Who has no memory votes as soon as it has learned a view."""
+class VotesAfterStateLoss(FaultyViewAgreement):
+    """A node that has lost its durable state votes as soon as it has learned a view."""
 
     def _install(self, now, view) -> None:
         super()._install(now, view)
@@ -130,33 +134,33 @@
         self.exchanged_with = set(view.names)
 
 
-class LeaseKeptByAcceptor(Spoilt):
-    """Who has accepted its own removal acts on."""
+class KeepsLeaseAfterAcceptingRemoval(FaultyViewAgreement):
+    """A node that has accepted its own removal continues to act."""
 
     def lease_until(self, now: int) -> int:
-        with self._unaware(accepted=None):
+        with self._with_durable(accepted=None):
             return super().lease_until(now)
 
 
 ALL = (
-    VoteForgotten,
-    SaidBeforeWritten,
-    FenceNotLookedAt,
-    HalfIsEnough,
-    OlderPromiseBroken,
-    AcceptedIgnored,
+    ForgetsVoteOnRestart,
+    SendsVoteBeforePersisting,
+    IgnoresGrantedLeases,
+    HalfIsAQuorum,
+    BreaksOlderPromise,
+    IgnoresAcceptedChange,
     LeaseTooLong,
-    NoWaitAfterAStart,
-    NoWaitAfterAView,
+    NoRemovalDelayAfterStart,
+    NoRemovalDelayAfterView,
     GrantsAfterAccepting,
-    VotesWithoutAsking,
-    LossNotMinded,
-    LostMemoryVotes,
-    LeaseKeptByAcceptor,
+    VotesBeforeExchanges,
+    IgnoresStateRollback,
+    VotesAfterStateLoss,
+    KeepsLeaseAfterAcceptingRemoval,
 )
 
 
-def spoil(kind: type[Spoilt], views: ViewAgreement, now: int) -> None:
-    """From now on these views make that mistake."""
-    views.__class__ = kind
-    cast(Spoilt, views).begin(now)
+def inject(kind: type[FaultyViewAgreement], agreement: ViewAgreement, now: int) -> None:
+    """Make a running agreement make that mistake from now on."""
+    agreement.__class__ = kind
+    cast(FaultyViewAgreement, agreement).on_start(now)
--- a/lab/cluster/simulate.py
+++ b/lab/cluster/simulate.py
@@ -1,7 +1,8 @@
-"""The state machines that run in service, many nodes in one process: simulated network, disk and clocks, by a seed.
+"""Discrete-event simulation of a cluster: the relay's own state machines on a seeded network, disk and clocks.
 
-A history is a few seconds of faults and a calm after them. Judged at every event: no two views of one number differ;
-nobody may act in a view while somebody acts in a later one without it. And at its end: one view of all that are there.
+A history is a few seconds of faults followed by a period without any. Two invariants are checked at every event: no two
+views with one number differ, and no node may act in a view while another acts in a later view that excludes it. At the
+end of the history all running nodes have to share one view.
 """
 
 from __future__ import annotations
@@ -32,14 +33,15 @@
 from lynxscale.relay.cluster.timing import DetectorTiming, ViewTiming
 
 SECOND = 1_000_000
-FORM, CALM = 20, 25  # seconds until the first view; after the last fault, for all to be one view again
-EACH = 1.0  # seconds more for each node beyond sixteen: a view takes in a few at a time
-SHOWN = 8  # nodes that a breach tells of
+# Until the first view; from the last fault until all nodes share one view.
+FORM_TIMEOUT_S, SETTLE_TIMEOUT_S = 20, 25
+EXTRA_TIMEOUT_PER_NODE_S = 1.0  # for each node beyond sixteen: each view change adds only a few nodes
+MAX_NODES_SHOWN = 8  # in the text of a violation
 
 
 @dataclass
-class Path:
-    """One direction between two nodes."""
+class SimulatedLink:
+    """The network from one node to another, in one direction."""
 
     cut: bool = False
     loss: float = 0.0
@@ -47,37 +49,37 @@
 
 @dataclass
 class Process:
-    """One life of a node's process."""
+    """One incarnation of a node's process."""
 
     core: Core
     boot: int
-    began: int
+    started_at: int
     paused: bool = False
-    waiting: list = field(default_factory=list)  # what came while it was stopped
+    deferred: list = field(default_factory=list)  # calls that arrived while the process was paused
     pending: WriteQueue = field(default_factory=WriteQueue)
     renewing: bool = False
-    tick_at: int = -1  # when it is looked at next; -1: not planned
+    tick_at: int = -1  # simulated time of the next tick; -1: none is scheduled
 
 
 @dataclass
 class Machine:
-    """A node: its disk outlasts its processes. Its clock runs at ``rate`` from ``offset``."""
+    """A node, whose disk outlasts its processes. Its clock starts at ``offset`` and runs at ``rate``."""
 
     name: str
     rate: float
     offset: int
-    disk: tuple[int, DurableState | None] | None = None  # life and memory
+    disk: tuple[int, DurableState | None] | None = None  # generation and durable state
     process: Process | None = None
 
-    def local(self, at: int) -> int:
+    def to_local_time(self, at: int) -> int:
         return int(at * self.rate) + self.offset
 
-    def world(self, local: float) -> int:
+    def to_simulated_time(self, local: float) -> int:
         return int((local - self.offset) / self.rate) + 1
 
 
-DISK_US = 200, 8000  # of one write
-STEPS = (
+DISK_WRITE_US = 200, 8000  # bounds of the duration of one write
+CORE_METHODS = (
     "due",
     "tick",
     "heard",
@@ -86,75 +88,84 @@
     "full_state",
     "exchange_finished",
     "state_persisted",
-)  # of a core
+)  # methods of Core whose CPU time is measured
 
 
-def _over_the_wire(message: Message) -> bytes:
-    """The frame, read as the far end does."""
+def _encode_frame(message: Message) -> bytes:
+    """The encoded frame; it is decoded as well, since the receiver's cost is measured too."""
     data = frame.encode(0, message)
     frame.decode(0, data)
     return data
 
 
 class World:
-    """``mistake`` is a hook for the laboratory's own check: it may change each core that is made."""
+    """The simulated cluster and its event queue. Times are in microseconds of simulated time.
+
+    ``mistake`` is called with each new core and may change it, for tests that a checker detects faults. ``measure``
+    records bytes, datagrams and CPU time.
+    """
 
     def __init__(
         self,
         nodes: int,
         seed: int,
-        timing: DetectorTiming | None = None,
-        terms: ViewTiming | None = None,
+        detector_timing: DetectorTiming | None = None,
+        view_timing: ViewTiming | None = None,
         mistake: Callable[[Core], None] | None = None,
         measure: bool = False,
     ) -> None:
-        self.seed, self.chance = seed, random.Random(f"{seed} world")
-        self.timing, self.terms, self.mistake, self.measure = timing, terms, mistake, measure
+        self.seed, self.rng = seed, random.Random(f"{seed} world")
+        self.detector_timing, self.view_timing, self.mistake, self.measure = (
+            detector_timing,
+            view_timing,
+            mistake,
+            measure,
+        )
         self.now = 0
         self._heap: list = []
-        self._order = count()
+        self._event_numbers = count()
         self.names = [f"r{place + 1}" for place in range(nodes)]
         self.machines = {
-            name: Machine(name, self.chance.uniform(0.99, 1.01), self.chance.randrange(SECOND * 10_000))
+            name: Machine(name, self.rng.uniform(0.99, 1.01), self.rng.randrange(SECOND * 10_000))
             for name in self.names
         }
-        self.paths = {(a, b): Path() for a in self.names for b in self.names if a != b}
-        self.disk_us = DISK_US
+        self.network = {(a, b): SimulatedLink() for a in self.names for b in self.names if a != b}
+        self.disk_us = DISK_WRITE_US
         self.digests: dict[int, View] = {}
-        self.acted: dict[int, int] = {}  # by number of the view: when somebody first could act in it
+        self.first_acted_at: dict[int, int] = {}  # by view number: when a node first could act in it
         self.log: list[tuple[int, str, str, dict]] = []
         self.bytes = self.datagrams = 0
-        self.cpu_s = 0.0  # of the nodes' own steps and frames, where it is measured
-        self._clocked = False
+        self.cpu_s = 0.0  # CPU time of the nodes' steps and frames, if measured
+        self._measuring = False
         self.false_failures = 0
-        self.undecidable = False  # at its end no majority remembers what it has promised
+        self.undecidable = False  # at the end no majority has its durable state, so no view can be decided
 
     # Events --------------------------------------------------------------------------------------
 
     def at(self, when: int, act: Callable, *args: object) -> None:
-        heappush(self._heap, (max(when, self.now), next(self._order), act, args))
+        heappush(self._heap, (max(when, self.now), next(self._event_numbers), act, args))
 
     def run(self, until: int) -> None:
-        """Go on until then. Raises InvariantViolation."""
+        """Run all events up to that time. Raises InvariantViolation."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, act, args = heappop(self._heap)
             act(*args)
         self.now = until
 
-    def _clock(self, call: Callable) -> Callable:
-        """The same, its CPU time added to ``cpu_s``, once where one such step is taken within another."""
+    def _measured(self, call: Callable) -> Callable:
+        """Wraps a call so that its CPU time is added to ``cpu_s``; time of nested calls counts once."""
 
-        def clocked(*args: object, **more: object) -> object:
-            if self._clocked:
-                return call(*args, **more)
-            self._clocked, begun = True, process_time()
+        def measured(*args: object, **keywords: object) -> object:
+            if self._measuring:
+                return call(*args, **keywords)
+            self._measuring, started = True, process_time()
             try:
-                return call(*args, **more)
+                return call(*args, **keywords)
             finally:
-                self.cpu_s += process_time() - begun
-                self._clocked = False
+                self.cpu_s += process_time() - started
+                self._measuring = False
 
-        return clocked
+        return measured
 
     # Processes -----------------------------------------------------------------------------------
 
@@ -162,27 +173,35 @@
         machine = self.machines[name]
         if machine.process is not None:
             return
-        life, kept = machine.disk or (0, None)
-        machine.disk = life + 1, kept
-        boot = self.chance.getrandbits(62)
-        now = machine.local(self.now)
-        core = Core(Identity(name, life + 1, boot), self.names, str(self.seed), now, kept, self.timing, self.terms)
+        life, durable = machine.disk or (0, None)
+        machine.disk = life + 1, durable
+        boot = self.rng.getrandbits(62)
+        now = machine.to_local_time(self.now)
+        core = Core(
+            Identity(name, life + 1, boot),
+            self.names,
+            str(self.seed),
+            now,
+            durable,
+            self.detector_timing,
+            self.view_timing,
+        )
         if self.mistake is not None:
             self.mistake(core)
-        for step in STEPS if self.measure else ():
-            setattr(core, step, self._clock(getattr(core, step)))
+        for step in CORE_METHODS if self.measure else ():
+            setattr(core, step, self._measured(getattr(core, step)))
         process = machine.process = Process(core, boot, self.now)
-        self._go(machine, process, core.tick(now))
+        self._execute(machine, process, core.tick(now))
 
     def kill(self, name: str) -> None:
         self.machines[name].process = None
 
     def leave(self, name: str) -> None:
-        """Told to stop: it says so and is gone."""
+        """Shut the node down: it announces that it leaves, and its process ends."""
         machine = self.machines[name]
         process = machine.process
         if process is not None and not process.paused:
-            self._go(machine, process, process.core.leave(machine.local(self.now)))
+            self._execute(machine, process, process.core.leave(machine.to_local_time(self.now)))
             machine.process = None
 
     def pause(self, name: str) -> None:
@@ -190,29 +209,29 @@
         if process is not None:
             process.paused = True
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         machine = self.machines[name]
         process = machine.process
         if process is not None and process.paused:
             process.paused = False
-            waiting, process.waiting = process.waiting, []
-            for act, args in waiting:
+            deferred, process.deferred = process.deferred, []
+            for act, args in deferred:
                 act(*args)
             process.tick_at = -1
-            self._plan(machine, process)
+            self._schedule_tick(machine, process)
 
-    def _alive(self, machine: Machine, process: Process, act: Callable, *args: object) -> bool:
-        """Is it there to do this? A stopped process does it once it goes on."""
+    def _can_run(self, machine: Machine, process: Process, act: Callable, *args: object) -> bool:
+        """Whether the process can take this call now. A paused process takes it when it resumes."""
         if machine.process is not process:
             return False
         if process.paused:
-            if len(process.waiting) < 500:
-                process.waiting.append((act, args))
+            if len(process.deferred) < 500:
+                process.deferred.append((act, args))
             return False
         return True
 
-    def _plan(self, machine: Machine, process: Process) -> None:
-        due = max(self.now, machine.world(process.core.next_deadline()))
+    def _schedule_tick(self, machine: Machine, process: Process) -> None:
+        due = max(self.now, machine.to_simulated_time(process.core.next_deadline()))
         if process.tick_at < self.now or due < process.tick_at:
             process.tick_at = due
             self.at(due, self._tick, machine, process, due)
@@ -221,98 +240,105 @@
         if machine.process is not process or process.paused or process.tick_at != planned:
             return
         process.tick_at = -1
-        self._go(machine, process, process.core.tick(machine.local(self.now)))
+        self._execute(machine, process, process.core.tick(machine.to_local_time(self.now)))
 
-    # Orders --------------------------------------------------------------------------------------
+    # Instructions --------------------------------------------------------------------------------
 
-    def _go(self, machine: Machine, process: Process, orders: list) -> None:
-        queue = list(orders)
+    def _execute(self, machine: Machine, process: Process, instructions: list) -> None:
+        queue = list(instructions)
         while queue:
-            order = queue.pop(0)
-            if isinstance(order, SendDatagram):
-                self._send(machine, order.to, process.core.message(order.body, order.updates))
-            elif isinstance(order, SendViewMessage):
-                if order.to == machine.name:
-                    queue += process.core.receive_own(machine.local(self.now), order.message)
+            instruction = queue.pop(0)
+            if isinstance(instruction, SendDatagram):
+                self._send(machine, instruction.to, process.core.message(instruction.body, instruction.updates))
+            elif isinstance(instruction, SendViewMessage):
+                if instruction.to == machine.name:
+                    queue += process.core.receive_own(machine.to_local_time(self.now), instruction.message)
                 else:
-                    self._send(machine, order.to, process.core.message(view_body(order.message)))
-            elif isinstance(order, PersistState):
-                self._write(machine, process, order.durable, lambda order=order: self._kept(machine, process, order))
-            elif isinstance(order, (StartExchange, FetchView)):
-                to = order.to if isinstance(order, StartExchange) else order.peer
-                self._swap(machine, process, to)
-            elif isinstance(order, (StartGeneration, RemovedFromView)):
-                above = order.generation if isinstance(order, StartGeneration) else process.core.me.generation
+                    self._send(machine, instruction.to, process.core.message(view_body(instruction.message)))
+            elif isinstance(instruction, PersistState):
+                self._write(
+                    machine,
+                    process,
+                    instruction.durable,
+                    lambda instruction=instruction: self._persisted(machine, process, instruction),
+                )
+            elif isinstance(instruction, (StartExchange, FetchView)):
+                to = instruction.to if isinstance(instruction, StartExchange) else instruction.peer
+                self._exchange(machine, process, to)
+            elif isinstance(instruction, (StartGeneration, RemovedFromView)):
+                above = (
+                    instruction.generation if isinstance(instruction, StartGeneration) else process.core.me.generation
+                )
                 self._renew(machine, process, above)
             else:
-                self.log.append((self.now, machine.name, order.event, order.fields))
-                if order.event == "node" and order.fields["state"] == "failed":
-                    self._false(order.fields["node"])
-        self._judge(machine, process)
-        self._plan(machine, process)
+                self.log.append((self.now, machine.name, instruction.event, instruction.fields))
+                if instruction.event == "node" and instruction.fields["state"] == "failed":
+                    self._count_false_failure(instruction.fields["node"])
+        self._check_invariants(machine, process)
+        self._schedule_tick(machine, process)
 
-    def _false(self, name: str) -> None:
+    def _count_false_failure(self, name: str) -> None:
         process = self.machines[name].process
         self.false_failures += process is not None and not process.paused
 
     def _send(self, machine: Machine, to: str, message: Message) -> None:
         if self.measure:
-            self.bytes += len(self._clock(_over_the_wire)(message))
+            self.bytes += len(self._measured(_encode_frame)(message))
             self.datagrams += 1
-        path = self.paths[machine.name, to]
-        if path.cut or self.chance.random() < path.loss:
+        link = self.network[machine.name, to]
+        if link.cut or self.rng.random() < link.loss:
             return
-        self.at(self.now + self.chance.randrange(100, 4000), self._deliver, to, message, True)
+        self.at(self.now + self.rng.randrange(100, 4000), self._deliver, to, message, True)
 
     def _deliver(self, to: str, message: Message, reached: bool) -> None:
         machine = self.machines[to]
         process = machine.process
-        if process is not None and self._alive(machine, process, self._deliver, to, message, reached):
-            self._go(machine, process, process.core.receive(machine.local(self.now), message, reached))
-
-    def _swap(self, machine: Machine, process: Process, to: str) -> None:
-        """An exchange: there and back, unless either way is cut."""
-        there, back = self.paths[machine.name, to], self.paths[to, machine.name]
-        far = self.machines[to].process
-        if there.cut or back.cut or far is None or far.paused:
-            self.at(self.now + SECOND, self._swapped, machine, process, None)
+        if process is not None and self._can_run(machine, process, self._deliver, to, message, reached):
+            self._execute(machine, process, process.core.receive(machine.to_local_time(self.now), message, reached))
+
+    def _exchange(self, machine: Machine, process: Process, to: str) -> None:
+        """Exchange full states with a peer; fails if either direction is cut."""
+        outbound, inbound = self.network[machine.name, to], self.network[to, machine.name]
+        remote = self.machines[to].process
+        if outbound.cut or inbound.cut or remote is None or remote.paused:
+            self.at(self.now + SECOND, self._exchange_done, machine, process, None)
             return
-        asked = process.core.full_state(answer=False)
+        request = process.core.full_state(answer=False)
         if self.measure:
-            self.bytes += 2 * len(self._clock(_over_the_wire)(asked))
-        answer = far.core.full_state(answer=True)
-        late = self.chance.randrange(300, 9000)
-        self.at(self.now + late, self._deliver, to, asked, True)
-        self.at(self.now + 2 * late, self._swapped, machine, process, answer)
-
-    def _swapped(self, machine: Machine, process: Process, answer: Message | None) -> None:
-        if not self._alive(machine, process, self._swapped, machine, process, answer):
+            self.bytes += 2 * len(self._measured(_encode_frame)(request))
+        answer = remote.core.full_state(answer=True)
+        delay = self.rng.randrange(300, 9000)
+        self.at(self.now + delay, self._deliver, to, request, True)
+        self.at(self.now + 2 * delay, self._exchange_done, machine, process, answer)
+
+    def _exchange_done(self, machine: Machine, process: Process, answer: Message | None) -> None:
+        if not self._can_run(machine, process, self._exchange_done, machine, process, answer):
             return
-        now = machine.local(self.now)
+        now = machine.to_local_time(self.now)
         if answer is not None:
-            self._go(machine, process, process.core.receive(now, answer, False))
-        self._go(machine, process, process.core.exchange_finished(now, answer is None))
+            self._execute(machine, process, process.core.receive(now, answer, False))
+        self._execute(machine, process, process.core.exchange_finished(now, answer is None))
 
-    def _write(self, machine: Machine, process: Process, kept: DurableState, then: Callable[[], None]) -> None:
-        self._begin(machine, process, process.pending.put(kept, then))
+    def _write(self, machine: Machine, process: Process, durable: DurableState, then: Callable[[], None]) -> None:
+        self._start_write(machine, process, process.pending.put(durable, then))
 
-    def _begin(self, machine: Machine, process: Process, kept: DurableState | None) -> None:
-        if kept is not None:
-            self.at(self.now + self.chance.randrange(*self.disk_us), self._written, machine, process, kept)
+    def _start_write(self, machine: Machine, process: Process, durable: DurableState | None) -> None:
+        if durable is not None:
+            self.at(self.now + self.rng.randrange(*self.disk_us), self._write_done, machine, process, durable)
 
-    def _written(self, machine: Machine, process: Process, kept: DurableState) -> None:
+    def _write_done(self, machine: Machine, process: Process, durable: DurableState) -> None:
         if machine.process is not process:
-            return  # it died before: nothing of this is on disk
-        machine.disk = max(machine.disk[0], process.core.me.generation), kept
+            return  # the process ended before the write did: nothing is on disk
+        machine.disk = max(machine.disk[0], process.core.me.generation), durable
         after = process.pending.done(True)
-        self._begin(machine, process, process.pending.begin())
+        self._start_write(machine, process, process.pending.begin())
         for then in after:
             then()
 
-    def _kept(self, machine: Machine, process: Process, order: PersistState) -> None:
-        if self._alive(machine, process, self._kept, machine, process, order):
-            process.core.state_persisted(order.durable)
-            self._go(machine, process, list(order.then))
+    def _persisted(self, machine: Machine, process: Process, instruction: PersistState) -> None:
+        if self._can_run(machine, process, self._persisted, machine, process, instruction):
+            process.core.state_persisted(instruction.durable)
+            self._execute(machine, process, list(instruction.then))
 
     def _renew(self, machine: Machine, process: Process, above: int) -> None:
         if process.renewing or above < process.core.me.generation:
@@ -323,39 +349,39 @@
             if machine.process is process:
                 process.renewing = False
                 machine.disk = above + 1, machine.disk[1]
-                self._go(machine, process, process.core.renew(machine.local(self.now), above + 1))
+                self._execute(machine, process, process.core.renew(machine.to_local_time(self.now), above + 1))
 
-        self.at(self.now + self.chance.randrange(*self.disk_us), renewed)
+        self.at(self.now + self.rng.randrange(*self.disk_us), renewed)
 
-    # Judging -------------------------------------------------------------------------------------
+    # Invariants ----------------------------------------------------------------------------------
 
-    def _judge(self, machine: Machine, process: Process) -> None:
-        """Hold what this node has now against all others, at this moment."""
-        views = process.core.agreement
-        view = views.view
-        if views.conflict:
-            raise InvariantViolation(f"{machine.name}: {views.conflict}")
+    def _check_invariants(self, machine: Machine, process: Process) -> None:
+        """Check this node's view and lease against those of all others."""
+        agreement = process.core.agreement
+        view = agreement.view
+        if agreement.conflict:
+            raise InvariantViolation(f"{machine.name}: {agreement.conflict}")
         if view is None:
             return
         known = self.digests.setdefault(view.number, view)
         if known != view:
             raise InvariantViolation(f"view {view.number} is {view} at {machine.name}, and was {known}")
-        now = machine.local(self.now)
-        if not views.may_act(now):
+        now = machine.to_local_time(self.now)
+        if not agreement.may_act(now):
             return
-        until = machine.world(views.lease_until(now))
-        if view.number not in self.acted:
-            self.acted[view.number] = self.now
-            self._without(view)
-        for number, when in self.acted.items():
+        until = machine.to_simulated_time(agreement.lease_until(now))
+        if view.number not in self.first_acted_at:
+            self.first_acted_at[view.number] = self.now
+            self._check_removed_nodes(view)
+        for number, when in self.first_acted_at.items():
             if number > view.number and process.core.me not in self.digests[number].members:
                 raise InvariantViolation(
                     f"{machine.name} may act in view {view.number} until {until}, and someone acted in view "
                     f"{number}, which is without it, at {when}"
                 )
 
-    def _without(self, view: View) -> None:
-        """Somebody acts in this view for the first time: may one that it is without act yet?"""
+    def _check_removed_nodes(self, view: View) -> None:
+        """When a node first acts in a view: check that no node which the view excludes may still act."""
         for other in self.machines.values():
             process = other.process
             if process is None:
@@ -364,34 +390,34 @@
             if (
                 theirs.number < view.number
                 and process.core.me not in view.members
-                and theirs.may_act(other.local(self.now))
+                and theirs.may_act(other.to_local_time(self.now))
             ):
                 raise InvariantViolation(
                     f"{other.name} may act in view {theirs.number} while view {view.number} is acted in"
                 )
 
     def agreed(self, names: list[str]) -> bool:
-        """Are these, and no others, one view, and members with a lease each?"""
+        """Whether these nodes share one view with no other members, and each holds a lease."""
         found = set()
         for name in names:
             machine = self.machines[name]
             process = machine.process
             if process is None or process.paused:
                 return False
-            views = process.core.agreement
+            agreement = process.core.agreement
             if (
-                views.view is None
-                or views.view.identity_of(name) != process.core.me
-                or not views.may_act(machine.local(self.now))
-                or sorted(views.view.names) != sorted(names)
+                agreement.view is None
+                or agreement.view.identity_of(name) != process.core.me
+                or not agreement.may_act(machine.to_local_time(self.now))
+                or sorted(agreement.view.names) != sorted(names)
             ):
                 return False
-            found.add(views.view.digest)
+            found.add(agreement.view.digest)
         return len(found) == 1
 
-    def until_agreed(self, names: list[str], within: int, step: int = SECOND // 10) -> bool:
-        """Go on until they are, or that much time has passed."""
-        end = self.now + within
+    def run_until_agreed(self, names: list[str], timeout_us: int, step: int = SECOND // 10) -> bool:
+        """Run until these nodes agree; False if they don't within the timeout."""
+        end = self.now + timeout_us
         while self.now < end:
             self.run(self.now + step)
             if self.agreed(names):
@@ -403,23 +429,23 @@
         return process.core.detector.membership.state(of) if process is not None else None
 
 
-def trouble(world: World, seconds: int) -> None:
-    """Draw faults for that long, as events of the world: kills, stops, cuts of all shapes, loss, slow disks, memory
-    that is lost or old."""
-    chance, at = world.chance, world.now
+def inject_faults(world: World, seconds: int) -> None:
+    """Schedule random faults for that long: kills, pauses, partitions of several shapes, loss, slow disks, and durable
+    state that is lost or rolled back."""
+    rng, at = world.rng, world.now
     end = at + seconds * SECOND
     names = world.names
-    forgets_at = at
-    most = max(1, (len(names) - 1) // 2)
+    state_loss_allowed_at = at
+    max_targets = max(1, (len(names) - 1) // 2)
 
     def cut(pairs: list[tuple[str, str]], value: bool) -> None:
-        for way in pairs:
-            world.paths[way].cut = value
+        for pair in pairs:
+            world.network[pair].cut = value
 
     while at < end:
-        lasts = int(chance.choice((0.3, 1, 3, 7)) * chance.uniform(0.7, 1.4) * SECOND)
-        one = chance.choice(names)
-        kind = chance.choice(
+        duration = int(rng.choice((0.3, 1, 3, 7)) * rng.uniform(0.7, 1.4) * SECOND)
+        target = rng.choice(names)
+        kind = rng.choice(
             (
                 "kill",
                 "kill",
@@ -438,68 +464,71 @@
             )
         )
         if kind in ("kill", "pause", "leave"):
-            struck = chance.sample(names, chance.randint(1, most))
-            for name in struck:
+            targets = rng.sample(names, rng.randint(1, max_targets))
+            for name in targets:
                 world.at(at, {"kill": world.kill, "pause": world.pause, "leave": world.leave}[kind], name)
-                world.at(at + lasts, world.go_on if kind == "pause" else world.start, name)
+                world.at(at + duration, world.resume if kind == "pause" else world.start, name)
         elif kind == "all":
             for name in names:
                 world.at(at, world.kill, name)
-                world.at(at + chance.randrange(1, lasts + 2), world.start, name)
-        elif kind in ("forget", "older") and at >= forgets_at:
-            forgets_at = at + lasts + 14 * SECOND
-            machine = world.machines[one]
-            world.at(at, _take_memory, world, machine, kind, lasts)
+                world.at(at + rng.randrange(1, duration + 2), world.start, name)
+        elif kind in ("forget", "older") and at >= state_loss_allowed_at:
+            state_loss_allowed_at = at + duration + 14 * SECOND
+            machine = world.machines[target]
+            world.at(at, _lose_state, world, machine, kind, duration)
         elif kind == "disk":
-            sync = chance.choice((0.3, 1.0, 2.0)) * SECOND
+            sync = rng.choice((0.3, 1.0, 2.0)) * SECOND
             world.at(at, setattr, world, "disk_us", (int(0.9 * sync), int(1.1 * sync)))
-            world.at(at + lasts, setattr, world, "disk_us", DISK_US)
+            world.at(at + duration, setattr, world, "disk_us", DISK_WRITE_US)
         elif kind == "loss":
-            for path in world.paths.values():
-                world.at(at, setattr, path, "loss", chance.choice((0.1, 0.3, 0.6)))
-                world.at(at + lasts, setattr, path, "loss", 0.0)
+            for link in world.network.values():
+                world.at(at, setattr, link, "loss", rng.choice((0.1, 0.3, 0.6)))
+                world.at(at + duration, setattr, link, "loss", 0.0)
         elif kind in ("cut", "one_way", "halves", "ring", "bridge"):
-            place = {name: k for k, name in enumerate(names)}
-            half = set(chance.sample(names, (len(names) + 1) // 2))
+            position = {name: k for k, name in enumerate(names)}
+            half = set(rng.sample(names, (len(names) + 1) // 2))
             pairs = [
                 (a, b)
-                for a, b in world.paths
+                for a, b in world.network
                 if {
-                    "cut": one in (a, b),
-                    "one_way": a == one and b != names[0],
+                    "cut": target in (a, b),
+                    "one_way": a == target and b != names[0],
                     "halves": (a in half) != (b in half),
-                    "bridge": one not in (a, b) and (a in half) != (b in half),
-                    "ring": (place[a] - place[b]) % len(names) not in (1, len(names) - 1),
+                    "bridge": target not in (a, b) and (a in half) != (b in half),
+                    "ring": (position[a] - position[b]) % len(names) not in (1, len(names) - 1),
                 }[kind]
             ]
             world.at(at, cut, pairs, True)
-            world.at(at + lasts, cut, pairs, False)
-        at += int(lasts * chance.uniform(0.3, 1.5))
+            world.at(at + duration, cut, pairs, False)
+        at += int(duration * rng.uniform(0.3, 1.5))
+
 
+def _lose_state(world: World, machine: Machine, kind: str, duration: int) -> None:
+    """Lose the disk now, or (``older``) run on for the duration and then restore the disk's present content.
 
-def _take_memory(world: World, machine: Machine, kind: str, lasts: int) -> None:
-    """Its disk is lost, or set back to what it held at this moment, while the process goes on for some time."""
+    The process is killed. The disk stays as it is if no majority of other nodes has its state.
+    """
     copy = machine.disk if kind == "older" else None
 
-    def back() -> None:
+    def restore() -> None:
         world.kill(machine.name)
-        if _others_remember(world, machine.name):
+        if _majority_has_state(world, machine.name):
             machine.disk = copy
         if kind == "older":
             world.start(machine.name)
         else:
-            world.at(world.now + lasts, world.start, machine.name)
+            world.at(world.now + duration, world.start, machine.name)
 
-    world.at(world.now + (lasts if kind == "older" else 0), back)
+    world.at(world.now + (duration if kind == "older" else 0), restore)
 
 
-def _others_remember(world: World, name: str) -> bool:
-    """Is there a majority of the newest view whose memory is whole, without this node? Else nobody may decide any more:
-    so by design, and counted apart."""
+def _majority_has_state(world: World, name: str) -> bool:
+    """Whether a majority of the newest view, without this node, has its durable state. Without one no view can be
+    decided any more; that is by design, and such histories are counted separately."""
     if not world.digests:
         return False
     names = world.digests[max(world.digests)].names
-    whole = [
+    intact = [
         one
         for one in names
         if one != name
@@ -508,36 +537,36 @@
         and disk[1].votes
         and disk[1].view is not None
     ]
-    return 2 * len(whole) > len(names)
+    return 2 * len(intact) > len(names)
 
 
 def history(nodes: int, seed: int, seconds: int = 15, mistake: Callable[[Core], None] | None = None) -> World:
-    """One seeded history, to its end. Raises InvariantViolation, with the seed."""
+    """Run one seeded history to its end. Raises InvariantViolation, with the seed."""
     world = World(nodes, seed, mistake=mistake)
-    more = EACH * max(0, nodes - 16)
+    extra_s = EXTRA_TIMEOUT_PER_NODE_S * max(0, nodes - 16)
     try:
         for name in world.names:
-            world.at(world.chance.randrange(SECOND), world.start, name)
-        if not world.until_agreed(world.names, int((FORM + more) * SECOND)):
-            raise InvariantViolation(f"no first view: {_said(world)}")
-        trouble(world, seconds)
+            world.at(world.rng.randrange(SECOND), world.start, name)
+        if not world.run_until_agreed(world.names, int((FORM_TIMEOUT_S + extra_s) * SECOND)):
+            raise InvariantViolation(f"no first view: {_describe(world)}")
+        inject_faults(world, seconds)
         world.run(world.now + (seconds + 12) * SECOND)
-        for path in world.paths.values():
-            path.cut, path.loss = False, 0.0
+        for link in world.network.values():
+            link.cut, link.loss = False, 0.0
         for name in world.names:
-            world.go_on(name)
+            world.resume(name)
             world.start(name)
-        if not world.until_agreed(world.names, int((CALM + more) * SECOND)):
-            world.undecidable = not _others_remember(world, "")
+        if not world.run_until_agreed(world.names, int((SETTLE_TIMEOUT_S + extra_s) * SECOND)):
+            world.undecidable = not _majority_has_state(world, "")
             if not world.undecidable:
-                raise InvariantViolation(f"not one view after the calm: {_said(world)}")
+                raise InvariantViolation(f"no common view after the last fault: {_describe(world)}")
     except InvariantViolation as breach:
         raise InvariantViolation(f"seed {seed}, {nodes} nodes, at {world.now / SECOND:.3f} s: {breach}") from breach
     return world
 
 
-def _said(world: World) -> str:
-    """The newest view, and some of the nodes that are not in it or may not act."""
+def _describe(world: World) -> str:
+    """Describes the newest view, and some of the nodes that are not in it or may not act."""
     newest = max(world.digests, default=0)
     rows = []
     for name, machine in world.machines.items():
@@ -546,21 +575,21 @@
             rows.append(f"{name} is down")
             continue
         views = process.core.agreement
-        if views.number == newest and views.may_act(machine.local(world.now)):
+        if views.number == newest and views.may_act(machine.to_local_time(world.now)):
             continue
         rows.append(
             f"{name}/{process.core.me.generation} {views.status.value} in view {views.number} "
-            f"of {' '.join(f'{one.name}/{one.generation}' for one in views.view.members) if views.view else '-'} "
-            f"votes {views.durable.votes} checked {sorted(views.exchanged_with)} "
+            f"of {' '.join(f'{one.name}/{one.generation}' for one in views.view.members) if views.view else '-'}"
+            f" votes {views.durable.votes} checked {sorted(views.exchanged_with)} "
             f"sees {' '.join(process.core.detector.reachable())}"
         )
-    rows[SHOWN:] = [f"and {len(rows) - SHOWN} more"] if len(rows) > SHOWN else []
+    rows[MAX_NODES_SHOWN:] = [f"and {len(rows) - MAX_NODES_SHOWN} more"] if len(rows) > MAX_NODES_SHOWN else []
     head = f"view {newest} has {len(world.digests[newest].members)} members" if newest else "no view"
     return "; ".join([head, *rows])
 
 
 def main() -> None:
-    """``python -m lab.cluster.simulate FIRST LAST [NODES]``: play these seeds; exit code 1 with the first breach."""
+    """``python -m lab.cluster.simulate FIRST LAST [NODES]``: run these seeds; exit code 1 at the first violation."""
     import sys
 
     first, last = int(sys.argv[1]), int(sys.argv[2])
--- a/lab/demo.py
+++ b/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demo: one relay from the deployed configuration, a partner that has a bad quarter of an hour in ten seconds."""
+"""The demo: one relay with the deployed configuration, and a partner that slows down, rejects and fails calls."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 import orjson
 
-from lab.clients import Desk
-from lab.partner import Mood, Partner
-from lab.rules import Judged, judge
+from lab.clients import LoadGenerator
+from lab.partner import EndpointBehaviour, Partner
+from lab.rules import RuleReport, check_rules
 from lab.standins import hold_port, port_of
 from lynxscale.relay.upstream import files
 from lynxscale.relay.upstream.model import Endpoint
@@ -24,21 +24,25 @@
 ROOT = Path(__file__).parent.parent
 CONF = ROOT / "deploy" / "lynxscale.conf"
 ENDPOINTS, DESTINATIONS = 6, 3
-START_WITHIN, END_WITHIN = 20.0, 35.0
-GOOD = Mood(latency_ms=20)
-# Seconds into the run, what is told, and the partner's mood from then on.
-SCENES = (
-    (1.5, "the partner slows down tenfold", Mood(latency_ms=200)),
-    (3.5, "it recovers, and refuses a third of the calls", Mood(latency_ms=20, refusing=0.33, wait_s=0.1)),
-    (5.0, "it recovers, and fails or drops one call in ten", Mood(latency_ms=20, failing=0.05, dropping=0.05)),
-    (6.5, "it recovers", GOOD),
+START_TIMEOUT_S, END_TIMEOUT_S = 20.0, 35.0
+NORMAL = EndpointBehaviour(latency_ms=20)
+# Seconds into the run, the line that is printed, and the partner's behaviour from then on.
+PHASES = (
+    (1.5, "the partner slows down tenfold", EndpointBehaviour(latency_ms=200)),
+    (3.5, "it recovers, and refuses a third of the calls", EndpointBehaviour(latency_ms=20, refusing=0.33, wait_s=0.1)),
+    (
+        5.0,
+        "it recovers, and fails or drops one call in ten",
+        EndpointBehaviour(latency_ms=20, failing=0.05, dropping=0.05),
+    ),
+    (6.5, "it recovers", NORMAL),
 )
 
 
-class Own:
-    """A relay without the platform, in a folder, from a configuration file whose address alone is another one.
+class StandaloneRelay:
+    """A relay process with a folder of its own and a given configuration; only the listen address is replaced.
 
-    ``program``: what Python runs.
+    ``program``: the arguments of Python that run it.
     """
 
     program: tuple[str, ...] = ("-m", "lynxscale")
@@ -46,20 +50,20 @@
     def __init__(self, folder: Path, conf: str) -> None:
         self.folder, self.lists, self.log = folder, folder / "lists", folder / "log"
         self.lists.mkdir(exist_ok=True)
-        # Its own until ``close``, also while it does not run: another process there would pass for it.
-        self._held = [hold_port()]
-        self.port = port_of(self._held[0])
+        # Reserved until ``close``, also while the relay doesn't run: tests would take another process there for it.
+        self._reserved_sockets = [hold_port()]
+        self.port = port_of(self._reserved_sockets[0])
         self.conf = folder / "lynxscale.conf"
         self.conf.write_text(re.sub(r"(?m)^(\s*listen) .*$", rf"\1 127.0.0.1:{self.port}", conf))
         self.process: asyncio.subprocess.Process | None = None
 
     def close(self) -> None:
-        """Let go of what it has held since it was made."""
-        for held in self._held:
-            held.close()
+        """Release the reserved ports."""
+        for reserved_socket in self._reserved_sockets:
+            reserved_socket.close()
 
     async def spawn(self) -> None:
-        """Begin a process, ready or not."""
+        """Start the process without waiting until it is ready."""
         with open(self.log, "ab") as log:
             env = {key: value for key, value in os.environ.items() if not key.startswith(("NODE_", "LYNXSCALE_"))}
             env["PYTHONPATH"] = str(ROOT)
@@ -76,9 +80,9 @@
             )
 
     async def start(self) -> None:
-        """Ready to serve when this returns."""
+        """Start the process and wait until it is ready to serve."""
         await self.spawn()
-        end = time.monotonic() + START_WITHIN
+        end = time.monotonic() + START_TIMEOUT_S
         while not await self._ready():
             if self.process.returncode is not None or time.monotonic() > end:
                 raise RuntimeError(f"the relay did not start: {self.log.read_text()[-2000:]}")
@@ -88,11 +92,11 @@
         try:
             return b" 200 " in (await self.get("/_health"))[0]
         except (OSError, asyncio.IncompleteReadError):
-            # A relay that was not scheduled for two seconds closes connections that brought no request meanwhile.
+            # A relay that wasn't scheduled for two seconds closes connections on which no request had arrived.
             return False
 
     async def get(self, path: str) -> tuple[bytes, bytes]:
-        """Head and body of an answer."""
+        """Head and body of a response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
         try:
             writer.write(f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
@@ -105,22 +109,22 @@
     async def counters(self) -> dict:
         return orjson.loads((await self.get("/_counters"))[1])
 
-    async def stop(self, how: int = signal.SIGTERM) -> int:
-        """Its exit code."""
+    async def stop(self, signal_number: int = signal.SIGTERM) -> int:
+        """Send the signal and wait; returns the exit code."""
         assert self.process is not None
         if self.process.returncode is None:
-            self.process.send_signal(how)
+            self.process.send_signal(signal_number)
         return await self.process.wait()
 
     def put(self, entries: list[Endpoint], generation: int, name: str = "partner.list") -> float:
-        """Write a list as an operator would; the moment at which it was there."""
+        """Replace a list as an operator would; returns the time at which it was in place."""
         new = self.folder / f"{name}.new"
         new.write_bytes(files.write(entries, generation))
         os.replace(new, self.lists / name)
         return time.monotonic()
 
     def finals(self) -> dict[str, list[str]]:
-        """What was told in the end, by message."""
+        """The final statuses that were written, by message id."""
         found: dict[str, list[str]] = {}
         for path in sorted((self.folder / "state").glob("finals.jsonl*")):
             for line in path.read_bytes().splitlines():
@@ -128,63 +132,63 @@
                 found.setdefault(row["id"], []).append(row["status"])
         return found
 
-    async def settled(self, taken: int, within: float = END_WITHIN) -> None:
-        """Wait until as many messages have ended, or that time is over."""
-        end = time.monotonic() + within
-        while time.monotonic() < end:
+    async def settled(self, taken: int, timeout_s: float = END_TIMEOUT_S) -> None:
+        """Wait until that many messages have ended, or for the timeout."""
+        deadline = time.monotonic() + timeout_s
+        while time.monotonic() < deadline:
             if sum((await self.counters()).get("ends", {}).values()) >= taken:
                 return
             await asyncio.sleep(0.05)
 
 
 def entries_of(partner: Partner, draining: str | None = None) -> list[Endpoint]:
-    """The partner's endpoints as a list has them."""
+    """List entries for the partner's endpoints."""
     return [
         Endpoint(
             name,
             at,
-            place % DESTINATIONS,
+            index % DESTINATIONS,
             "a",
             "club-reservas",
             Lifecycle.DRAINING if name == draining else Lifecycle.READY,
             60.0,
         )
-        for place, (name, at) in enumerate(partner.addresses.items())
+        for index, (name, at) in enumerate(partner.addresses.items())
     ]
 
 
-async def play(folder: Path, messages: int, seed: int, say: Callable[[str], None]) -> Judged:
-    """Play it; what became of each class."""
-    partner, relay = Partner(seed, mood=GOOD), Own(folder, CONF.read_text())
-    for place in range(ENDPOINTS):
-        await partner.open(f"s-{place:02}")
+async def play(folder: Path, messages: int, seed: int, say: Callable[[str], None]) -> RuleReport:
+    """Run the demo; the outcomes by class, and all violations of rules."""
+    partner, relay = Partner(seed, behaviour=NORMAL), StandaloneRelay(folder, CONF.read_text())
+    for index in range(ENDPOINTS):
+        await partner.open(f"s-{index:02}")
     relay.put(entries_of(partner), 1)
     await relay.start()
-    desk = Desk(relay.port, seed, DESTINATIONS, left=12.0)
+    generator = LoadGenerator(relay.port, seed, DESTINATIONS, left=12.0)
     drained: dict[str, float] = {}
-    begun = time.monotonic()
+    started_at = time.monotonic()
 
-    async def scenes() -> None:
-        for at, what, mood in SCENES:
-            await asyncio.sleep(max(0.0, begun + at - time.monotonic()))
+    async def phases() -> None:
+        for at, what, behaviour in PHASES:
+            await asyncio.sleep(max(0.0, started_at + at - time.monotonic()))
             say(f"{at:4.1f} s  {what}")
-            partner.mood = mood
-            if mood is SCENES[1][2]:
+            partner.behaviour = behaviour
+            if behaviour is PHASES[1][2]:
                 drained["s-00"] = relay.put(entries_of(partner, "s-00"), 2)
                 say(f"{at:4.1f} s  s-00 is drained by a new list")
         (relay.lists / "partner.list").write_text("list 1 generation 3\nendpoint s-00 nowhere\nend 1\n")
-        say(f"{SCENES[-1][0]:4.1f} s  a list with a mistake is written; it is rejected whole")
+        say(f"{PHASES[-1][0]:4.1f} s  a list with a mistake is written; it is rejected whole")
 
     try:
         say(f" 0.0 s  {messages} messages to {DESTINATIONS} destinations with {ENDPOINTS} endpoints, seed {seed}")
-        await asyncio.gather(scenes(), desk.run(range(messages), messages / 8))
-        await relay.settled(sum(one.status == 202 for one in desk.sent.values()))
+        await asyncio.gather(phases(), generator.run(range(messages), messages / 8))
+        await relay.settled(sum(one.status == 202 for one in generator.sent.values()))
         rejected = (await relay.counters()).get("lists", {}).get("rejected", 0)
     finally:
         await relay.stop()
         relay.close()
         partner.close_all()
-    judged = judge(desk.sent, partner.calls, relay.finals(), drained=drained)
+    report = check_rules(generator.sent, partner.calls, relay.finals(), drained=drained)
     if not rejected:
-        judged.breaches.append("the list with a mistake was not rejected")
-    return judged
+        report.breaches.append("the list with a mistake was not rejected")
+    return report
--- a/lab/fake_disk.py
+++ b/lab/fake_disk.py
@@ -1,6 +1,6 @@
-"""A fake of the journal's file port: counts operations, and fails, tears a write or kills the process at any one.
+"""A fake of the journal's file storage: counts operations, and can fail, tear a write or kill the process at any.
 
-What was written outlasts a killed process. ``ProcessKilled`` is raised at the operation in which the process dies, and
+Written data survives a killed process. ``ProcessKilled`` is raised at the operation in which the process dies, and
 at every later one.
 """
 
@@ -13,40 +13,42 @@
 
 
 class ProcessKilled(BaseException):
-    """The process was killed; nothing of what it was doing goes on."""
+    """The simulated process was killed; a BaseException, so that no error handling of the journal goes on."""
 
 
 class FakeDisk:
-    """Files in memory. ``most``: bytes that all files may hold, in blocks of 4 KiB.
+    """The journal's Storage in memory.
 
-    ``dies_at``: the operation in which the process ends; ``torn``: how many bytes of that write are stored, or whether
-    another operation is done at all. ``fails(name, number)``: called with each operation, it may raise OSError.
+    ``capacity_bytes``: capacity of the disk, on which each file takes whole blocks of 4 KiB.
+    ``killed_at``: number of the operation in which the process is killed; ``torn``: how many bytes of that write are
+    stored, or, for any other operation, whether it is done at all. ``fails(name, number)`` is called with each
+    operation and may raise OSError.
     """
 
-    def __init__(self, files: dict[str, bytes] | None = None, most: int | None = None) -> None:
+    def __init__(self, files: dict[str, bytes] | None = None, capacity_bytes: int | None = None) -> None:
         self.files: dict[str, bytearray] = {name: bytearray(data) for name, data in (files or {}).items()}
-        self.most, self.dies_at, self.torn = most, None, 0
+        self.capacity_bytes, self.killed_at, self.torn = capacity_bytes, None, 0
         self.fails: Callable[[str, int], None] = lambda _what, _number: None
-        self.operations: list[tuple[str, int]] = []  # what was done, and bytes of a write
+        self.operations: list[tuple[str, int]] = []  # name, and bytes of a write
         self._handles: dict[int, str] = {}
         self._next = 3
         self.peak = 0
 
     def image(self) -> dict[str, bytes]:
-        """What a process that starts now would find."""
+        """The files that a process would find on a restart."""
         return {name: bytes(data) for name, data in self.files.items()}
 
     def blocks(self, without: str = "") -> int:
-        """Bytes of all files but one, rounded up to blocks."""
+        """Bytes of all files but one, each rounded up to whole blocks."""
         return sum(-(-len(data) // BLOCK_BYTES) * BLOCK_BYTES for name, data in self.files.items() if name != without)
 
     def _operation(self, what: str, size: int = 0) -> bool:
-        """Count an operation; whether the process dies in it. Raises ProcessKilled after that one."""
+        """Count an operation; returns whether the process dies in it. Raises ProcessKilled for later ones."""
         number = len(self.operations)
-        if self.dies_at is not None and number > self.dies_at:
+        if self.killed_at is not None and number > self.killed_at:
             raise ProcessKilled
         self.operations.append((what, size))
-        if number == self.dies_at:
+        if number == self.killed_at:
             return True
         self.fails(what, number)
         return False
@@ -56,24 +58,21 @@
         if dies:
             raise ProcessKilled
 
-    # The port ------------------------------------------------------------------------------------
+    # Storage -------------------------------------------------------------------------------------
 
     def lock(self) -> None:
-        """Part of the port: there is no other process."""
+        """Does nothing: there is no other process."""
 
     def unlock(self) -> None:
-        """Part of the port."""
+        """Does nothing: there is no other process."""
 
     def names(self) -> list[str]:
-        """Part of the port."""
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        """Part of the port."""
         return bytes(self.files[name])
 
     def create(self, name: str) -> int:
-        """Part of the port."""
         dies = self._operation("create")
         if dies and not self.torn:
             raise ProcessKilled
@@ -82,7 +81,6 @@
         return self._handle(name)
 
     def append_to(self, name: str, size: int) -> int:
-        """Part of the port."""
         dies = self._operation("append_to")
         if dies and not self.torn:
             raise ProcessKilled
@@ -96,13 +94,13 @@
         return self._next
 
     def write(self, handle: int, data: bytes) -> int:
-        """Part of the port. Raises OSError where the disk is full."""
+        """Raises OSError where the disk is full."""
         name = self._handles[handle]
         dies = self._operation("write", len(data))
         if dies:
             data = data[: self.torn]
-        if self.most is not None:
-            capacity = self.most - self.blocks(name) - len(self.files[name])
+        if self.capacity_bytes is not None:
+            capacity = self.capacity_bytes - self.blocks(name) - len(self.files[name])
             if capacity <= 0 and data:
                 raise OSError(errno.ENOSPC, "No space left on device")
             data = data[:capacity]
@@ -111,7 +109,6 @@
         return len(data)
 
     def overwrite(self, name: str, data: bytes) -> None:
-        """Part of the port."""
         dies = self._operation("overwrite", len(data))
         if dies:
             data = data[: self.torn]
@@ -120,7 +117,6 @@
         self._done(dies)
 
     def truncate(self, handle: int, size: int) -> None:
-        """Part of the port."""
         dies = self._operation("truncate")
         if dies and not self.torn:
             raise ProcessKilled
@@ -128,11 +124,9 @@
         self._done(dies)
 
     def close(self, handle: int) -> None:
-        """Part of the port."""
         self._handles.pop(handle)
 
     def rename(self, old: str, new: str) -> None:
-        """Part of the port."""
         dies = self._operation("rename")
         if dies and not self.torn:
             raise ProcessKilled
@@ -143,7 +137,6 @@
         self._done(dies)
 
     def unlink(self, name: str) -> None:
-        """Part of the port."""
         dies = self._operation("unlink")
         if dies and not self.torn:
             raise ProcessKilled
--- a/lab/linearizability.py
+++ b/lab/linearizability.py
@@ -20,7 +20,7 @@
 
 
 class TooManyOrdersError(RuntimeError):
-    """More states than the search is meant for."""
+    """The search exceeded MAX_STATES."""
 
 
 @frozen
@@ -36,14 +36,14 @@
 
     @property
     def definite(self) -> bool:
-        """Did it return?"""
+        """Whether it returned."""
         return self.returned_at < inf
 
 
 def is_linearizable(
     operations: Sequence[Operation[Call]], initial: State, step: Callable[[State, Call], Iterable[State]]
 ) -> bool:
-    """Is there such an order? ``step(state, call)``: the states that the call may lead to with the result that it had.
+    """Whether such an order exists. ``step(state, call)``: the states that the call may lead to, given its result.
 
     Raises TooManyOrdersError.
     """
--- a/lab/model_checker.py
+++ b/lab/model_checker.py
@@ -1,8 +1,8 @@
 """An explicit-state model checker: visits every state that a small model can reach, and checks its invariants.
 
-``search`` goes from state to state as a successor function tells. ``explore`` is for state machines that are plain
-objects: each state is reached by applying its events anew from the start, so nothing needs to be copied, and states
-with equal keys are one.
+``search`` takes a function that gives the successors of a state. ``explore`` takes state machines that are plain
+objects: each state is reached by replaying its events from the start, so nothing needs to be copied, and states with
+equal keys count as one.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 State = TypeVar("State", bound=Hashable)
 Event = tuple[Any, ...]
-"""What happened, by words that name the event and its subject; each model documents its own."""
+"""The name of the event, then its subject and arguments; each model documents its own."""
 MAX_STATES = 200_000
 
 
@@ -26,7 +26,7 @@
 
 
 class TooManyStatesError(RuntimeError):
-    """The bounds of a model are too wide to be searched."""
+    """The bounds of a model are too wide for a search."""
 
 
 @dataclass(slots=True)
@@ -77,7 +77,7 @@
 
 
 class StateMachine(Protocol):
-    """A machine that can be searched. Its events and keys must depend on what was applied alone."""
+    """A machine that can be searched. Its events and keys must depend only on the events applied."""
 
     def events(self) -> list[Event]:
         """The events that are possible now."""
@@ -86,7 +86,7 @@
         """Let an event happen."""
 
     def key(self) -> Hashable:
-        """Equal for states from which the same may follow."""
+        """Equal for states with equal behaviour from here on."""
 
     def check(self) -> None:
         """Raises InvariantViolation."""
@@ -127,7 +127,7 @@
 
 
 def frozen(value: object, omitted: frozenset[str] = frozenset()) -> Hashable:
-    """A value that is equal for equal content, for keys; attributes of the names ``omitted`` do not count."""
+    """A hashable value that is equal for equal content, for keys. Attributes named in ``omitted`` are left out."""
     if isinstance(value, dict):
         return tuple(sorted((frozen(key, omitted), frozen(one, omitted)) for key, one in value.items()))
     if isinstance(value, (set, frozenset)):
--- a/lab/partner.py
+++ b/lab/partner.py
@@ -1,6 +1,6 @@
-"""A partner system as a stand-in: endpoints that answer late, refuse, fail or ask for rest, and what they received.
+"""A stand-in for a partner system: endpoints that answer late, reject or fail calls, and a record of all calls.
 
-Its record is what the rules are judged by: every call with its time, whole or not, and whether it took effect.
+``lab.rules`` checks runs by this record: each call with its time, and whether it took effect.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call that came in whole. ``effect``: the partner did what it asks for."""
+    """A call that was received completely. ``effect``: the partner executed it."""
 
-    at: float  # monotonic seconds, of its first byte
+    at: float  # monotonic seconds, when its first byte arrived
     endpoint: str
     id: str
     key: str
@@ -26,25 +26,25 @@
 
 
 @dataclass
-class Mood:
-    """How an endpoint behaves; all shares are of its calls."""
+class EndpointBehaviour:
+    """How an endpoint behaves. Shares are of its calls."""
 
     latency_ms: float = 20.0  # median
     failing: float = 0.0  # answered 500 after the effect
     refusing: float = 0.0  # answered 429, without an effect
-    wait_s: float = 0.05  # told with a refusal; 0: nothing is told
+    wait_s: float = 0.05  # Retry-After of a rejection; 0: no such header
     dropping: float = 0.0  # the connection closes after the effect, without an answer
 
 
 @dataclass
 class Partner:
-    """Endpoints on ports of the system, by name. ``span``: seconds for which a key is remembered; a call under a known
-    key is answered 200 without another effect."""
+    """Endpoints by name, on ephemeral ports. ``key_ttl_s``: how long an idempotency key is remembered; a call with a
+    known key is answered 200 and has no further effect."""
 
     seed: int = 1
-    span: float = 7.5
-    mood: Mood = field(default_factory=Mood)
-    moods: dict[str, Mood] = field(default_factory=dict)  # of endpoints that differ
+    key_ttl_s: float = 7.5
+    behaviour: EndpointBehaviour = field(default_factory=EndpointBehaviour)
+    behaviours: dict[str, EndpointBehaviour] = field(default_factory=dict)  # by endpoint, where it differs
     calls: list[Call] = field(default_factory=list)
     addresses: dict[str, tuple[str, int]] = field(default_factory=dict)
     _servers: dict[str, asyncio.Server] = field(default_factory=dict)
@@ -52,16 +52,16 @@
     _writers: dict[str, set] = field(default_factory=dict)
 
     async def open(self, name: str) -> tuple[str, int]:
-        """Begin to listen as this endpoint; its address."""
-        chance = random.Random(f"{self.seed} {name}")
+        """Start to listen as this endpoint; returns its address."""
+        rng = random.Random(f"{self.seed} {name}")
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writers = self._writers.setdefault(name, set())
             writers.add(writer)
             try:
-                await self._serve(name, chance, reader, writer)
+                await self._serve(name, rng, reader, writer)
             except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-                pass  # cancelled as the loop ends: nobody waits for it, and its trace would pass for a fault
+                pass  # cancelled at the end of the loop: nobody awaits it, and its traceback would look like a failure
             finally:
                 writers.discard(writer)
                 writer.close()
@@ -71,11 +71,11 @@
         return self.addresses[name]
 
     def connections(self, name: str) -> int:
-        """How many are open there."""
+        """The number of open connections of an endpoint."""
         return len(self._writers.get(name, ()))
 
     def close(self, name: str) -> None:
-        """Listen no more, and end the connections."""
+        """Stop to listen as an endpoint, and close its connections."""
         self._servers.pop(name).close()
         for writer in list(self._writers.get(name, ())):
             writer.close()
@@ -85,7 +85,7 @@
             self.close(name)
 
     async def _serve(
-        self, name: str, chance: random.Random, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, name: str, rng: random.Random, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         while True:
             first = await reader.read(1)
@@ -97,32 +97,32 @@
             headers = {key.lower(): value.strip() for key, _, value in (line.partition(":") for line in lines[1:])}
             await reader.readexactly(int(headers.get("content-length", 0)))
             if not lines[0].startswith("POST"):
-                writer.write(OK % chance.random())
+                writer.write(OK % rng.random())
                 continue
-            mood, draw = self.moods.get(name, self.mood), chance.random()
+            behaviour, draw = self.behaviours.get(name, self.behaviour), rng.random()
             call = Call(at, name, headers.get("req-id", ""), headers.get("idempotency-key", ""), False, 200)
             self.calls.append(call)
-            if draw < mood.refusing:
+            if draw < behaviour.refusing:
                 call.status = 429
-                rest = f"Retry-After: {mood.wait_s:.3f}\r\n" if mood.wait_s else ""
-                writer.write(f"HTTP/1.1 429 X\r\n{rest}Content-Length: 0\r\n\r\n".encode())
+                retry_after = f"Retry-After: {behaviour.wait_s:.3f}\r\n" if behaviour.wait_s else ""
+                writer.write(f"HTTP/1.1 429 X\r\n{retry_after}Content-Length: 0\r\n\r\n".encode())
                 continue
             call.effect = not self._known(call)
-            await asyncio.sleep(mood.latency_ms / 1000 * chance.lognormvariate(0, 0.4))
-            draw -= mood.refusing
-            if draw < mood.failing:
+            await asyncio.sleep(behaviour.latency_ms / 1000 * rng.lognormvariate(0, 0.4))
+            draw -= behaviour.refusing
+            if draw < behaviour.failing:
                 call.status = 500
                 writer.write(b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
-            elif draw < mood.failing + mood.dropping:
+            elif draw < behaviour.failing + behaviour.dropping:
                 call.status = 0
                 return
             else:
-                writer.write(OK % chance.random())
+                writer.write(OK % rng.random())
 
     def _known(self, call: Call) -> bool:
         if not call.key:
             return False
-        known = call.at - self._keys.get(call.key, -1e9) <= self.span
+        known = call.at - self._keys.get(call.key, -1e9) <= self.key_ttl_s
         if not known:
             self._keys[call.key] = call.at
         return known
--- a/lab/standins.py
+++ b/lab/standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins that a test cranks by hand, each in threads of its own: servers, a directory, one client connection."""
+"""Stand-ins with threads of their own, for tests: HTTP servers, a discovery service, a client connection."""
 
 from __future__ import annotations
 
@@ -8,34 +8,37 @@
 import threading
 import time
 
-PATIENCE = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
-def until(condition, what: str, every: float = 0.005):
-    """Wait for a condition and return what it gave; looked at each so many seconds."""
-    end = time.monotonic() + PATIENCE
-    while time.monotonic() < end:
+def until(condition, description: str, every: float = 0.005):
+    """Poll a condition every ``every`` seconds and return its first true value. AssertionError after the timeout."""
+    deadline = time.monotonic() + WAIT_TIMEOUT_S
+    while time.monotonic() < deadline:
         if value := condition():
             return value
         time.sleep(every)
-    raise AssertionError(f"not seen in time: {what}")
+    raise AssertionError(f"not seen in time: {description}")
 
 
 def hold_port(port: int = 0) -> socket.socket:
-    """A port of the system's, bound and not listened on: whoever sets SO_REUSEADDR, as relays do, can listen there, and
-    the system gives it to nobody else meanwhile. On UDP it is free as long as all take theirs on TCP first."""
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind(("127.0.0.1", port))
-    return held
+    """Reserve a port: a socket that is bound and doesn't listen.
 
+    A process that sets SO_REUSEADDR, as relays do, can listen on the port, and the system assigns it to nobody else.
+    The UDP port of that number stays free as long as all processes reserve their port on TCP first.
+    """
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", port))
+    return reserved
 
-def port_of(held: socket.socket) -> int:
-    return held.getsockname()[1]
+
+def port_of(reserved: socket.socket) -> int:
+    return reserved.getsockname()[1]
 
 
 def read_http(stream) -> tuple[str, dict[str, str], bytes] | None:
-    """One request or answer from a buffered stream; None at its end."""
+    """Read one request or response from a buffered stream; None at its end."""
     first = stream.readline().decode().strip()
     if not first:
         return None
@@ -47,7 +50,7 @@
 
 
 class Server:
-    """Accepts connections; ``act(call)`` gives an answer's bytes, or None to close, or b'' for silence."""
+    """An HTTP server; ``act(call)`` returns the bytes of a response, None to close, or b'' for no response."""
 
     def __init__(self, act) -> None:
         self.act, self.calls, self.opened, self.open = act, [], 0, set()
@@ -58,35 +61,35 @@
     def _accept(self) -> None:
         while True:
             try:
-                link, _ = self.socket.accept()
+                connection, _ = self.socket.accept()
             except OSError:
                 return
             self.opened += 1
-            self.open.add(link)
-            threading.Thread(target=self._serve, args=(link,), daemon=True).start()
+            self.open.add(connection)
+            threading.Thread(target=self._serve, args=(connection,), daemon=True).start()
 
-    def _serve(self, link) -> None:
-        stream = link.makefile("rb")
+    def _serve(self, connection) -> None:
+        stream = connection.makefile("rb")
         try:
             while call := read_http(stream):
                 self.calls.append((time.monotonic(), call))
                 answer = self.act(call)
                 if answer is None:
                     break
-                link.sendall(answer)
+                connection.sendall(answer)
         except OSError:
             pass
-        self.open.discard(link)
+        self.open.discard(connection)
         with contextlib.suppress(OSError):
             stream.close()
-            link.close()
+            connection.close()
 
     def close(self) -> None:
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_RDWR)  # wakes the thread that accepts
         self.socket.close()
-        for link in list(self.open):
-            link.close()
+        for connection in list(self.open):
+            connection.close()
 
 
 def reply(status: int, body: bytes = b"", *more: str) -> bytes:
@@ -95,13 +98,13 @@
 
 
 class Discovery(Server):
-    """Holds a list, answers a watch when it changes, and keeps the notices."""
+    """A discovery service: serves the member list and watches of it, and stores notices of final statuses."""
 
     def __init__(self) -> None:
         self.version, self.rows, self.changed = 1, [], []
         self.notices: dict[str, dict] = {}
-        self.refusals = 0  # so many notices are answered 503 first
-        self.unreadable = ""  # a notice with this text in it is answered 400
+        self.refusals = 0  # number of notices that are answered 503 first
+        self.unreadable = ""  # notices that contain this text are answered 400
         self.failing = False
         super().__init__(self._act)
 
@@ -193,14 +196,14 @@
 
 
 class Client:
-    """One client connection."""
+    """A client connection."""
 
     def __init__(self, port: int) -> None:
-        self.socket = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+        self.socket = socket.create_connection(("127.0.0.1", port), timeout=WAIT_TIMEOUT_S)
         self.stream = self.socket.makefile("rb")
 
     def ask(self, data: bytes):
-        """The answer to these bytes: status, headers and body; None where the connection ends."""
+        """Send a request; its response as status, headers and body, or None where the connection ends."""
         self.socket.sendall(data)
         got = read_http(self.stream)
         return got and (int(got[0].split()[1]), got[1], got[2])
