--- a/lab/traffic.py
+++ b/lab/traffic.py
@@ -1,7 +1,7 @@
-"""One relay as a child process between stand-ins of all that it talks to: clients, endpoints, discovery.
+"""Runs one relay as a child process between stand-ins for clients, endpoints and discovery, and measures it.
 
-Load is open-loop: messages come at a rate, whatever becomes of them. Everything is seeded; the relay's CPU and memory
-are the kernel's figures.
+Load is open-loop: messages are sent at a fixed rate, whatever the responses. Everything is seeded; CPU time and memory
+of the relay are the kernel's figures.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 
 import orjson
 
-from lab.clients import CLASSES, TENANTS, Desk, request_of
-from lab.partner import Mood, Partner
+from lab.clients import CLASSES, TENANTS, LoadGenerator, read_head
+from lab.partner import EndpointBehaviour, Partner
 
 ROOT = Path(__file__).parent.parent
-START_WITHIN = 20.0
+START_TIMEOUT_S = 20.0
 
 
 def settings(slots: int = 64, most_held: int = 400) -> dict:
-    """The settings of one relay of this deployment, as the platform tells them."""
+    """Settings of one relay, in the form in which the platform provides them."""
     return {
         "allowed": {
             "attempts_cap": 12,
@@ -47,14 +47,14 @@
             {
                 "name": name,
                 "effect": effect,
-                "goal_time_ms": aim,
+                "goal_time_ms": goal,
                 "deadline_ms": deadline,
-                "value": worth,
+                "value": value,
                 "late_worth": late,
                 "memory_span_ms": 7500.0,
                 "group": "all",
             }
-            for name, effect, aim, deadline, worth, late, _share in CLASSES
+            for name, effect, goal, deadline, value, late, _share in CLASSES
         ],
         "load_info": {"columns": ["x0", "x1"], "source": "inline"},
         "weight_source": "nominal",
@@ -71,14 +71,14 @@
 
 @dataclass
 class Load:
-    """What is asked of the relay."""
+    """The load on the relay and the behaviour of its endpoints."""
 
     messages: int = 2000
-    rate: float = 200.0  # a second
+    rate: float = 200.0  # messages per second
     seed: int = 1
     destinations: int = 16
-    latency_ms: float = 20.0  # median of an endpoint's answer
-    failing: float = 0.02  # share of calls that answer 500, and as many 429 with a wait
+    latency_ms: float = 20.0  # median latency of an endpoint
+    failing: float = 0.02  # share of calls answered 500, and likewise 429 with Retry-After
     connections: int = 24
 
 
@@ -86,20 +86,20 @@
 class Outcome:
     taken: int = 0
     rejected: int = 0
-    cpu: float = 0.0  # seconds of the relay, in user and system
+    cpu: float = 0.0  # CPU seconds of the relay, user and system
     peak_kb: int = 0
     ends: dict = field(default_factory=dict)
 
 
 def usage(pid: int, memory: str) -> tuple[float, int]:
-    """CPU seconds of a process so far, and its memory (kB) by that row of its status."""
+    """CPU seconds of a process so far, and its memory (kB) from the row ``memory`` of /proc/PID/status."""
     spent = int(Path(f"/proc/{pid}/schedstat").read_text().split()[0])
     status = Path(f"/proc/{pid}/status").read_text()
     return spent / 1e9, next(int(line.split()[1]) for line in status.splitlines() if line.startswith(memory))
 
 
-class Stage:
-    """The stand-ins, and the relay between them. Used by ``async with``."""
+class RelayUnderLoad:
+    """A relay process and the stand-ins around it. Used by ``async with``."""
 
     def __init__(self, folder: Path, load: Load, conf: str | None = None) -> None:
         self.folder, self.load, self.conf = folder, load, conf
@@ -108,13 +108,13 @@
         self.port = 0
         self.version = 1
         self.rows: list[dict] = []
-        self.ending = asyncio.Event()
+        self.closing = asyncio.Event()
 
-    async def __aenter__(self) -> Stage:
+    async def __aenter__(self) -> RelayUnderLoad:
         load = self.load
-        self.partner = Partner(load.seed, mood=Mood(load.latency_ms, load.failing, load.failing))
+        self.partner = Partner(load.seed, behaviour=EndpointBehaviour(load.latency_ms, load.failing, load.failing))
         at = "{}:{}".format(*await self.partner.open("all"))
-        self.discovery = await self._serve(self._directory)
+        self.discovery = await self._serve(self._serve_discovery)
         self.rows = [
             {
                 "instanceId": f"s-{k:04x}",
@@ -147,7 +147,7 @@
         return self
 
     async def start(self) -> None:
-        """Start the relay, or start it again after ``kill``; ready when this returns."""
+        """Start the relay, also after ``kill``, and wait until it is ready."""
         env = os.environ | {
             "NODE_CONFIG": str(self.folder / "node.json"),
             "NODE_STATE": str(self.folder / "state"),
@@ -160,7 +160,7 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "lynxscale", cwd=ROOT, env=env, stdout=log, stderr=log
             )
-        end = asyncio.get_running_loop().time() + START_WITHIN
+        end = asyncio.get_running_loop().time() + START_TIMEOUT_S
         while not await self._ready():
             if self.process.returncode is not None or asyncio.get_running_loop().time() > end:
                 raise RuntimeError(f"the relay did not start: {(self.folder / 'log').read_text()[-2000:]}")
@@ -177,7 +177,7 @@
         return line.split()[1:2] == [b"200"]
 
     async def __aexit__(self, *_: object) -> None:
-        self.ending.set()
+        self.closing.set()
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
@@ -207,16 +207,16 @@
         self.servers.append(server)
         return f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def _directory(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_discovery(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            while request := await request_of(reader):
+            while request := await read_head(reader):
                 if request.startswith(b"POST"):
                     writer.write(b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")
                     continue
                 whole = b"after=" not in request
                 if b"wait_ms=10000" in request:
                     with contextlib.suppress(TimeoutError):
-                        await asyncio.wait_for(self.ending.wait(), 2)
+                        await asyncio.wait_for(self.closing.wait(), 2)
                 rows = self.rows if whole else []
                 body = orjson.dumps({"generation": self.version, "reset": whole, "instances": rows})
                 writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -228,13 +228,13 @@
     # Load ----------------------------------------------------------------------------------------
 
     async def run(self, outcome: Outcome, first: int = 0) -> None:
-        """Hand in the load's messages, numbered from ``first``."""
+        """Send the messages of the load, numbered from ``first``."""
         load = self.load
-        desk = Desk(self.port, load.seed, load.destinations, load.connections)
-        await desk.run(range(first, first + load.messages), load.rate)
-        taken = sum(one.status == 202 for one in desk.sent.values())
+        generator = LoadGenerator(self.port, load.seed, load.destinations, load.connections)
+        await generator.run(range(first, first + load.messages), load.rate)
+        taken = sum(one.status == 202 for one in generator.sent.values())
         outcome.taken += taken
-        outcome.rejected += len(desk.sent) - taken
+        outcome.rejected += len(generator.sent) - taken
 
     async def counters(self) -> dict:
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -246,7 +246,7 @@
         return table
 
     async def settled(self, taken: int) -> dict:
-        """The counters, once as many messages have ended."""
+        """Wait until that many messages have ended; returns the counters."""
         while True:
             table = await self.counters()
             if sum(table.get("ends", {}).values()) >= taken:
@@ -255,24 +255,24 @@
 
 
 def one_run(load: Load, conf: str | None, folder: Path) -> Outcome:
-    """One relay, one load, from a cold start to its last end."""
+    """Start a relay, run one load until its last message has ended, and stop the relay."""
 
     async def run() -> Outcome:
         outcome = Outcome()
-        async with Stage(folder, load, conf) as stage:
-            before, _peak = stage.usage()
-            await stage.run(outcome)
-            outcome.ends = (await asyncio.wait_for(stage.settled(outcome.taken), 60)).get("ends", {})
-            outcome.cpu, outcome.peak_kb = stage.usage()
+        async with RelayUnderLoad(folder, load, conf) as relay:
+            before, _peak = relay.usage()
+            await relay.run(outcome)
+            outcome.ends = (await asyncio.wait_for(relay.settled(outcome.taken), 60)).get("ends", {})
+            outcome.cpu, outcome.peak_kb = relay.usage()
             outcome.cpu -= before
-            await stage.stop()
+            await relay.stop()
         return outcome
 
     return asyncio.run(run())
 
 
 def with_trace(folder: Path, level: str | None, **more: str) -> str | None:
-    """A configuration file that records at that level; None for none."""
+    """Write a configuration file with a trace of that level; None without a level."""
     if level is None:
         return None
     lines = [f"    {name.replace('_', '-')} {value}" for name, value in more.items()]
