--- a/lab/bench_cluster.py
+++ b/lab/bench_cluster.py
@@ -111,7 +111,7 @@
             numbers.add(fields["number"])
             for one in fields["gone"].split():
                 name = one.partition("/")[0]
-                found[not any(who == name and frm <= at < to + 5 * SECOND for who, frm, to in affected)] += 1
+                found[not any(node == name and start <= at < end + 5 * SECOND for node, start, end in affected)] += 1
     return found[0], found[1]
 
 
@@ -257,11 +257,11 @@
             ("10 % loss", constant_loss(0.1)),
             ("30 % loss", constant_loss(0.3)),
             ("one-way cuts", one_way_cuts),
-            ("stops of 4 s", pauses),
+            ("pauses of 4 s", pauses),
         ):
-            of_struck, of_others = removals(5, 1, 3600, inject)
+            of_paused, of_others = removals(5, 1, 3600, inject)
             print(
-                f"simulated, 5 nodes, one hour of {what}: {of_others} removed in error, {of_struck} that stood still",
+                f"simulated, 5 nodes, one hour of {what}: {of_others} removed in error, {of_paused} after a pause",
                 flush=True,
             )
     for count in (3, 5, 16) if "kills" in sections else ():
--- a/lab/bench_operation.py
+++ b/lab/bench_operation.py
@@ -22,7 +22,7 @@
 
 from lab.standins import Client, Discovery, Server, message, reply, row, settings, until
 
-MAX_HELD, FEEDER_THREADS, ALLOWED_S = 400, 16, 1.0  # s
+MAX_HELD, FEEDER_THREADS, ALLOWED_S = 400, 16, 1.0
 TURN = re.compile(r"longest_turn_ms=(\d+)")
 
 
--- a/lab/cluster/faults.py
+++ b/lab/cluster/faults.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One scheduled fault and the nodes that it affects. ``start_s`` counts from the begin of the run."""
+    """One scheduled fault and the nodes that it affects. ``start_s`` counts from the start of the run."""
 
     start_s: float
     duration_s: float
@@ -30,7 +30,7 @@
 
 
 # Faults of processes: ``early`` kills a process while it starts, ``all`` kills all nodes at once. Those of
-# STATE_LOSS_FAULTS take a node's durable state away, one node at a time, as else no majority may have its state.
+# STATE_LOSS_FAULTS take a node's durable state away, one node at a time, so that a majority always has its state.
 PROCESS_FAULTS = ("kill", "stop", "term", "early", "all", "forget", "older")
 STATE_LOSS_FAULTS = ("forget", "older")
 LINK_FAULTS = (
--- a/lab/cluster/judge.py
+++ b/lab/cluster/judge.py
@@ -40,15 +40,14 @@
 
     def __init__(self) -> None:
         self._verdict = Verdict()
-        self._digest_by_view: dict[
-            int, tuple[str, str]
-        ] = {}  # by view number: its digest, and the node that reported it
+        # By view number: its digest, and the node that reported it.
+        self._digest_by_view: dict[int, tuple[str, str]] = {}
         self._members_by_view: dict[int, frozenset[Incarnation]] = {}
-        self._acted_by_view: dict[int, tuple[float, str]] = {}  # by view number: earliest certain lease, and whose
+        # By view number: the earliest time by which a node certainly held a lease, and that node.
+        self._acted_by_view: dict[int, tuple[float, str]] = {}
         self._newest_by_process: dict[tuple[str, str], int] = {}
-        self._lease_ends: dict[
-            tuple[Incarnation, int], float
-        ] = {}  # by incarnation and view number: the latest end of a lease
+        # By incarnation and view number: the latest end of a lease.
+        self._lease_ends: dict[tuple[Incarnation, int], float] = {}
 
     def observe(self, observation: StatusObservation) -> None:
         found, status, view = self._verdict, observation.status, observation.status["view"]
--- a/lab/fleet.py
+++ b/lab/fleet.py
@@ -31,15 +31,10 @@
 
 NETWORK_DELAY_MS, CONNECT_FAILURE_MS = 20.0, 40.0  # one way; time of a failed connect
 REPORT_INTERVAL_MS, REPORT_DELAY_MS = 400.0, 150.0  # interval of load reports, and their delay
-COLD_CAPACITY, RAMP_MS, CAPACITY_MARGIN = (
-    0.21,
-    9200.0,
-    1.3,
-)  # capacity right after an outage, time until full capacity, capacity over the limit
-DISCOVERY_CALL_MS, MAX_DISCOVERY_WAIT_MS = (
-    45.0,
-    2000.0,
-)  # time that discovery needs for a call; calls that wait longer fail
+# Share of the capacity right after an outage, the time until it is full, and the full capacity over the limit.
+COLD_CAPACITY, RAMP_MS, CAPACITY_MARGIN = 0.21, 9200.0, 1.3
+# The time that discovery needs for a call, and the longest wait after which it still answers.
+DISCOVERY_CALL_MS, MAX_DISCOVERY_WAIT_MS = 45.0, 2000.0
 CLASSES = [
     MessageClass("notice", 3000.0, 12_000.0, 1.0, 0.4, Effect.IDEMPOTENT),
     MessageClass("payout", 2000.0, 12_000.0, 3.0, 0.3, Effect.UNSAFE),
@@ -67,12 +62,8 @@
 
     def __init__(self, number: int, limit: float, depth_s: float = 0.7, spans: bool = False) -> None:
         self.spans = spans
-        self.number, self.limit, self.listed, self.depth_s = (
-            number,
-            limit,
-            limit,
-            depth_s,
-        )  # listed: the limit in the member list
+        # ``listed``: the limit in the member list.
+        self.number, self.limit, self.listed, self.depth_s = number, limit, limit, depth_s
         self.tokens, self.at = limit * depth_s, 0.0
         self.report, self.report_at = (1.0, limit), 0.0
         self.down: tuple[float, float] | None = None
