--- a/lynxscale/cli/lab.py
+++ b/lynxscale/cli/lab.py
@@ -67,9 +67,9 @@
         click.echo(f"seed {seed}, {nodes} nodes, {len(faults)} faults", err=as_json)
         result = asyncio.run(play(Path(folder), nodes, seed, faults, lambda text: click.echo(text, err=as_json), rate))
         if plot:
-            from lab.cluster.plot import draw_sight
+            from lab.cluster.plot import draw_timeline
 
-            draw_sight(result, Path(plot))
+            draw_timeline(result, Path(plot))
     verdict = result.verdict
     if as_json:
         write_json(
--- a/tests/relay/cluster/test_failure_detector.py
+++ b/tests/relay/cluster/test_failure_detector.py
@@ -52,11 +52,11 @@
     world = World(3, 5)
     for name in world.names:
         world.start(name)
-    assert world.until_agreed(world.names, 20 * SECOND)
+    assert world.run_until_agreed(world.names, 20 * SECOND)
     world.pause("r1")
     world.run(world.now + 20 * SECOND)
     assert world.believes("r2", "r1") is State.FAILED
-    world.go_on("r1")
+    world.resume("r1")
     resumed_at = world.now
     world.run(resumed_at + SECOND)
     node_events = [
--- a/tests/relay/cluster/test_live_cluster.py
+++ b/tests/relay/cluster/test_live_cluster.py
@@ -16,7 +16,7 @@
 
 from lab.cluster import odd
 from lab.cluster.faults import Fault, draw
-from lab.cluster.links import Weather
+from lab.cluster.links import LinkConditions
 from lab.cluster.nodes import Cluster, Node
 from lab.cluster.play import play
 from lab.demo import ROOT, entries_of
@@ -42,7 +42,7 @@
     async def run_scene():
         async with Cluster(folder, count, 1, **more) as cluster:
             await cluster.start()
-            assert await cluster.agreed(cluster.names, FORMATION_TIMEOUT_S), await describe(cluster)
+            assert await cluster.wait_for_agreement(cluster.names, FORMATION_TIMEOUT_S), await describe(cluster)
             await scene(cluster)
 
     asyncio.run(run_scene())
@@ -50,12 +50,12 @@
 
 async def describe(cluster: Cluster) -> str:
     return "; ".join(
-        f"{name} {seen.status['standing']} {seen.status['view']}" for name, seen in (await cluster.looks()).items()
+        f"{name} {seen.status['standing']} {seen.status['view']}" for name, seen in (await cluster.query_all()).items()
     )
 
 
 async def wait_for_view(cluster: Cluster, names: list[str], within: float) -> dict:
-    looks = await cluster.agreed(names, within)
+    looks = await cluster.wait_for_agreement(names, within)
     assert looks is not None, f"expected a view of {names}: {await describe(cluster)}"
     return looks
 
@@ -77,7 +77,7 @@
     print(f"seed {seed}, {count} nodes, {at_once} at once")
     played = asyncio.run(play(folder, count, seed, draw(seed, names, 10.0, at_once), print, rate=10.0))
     assert not played.verdict.breaches
-    assert played.verdict.looks > 100 and played.messages
+    assert played.verdict.observations > 100 and played.messages
 
 
 def test_overlapping_replay_faults_are_each_executed(folder):
@@ -89,7 +89,7 @@
 
 def test_a_killed_node_leaves_the_view_and_returns_as_a_new_generation(folder):
     async def scene(cluster):
-        before = (await cluster.nodes["r3"].look()).status
+        before = (await cluster.nodes["r3"].query_status()).status
         await cluster.nodes["r3"].stop(signal.SIGKILL)
         killed = time.monotonic()
         looks = await wait_for_view(cluster, ["r1", "r2"], REMOVAL_TIMEOUT_S)
@@ -122,8 +122,8 @@
         node = cluster.nodes["r1"]
         node.pause()
         looks = await wait_for_view(cluster, ["r2", "r3"], REMOVAL_TIMEOUT_S)
-        node.go_on()
-        seen = await until(node.look)
+        node.resume()
+        seen = await until(node.query_status)
         assert seen.status["lease_ms"] == 0 or seen.status["view"]["number"] > looks["r2"].status["view"]["number"]
         await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
         assert "cluster_paused" in {event["event"] for event in node.events()}
@@ -138,22 +138,22 @@
         for sender in cluster.names:
             for receiver in cluster.names:
                 if sender != receiver and (sender in ("r1", "r2")) != (receiver in ("r1", "r2")):
-                    cluster.mesh.weather(sender, receiver, Weather(cut=True))
+                    cluster.mesh.set_conditions(sender, receiver, LinkConditions(cut=True))
         await wait_for_view(cluster, ["r3", "r4", "r5"], REMOVAL_TIMEOUT_S)
-        looks = await cluster.looks()
+        looks = await cluster.query_all()
         assert {looks[name].status["standing"] for name in ("r1", "r2")} == {"cut_off"}
         number = looks["r3"].status["view"]["number"]
         for sender, receiver in (("r3", "r4"), ("r4", "r5"), ("r5", "r3")):
-            cluster.mesh.weather(sender, receiver, Weather(cut=True))
-            cluster.mesh.weather(receiver, sender, Weather(cut=True))
+            cluster.mesh.set_conditions(sender, receiver, LinkConditions(cut=True))
+            cluster.mesh.set_conditions(receiver, sender, LinkConditions(cut=True))
 
         async def all_cut_off():
-            looks = await cluster.looks()
+            looks = await cluster.query_all()
             return all(seen.status["standing"] == "cut_off" for seen in looks.values()) and looks
 
         looks = await until(all_cut_off)
         assert max(seen.status["view"]["number"] for seen in looks.values()) == number
-        cluster.mesh.calm()
+        cluster.mesh.restore_all()
         await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
 
     run(folder, 5, scene)
@@ -162,15 +162,15 @@
 def test_a_node_with_lost_or_older_state_does_not_vote(folder):
     async def scene(cluster):
         node = cluster.nodes["r2"]
-        node.copy_memory("early")
+        node.backup_state("early")
         await cluster.nodes["r3"].stop(signal.SIGKILL)
         await wait_for_view(cluster, ["r1", "r2"], REMOVAL_TIMEOUT_S)  # r2 has voted since the copy
         await cluster.nodes["r3"].start()
         await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
         for memory in ("early", None):
-            generation = (await node.look()).status["life"]
+            generation = (await node.query_status()).status["life"]
             await node.stop(signal.SIGKILL)
-            node.put_memory(memory)
+            node.restore_state(memory)
             await node.start()
             looks = await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
             assert looks["r2"].status["life"] > generation and looks["r2"].status["votes"]
@@ -181,7 +181,7 @@
 
 def test_a_cluster_whose_nodes_are_all_killed_forms_the_same_lineage_again(folder):
     async def scene(cluster):
-        before = await cluster.looks()
+        before = await cluster.query_all()
         await asyncio.gather(*(node.stop(signal.SIGKILL) for node in cluster.nodes.values()))
         await cluster.start()
         looks = await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
@@ -204,7 +204,7 @@
         await node.start()
         await until(lambda: is_logged(cluster, "cluster_not_understood", node="r3"))
         await wait_for_view(cluster, ["r1", "r2"], REMOVAL_TIMEOUT_S)
-        assert (await node.look()).status["standing"] != "member"
+        assert (await node.query_status()).status["standing"] != "member"
 
     run(folder, 3, scene)
 
@@ -223,9 +223,9 @@
         node = cluster.nodes["r3"]
         node.pause()
         await asyncio.sleep(0.6)
-        node.go_on()
+        node.resume()
         await until(lambda: is_logged(cluster, "cluster_slow", node="r3", by="turns"))
-        odd.put(node.folder, odd.SYNC, 0.6)
+        odd.set_value(node.folder, odd.SYNC_DELAY, 0.6)
         await cluster.nodes["r1"].stop(signal.SIGTERM)  # a view without it needs the vote of r3
 
         async def slow_disk():
@@ -237,24 +237,24 @@
         await until(slow_disk)
         await wait_for_view(cluster, ["r2", "r3"], REJOIN_TIMEOUT_S)
 
-    run(folder, 3, scene, clocks_apart=0.01)
+    run(folder, 3, scene, max_clock_drift=0.01)
 
 
 def test_a_killed_node_leaves_the_view_although_each_sync_takes_two_seconds(folder):
     async def scene(cluster):
         for node in cluster.nodes.values():
-            odd.put(node.folder, odd.SYNC, 2.0)
+            odd.set_value(node.folder, odd.SYNC_DELAY, 2.0)
         await cluster.nodes["r1"].stop(signal.SIGKILL)
         # In simulation this takes 6.7 to 7.8 s; the rest allows for a busy machine.
         await wait_for_view(cluster, ["r2", "r3"], 15.0)
 
-    run(folder, 3, scene, clocks_apart=0.01)
+    run(folder, 3, scene, max_clock_drift=0.01)
 
 
 def test_invalid_frames_are_counted_and_have_no_effect(folder):
     async def scene(cluster):
         node, record = cluster.nodes["r1"], deque(maxlen=20)
-        before = (await node.look()).status
+        before = (await node.query_status()).status
         key, other = (frame.cluster_key(name, 500_000) for name in (cluster.name, "another"))
         gossip = Message("r9", 1, 1, 0, 1, 0, 99, 0, frame.Gossip(), [MemberUpdate("r2", 9, 9, 9, State.FAILED, "r9")])
         unknown, foreign = frame.encode(key, gossip), frame.encode(other, gossip)
@@ -311,7 +311,7 @@
                 assert await asyncio.wait_for(reader.read(), 10.0) == b""
             writer.close()
         assert await dropped() == expected + Counter(streams) + Counter(replayed=20)
-        after = (await node.look()).status
+        after = (await node.query_status()).status
         for field in ("view", "life", "standing", "votes", "split"):
             assert after[field] == before[field]
         assert {one["name"]: (one["state"], one["life"]) for one in after["nodes"]} == dict.fromkeys(
@@ -331,9 +331,9 @@
     async def scene(cluster):
         first = cluster.nodes["r1"]
         twin = Node("r1", folder / "twin")
-        first.copy_memory("twin")
+        first.backup_state("twin")
         (twin.folder / "state").mkdir()
-        (first.folder / "twin").rename(twin.memory)
+        (first.folder / "twin").rename(twin.state_folder)
         twin.put(entries_of(cluster.partner), 1)
         twin.configure(
             cluster.name,
@@ -349,9 +349,9 @@
 
             await until(stranger_is_logged)
             await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
-            seen = await twin.look()
+            seen = await twin.query_status()
             assert seen.status["lease_ms"] == 0 and seen.status["standing"] != "member"
-            assert (await first.look()).status["lease_ms"] > 0
+            assert (await first.query_status()).status["lease_ms"] > 0
         finally:
             await twin.stop(signal.SIGKILL)
             twin.close()
@@ -368,7 +368,7 @@
             cluster.nodes[name].reload()
         await node.start()
         await wait_for_view(cluster, cluster.names, REJOIN_TIMEOUT_S)
-        rejected = await cluster.nodes["r1"].ask("/admin/cluster/forget?name=r4", "POST")
+        rejected = await cluster.nodes["r1"].request("/admin/cluster/forget?name=r4", "POST")
         assert rejected["http"] == 409 and "alive" in rejected["said"]
         await node.stop(signal.SIGKILL)
         names = ["r1", "r2", "r3"]
@@ -376,7 +376,7 @@
             cluster.configure(name, names)
             cluster.nodes[name].reload()
         await asyncio.gather(*(until(lambda name=name: removal_is_logged(cluster, name)) for name in names))
-        assert (await cluster.nodes["r1"].ask("/admin/cluster/forget?name=r4", "POST"))["http"] == 200
+        assert (await cluster.nodes["r1"].request("/admin/cluster/forget?name=r4", "POST"))["http"] == 200
         cluster.names.remove("r4")
         await wait_for_view(cluster, names, REMOVAL_TIMEOUT_S)
 
@@ -407,7 +407,7 @@
             return process.returncode, out.decode(), err.decode()
 
         admin_options = [
-            option for name in cluster.names for option in ("--at", f"127.0.0.1:{cluster.nodes[name].door}")
+            option for name in cluster.names for option in ("--at", f"127.0.0.1:{cluster.nodes[name].admin_port}")
         ]
         code, out, err = await command("status", *admin_options)
         assert code == 0 and "Who is what" in out and out.count(": member") == 3, out + err
@@ -431,13 +431,13 @@
 @pytest.mark.parametrize("count", [1, 2])
 def test_small_clusters_work_and_report_that_they_cannot_lose_a_node(folder, count):
     async def scene(cluster):
-        looks = await cluster.looks()
+        looks = await cluster.query_all()
         assert looks["r1"].status["view"]["can_lose"] == 0
         if count == 2:
             await cluster.nodes["r2"].stop(signal.SIGKILL)
 
             async def cut_off():
-                return (await cluster.nodes["r1"].look()).status["standing"] == "cut_off"
+                return (await cluster.nodes["r1"].query_status()).status["standing"] == "cut_off"
 
             await until(cut_off)
 
--- a/tests/relay/cluster/test_model_checking.py
+++ b/tests/relay/cluster/test_model_checking.py
@@ -13,20 +13,20 @@
 
 # By mistake: index of the scenario whose exhaustive search finds it.
 SHOWN_BY = {
-    mistakes.AcceptedIgnored: 0,
-    mistakes.HalfIsEnough: 1,
-    mistakes.OlderPromiseBroken: 2,
-    mistakes.VoteForgotten: 2,
-    mistakes.SaidBeforeWritten: 2,
-    mistakes.LossNotMinded: 3,
-    mistakes.VotesWithoutAsking: 3,
-    mistakes.LostMemoryVotes: 3,
-    mistakes.FenceNotLookedAt: 4,
+    mistakes.IgnoresAcceptedChange: 0,
+    mistakes.HalfIsAQuorum: 1,
+    mistakes.BreaksOlderPromise: 2,
+    mistakes.ForgetsVoteOnRestart: 2,
+    mistakes.SendsVoteBeforePersisting: 2,
+    mistakes.IgnoresStateRollback: 3,
+    mistakes.VotesBeforeExchanges: 3,
+    mistakes.VotesAfterStateLoss: 3,
+    mistakes.IgnoresGrantedLeases: 4,
     mistakes.LeaseTooLong: 5,
-    mistakes.LeaseKeptByAcceptor: 4,
+    mistakes.KeepsLeaseAfterAcceptingRemoval: 4,
     mistakes.GrantsAfterAccepting: 5,
-    mistakes.NoWaitAfterAStart: 6,
-    mistakes.NoWaitAfterAView: 7,
+    mistakes.NoRemovalDelayAfterStart: 6,
+    mistakes.NoRemovalDelayAfterView: 7,
 }
 
 
@@ -43,10 +43,10 @@
     assert len(searched.views) > 1  # otherwise no view was decided, and the search proves nothing
 
 
-@pytest.mark.parametrize("mistake", [mistakes.HalfIsEnough, mistakes.LeaseTooLong, mistakes.NoWaitAfterAView])
+@pytest.mark.parametrize("mistake", [mistakes.HalfIsAQuorum, mistakes.LeaseTooLong, mistakes.NoRemovalDelayAfterView])
 def test_random_walks_find_injected_mistakes(mistake):
     def inject(agreement):
-        mistakes.spoil(mistake, agreement, 0)
+        mistakes.inject(mistake, agreement, 0)
 
     assert found_by(lambda seed: explore.walk(3 + seed % 3, seed, mistake=inject), 1500).startswith("walk ")
 
--- a/tests/relay/cluster/test_simulated_histories.py
+++ b/tests/relay/cluster/test_simulated_histories.py
@@ -18,7 +18,7 @@
     world = World(count, seed)
     for name in world.names:
         world.start(name)
-    assert world.until_agreed(world.names, 20 * SECOND)
+    assert world.run_until_agreed(world.names, 20 * SECOND)
     return world
 
 
@@ -27,9 +27,9 @@
         world = formed_cluster(5, seed)
         world.run(world.now + 5 * SECOND)
         world.kill("r3")
-        assert world.until_agreed(["r1", "r2", "r4", "r5"], 8 * SECOND)
+        assert world.run_until_agreed(["r1", "r2", "r4", "r5"], 8 * SECOND)
         world.start("r3")
-        assert world.until_agreed(world.names, 8 * SECOND)
+        assert world.run_until_agreed(world.names, 8 * SECOND)
         assert world.machines["r3"].process.core.me.generation == 2
 
 
@@ -40,7 +40,7 @@
         world.disk_us = (1_100_000, 1_300_000)
         world.run(world.now + 5 * SECOND)
         world.kill("r1")
-        assert world.until_agreed(["r2", "r3"], 6.2 * SECOND), f"seed {seed}"
+        assert world.run_until_agreed(["r2", "r3"], 6.2 * SECOND), f"seed {seed}"
 
 
 @pytest.mark.parametrize("count", [3, 5])
@@ -52,14 +52,14 @@
         world.disk_us = (int(sync * 0.9 * SECOND), int(sync * 1.1 * SECOND))
         world.run(world.now + 8 * SECOND)
         world.kill("r1")
-        assert world.until_agreed(world.names[1:], within * SECOND), f"seed {seed}"
+        assert world.run_until_agreed(world.names[1:], within * SECOND), f"seed {seed}"
 
 
 def test_without_a_majority_there_is_no_new_view_and_no_node_acts():
     world = World(5, 3)
     for name in world.names:
         world.start(name)
-    assert world.until_agreed(world.names, 20 * SECOND)
+    assert world.run_until_agreed(world.names, 20 * SECOND)
     number = world.machines["r1"].process.core.agreement.number
     for name in ("r3", "r4", "r5"):
         world.kill(name)
--- a/tests/relay/cluster/test_view_change.py
+++ b/tests/relay/cluster/test_view_change.py
@@ -9,8 +9,8 @@
     world = World(5, 2)
     for name in world.names:
         world.start(name)
-    assert world.until_agreed(world.names, 20 * SECOND)
-    for path in world.paths.values():
+    assert world.run_until_agreed(world.names, 20 * SECOND)
+    for path in world.network.values():
         path.loss = 0.6
     checks = without_lease = 0
     end = world.now + 30 * SECOND
@@ -18,5 +18,5 @@
         world.run(world.now + SECOND // 20)
         for machine in world.machines.values():
             checks += 1
-            without_lease += not machine.process.core.agreement.may_act(machine.local(world.now))
+            without_lease += not machine.process.core.agreement.may_act(machine.to_local_time(world.now))
     assert without_lease < 0.1 * checks
--- a/tests/relay/journal/test_journal.py
+++ b/tests/relay/journal/test_journal.py
@@ -182,7 +182,7 @@
         for torn in written_sizes:
             harness = JournalHarness(FakeDisk(files), seed)
             harness.expected, harness.completed, harness.next = dict(known), set(first.completed), first.next
-            harness.disk.dies_at, harness.disk.torn = operation_index, torn
+            harness.disk.killed_at, harness.disk.torn = operation_index, torn
             with pytest.raises(ProcessKilled):
                 harness.start()
                 harness.run(120)
@@ -196,7 +196,7 @@
             if total % 7 == 0:
                 for second in range(steps):  # killed again during recovery
                     harness.disk = FakeDisk(image)
-                    harness.disk.dies_at, harness.disk.torn = second, 1
+                    harness.disk.killed_at, harness.disk.torn = second, 1
                     harness.expected, harness.uncertain, harness.completed = (
                         dict(expected),
                         set(uncertain),
@@ -220,7 +220,7 @@
     harness = JournalHarness(FakeDisk(), 3)
     harness.start()
     harness.run(300)
-    harness.disk.most = harness.disk.blocks() + 3 * 4096
+    harness.disk.capacity_bytes = harness.disk.blocks() + 3 * 4096
     refused = 0
     for _ in range(400):
         harness.next += 1
@@ -246,7 +246,7 @@
         harness.journal.maintain()
     for _ in range(50):
         harness.journal.maintain()
-    harness.disk.most = None
+    harness.disk.capacity_bytes = None
     harness.journal.maintain()
     harness.run(300)
     harness.start()
@@ -460,7 +460,7 @@
     @rule(operations=st.integers(0, 12), torn=st.integers(0, 300), seed=st.integers(0, 1 << 16))
     def kill(self, operations, torn, seed):
         disk = self.harness.disk
-        disk.dies_at, disk.torn = len(disk.operations) + operations, torn
+        disk.killed_at, disk.torn = len(disk.operations) + operations, torn
         self.harness.random.seed(seed)
         with pytest.raises(ProcessKilled):
             self.harness.run(200)
--- a/tests/relay/journal/test_journal_live.py
+++ b/tests/relay/journal/test_journal_live.py
@@ -9,10 +9,10 @@
 import time
 from pathlib import Path
 
-from lab.clients import Desk
-from lab.demo import CONF, ROOT, Own, entries_of
-from lab.partner import Mood, Partner
-from lab.rules import judge
+from lab.clients import LoadGenerator
+from lab.demo import CONF, ROOT, StandaloneRelay, entries_of
+from lab.partner import EndpointBehaviour, Partner
+from lab.rules import check_rules
 from lab.standins import reply, until
 from lynxscale.relay.journal.cleaning_plan import allocated_size
 from lynxscale.relay.journal.legacy_format import FILE_NAME, read_legacy_journal
@@ -30,13 +30,13 @@
     async def scenario():
         print("seed", SEED)
         rng = random.Random(SEED)
-        partner = Partner(SEED, mood=Mood(latency_ms=15, failing=0.03, refusing=0.05, dropping=0.03))
+        partner = Partner(SEED, behaviour=EndpointBehaviour(latency_ms=15, failing=0.03, refusing=0.05, dropping=0.03))
         conf = CONF.read_text().replace("    disk 64m\n", f"    disk {BUDGET}\n")
-        relay = Own(tmp_path, conf)
+        relay = StandaloneRelay(tmp_path, conf)
         for index in range(6):
             await partner.open(f"s-{index:02}")
         relay.put(entries_of(partner), 1)
-        desk = Desk(relay.port, SEED, 3, 12, left=8.0)
+        desk = LoadGenerator(relay.port, SEED, 3, 12, left=8.0)
         max_bytes, cleaned, number = 0, 0, 0
         await relay.start()
         for _ in range(KILLS):
@@ -57,7 +57,7 @@
         await relay.settled(0)
         end = time.monotonic() + 20
         while time.monotonic() < end:
-            found = judge(desk.sent, partner.calls, relay.finals())
+            found = check_rules(desk.sent, partner.calls, relay.finals())
             if not any("has no end" in one for one in found.breaches):
                 break
             await asyncio.sleep(0.2)
--- a/tests/relay/node.py
+++ b/tests/relay/node.py
@@ -13,7 +13,7 @@
 import unittest
 from pathlib import Path
 
-from lab.standins import PATIENCE, Client, Discovery, Server, hold_port, port_of, reply, row, settings, until
+from lab.standins import WAIT_TIMEOUT_S, Client, Discovery, Server, hold_port, port_of, reply, row, settings, until
 from lynxscale.relay.end_times import FIRST_READS_US
 
 ROOT = Path(__file__).parent.parent.parent
@@ -109,7 +109,7 @@
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(signal.SIGKILL)
         if self.process is not None:
-            self.process.wait(PATIENCE)
+            self.process.wait(WAIT_TIMEOUT_S)
 
     def admin_call(self, call: str) -> tuple[int, dict]:
         """Send a call to the admin server; its status and JSON object."""
--- a/tests/relay/test_admin_server.py
+++ b/tests/relay/test_admin_server.py
@@ -9,7 +9,7 @@
 import time
 from contextlib import suppress
 
-from lab.standins import PATIENCE, Client, reply, until
+from lab.standins import WAIT_TIMEOUT_S, Client, reply, until
 from lynxscale.relay.net.admin_server import MAX_CONNECTIONS
 from tests.relay.node import ROOT, NodeCase
 
@@ -113,7 +113,7 @@
         """Complete calls are answered until the exit; incomplete ones do not delay it."""
         hung = threading.Event()
         self.addCleanup(hung.set)
-        self.act = lambda _call: reply(200) if hung.wait(2 * PATIENCE) else None
+        self.act = lambda _call: reply(200) if hung.wait(2 * WAIT_TIMEOUT_S) else None
         self.start_with_admin_server()
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         until(lambda: self.calls("m1"), "the attempt that hangs")
@@ -122,12 +122,14 @@
         until(lambda: "state=stop_finishing" in self.log.read_text(), "the listener to close")
         self.assertEqual(self.admin_call("POST /admin/resume")[0], 409)
         self.assertEqual(self.admin_call("GET /admin/health")[1]["state"], "stop_finishing")
-        while self.process.poll() is None and time.monotonic() < begun + PATIENCE:  # so that one is open at the exit
+        while (
+            self.process.poll() is None and time.monotonic() < begun + WAIT_TIMEOUT_S
+        ):  # so that one is open at the exit
             with suppress(OSError), contextlib.closing(Client(self.admin)) as half:
                 half.socket.sendall(b"POST /admin/quiesce HT")
                 half.socket.settimeout(0.2)
                 half.stream.read()
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         self.assertLess(time.monotonic() - begun, 6.0)  # 3.5 s, and a margin for a busy machine
 
     def test_invalid_address_is_named(self):
--- a/tests/relay/test_bundle.py
+++ b/tests/relay/test_bundle.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lab.standins import PATIENCE, message, reply, row, settings, until
+from lab.standins import WAIT_TIMEOUT_S, message, reply, row, settings, until
 from lynxscale.relay import bundle
 from lynxscale.scheduling.events import Result
 from tests.relay.node import NodeCase
@@ -149,7 +149,7 @@
         def act(call):
             if "/events/bundle" in call[0] and not hangs and self.mixed(call):
                 hangs.append(self.bundled_ids(call))
-                hung.wait(PATIENCE)
+                hung.wait(WAIT_TIMEOUT_S)
             else:
                 time.sleep(0.02)
             return self.answer(call)
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -13,7 +13,7 @@
 import unittest
 from pathlib import Path
 
-from lab.standins import PATIENCE, Client, Server, message, reply, row, settings, until
+from lab.standins import WAIT_TIMEOUT_S, Client, Server, message, reply, row, settings, until
 from tests.relay.node import ROOT, NodeCase
 
 
@@ -329,7 +329,7 @@
 class Stopping(NodeCase):
     def test_sigterm_finishes_what_it_can(self):
         go = threading.Event()
-        self.act = lambda call: reply(200) if go.wait(PATIENCE) else None
+        self.act = lambda call: reply(200) if go.wait(WAIT_TIMEOUT_S) else None
         self.start()
         client, other = self.client(), self.client()
         client.hand_in("m1", "once")
@@ -341,7 +341,7 @@
         self.assertEqual(self.client().hand_in("m3")[0], 202)  # new connections are still accepted
         self.assertEqual(other.stream.read(), b"")  # an idle one is closed
         go.set()
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         self.assertEqual(sorted({call[1]["req-id"] for call in self.calls()}), ["m1", "m2", "m3"])
         self.assertIn("event=counters group=ends delivered=3", self.log.read_text())
 
@@ -352,7 +352,7 @@
         until(lambda: self.calls("m1"), "the call")
         begun = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         # 3.5 s, and a margin for the exit on a busy machine; the message's deadline is after 16 s.
         self.assertLess(time.monotonic() - begun, 8.0)
         self.act = lambda call: reply(200)
@@ -442,7 +442,7 @@
                     capture_output=True,
                     text=True,
                     env=env | {"NODE_CONFIG": str(conf)},
-                    timeout=PATIENCE,
+                    timeout=WAIT_TIMEOUT_S,
                 )
                 self.assertEqual((run.returncode, run.stderr.count("\n")), (2, 1), run.stderr)
                 self.assertIn(key, run.stderr)
--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -11,7 +11,7 @@
 import threading
 import time
 
-from lab.standins import PATIENCE, Discovery, message, read_http, reply, row, settings, until
+from lab.standins import WAIT_TIMEOUT_S, Discovery, message, read_http, reply, row, settings, until
 from lynxscale.scheduling.actions import Subscribe
 from lynxscale.scheduling.events import MembershipKind, MembershipUpdate, Message, Result
 from tests.relay.node import NodeCase
@@ -118,7 +118,7 @@
             with StoppedProcess(self.process):
                 client.socket.sendall(b"x")
                 sleep_until(max(begun + 2.3, time.monotonic() + 0.06))
-            end = time.monotonic() + PATIENCE
+            end = time.monotonic() + WAIT_TIMEOUT_S
             # No sleep in this loop: the relay is to be stopped again immediately.
             while min_unread_bytes(self.port, client.socket) and not answered():
                 self.assertLess(time.monotonic(), end)
@@ -180,7 +180,7 @@
         time.sleep(0.3)  # six checks, at the first of which it could exit
         client.socket.sendall(data[40:])
         self.assertIn(" 202 ", read_http(client.stream)[0])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         self.assertEqual(len(self.calls("m1")), 1)
 
     def test_connections_in_the_listen_queue_are_answered_at_the_stop(self):
@@ -195,7 +195,7 @@
             sleep_until(begun + 1.2)
         for client in clients:
             self.assertIn(" 202 ", read_http(client.stream)[0])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
 
     def test_connections_over_the_limit_are_answered_at_the_stop(self):
         """Incomplete requests take all descriptors, so queued connections are accepted only as others close."""
@@ -219,7 +219,7 @@
             client.close()
         for client in waiting:
             self.assertIn(" 202 ", read_http(client.stream)[0])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         self.assertLessEqual({f"m{number}" for number in range(16)}, {call[1]["req-id"] for call in self.calls()})
 
 
@@ -276,7 +276,7 @@
         self.start()
         call = b"GET /admin/health HTTP/1.1\r\n\r\n"
         for rest, status in ((b"", "200"), (call[20:-1], "408"), (call[20:], "200")):
-            with self.subTest(rest=rest), socket.create_connection(("127.0.0.1", self.admin), PATIENCE) as caller:
+            with self.subTest(rest=rest), socket.create_connection(("127.0.0.1", self.admin), WAIT_TIMEOUT_S) as caller:
                 if rest:
                     caller.sendall(call[:20])
                 until(lambda: is_accepted(self.admin, caller), "the relay to accept it")
@@ -507,7 +507,7 @@
 
         def act(_call):
             asked.set()
-            answered.wait(PATIENCE)
+            answered.wait(WAIT_TIMEOUT_S)
             return reply(200)
 
         self.act = act
@@ -515,7 +515,7 @@
         self.wait_past_first_reads()
         begun = time.monotonic()
         self.assertEqual(self.client().hand_in("m1", "once", left=1.5)[0], 202)
-        self.assertTrue(asked.wait(PATIENCE))
+        self.assertTrue(asked.wait(WAIT_TIMEOUT_S))
         sleep_until(begun + 0.8)
         with StoppedProcess(self.process):
             answered.set()
@@ -538,7 +538,7 @@
         self.process.send_signal(signal.SIGTERM)
         sleep_until(begun + 6.5)
         late.open()
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         self.assertRegex(
             self.log.read_text(), "group=tries.* moot=1", "the connection was not established before the exit"
         )
--- a/tests/relay/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -2,7 +2,7 @@
 
 import signal
 
-from lab.standins import PATIENCE, Discovery, Server, reply, row, until
+from lab.standins import WAIT_TIMEOUT_S, Discovery, Server, reply, row, until
 from tests.relay.node import NodeCase
 
 
@@ -89,4 +89,4 @@
         until(lambda: "event=stopping" in self.log.read_text(), "the stop")
         self.move()
         until(lambda: self.other.notices.get("m1"), "the notice at the new address")
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
--- a/tests/relay/test_standalone.py
+++ b/tests/relay/test_standalone.py
@@ -12,9 +12,9 @@
 import pytest
 
 from lab import traffic
-from lab.clients import Desk
-from lab.demo import CONF, ROOT, Own, entries_of, play
-from lab.partner import Mood, Partner
+from lab.clients import LoadGenerator
+from lab.demo import CONF, ROOT, StandaloneRelay, entries_of, play
+from lab.partner import EndpointBehaviour, Partner
 from lynxscale.relay.conf import product_settings, reader
 from lynxscale.relay.counters import Counters
 from lynxscale.relay.deadlines import Deadlines, Loop
@@ -162,7 +162,7 @@
 
 def test_port_of_a_stopped_relay_stays_reserved(tmp_path):
     """Guards against another process on the port that a test would mistake for the relay."""
-    relay = Own(tmp_path, TEXT)
+    relay = StandaloneRelay(tmp_path, TEXT)
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
         other.bind(("127.0.0.1", relay.port))
     relay.close()
@@ -172,11 +172,14 @@
     """The peer rejects every call, so each accepted message ends with a line in the log, despite the kills."""
 
     async def scene():
-        partner, relay = Partner(3, mood=Mood(refusing=1.0, wait_s=0.0)), Own(tmp_path, TEXT)
+        partner, relay = (
+            Partner(3, behaviour=EndpointBehaviour(refusing=1.0, wait_s=0.0)),
+            StandaloneRelay(tmp_path, TEXT),
+        )
         await partner.open("s-00")
         relay.put(entries_of(partner), 1)
         await relay.start()
-        desk = Desk(relay.port, 3, 1, left=2.0)
+        desk = LoadGenerator(relay.port, 3, 1, left=2.0)
         for _ in range(3):
             await asyncio.gather(desk.run(range(len(desk.sent), len(desk.sent) + 20), 100.0))
             await relay.stop(signal.SIGKILL)
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -13,7 +13,7 @@
 import orjson
 import pytest
 
-from lab.standins import PATIENCE, Client, reply, until
+from lab.standins import WAIT_TIMEOUT_S, Client, reply, until
 from lynxscale.relay.journal import Entry, Journal
 from lynxscale.relay.journal.storage import FolderStorage
 from lynxscale.relay.upgrade import journal_folders, learned_file
@@ -247,7 +247,7 @@
             self.configure(), (fd,), NODE_ACCEPT_FD=str(fd), NODE_ADMIN_ADDR=f"127.0.0.1:{self.admins[-1]}"
         )
         self.processes.append(one)
-        self.addCleanup(lambda: (one.kill(), one.wait(PATIENCE)))
+        self.addCleanup(lambda: (one.kill(), one.wait(WAIT_TIMEOUT_S)))
         return one
 
     def is_ready(self, index: int = -1) -> bool:
@@ -293,7 +293,7 @@
     def test_waiting_messages_are_released_while_the_predecessor_runs_and_both_recognise_them(self):
         unblock = threading.Event()
         self.addCleanup(unblock.set)
-        self.act = lambda call: None if call[1]["req-id"] == "hung" and unblock.wait(2 * PATIENCE) else reply(503)
+        self.act = lambda call: None if call[1]["req-id"] == "hung" and unblock.wait(2 * WAIT_TIMEOUT_S) else reply(503)
         old = self.begin()
         connection = self.client()
         self.assertEqual(connection.hand_in("hung", cls="once")[0], 202)
@@ -325,14 +325,14 @@
         successor = self.begin()
         until(lambda: "order=share generation=0" in self.log.read_text(), "detection of the successor")
         successor.kill()
-        successor.wait(PATIENCE)
+        successor.wait(WAIT_TIMEOUT_S)
         until(lambda: "order=alone" in self.log.read_text(), "detection of the successor's end")
         self.assertEqual(self.client().hand_in("m1")[0], 202)
         third = self.begin()
         self.assertEqual(self.client().hand_in("m0")[0], 202)
         self.assertNotIn("order=accept", self.log.read_text())  # only the old process accepts clients
         old.kill()  # it dies without a SIGTERM
-        old.wait(PATIENCE)
+        old.wait(WAIT_TIMEOUT_S)
         self.assertEqual(self.client().hand_in("m2")[0], 202)
         until(lambda: len(self.calls("m2")) == 1, "its delivery")
         self.assertIsNone(third.poll())
@@ -387,13 +387,13 @@
         for name in slots:
             (self.state / "segments" / name).write_bytes(b"nothing of use")
         old.kill()
-        old.wait(PATIENCE)
+        old.wait(WAIT_TIMEOUT_S)
         until(lambda: "event=not_taken_over folder=segments" in self.log.read_text(), "the error about the folder")
         self.act = lambda _call: reply(200)
         self.assertEqual(self.client().hand_in("m2")[0], 202)
         third = self.begin()
         second.send_signal(signal.SIGTERM)
-        self.assertEqual(second.wait(PATIENCE), 0)
+        self.assertEqual(second.wait(WAIT_TIMEOUT_S), 0)
         self.assertEqual(self.client().hand_in("m3")[0], 202)
         until(lambda: self.calls("m2") and self.calls("m3"), "both are delivered")
         self.assertIsNone(third.poll())
@@ -454,9 +454,9 @@
             other.bind(("127.0.0.1", 0))
             for fd in (other.fileno(), null.fileno(), 999):
                 one = self.launch(fd) if fd != 999 else self.spawn(self.configure(), NODE_ACCEPT_FD="999")
-                self.assertEqual(one.wait(PATIENCE), 2)
+                self.assertEqual(one.wait(WAIT_TIMEOUT_S), 2)
             other.listen()
-            self.assertEqual(self.launch(other.fileno()).wait(PATIENCE), 2)
+            self.assertEqual(self.launch(other.fileno()).wait(WAIT_TIMEOUT_S), 2)
         self.assertEqual(self.log.read_text().count("NODE_ACCEPT_FD"), 4)
 
     def test_a_kill_at_any_step_sends_nothing_twice_and_loses_nothing(self):
@@ -496,9 +496,9 @@
                 current.send_signal(rng.choice([signal.SIGTERM, signal.SIGKILL]))
                 time.sleep(rng.random() * 1.5)  # any moment of the handover
                 successor.kill()
-                successor.wait(PATIENCE)
+                successor.wait(WAIT_TIMEOUT_S)
                 current.kill()
-                current.wait(PATIENCE)
+                current.wait(WAIT_TIMEOUT_S)
                 current = self.begin()
         finally:
             stop.set()
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -12,10 +12,10 @@
 import pytest
 from twisted.internet.defer import Deferred
 
-from lab.clients import Desk
-from lab.demo import CONF, Own, entries_of
-from lab.partner import Mood, Partner
-from lab.rules import judge
+from lab.clients import LoadGenerator
+from lab.demo import CONF, StandaloneRelay, entries_of
+from lab.partner import EndpointBehaviour, Partner
+from lab.rules import check_rules
 from lab.standins import Discovery, row
 from lynxscale.relay.conf.settings import MembersConf
 from lynxscale.relay.counters import Counters
@@ -47,8 +47,8 @@
     """A partner with some endpoints, and a relay with the deployed configuration or a variant of it."""
 
     def __init__(self, folder: Path, conf: str = CONF.read_text(), endpoints: int = 4, latency: float = 5.0) -> None:
-        self.partner = Partner(SEED, mood=Mood(latency_ms=latency))
-        self.relay, self.endpoints = Own(folder, conf), endpoints
+        self.partner = Partner(SEED, behaviour=EndpointBehaviour(latency_ms=latency))
+        self.relay, self.endpoints = StandaloneRelay(folder, conf), endpoints
         self.lists, self.runs = ListStore(folder / "state"), 0
 
     async def __aenter__(self) -> "ListScenario":
@@ -79,7 +79,7 @@
     async def served_by(self, messages: int = 30) -> set[str]:
         """Send messages to destination 0 and return the endpoints that are called for them."""
         self.runs += 1
-        before, desk = len(self.partner.calls), Desk(self.relay.port, SEED * 1000 + self.runs, 1, 4, 10.0)
+        before, desk = len(self.partner.calls), LoadGenerator(self.relay.port, SEED * 1000 + self.runs, 1, 4, 10.0)
         await desk.run(range(messages), 200.0)
         taken = sum(one.status == 202 for one in desk.sent.values())
         await until(lambda: sum(call.id in desk.sent for call in self.partner.calls[before:]) >= taken, "the calls")
@@ -276,7 +276,7 @@
             relay = scenario.relay
             relay.put(scenario.entries("s-00", "s-01", "s-02"), 1, "a.list")
             await relay.start()
-            desk, drained = Desk(relay.port, SEED, 1, left=10.0), {}
+            desk, drained = LoadGenerator(relay.port, SEED, 1, left=10.0), {}
 
             async def drain():
                 await asyncio.sleep(1.0)
@@ -303,7 +303,7 @@
 
             await asyncio.gather(drain(), hand_in())
             await relay.settled(sum(one.status == 202 for one in desk.sent.values()))
-            found = judge(desk.sent, scenario.partner.calls, relay.finals(), drained=drained)
+            found = check_rules(desk.sent, scenario.partner.calls, relay.finals(), drained=drained)
             assert found.breaches == []
             after = {call.endpoint for call in scenario.partner.calls if call.at > drained["s-01"] + MAX_DRAIN_S}
             assert after == {"s-00", "s-02"}
@@ -446,10 +446,10 @@
             await until(lambda: not scenario.partner.connections("s-00"), "the old connections to be closed")
             assert await scenario.served_by() == {"s-01"}
             # Every call to that address fails for a while, so the endpoint backs off. A new id there is tried at once.
-            scenario.partner.moods["s-01"] = Mood(latency_ms=1, failing=1.0)
-            desk = Desk(relay.port, 99, 1, 4, 3.0)
+            scenario.partner.behaviours["s-01"] = EndpointBehaviour(latency_ms=1, failing=1.0)
+            desk = LoadGenerator(relay.port, 99, 1, 4, 3.0)
             await desk.run(range(20), 100.0)
-            scenario.partner.moods.clear()
+            scenario.partner.behaviours.clear()
             relay.put([rows[1]._replace(id="t-9")], 3, "a.list")
             await scenario.verdict((relay.lists / "a.list").read_bytes())
             moved = (await relay.counters())["lists"]
@@ -531,7 +531,7 @@
             relay.program = ("-c", KILL_AFTER_SAVE)
             await relay.spawn()
             assert await asyncio.wait_for(relay.process.wait(), TIMEOUT_S) == -signal.SIGKILL
-            relay.program = Own.program
+            relay.program = StandaloneRelay.program
             await relay.start()
             assert await scenario.served_by() == {"s-00"}
             assert (await scenario.verdict((relay.lists / "a.list").read_bytes()))["outcome"] == "applied"
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -69,7 +69,7 @@
     fleet = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=SECOND)
     for second in range(4, 28, 6):
         fleet.run(second * 1000.0)
-        fleet.clump(0, 40)
+        fleet.burst(0, 40)
     fleet.run(40_000.0)
     assert fleet.ends["delivered"] >= 0.9 * (fleet.offered - 60), (seed, fleet.ends, fleet.offered)
     for number in (0, 1):
@@ -83,7 +83,7 @@
 def test_the_same_seed_gives_the_same_run():
     def run() -> tuple:
         fleet = Fleet(5, [20.0, 45.0], [25.0, 40.0])
-        fleet.clump(0, 40)
+        fleet.burst(0, 40)
         fleet.run(6000.0)
         return fleet.ends, fleet.sums(0, 0, 6), fleet.offered
 
--- a/tests/test_trace_recorder.py
+++ b/tests/test_trace_recorder.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from unittest.mock import patch
 
-from lab.standins import PATIENCE, reply, row, settings, until
+from lab.standins import WAIT_TIMEOUT_S, reply, row, settings, until
 from lynxscale.relay.conf.settings import TraceConf
 from lynxscale.scheduling.scheduler import Scheduler
 from lynxscale.scheduling.settings_reader import settings_from
@@ -45,7 +45,7 @@
 
     def end(self) -> None:
         self.process.send_signal(signal.SIGTERM)
-        self.process.wait(PATIENCE)
+        self.process.wait(WAIT_TIMEOUT_S)
 
     def test_a_day_with_faults_kills_and_new_lists_replays_without_a_difference(self):
         self.record("level decisions", "block 4k", "file-size 64k", "flush 0us")
