--- a/lynxscale/relay/cluster/__init__.py
+++ b/lynxscale/relay/cluster/__init__.py
@@ -3,8 +3,8 @@
 Every relay is a node. It runs two state machines, which have no I/O and no clock and return ``instructions``:
 
 - failure detection (SWIM): ``failure_detector`` on top of ``probing`` and ``detector_state``; ``suspicion`` and
-  ``dissemination`` hold one rule each. Its result, the ``membership_table``, is fast and may be wrong: it only makes a
-  node act more cautiously.
+  ``dissemination`` hold one rule each. Its result, the ``membership_table``, is fast but may be wrong, so it can only
+  make a node act more cautiously.
 - view agreement (Paxos with leases): ``view_change`` on top of ``proposer``, ``acceptor``, ``leases`` and
   ``agreement_state``; ``proposal`` and ``flapping`` are parts of their state. Only the agreed view and a lease allow a
   node to act on behalf of others.
--- a/lynxscale/relay/cluster/acceptor.py
+++ b/lynxscale/relay/cluster/acceptor.py
@@ -82,7 +82,7 @@
         """Time (µs) until the leases granted here allow accepting the change; None if a process that the change
         removes is reachable from this node.
 
-        The processes to be removed get no further leases: otherwise they would renew them without end.
+        The processes to be removed get no further leases: by renewing theirs they would delay the change without end.
         """
         wait = 0
         for member in removed_members(self.durable.view, message.change):
--- a/lynxscale/relay/cluster/agreement_state.py
+++ b/lynxscale/relay/cluster/agreement_state.py
@@ -26,7 +26,7 @@
 from lynxscale.relay.cluster.proposal import Proposal
 from lynxscale.relay.cluster.timing import ViewTiming
 
-PERSIST_COUNTS_DELAY_US = 5_000_000  # after which peers' write counts are persisted even without a vote
+PERSIST_COUNTS_DELAY_US = 5_000_000  # peers' write counts are persisted after this time even without a vote
 
 
 class ViewStatus(Enum):
@@ -73,12 +73,12 @@
         self._no_removal_until = now + self._grant_duration(self.timing.lease)
         self._granted_until: dict[Identity, int] = {}  # end of each lease granted, by our clock
         self._denied_until: dict[Identity, int] = {}  # end of the time in which a process gets no lease
-        self._request_times: dict[int, int] = {}  # by token of the lease request
-        self._grant_times: dict[str, int] = {}  # by grantor: when the granted lease was requested
+        self._request_times: dict[int, int] = {}  # time of each lease request, by its token
+        self._grant_times: dict[str, int] = {}  # by grantor: time at which the lease that it granted last was requested
         self._token = self._random.randrange(1 << 30)
         self._next_request_at = now
         self._fast_requests_until = 0
-        self._wanted_change: tuple[MembershipChange, int] | None = None  # with the time since which it is wanted
+        self._wanted_change: tuple[MembershipChange, int] | None = None  # the change, and since when it is wanted
         self._proposal: Proposal | None = None
         self._highest_round = 0
         self._backoff_until = now
@@ -193,7 +193,7 @@
         )
 
     def _fetch_view(self, now: int, sender: str) -> None:
-        """Fetch the later view of a peer; repeated at intervals until the view is installed."""
+        """Fetch a peer's later view, at most once per ``stable_for`` from each peer."""
         if now >= self._next_fetch_at.get(sender, now):
             self._next_fetch_at[sender] = now + self.timing.stable_for
             self._instructions.append(FetchView(sender))
@@ -207,8 +207,8 @@
         return self.names if view is None else frozenset(view.names)
 
     def _is_quorum(self, names: Iterable[str]) -> bool:
-        """Return whether these names are a quorum. View 1 needs all nodes, as a node without durable state cannot know
-        whether it has lost any."""
+        """Return whether these names are a quorum. View 1 needs all configured nodes, as a node without
+        durable state cannot tell whether it never had any or has lost it."""
         view = self.durable.view
         if view is None:
             return self.names <= set(names)
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -33,7 +33,7 @@
 
 STATUS_FILE = "status.json"
 STATUS_INTERVAL_US = 1_000_000
-SLOW_WRITE_S = 0.5  # after a longer write, this node announces itself as slow
+SLOW_WRITE_S = 0.5  # a node whose write takes longer announces itself as slow
 STATUS_PATH, FORGET_PATH = "/admin/cluster", "/admin/cluster/forget"
 WARNINGS = ("differs", "not_understood", "stranger", "paused", "doubts_itself", "proposal_failed")
 ERRORS = ("split", "forgot")
@@ -196,7 +196,7 @@
 
     def _on_event(self, event: LogEvent | StartGeneration | RemovedFromView) -> None:
         if isinstance(event, StartGeneration):
-            self._renew(event.generation, "others knew a later generation")
+            self._renew(event.generation, "another node knows a later generation")
         elif isinstance(event, RemovedFromView):
             self._renew(self._generation, f"view {event.view} does not contain this generation")
         else:
@@ -228,7 +228,7 @@
     # For operators -------------------------------------------------------------------------------
 
     def status(self) -> dict[str, Any]:
-        """This node's view of the cluster for operators; durations in ms."""
+        """The cluster's state as this node sees it, for operators; durations in ms."""
         detector, agreement, now = self._detector, self._agreement, self._clock.current_time()
         view = agreement.view
         return {
--- a/lynxscale/relay/cluster/core.py
+++ b/lynxscale/relay/cluster/core.py
@@ -46,7 +46,7 @@
         self.differing_settings: dict[str, tuple[str, ...]] = {}  # by node: groups of settings that differ from ours
         # By node: time of its last exchange, and the states of the nodes that it reported.
         self.states_seen_by: dict[str, tuple[int, dict[str, str]]] = {}
-        self._write_count = self.agreement.durable.write_count  # of the state on disk
+        self._write_count = self.agreement.durable.write_count  # write count of the state on disk
         self._installed_view: View | None = None  # the last view passed to the detector
         self._number = 0
         self._replay_windows: dict[str, dict[int, ReplayWindow]] = {}
@@ -119,7 +119,7 @@
     def _forward_changes(
         self, now: int, instructions: list[DetectorInstruction]
     ) -> list[DetectorInstruction | ViewInstruction]:
-        """Return the detector's instructions; tell view agreement if a node's state has changed."""
+        """Return the detector's instructions; notify view agreement if a node's state has changed."""
         if any(isinstance(one, LogEvent) and one.event == "node" for one in instructions):
             self.agreement.membership_changed(now)
         return [*instructions]
@@ -141,7 +141,7 @@
         self._write_count = max(self._write_count, durable.write_count)
 
     def message(self, body: frame.Body, updates: Iterable[MemberUpdate] = ()) -> Message:
-        """Build a message to send; each one has its own frame number, against replays."""
+        """Build a message to send, with a new frame number, by which receivers reject replayed frames."""
         detector = self.detector
         self._number += 1
         return Message(
@@ -167,7 +167,7 @@
         return [*self.detector.exchange_finished(now, failed)]
 
     def renew(self, now: int, generation: int) -> list[DetectorInstruction | ViewInstruction]:
-        """Start a later generation of this process, which is on disk."""
+        """Start a later generation of this process; ``generation`` is already on disk."""
         return [*self.detector.renew(now, generation), *self.agreement.renew(now, self.detector.me)]
 
     def reconfigure(self, now: int, names: Iterable[str]) -> list[DetectorInstruction | ViewInstruction]:
--- a/lynxscale/relay/cluster/detector_state.py
+++ b/lynxscale/relay/cluster/detector_state.py
@@ -26,7 +26,7 @@
 from lynxscale.relay.cluster.timing import DetectorTiming
 
 REACHABLE_STATES = (State.ALIVE, State.SUSPECT)
-MAX_HEADER_BYTES = 260  # of a datagram without its updates
+MAX_HEADER_BYTES = 260  # upper bound of a datagram's size without its updates
 
 # Reasons for which a node announces itself as slow, as bits of the frame field ``slow``.
 SLOW_TURN, SLOW_DISK = 1, 2
@@ -45,7 +45,7 @@
     target: str
     number: int
     deadline: int
-    retry_at: int  # when the ping is sent again, also through helpers
+    retry_at: int  # when the ping is sent again, directly and through helpers
     asked: set[str] = field(default_factory=set)  # helpers that were sent a PingRequest
     answered: set[str] = field(default_factory=set)  # helpers that have sent an Ack or a Nack
 
@@ -55,7 +55,7 @@
     """An indirect probe on behalf of another node. Times in µs."""
 
     origin: str
-    number: int  # of the origin's probe
+    number: int  # the number of the origin's probe
     target: str
     nack_at: int
     deadline: int
@@ -70,7 +70,7 @@
         self.me, self.incarnation, self.slow = me, 0, 0
         self.membership = MembershipTable(set(names) | {me.name})
         self.timing = timing or DetectorTiming()
-        self.health_score = 0  # this node's own: 0 is healthy
+        self.health_score = 0  # Lifeguard's local health score: 0 is healthy
         self.contacted = self.leaving = False
         self.last_answered: dict[str, int] = {}  # by node: when it last answered a probe of ours directly
         self.peer_slowness: dict[str, int] = {}  # by node: the reasons that it announces, as bits of SLOW_REASONS
@@ -79,11 +79,11 @@
         self._probe_order: list[str] = []
         self._probe: Probe | None = None
         self._relayed_probes: dict[int, RelayedProbe] = {}
-        self._identity_pings: dict[int, tuple[str, int]] = {}  # by ping number: node and expiry
-        self._identity_ping_at: dict[str, int] = {}
+        self._one_off_pings: dict[int, tuple[str, int]] = {}  # pings other than probes, by number: node and expiry
+        self._identity_ping_at: dict[str, int] = {}  # by node: when ``_ping_identity`` last pinged it
         self._updates = UpdateQueue(self.timing.retransmit_multiplier)
         self._suspect_ping_at: dict[str, int] = {}  # by suspected node: when it is pinged again
-        self._unconfirmed: dict[str, Identity] = {}  # senders that have not answered at the node's address
+        self._unconfirmed: dict[str, Identity] = {}  # by node: sender that has not answered at its address
         self._last_gossip_at = now - self.timing.gossip_interval
         self._next_probe_at = now + self._random.randrange(1, self.timing.probe_period)
         self._next_unreachable_ping_at = now
@@ -137,7 +137,7 @@
                 self._raise_incarnation(update.incarnation + 1, now)
         elif update.identity[1:] > self.me[1:] and inbound:
             # Only the process at the configured address gets inbound frames. A second process under the same name
-            # must not react with a higher generation, or the two would outbid each other without end.
+            # must not react with a higher generation, or the two would raise their generations in turn without end.
             self._instructions.append(StartGeneration(update.generation))
 
     def _merge(self, update: MemberUpdate, now: int) -> None:
@@ -195,7 +195,11 @@
             )
 
     def _send(self, to: str, body: frame.Body, required: Iterable[MemberUpdate] = ()) -> SendDatagram:
-        """Build a datagram. A target that is suspected, failed, left or superseded is sent that update too."""
+        """Build a datagram.
+
+        A target that is not alive in the table, or is unconfirmed, is also sent the latest update about itself, so that
+        it can refute it or start a later generation.
+        """
         record = self.membership.get(to)
         if record is not None and (record.update.state is not State.ALIVE or to in self._unconfirmed):
             required = (*required, record.update)
@@ -214,6 +218,6 @@
 
     def _ping_once(self, name: str, now: int) -> None:
         number = self._new_number()
-        self._identity_pings = {key: entry for key, entry in self._identity_pings.items() if entry[1] > now}
-        self._identity_pings[number] = (name, now + self.timing.probe_period * 4)
+        self._one_off_pings = {key: entry for key, entry in self._one_off_pings.items() if entry[1] > now}
+        self._one_off_pings[number] = (name, now + self.timing.probe_period * 4)
         self._instructions.append(self._send(name, Ping(number)))
--- a/lynxscale/relay/cluster/driver.py
+++ b/lynxscale/relay/cluster/driver.py
@@ -37,9 +37,9 @@
 
 Address = tuple[str, int]
 
-MAX_INBOUND_EXCHANGES, MAX_OUTBOUND_EXCHANGES = 16, 8  # in flight
+MAX_INBOUND_EXCHANGES, MAX_OUTBOUND_EXCHANGES = 16, 8  # concurrent
 EXCHANGE_TIMEOUT_MS, CONNECT_TIMEOUT_S = 5000, 2.0
-# Limit of sent datagrams. A healthy node in a cluster of sixteen sends an eighth of it.
+# Rate limit of sent datagrams; a healthy node in a cluster of sixteen uses an eighth of it.
 MAX_SENT_BYTES_PER_S, MAX_SENT_BYTES_BURST = 8_000, 64_000
 MAX_READ_DATAGRAMS_PER_S, MAX_READ_DATAGRAMS_BURST = 2_000, 4_000  # further ones are dropped undecoded
 # After a timer tick later than LATE_TURN_US, the node announces itself as slow for SLOW_DURATION_US.
@@ -248,7 +248,7 @@
         self.execute(self.core.reconfigure(self._clock.turn_time(), addresses))
 
     def renew(self, generation: int) -> None:
-        """Start a later generation of this process, which is on disk."""
+        """Start a later generation of this process; ``generation`` is already on disk."""
         self.execute(self.core.renew(self._clock.turn_time(), generation))
 
     def announce_slow(self, reason: int) -> None:
@@ -367,7 +367,7 @@
         self.receive(message, inbound=True)
 
     def frame_rejected(self, error: FrameError, data: bytes) -> None:
-        """Count a rejected frame by reason; log each node of another cluster key or version once."""
+        """Count a rejected frame by reason; log each node with another cluster key or version once."""
         self.core.dropped_frames[error.reason] += 1
         if error.reason not in ("foreign", "version"):
             return
--- a/lynxscale/relay/cluster/durable_state.py
+++ b/lynxscale/relay/cluster/durable_state.py
@@ -33,13 +33,13 @@
 
 
 class StoredNode(msgspec.Struct, array_like=True, frozen=True):
-    """Content of a file; field order is the format. ``generation``: of the process that wrote it; the next process
-    starts a higher one."""
+    """Content of a file; field order is the format. ``generation`` is that of the process that wrote the file; the next
+    process starts a higher one."""
 
     cluster: str
     node: str
     generation: Annotated[int, msgspec.Meta(ge=0, le=(1 << 62))]
-    durable: DurableState | None = None  # of view agreement
+    durable: DurableState | None = None  # state of view agreement
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
 
     def __init__(self, state: Path, cluster: str, node: str) -> None:
         self._folder, self._owner = state / FOLDER, (cluster, node)
-        self._serial = 0  # of the last complete write
+        self._serial = 0  # serial number of the last complete write
         # After a failed sync, pages may look written without being on disk: the file is then created anew.
         self._failed = False
 
@@ -99,16 +99,17 @@
         """Load the state that the last process saved.
 
         A file that cannot be read is renamed to ``node.N.damaged`` and the other one to ``node.N.unsure``, as the
-        other one may be older and lack a vote. If one of the two files is missing, the remaining one is treated so too.
+        other one may be older and lack a vote. If one of the two files is missing, the remaining one is also renamed to
+        ``node.N.unsure``.
 
         Raises ForeignStateError if the folder belongs to another node.
         """
         self._folder.mkdir(exist_ok=True)
-        found = {name: one for name in FILES if (one := self._read(name)) is not None}
-        if not found and (one := self._read(VERSION_1_FILE)) is not None:
-            found[VERSION_1_FILE] = one
-        newest = max(found.values(), key=lambda one: one.serial, default=LoadResult(None))
-        reasons = [f"{name}: {one.reason}" for name, one in found.items() if one.stored is None]
+        found = {name: result for name in FILES if (result := self._read(name)) is not None}
+        if not found and (result := self._read(VERSION_1_FILE)) is not None:
+            found[VERSION_1_FILE] = result
+        newest = max(found.values(), key=lambda result: result.serial, default=LoadResult(None))
+        reasons = [f"{name}: {result.reason}" for name, result in found.items() if result.stored is None]
         if not reasons and newest.serial > 1 and len(found) < len(FILES):
             reasons = ["one of two files is missing"]
         if not reasons:
@@ -129,8 +130,8 @@
             return None
         if found.stored is not None and (found.stored.cluster, found.stored.node) != self._owner:
             raise ForeignStateError(
-                f"{path} is of node {found.stored.node} in cluster {found.stored.cluster}; this relay is "
-                f"{self._owner[1]} in {self._owner[0]}: want the folder that belongs to it, or an empty one"
+                f"{path} belongs to node {found.stored.node} in cluster {found.stored.cluster}; this relay is "
+                f"{self._owner[1]} in {self._owner[0]}: want its own state folder, or an empty one"
             )
         return found
 
--- a/lynxscale/relay/cluster/failure_detector.py
+++ b/lynxscale/relay/cluster/failure_detector.py
@@ -104,7 +104,7 @@
         return []
 
     def renew(self, now: int, generation: int) -> list[DetectorInstruction]:
-        """Start a later generation of this process, which is on disk."""
+        """Start a later generation of this process; ``generation`` is already on disk."""
         self.me, self.incarnation = self.me._replace(generation=generation), 0
         self._merge(self._own_update(), now)
         self._updates.put(self._own_update())
--- a/lynxscale/relay/cluster/flapping.py
+++ b/lynxscale/relay/cluster/flapping.py
@@ -6,14 +6,14 @@
 
 
 class FlapBackoff:
-    """Keeps a node out after its second removal within ``flap_window``, twice as long after each further removal."""
+    """Keeps a node out of the view after a second removal within ``flap_window``; each further one doubles the time."""
 
     def __init__(self, timing: ViewTiming) -> None:
         self._timing = timing
         self._removal_times: dict[str, list[int]] = {}
 
     def removed(self, name: str, now: int) -> None:
-        """Record that a new view does not contain that node any more."""
+        """Record that a new view no longer contains that node."""
         self._removal_times.setdefault(name, []).append(now)
 
     def until(self, name: str) -> int:
--- a/lynxscale/relay/cluster/frame.py
+++ b/lynxscale/relay/cluster/frame.py
@@ -4,7 +4,7 @@
 
     offset 0   3  b"LXC"
            3   1  version, 2
-           4   4  crc32c of the cluster's name and its probe's period
+           4   4  crc32c of the cluster's name and probe period (``cluster_key``)
            8   2  length of the message in bytes
           10   n  the message: MessagePack of the types below, fields in order
         10+n   4  crc32c of all before it
@@ -77,12 +77,12 @@
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=5, gc=False):
-    """Carries nothing but the updates of its frame."""
+    """An empty body: the frame carries only updates."""
 
 
 class Exchange(msgspec.Struct, array_like=True, frozen=True, tag=6, gc=False):
-    """Full state, sent over TCP: view, known write counts, digests of settings, and the frame has all updates. The
-    receiver answers with its own state and ``answer`` set."""
+    """Full state, sent over TCP: view, known write counts and digests of settings; the frame carries the updates of all
+    known nodes. The receiver answers with its own state and ``answer`` set."""
 
     answer: bool
     view: View | None = None
@@ -155,7 +155,7 @@
 def cluster_key(cluster: str, probe: int = 0) -> int:
     """Identify a cluster in a frame: checksum of its name and its probe period (µs), from which all times derive.
 
-    It rejects frames of nodes with another probe period, whose leases would be longer than their grantors assume.
+    So frames of nodes with another probe period are rejected: their leases would be longer than their grantors assume.
     """
     return crc32c(f"{cluster} {probe}".encode())
 
@@ -231,7 +231,7 @@
         self._seen = 0
 
     def accept(self, number: int) -> bool:
-        """Accept a frame number: return whether it is new, and remember it."""
+        """Accept a frame number: return whether it is new, and record it."""
         if number > self._highest:
             self._seen = (self._seen << min(number - self._highest, self.SPAN) | 1) & ((1 << self.SPAN) - 1)
             self._highest = number
--- a/lynxscale/relay/cluster/instructions.py
+++ b/lynxscale/relay/cluster/instructions.py
@@ -35,7 +35,7 @@
 
 
 class StartGeneration(NamedTuple):
-    """Start a generation above ``generation`` once it is on disk, as other nodes know a later one of this node."""
+    """Start a generation above ``generation``, which another node has reported, once the new one is on disk."""
 
     generation: int
 
@@ -64,7 +64,7 @@
 
 
 class RemovedFromView(NamedTuple):
-    """This process is no longer in the view: start a later generation."""
+    """This process is no longer in the view of that number: start a later generation."""
 
     view: int
 
--- a/lynxscale/relay/cluster/leases.py
+++ b/lynxscale/relay/cluster/leases.py
@@ -29,8 +29,8 @@
         request_times = sorted(
             (now if name == self.me.name else self._grant_times.get(name, 0) for name in committee), reverse=True
         )
-        asked = request_times[len(committee) // 2]
-        return asked + self.timing.lease if asked else 0
+        requested_at = request_times[len(committee) // 2]
+        return requested_at + self.timing.lease if requested_at else 0
 
     def may_act(self, now: int) -> bool:
         """Return whether this node holds a lease. ``now`` has to be read right before acting."""
@@ -38,7 +38,9 @@
 
     def lease_grantors(self, now: int) -> list[str]:
         """Members of the committee with a valid grant for this node."""
-        return sorted(name for name, asked in self._grant_times.items() if now < asked + self.timing.lease)
+        return sorted(
+            name for name, requested_at in self._grant_times.items() if now < requested_at + self.timing.lease
+        )
 
     def _request_leases(self, now: int) -> None:
         view = self.durable.view
@@ -77,14 +79,14 @@
                 self._send(sender, Reject(message.number, NO_BALLOT, 0, "behind"))
             return
         if self.conflict or self.durable.accepted is not None or now < self._denied_until.get(identity, 0):
-            return  # the next view may be decided already, which relies on no further leases in this one
+            return  # the next view may be decided already, on the assumption that this one grants no further leases
         self._granted_until[identity] = now + self._grant_duration(self.timing.lease)
         self._send(sender, LeaseGrant(message.number, message.token))
 
     def _on_lease_grant(self, now: int, sender: str, identity: Identity, message: LeaseGrant) -> None:
-        asked = self._request_times.get(message.token)
-        if asked is not None and message.number == self.number:
-            self._grant_times[sender] = max(asked, self._grant_times.get(sender, 0))
+        requested_at = self._request_times.get(message.token)
+        if requested_at is not None and message.number == self.number:
+            self._grant_times[sender] = max(requested_at, self._grant_times.get(sender, 0))
 
     def _on_lease_release(self, now: int, sender: str, identity: Identity, message: LeaseRelease) -> None:
         self._granted_until.pop(identity, None)
--- a/lynxscale/relay/cluster/membership_table.py
+++ b/lynxscale/relay/cluster/membership_table.py
@@ -4,7 +4,7 @@
 raises, to refute a suspicion; zero at the start of a generation) and its state. Updates of one node are totally ordered
 and merging keeps the greatest, so the result does not depend on the order or number of deliveries (a join-semilattice).
 A node refutes a suspicion by a higher incarnation, as in SWIM (Das, Gupta, Motivala 2002), section 4.2. Here it can
-also refute 'failed', since no node may act because of this table alone.
+also refute 'failed', since this table alone never allows a node to act.
 """
 
 from __future__ import annotations
@@ -123,7 +123,7 @@
         return removed
 
     def merge(self, update: MemberUpdate, now: int) -> StateChange | None:
-        """Merge an update. Return the change, or None if there is none or only a further node that suspects."""
+        """Merge an update. Return the change, or None if at most the set of suspecting nodes has changed."""
         if update.name not in self.names:
             return None
         record = self._records.get(update.name)
--- a/lynxscale/relay/cluster/messages.py
+++ b/lynxscale/relay/cluster/messages.py
@@ -50,8 +50,8 @@
 
 
 class Ballot(NamedTuple):
-    """A Paxos proposal number; the higher one takes precedence. No process uses a round twice, and ``boot`` tells the
-    processes of a node apart."""
+    """A Paxos proposal number; the higher one takes precedence. No process uses a round twice, and ``boot``
+    distinguishes the processes of a node."""
 
     round: Number
     by: OptionalName
@@ -62,13 +62,13 @@
 
 
 class DurableState(NamedTuple):
-    """A node's state on disk. ``write_count`` counts the writes that messages depended on. Each node remembers the
-    highest count of its peers in ``peer_write_counts``, by which a peer notices that its disk was rolled back.
+    """A node's state on disk. ``write_count`` counts the writes that messages depended on. Each node stores the
+    highest count seen from each peer in ``peer_write_counts``; by it, a peer detects that its disk was rolled back.
     ``votes``: the state is complete, and the node may vote."""
 
     view: View | None = None
     promised: Ballot = NO_BALLOT
-    ballot: Ballot = NO_BALLOT  # of the accepted change
+    ballot: Ballot = NO_BALLOT  # ballot of the accepted change
     accepted: MembershipChange | None = None
     write_count: Number = 0
     votes: bool = True
@@ -82,7 +82,7 @@
     """Paxos phase 1. ``change`` is the change to propose. ``previously_accepted``: some acceptor has accepted it
     before, so it may be decided already and cannot be abandoned."""
 
-    number: Number  # of the view to be decided
+    number: Number  # number of the view to be decided
     base: Number  # digest of the view before it; 0 for the first view
     round: Number
     change: MembershipChange
@@ -94,13 +94,13 @@
 
     number: Number
     to: Ballot
-    ballot: Ballot  # of the accepted change
+    ballot: Ballot  # ballot of the accepted change; NO_BALLOT if there is none
     change: MembershipChange | None
     wait: Number
 
 
 class Accept(NamedTuple):
-    """Paxos phase 2: the fields of the ``Prepare`` before it."""
+    """Paxos phase 2: requests acceptance of the change. Its fields are those of the preceding ``Prepare``."""
 
     number: Number
     base: Number
@@ -117,7 +117,7 @@
 
 
 class Reject(NamedTuple):
-    """Rejects a ``Prepare`` or ``Accept``. Reason ``lease``: ask again later; any other is final for this ballot."""
+    """Rejects a ``Prepare`` or ``Accept``. Reason ``lease``: retry later; any other is final for this ballot."""
 
     number: Number
     to: Ballot
@@ -161,7 +161,7 @@
 
 
 def quorum(view: View, committee: frozenset[str]) -> Callable[[Iterable[str]], bool]:
-    """Return a predicate that tells whether names are a quorum: majorities of the view's members and its committee."""
+    """Return a predicate: whether names contain a majority of the view's members and one of its committee."""
     members = frozenset(view.names)
 
     def is_quorum(names: Iterable[str]) -> bool:
--- a/lynxscale/relay/cluster/probing.py
+++ b/lynxscale/relay/cluster/probing.py
@@ -14,7 +14,7 @@
     State,
 )
 
-MAX_RELAYED_PROBES = 64  # in flight on behalf of other nodes
+MAX_RELAYED_PROBES = 64  # concurrent probes on behalf of other nodes
 
 
 class Prober(DetectorState):
@@ -100,9 +100,9 @@
 
     def _on_ack(self, now: int, ack: Ack, sender: str) -> None:
         probe = self._probe
-        identity_ping = self._identity_pings.pop(ack.probe, None)
+        one_off_ping = self._one_off_pings.pop(ack.probe, None)
         ours = probe is not None and probe.number == ack.probe and probe.target == ack.node
-        if not ours and (identity_ping is None or identity_ping[0] != ack.node):
+        if not ours and (one_off_ping is None or one_off_ping[0] != ack.node):
             return
         identity = Identity(ack.node, ack.generation, ack.boot)
         record = self.membership.get(ack.node)
--- a/lynxscale/relay/cluster/proposer.py
+++ b/lynxscale/relay/cluster/proposer.py
@@ -60,7 +60,7 @@
                 self._on_accept(now, self.me.name, self.me, message)
 
     def _ready_at(self) -> int | None:
-        """Time (µs) at which a quorum of those that have promised can accept; None if too few have promised."""
+        """Time (µs) at which a quorum of the promising acceptors can accept; None if too few have promised."""
         ready = self._proposal.ready_at
         names: list[str] = []
         for name, at in sorted(ready.items(), key=lambda row: row[1]):
@@ -110,7 +110,7 @@
             return
         _, change = max(proposal.promises.values(), key=lambda row: row[0])
         if change is not None and change != proposal.change:
-            self._propose(now, change, previously_accepted=True)  # it may be decided already, so it goes first
+            self._propose(now, change, previously_accepted=True)  # completed first, as it may be decided already
             return
         proposal.previously_accepted = proposal.previously_accepted or change is not None
         self._accept_when_ready(now)
--- a/lynxscale/relay/cluster/view_change.py
+++ b/lynxscale/relay/cluster/view_change.py
@@ -12,9 +12,9 @@
 a new view, and after a start, no removal is accepted while leases granted earlier may still be valid. So no view
 without a node begins while that node may still act, even if the node has not received the views in between.
 
-A promise states how long the leases remain valid that forbid accepting the change, and the acceptor grants no more of
-them. The proposer sends ``Accept`` once they have expired at a quorum. So no acceptor has to wait for the leases of
-others with a change accepted, unable to grant leases itself.
+A promise states for how long the leases that the acceptor has granted forbid it to accept the change; it does not renew
+them. The proposer sends ``Accept`` once they have expired at a quorum. So no acceptor holds an accepted change, which
+keeps it from granting leases, while other acceptors still wait for leases to expire.
 
 Status of a node:
 
@@ -56,8 +56,8 @@
 )
 from lynxscale.relay.cluster.proposer import Proposer
 
-CONSIDER_INTERVAL_US = 100_000  # between checks whether a change is wanted
-IDLE_CONSIDER_INTERVAL_US = 500_000  # the same while no change is wanted
+CONSIDER_INTERVAL_US = 100_000  # time between checks whether a change is wanted
+IDLE_CONSIDER_INTERVAL_US = 500_000  # time between these checks while no change is wanted
 
 
 class ViewAgreement(Proposer):
--- a/lynxscale/relay/journal/cleaning_plan.py
+++ b/lynxscale/relay/journal/cleaning_plan.py
@@ -2,8 +2,8 @@
 
 Two things are tracked per segment. *Live* bytes are those that recovery needs: for an open message, the records since
 its last complete state; for a completed one, its COMPLETED record, as long as another segment still has a record of
-the message. *Residue* is any record of a message, live or dead: if the COMPLETED record were removed first, the residue
-would make recovery reopen a completed message.
+the message. *Residue* is every record of a message, live or dead: a COMPLETED record must outlast the residue in other
+segments, which would otherwise make recovery reopen the completed message.
 
 Cleaning copies the live records of a segment into the active one: the state of an open message as a single record,
 which makes all its earlier records dead, and COMPLETED records unchanged. The segment can then be removed; segments
@@ -22,8 +22,10 @@
 from lynxscale.relay.journal.records import COMPLETED, MESSAGE, Record
 
 BLOCK_SIZE = 4096  # bytes; files are allocated in blocks of this size
-MAX_LIVE_SHARE = 0.5  # of the budget, for open messages; the cost of cleaning grows without bound as this nears 1
-MAX_SHARE_WITH_ATTEMPTS = 0.75  # of the budget; above it attempts are not recorded: COMPLETED records need the rest
+# Share of the budget for open messages; the cost of cleaning grows without bound as it nears 1.
+MAX_LIVE_SHARE = 0.5
+# Share of the budget above which attempts are not recorded, to leave space for COMPLETED records.
+MAX_SHARE_WITH_ATTEMPTS = 0.75
 # Free segments that must remain after another one is opened, by its purpose: new messages, records of open messages,
 # cleaning.
 RESERVE_NEW, RESERVE_OPEN, RESERVE_CLEANING = 2, 1, 0
@@ -40,7 +42,7 @@
 
 @dataclass(slots=True)
 class Segment:
-    """What is known of one segment. ``size`` and ``live`` (what recovery needs) are in bytes.
+    """Space accounting of one segment. ``size`` and ``live`` (what recovery needs) are in bytes.
 
     ``first_seq`` and ``last_seq`` are the sequence numbers of its oldest and newest record.
     """
--- a/lynxscale/relay/journal/journal.py
+++ b/lynxscale/relay/journal/journal.py
@@ -92,8 +92,8 @@
         self._entries: dict[int, Entry] = {}  # open messages by uid
         self._uids: dict[int, int] = {}  # uids by the message's number in this process
         self._next_seq = self._next_segment = 1
-        self._handle = -1  # of the active segment
-        self._salt = 0  # of the active segment
+        self._handle = -1  # file descriptor of the active segment; -1 if there is none
+        self._salt = 0  # seed of the active segment's record checksums
         self._last_record_size = 0  # bytes
         self._recovered_outcomes: set[int] = set()  # uids of messages whose outcome was already in the files
         self._unwritten_completions: list[int] = []  # uids of messages whose COMPLETED could not be written yet
--- a/lynxscale/relay/journal/layout.py
+++ b/lynxscale/relay/journal/layout.py
@@ -12,7 +12,7 @@
 VERSION = 1
 SEGMENT_MAGIC, MANIFEST_MAGIC = b"LXS1", b"LXM1"
 SEGMENT_HEADER = struct.Struct("<4sHQQI")  # magic, version, number, first sequence number, salt; a checksum follows
-MANIFEST_HEADER = struct.Struct("<4sHQH")  # magic, version, generation, segments; rows and a checksum follow
+MANIFEST_HEADER = struct.Struct("<4sHQH")  # magic, version, generation, row count; rows and a checksum follow
 MANIFEST_ROW = struct.Struct("<QQI")  # number, first sequence number, sealed size (0: active)
 CHECKSUM = struct.Struct("<I")
 SEGMENT_HEADER_SIZE = SEGMENT_HEADER.size + CHECKSUM.size
--- a/lynxscale/relay/journal/legacy_format.py
+++ b/lynxscale/relay/journal/legacy_format.py
@@ -1,6 +1,6 @@
 """Reader of the journal's previous format: a single file, whose records have no sequence numbers.
 
-It lets a relay that is upgraded from an older version keep its open messages.
+With it, a relay that is upgraded from an older version keeps its open messages.
 """
 
 from __future__ import annotations
--- a/lynxscale/relay/journal/manifest_store.py
+++ b/lynxscale/relay/journal/manifest_store.py
@@ -54,7 +54,7 @@
     def __init__(self, storage: Storage) -> None:
         self._storage = storage
         self._generation = 0
-        self._slots: set[str] = set()  # those that exist
+        self._slots: set[str] = set()  # slots whose file exists
         self._slot_size = SLOT_SIZE_STEP
         self.is_current = True
 
@@ -70,10 +70,10 @@
         return manifest
 
     def write(self, rows: tuple[ManifestRow, ...]) -> None:
-        """Write the next generation over the last but one, so that a crash leaves one valid manifest. Raises OSError.
+        """Write the next generation over the older manifest, so that a crash leaves the newer one. Raises OSError.
 
-        The file is overwritten in place, because some file systems flush a file at once when it is renamed over
-        another.
+        The file is overwritten in place, because some file systems flush a file synchronously when it is
+        renamed over another.
         """
         generation = self._generation + 1
         data = encode_manifest(Manifest(generation, rows))
--- a/lynxscale/relay/journal/records.py
+++ b/lynxscale/relay/journal/records.py
@@ -181,7 +181,7 @@
         entry.attempts += 1
         entry.may_have_run.append(ATTEMPT_PAYLOAD.unpack(payload)[1])
     elif kind == NOT_EXECUTED:
-        # It refers to the last recorded attempt, or to one that ended before it was recorded.
+        # The record refers to the last recorded attempt, or to one that ended before it was recorded.
         if payload[UID.size :] == b"\1" and entry.may_have_run:
             entry.may_have_run.pop()
         else:
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -30,8 +30,8 @@
 # Time between two checks of the other process, while there is one and otherwise.
 CHECK_INTERVAL_US, IDLE_CHECK_INTERVAL_US = 10_000, 100_000
 MAX_ADOPTED_PER_TURN = 32  # messages that an ended process left, adopted in one turn of the event loop
-MAX_RELEASED_PER_CHECK = 128  # released messages adopted in one turn; more, as they wait for an attempt
-RETRY_INTERVAL_US = 200_000  # before adopting again after there was no space in the journal
+MAX_RELEASED_PER_CHECK = 128  # released messages adopted in one turn; more, as they wait to be sent
+RETRY_INTERVAL_US = 200_000  # delay before a failed adoption is retried
 
 
 class Handover:
@@ -58,10 +58,10 @@
         self._succession = Succession(claim.is_successor)
         self._predecessor = claim.predecessor
         self._slots = relay.settings.slots
-        self._other: tuple[Stage, bool] = (Stage.NONE, False)
-        self._follower: JournalFollower | None = None  # of the other process's journal
-        self._inherited: InheritedJournal | None = None  # of the predecessor, while it runs
-        self._released_at, self._successor = 0, -1
+        self._other: tuple[Stage, bool] = (Stage.NONE, False)  # the other process's stage, and whether it runs
+        self._follower: JournalFollower | None = None  # reads the other process's journal
+        self._inherited: InheritedJournal | None = None  # the predecessor's journal, while it runs
+        self._released_offset, self._successor = 0, -1
         if claim.half is not None:
             relay.attach_board(self)
 
@@ -73,7 +73,7 @@
     def begin(self) -> None:
         """Start the checks, once this process is ready to accept clients or accepts them."""
         claim = self._claim
-        for generation in list(claim.earlier):  # a copy: a folder that is adopted at once is removed from the list
+        for generation in list(claim.earlier):  # a copy, as ``_adopt`` may remove from the list
             if generation != self._predecessor:
                 self._adopt(generation)
         if not claim.is_successor:
@@ -171,7 +171,7 @@
     def _adopt_released(self) -> None:
         """Adopt messages that the predecessor has released while it still runs."""
         path = folder_of(self._claim.state, self._predecessor)
-        numbers, next_offset = read_released(path, self._released_at)
+        numbers, next_offset = read_released(path, self._released_offset)
         if not numbers or self._follower is None or not self._follower.poll():
             return
         if self._inherited is None:
@@ -185,7 +185,7 @@
                 if len(remaining) <= MAX_RELEASED_PER_CHECK
                 else numbers.index(remaining[MAX_RELEASED_PER_CHECK][0])
             )
-            self._released_at += done * RELEASED_SIZE
+            self._released_offset += done * RELEASED_SIZE
 
     # Adoption ----------------------------------------------------------------------------
 
--- a/lynxscale/relay/upgrade/journal_folders.py
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -1,4 +1,4 @@
-"""The journal folders of a relay: which process owns which, which process may start, and what an ended one left."""
+"""The journal folders of a relay: which process owns which, which process may start, and how a folder is inherited."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         self.state, self._inode = state, inode
         self.generation, self.is_successor = 0, False
         self.earlier: list[int] = []
-        self.predecessor = -1  # for a successor, the serving generation; the processes of all other earlier ones ended
+        self.predecessor = -1  # the serving generation if this is a successor; all other earlier processes have ended
         self.half: BoardHalf | None = None
         self.other: BoardHalf | None = None
         self._start_lock = FolderStorage(state, START_LOCK)
@@ -136,7 +136,7 @@
 class InheritedJournal:
     """The journal of another process, whose messages this process adopts.
 
-    A message that is marked as taken belongs to the process that adopted it for good.
+    A message that is marked as taken belongs permanently to the process that adopted it.
     """
 
     def __init__(self, state: Path, generation: int) -> None:
@@ -187,7 +187,7 @@
             self._taken_handle = -1
 
     def abandon(self) -> None:
-        """Unlock the folder and leave it as it is; a lock that stayed would look like a running process."""
+        """Unlock the folder and leave it as it is; a lock that was kept would look like a running process."""
         self.close()
         self._storage.unlock()
 
--- a/lynxscale/relay/upgrade/journal_follower.py
+++ b/lynxscale/relay/upgrade/journal_follower.py
@@ -27,7 +27,7 @@
         self._segment_number = -1  # the segment that is read
         self._handle = -1
         self._offset = self._salt = 0
-        self._last_seq = 0  # of the last record
+        self._last_seq = 0  # sequence number of the last record that was read
 
     def close(self) -> None:
         """Close the current segment."""
@@ -64,7 +64,7 @@
         recovered = recover(manifest, {row.number: storage.read(segment_name(row.number)) for row in rows})
         last = rows[-1].number
         if last not in recovered.salts:
-            return  # its header is not written yet
+            return  # the segment's header is not written yet
         self._handle = os.open(self._path / segment_name(last), os.O_RDONLY | os.O_CLOEXEC)
         self._segment_number, self._offset, self._salt = last, recovered.sizes[last], recovered.salts[last]
         self.entries, self._last_seq = recovered.entries, recovered.next_seq - 1
@@ -99,7 +99,7 @@
                 _segment_number, _first, salt = decode_segment_header(os.pread(handle, SEGMENT_HEADER_SIZE, 0))
             except JournalFormatError:
                 os.close(handle)
-                return False  # its header is not complete yet
+                return False  # the segment's header is not complete yet
             self.close()
             self._handle, self._segment_number, self._offset, self._salt = (
                 handle,
--- a/lynxscale/relay/upstream/background.py
+++ b/lynxscale/relay/upstream/background.py
@@ -15,7 +15,7 @@
 from lynxscale.relay.deadlines import Deadlines
 from lynxscale.relay.upstream.model import SlicedWork
 
-MAX_BLOCKING_NS = 1_500_000  # per slice; the scheduler's step on the changes that a slice applied comes on top
+MAX_BLOCKING_NS = 1_500_000  # per slice, without the scheduler's step on the changes that the slice applied
 
 
 class SlicedRunner:
--- a/lynxscale/relay/upstream/file_watch.py
+++ b/lynxscale/relay/upstream/file_watch.py
@@ -45,8 +45,8 @@
 
 log = structlog.get_logger()
 
-MIN_SCAN_DELAY_US = 100_000  # from the end of a scan to the next; bounds the work that a rapidly changing file causes
-UNSTEADY_SCAN_DELAY_US = 10_000  # the same, if a file changed while it was read
+MIN_SCAN_DELAY_US = 100_000  # time from a scan's end to the next scan; bounds the work that a changing file causes
+UNSTEADY_SCAN_DELAY_US = 10_000  # used instead if a file changed while it was read
 INCOMPLETE_REPORT_DELAY_US = 5_000_000  # a file that stays incomplete for this long is reported
 SLOW_SCAN_US = 1_000_000  # a scan that takes this long is reported: changes go unnoticed meanwhile
 MAX_WATCHED_FILES = 1024  # files with state; bounds the memory if a writer keeps using new file names
@@ -66,9 +66,9 @@
     digest: str = ""
     entries: dict[str, Endpoint] = field(default_factory=dict)
     destinations: dict[int, Destination] = field(default_factory=dict)
-    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # of the version in force, reused for the next one
+    parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # entries in force, by line
     stamp: file_scan.FileStamp = ()
-    last_digest: str = ""  # of the bytes that were read last
+    last_digest: str = ""  # digest of the bytes that were read last
     pending: ListVerdict | None = None  # not applied: needs approval, or conflicts with another file
     pending_data: bytes = b""
     incomplete_since: int | None = None  # µs of the event loop's clock
@@ -292,7 +292,7 @@
 
     @inlineCallbacks
     def _forget(self, file: WatchedFile) -> Generator[Deferred, Any, None]:
-        """Drop the state of a file without entries that has left its folder, so that the tables do not grow forever."""
+        """Drop the state of a removed file that has no entries, so that the tables do not grow forever."""
         yield self._discard_pending(file)
         del self._files[file.path]
         self._excess_reported = False
--- a/lynxscale/relay/upstream/files.py
+++ b/lynxscale/relay/upstream/files.py
@@ -66,7 +66,7 @@
 
     candidate: CandidateList | None = None
     faults: list[Fault] = field(default_factory=list)
-    complete: bool = True  # it has its closing line
+    complete: bool = True  # False if the closing line is missing
     parsed_lines: ShardedDict = field(default_factory=ShardedDict)  # entries by line, reused for the next version
 
 
@@ -179,7 +179,7 @@
             try:
                 packed = int.from_bytes(socket.inet_pton(socket.AF_INET, host), "big")
             except (OSError, ValueError):
-                raise InvalidListError(text, "want an IPv4 address and a port, as no name is looked up") from None
+                raise InvalidListError(text, "want an IPv4 address and a port, as names are not looked up") from None
             if packed not in self.rules.nets:
                 raise InvalidListError(text, "want an address in the allowed networks")
             self.checked_hosts[host] = None
@@ -412,7 +412,7 @@
     if lifecycle is None:
         raise InvalidListError("lifecycle", "want ready, draining or gone")
     if not isinstance(id_, str):
-        raise InvalidListError("instanceId", "want a text")
+        raise InvalidListError("instanceId", "want a string")
     weight, destination, since = row.get("weight", 0.0), row.get("cell", 0), row.get("startedAtMs", 0)
     if (
         isinstance(weight, bool)
@@ -424,7 +424,7 @@
         raise InvalidListError(f"cell {destination}", f"want a whole number below {MAX_DESTINATIONS}")
     zone, kind = row.get("zone", ""), row.get("machineType", "")
     if not isinstance(zone, str) or not isinstance(kind, str):
-        raise InvalidListError("zone" if not isinstance(zone, str) else "machineType", "want a text")
+        raise InvalidListError("zone" if not isinstance(zone, str) else "machineType", "want a string")
     entry = Endpoint(
         _parse_id(id_),
         collector.parse_address(str(row.get("hostPort"))),
--- a/lynxscale/relay/upstream/group.py
+++ b/lynxscale/relay/upstream/group.py
@@ -19,7 +19,7 @@
 
 FILES, DISCOVERY = "files", "discovery"
 SOURCES = (FILES, DISCOVERY)
-MAX_MEMBERS_PER_UPDATE = 64  # in one scheduler event; bounds how long the scheduler's step blocks the event loop
+MAX_MEMBERS_PER_UPDATE = 64  # members in one scheduler event; bounds how long its step blocks the event loop
 
 
 class Source(Protocol):
@@ -58,7 +58,7 @@
         self._default_separate_routes = any(settings.routes_apart[:1])
         self._order = tuple(order)
         self._lists: dict[str, dict[str, Endpoint]] = {}
-        self._endpoint_counts: dict[str, dict[int, int]] = {}  # by source and destination
+        self._endpoint_counts: dict[str, dict[int, int]] = {}  # listed endpoints by source and destination
         self._sources: dict[str, Source] = {}
         self.has_list = False  # True once any source has reported its list
         self._slow_start_scheduled = False  # a timer for the next step is set
@@ -152,7 +152,7 @@
             self._put(MembershipUpdate(kind, version, self.table.members()))
             return
         if kind == MembershipKind.FULL:
-            kind = MembershipKind.DELTA  # it does not contain the other source's endpoints
+            kind = MembershipKind.DELTA  # the changes do not contain the other source's endpoints
         for at in range(0, len(members), MAX_MEMBERS_PER_UPDATE):
             self._put(MembershipUpdate(kind, version, members[at : at + MAX_MEMBERS_PER_UPDATE]))
         if not members and (always or kind == MembershipKind.CACHED):
@@ -179,7 +179,7 @@
         for changes in (drains_and_removals, other_changes):
             while changes:
                 chunk = changes[-MAX_MEMBERS_PER_UPDATE:]
-                del changes[-MAX_MEMBERS_PER_UPDATE:]  # in chunks, because freeing the complete list takes long
+                del changes[-MAX_MEMBERS_PER_UPDATE:]  # in chunks, because freeing the complete list blocks for long
                 members = self._apply(self._apply_to_source(name, chunk))
                 if members:
                     self._put(MembershipUpdate(MembershipKind.DELTA, version, members))
--- a/lynxscale/relay/upstream/model.py
+++ b/lynxscale/relay/upstream/model.py
@@ -1,4 +1,4 @@
-"""Data types of endpoint lists: endpoints, versions, changes and verdicts. Also the type of long work in slices."""
+"""Data types of endpoint lists: endpoints, versions, changes and verdicts; also the type of work in slices."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Destination(NamedTuple):
-    """What a list says about a destination besides its endpoints."""
+    """A destination as a list declares it, without its endpoints."""
 
     number: int
     rate: float | None = None  # calls per second that the peer accepts
@@ -103,9 +103,9 @@
 class CandidateList:
     """A parsed version of a list, not yet validated against the list in force or other lists."""
 
-    unit: str  # its origin: a file's path or the source's name
+    unit: str  # origin of the list: a file's path or the source's name
     version: int
-    digest: str  # of its bytes
+    digest: str  # digest of the list's bytes
     entries: dict[str, Endpoint]
     destinations: dict[int, Destination]  # the destinations that it claims
     lines: list[int] = field(default_factory=list)  # the line number of each entry, in the same order
--- a/lynxscale/relay/upstream/slow_start.py
+++ b/lynxscale/relay/upstream/slow_start.py
@@ -28,7 +28,7 @@
     def __init__(self, duration: int) -> None:
         self._duration = duration
         self.step_interval = max(MIN_STEP_US, duration // STEP_COUNT)
-        self._increases: dict[int, _WeightIncrease] = {}  # by endpoint
+        self._increases: dict[int, _WeightIncrease] = {}  # rising weights by endpoint
 
     def __len__(self) -> int:
         return len(self._increases)
--- a/lynxscale/relay/upstream/validation.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -31,9 +31,9 @@
 class Guards:
     """Limits for changes that need no operator's approval. Shares refer to a destination's entries in force."""
 
-    max_removed_share: float = 1.0  # of a destination's ready endpoints
+    max_removed_share: float = 1.0  # share of the ready endpoints that one version may remove
     may_remove_last_endpoint: bool = True
-    max_moved_share: float = 1.0  # of a destination's weight, moved between endpoints by one version
+    max_moved_share: float = 1.0  # share of the weight that one version may move between endpoints
     ask_approval: bool = True  # False: reject the version instead
 
 
@@ -249,4 +249,4 @@
 def _truncated(faults: list[Fault], unit: str) -> list[Fault]:
     if len(faults) <= MAX_REASONS:
         return faults
-    return [*faults[:MAX_REASONS], Fault(unit, 0, f"{len(faults) - MAX_REASONS} more", "as these")]
+    return [*faults[:MAX_REASONS], Fault(unit, 0, f"{len(faults) - MAX_REASONS} more", "not listed here")]
--- a/lynxscale/relay/upstream/verdict_reporter.py
+++ b/lynxscale/relay/upstream/verdict_reporter.py
@@ -17,7 +17,7 @@
 
 
 class VerdictTrace(Protocol):
-    """Where verdicts are traced; implemented by ``lynxscale.trace.recorder``."""
+    """The part of a trace that records verdicts; implemented by ``lynxscale.trace.recorder``."""
 
     def verdict(
         self,
