--- a/lynxscale/relay/cluster/proposer.py
+++ b/lynxscale/relay/cluster/proposer.py
@@ -46,14 +46,14 @@
         base = view.digest if view is not None else 0
         kind, answered = (Prepare, proposal.promises) if proposal.preparing else (Accept, proposal.accepted_by)
         message = kind(proposal.number, base, proposal.ballot.round, proposal.change, proposal.previously_accepted)
-        asked = self._acceptors() - set(answered)
+        recipients = self._acceptors() - set(answered)
         if now >= proposal.reassert_at:
             # Keeps acceptors that have answered from proposing themselves while those with slower disks still write.
             proposal.reassert_at = now + self.timing.backoff // 3
-            asked = self._acceptors()
-        for name in sorted(asked - {self.me.name}):
+            recipients = self._acceptors()
+        for name in sorted(recipients - {self.me.name}):
             self._send(name, message)
-        if self.me.name in asked and self.me.name not in answered:
+        if self.me.name in recipients and self.me.name not in answered:
             if proposal.preparing:
                 self._on_prepare(now, self.me.name, self.me, message)
             else:
--- a/lynxscale/relay/upgrade/handover.py
+++ b/lynxscale/relay/upgrade/handover.py
@@ -108,13 +108,13 @@
 
         If the folder has no space to record that, the successor adopts them when this process ends.
         """
-        numbers = self._relay.recovery.release()
-        if numbers:
+        uids = self._relay.recovery.release()
+        if uids:
             try:
-                append_released(self._claim.path, numbers)
+                append_released(self._claim.path, uids)
             except OSError as error:
-                log.warning("not_released", left=len(numbers), error=str(error))
-            self._counters.add("handover", "released", len(numbers))
+                log.warning("not_released", left=len(uids), error=str(error))
+            self._counters.add("handover", "released", len(uids))
 
     # BoardPort, for the core ---------------------------------------------------------------------
 
@@ -171,19 +171,19 @@
     def _adopt_released(self) -> None:
         """Adopt messages that the predecessor has released while it still runs."""
         path = folder_of(self._claim.state, self._predecessor)
-        numbers, next_offset = read_released(path, self._released_offset)
-        if not numbers or self._follower is None or not self._follower.poll():
+        uids, next_offset = read_released(path, self._released_offset)
+        if not uids or self._follower is None or not self._follower.poll():
             return
         if self._inherited is None:
             self._inherited = InheritedJournal(self._claim.state, self._predecessor)
         entries = self._follower.entries
-        remaining = [(number, entries[number]) for number in numbers if number in entries]
+        remaining = [(uid, entries[uid]) for uid in uids if uid in entries]
         if self._adopt_entries(self._inherited, remaining[:MAX_RELEASED_PER_CHECK]):
             # The rest is adopted at the next check, to keep the turn short.
             done = (
-                len(numbers)
+                len(uids)
                 if len(remaining) <= MAX_RELEASED_PER_CHECK
-                else numbers.index(remaining[MAX_RELEASED_PER_CHECK][0])
+                else uids.index(remaining[MAX_RELEASED_PER_CHECK][0])
             )
             self._released_offset += done * RELEASED_SIZE
 
--- a/lynxscale/relay/upgrade/journal_folders.py
+++ b/lynxscale/relay/upgrade/journal_folders.py
@@ -166,7 +166,7 @@
         taken = {number for (number,) in UID.iter_unpack(data[: len(data) // UID.size * UID.size])}
         return {uid: entry for uid, entry in recovered.entries.items() if uid not in taken}
 
-    def mark_taken(self, numbers: list[int]) -> None:
+    def mark_taken(self, uids: list[int]) -> None:
         """Mark messages as adopted by another process. If this raises OSError, that process must not send them."""
         if self._taken_handle < 0:
             path = self.path / TAKEN_FILE
@@ -174,7 +174,7 @@
             handle = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
             os.ftruncate(handle, size // UID.size * UID.size)
             self._taken_handle = handle
-        data = b"".join(UID.pack(number) for number in numbers)
+        data = b"".join(UID.pack(uid) for uid in uids)
         before = os.fstat(self._taken_handle).st_size
         if os.write(self._taken_handle, data) != len(data):
             os.ftruncate(self._taken_handle, before)  # mark none of them, because the caller adopts none
@@ -201,11 +201,11 @@
         self._storage.unlock()
 
 
-def append_released(path: Path, numbers: list[int]) -> None:
+def append_released(path: Path, uids: list[int]) -> None:
     """Release messages to the successor. If this raises OSError, the successor adopts them when this process ends."""
     handle = os.open(path / RELEASED_FILE, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o600)
     try:
-        os.write(handle, b"".join(UID.pack(number) for number in numbers))
+        os.write(handle, b"".join(UID.pack(uid) for uid in uids))
     finally:
         os.close(handle)
 
@@ -216,7 +216,7 @@
         file.seek(offset)
         data = file.read()
         complete = len(data) // UID.size * UID.size
-        return [number for (number,) in UID.iter_unpack(data[:complete])], offset + complete
+        return [uid for (uid,) in UID.iter_unpack(data[:complete])], offset + complete
     return [], offset
 
 
