--- a/lynxscale/relay/cluster/agreement_state.py
+++ b/lynxscale/relay/cluster/agreement_state.py
@@ -140,12 +140,10 @@
         ours = self.durable.view
         if ours is not None and view.lineage != ours.lineage:
             self._record_conflict(
-                f"{sender} is in a cluster that formed separately: lineage {view.lineage:x}, ours {ours.lineage:x}"
+                f"{sender} is in a cluster that began apart: lineage {view.lineage:x}, ours {ours.lineage:x}"
             )
         elif view.number == self.number and ours is not None and view.digest != ours.digest:
-            self._record_conflict(
-                f"{sender} has a different view {view.number}: digest {view.digest:x}, ours {ours.digest:x}"
-            )
+            self._record_conflict(f"{sender} has another view {view.number}: {view.digest:x}, ours {ours.digest:x}")
         elif view.number > self.number:
             self._install(now, view)
 
--- a/lynxscale/relay/cluster/component.py
+++ b/lynxscale/relay/cluster/component.py
@@ -298,7 +298,7 @@
         if reason:
             return 409, {"said": reason}
         log.warning("cluster_forget", node=name)
-        return 200, {"said": f"{name} is removed by the next view if a majority agrees"}
+        return 200, {"said": f"{name} goes with the next view, if a majority agrees"}
 
     def _slow_of(self, name: str) -> int:
         detector = self._detector
--- a/lynxscale/relay/cluster/view_change.py
+++ b/lynxscale/relay/cluster/view_change.py
@@ -170,7 +170,7 @@
         """Declare a node permanently gone, on an operator's request. Return why that is refused, or an empty string."""
         view = self.durable.view
         if name == self.me.name:
-            return "a node cannot declare itself gone"
+            return "that is this node itself"
         if view is None or name not in view.names:
             return f"{name} is not in the view"
         if self._membership.state(name) is State.ALIVE:
--- a/lynxscale/relay/upstream/validation.py
+++ b/lynxscale/relay/upstream/validation.py
@@ -249,4 +249,4 @@
 def _truncated(faults: list[Fault], unit: str) -> list[Fault]:
     if len(faults) <= MAX_REASONS:
         return faults
-    return [*faults[:MAX_REASONS], Fault(unit, 0, f"{len(faults) - MAX_REASONS} more", "not listed here")]
+    return [*faults[:MAX_REASONS], Fault(unit, 0, f"{len(faults) - MAX_REASONS} more", "as these")]
