--- a/lynxscale/relay/backpressure.py
+++ b/lynxscale/relay/backpressure.py
@@ -15,7 +15,7 @@
     def __init__(self, deadlines: Deadlines) -> None:
         self._deadlines = deadlines
         self.board: BoardPort | None = None
-        self._until: dict[int, int] = {}  # µs on the loop's clock
+        self._until: dict[int, int] = {}  # end of the pause by key, in µs on the loop's clock
 
     def wait_ms(self, key: int) -> float:
         """The remaining pause in ms, which holds for every process of this relay; 0 if sending is allowed."""
--- a/lynxscale/relay/conf/checks.py
+++ b/lynxscale/relay/conf/checks.py
@@ -7,7 +7,7 @@
 
 from lynxscale.relay.conf.settings import ClusterConf, FinalsConf, MembersConf, NamesConf, TraceConf
 
-MAX_RELAYS = 256  # in one cluster
+MAX_RELAYS = 256  # maximum number of relays in a cluster
 MAX_NAME_CHARS = 63  # a relay's name, as limited by the frames between relays
 
 
@@ -15,7 +15,12 @@
     """The faults of section trace."""
     faults = []
     if conf.file_size > conf.total // 2:
-        faults.append(("file-size", "want at most half of total, so that an older file can go while one grows"))
+        faults.append(
+            (
+                "file-size",
+                "want at most half of total, so that the oldest file can be deleted while a new one is written",
+            )
+        )
     if conf.level == "decisions" and (conf.sample < 1 or conf.classes):
         faults.append(("level", "decisions needs every message: want no classes, and a sample of 1"))
     return faults
@@ -43,9 +48,9 @@
         return [(word, "want name, of the cluster") for word in ("listen", "member") if getattr(conf, word)]
     faults = []
     if conf.listen is None:
-        faults.append(("name", "want listen, where this relay hears the others"))
+        faults.append(("name", "want listen, the address at which this relay listens for the others"))
     elif conf.listen.endswith(":0"):
-        faults.append(("listen", "want a port that others can be told"))
+        faults.append(("listen", "want a fixed port, as the other relays connect to it"))
     if not 1 <= len(conf.member) <= MAX_RELAYS:
         faults.append(("member", f"want a line for each relay, this one too; {MAX_RELAYS} at most"))
     for key in ("name", "at"):
@@ -74,7 +79,7 @@
             if needed not in row
         ]
         if row.get("effect") == "deduplicated" and "span" not in row:
-            faults.append(("class", f"want span for {row['name']}, as its key is kept so long"))
+            faults.append(("class", f"want span for {row['name']}, the time for which its key is remembered"))
     return faults
 
 
--- a/lynxscale/relay/conf/lexer.py
+++ b/lynxscale/relay/conf/lexer.py
@@ -17,7 +17,7 @@
 from lynxscale.relay.exceptions import RelayError
 
 MAX_FILE_BYTES = 1 << 20  # guards against a device or a log file that is named by mistake
-MAX_INCLUDE_DEPTH = 8  # nesting of includes
+MAX_INCLUDE_DEPTH = 8  # maximum nesting of included files
 VARIABLE = re.compile(r"\$\{([A-Za-z_][A-Za-z0-9_]*)\}")
 WORD = re.compile(r"""(?:"(?:[^"\\]|\\.)*"|'[^']*'|[^\s"'])+""")
 WORD_PART = re.compile(r""""((?:[^"\\]|\\.)*)"|'([^']*)'|([^"']+)""")
@@ -115,7 +115,9 @@
             if Path(name).resolve() in including:
                 self.faults.append(line.fault(line.words[1], "want a file that does not include itself"))
             elif len(including) >= MAX_INCLUDE_DEPTH:
-                self.faults.append(line.fault(line.words[1], f"want at most {MAX_INCLUDE_DEPTH} files within files"))
+                self.faults.append(
+                    line.fault(line.words[1], f"want at most {MAX_INCLUDE_DEPTH} levels of included files")
+                )
             else:
                 yield from self.lines(name, _includers=including)
 
--- a/lynxscale/relay/connection_budget.py
+++ b/lynxscale/relay/connection_budget.py
@@ -24,9 +24,9 @@
     def __init__(self, max_bytes: int) -> None:
         self.max_connections = self.idle_limit = 0
         self.max_bytes, self.buffered = max_bytes, 0
-        self._new: OrderedDict[int, int] = OrderedDict()  # accepted at, oldest first
-        self._idle: OrderedDict[int, int] = OrderedDict()  # idle since, longest idle first
-        self._bytes: OrderedDict[int, int] = OrderedDict()  # size of the incomplete requests, oldest first
+        self._new: OrderedDict[int, int] = OrderedDict()  # time of acceptance by slot, oldest first
+        self._idle: OrderedDict[int, int] = OrderedDict()  # begin of the idle time by slot, longest idle first
+        self._bytes: OrderedDict[int, int] = OrderedDict()  # bytes of the incomplete requests by slot, oldest first
 
     # State of the connections --------------------------------------------------------------------
 
--- a/lynxscale/relay/core.py
+++ b/lynxscale/relay/core.py
@@ -44,8 +44,10 @@
 log = structlog.get_logger()
 
 BUSY_RETRY_MS = 1000.0  # Retry-After of rejections that the relay itself makes for lack of capacity
-BACKSTOP_DELAY_US = 100_000  # after a message's end time, by which the scheduler should have ended it
-# Repeats are sent within this fraction of the time for which peers remember a key: a later one may arrive too late.
+# The backstop timer ends a message this long after its end time, by which the scheduler should have ended it.
+BACKSTOP_DELAY_US = 100_000
+# An attempt is repeated only within this fraction of the time for which peers remember an idempotency key: a later one
+# could arrive after the peer has dropped the key, and would be executed again.
 MAX_SPAN_FRACTION = 0.95
 NOT_EXECUTED_RESULTS = (Result.FULL, Result.CONNECT_FAILED, Result.MOOT)
 
@@ -419,7 +421,7 @@
         self._forget(message)
 
     def _give_up(self, number: int, status: str, again_ms: int) -> None:
-        """End a message that was not delivered, and queue the notice of that."""
+        """End a message that was not delivered, and queue the notice of its outcome."""
         message = self.pending.get(number)
         if message is None or message.ended:
             return
@@ -435,7 +437,7 @@
         self.notices.enqueue(number, message.entry.id, status, again_ms)
 
     def notified(self, number: int) -> None:
-        """Forget a message whose notice has been acknowledged."""
+        """Remove a message whose notice has been acknowledged."""
         if (message := self.pending.get(number)) is not None:
             if self.trace is not None:
                 self.trace.notice_acknowledged(self.loop.now(), number)
@@ -469,11 +471,11 @@
         self.by_id.pop(message.entry.id, None)
 
     def write_journal(self, write: Callable[..., None], *args: Any) -> None:
-        """Call a method of the journal whose failure is tolerable now."""
+        """Call a method of the journal; if the journal is full, log and count that instead of raising."""
         try:
             write(*args)
         except JournalFullError as error:
-            # This process still holds the state, and the next rewrite of the file includes it.
+            # The state is still in this process's memory, and the journal's next rewrite of the message includes it.
             log.warning("journal_not_written", error=str(error))
             self.counters.add("journal", "not_written")
 
--- a/lynxscale/relay/daemon.py
+++ b/lynxscale/relay/daemon.py
@@ -42,12 +42,14 @@
 
 LOCK_TIMEOUT_S = 5.0  # how long to wait for another process to release the state folder
 RESERVED_SOCKETS = 32  # for discovery, notices, the journal's files, the event loop and the standard streams
-MIN_CLIENTS = 8  # client connections, even if the other limits leave fewer descriptors
+MIN_CLIENTS = 8  # minimum limit of client connections, even if the other limits leave fewer descriptors
 # Divisors of the number of descriptors: the number of client connections above which long idle ones are evicted, and
 # the maximum number of peer connections.
 IDLE_LIMIT_DIVISOR, PEER_DIVISOR = 6, 3
 BUFFER_DIVISOR = 20  # divisor of the memory size: the limit of the bytes of incomplete requests
-SUCCESSOR_JOURNAL_SHARE = 0.5  # fraction of the disk limit; the rest is kept for a successor's journal
+# Fraction of the disk limit for this process's journal if another process of the relay may run beside it; the other
+# journal uses the rest.
+SUCCESSOR_JOURNAL_SHARE = 0.5
 # Keys whose changes take effect only after a restart.
 RESTART_KEYS = ("name", "listen", "admin", "state", "sockets", "disk_bytes", "settings")
 
@@ -185,7 +187,7 @@
         remove_leftovers(self.conf.state)
         entries = self.journal.open(older)
         if file.is_file():
-            file.unlink()  # before any message can end, so that no ended message is recovered again
+            file.unlink()  # removed before any message can end, so that no ended message is recovered again
         for gap in self.journal.gaps:
             log.error("journal_damaged", gap=str(gap))
         return entries
--- a/lynxscale/relay/http_parser.py
+++ b/lynxscale/relay/http_parser.py
@@ -115,7 +115,7 @@
         self._needed = 0  # length of the body or chunk that is being read
         self._skip_left = 0  # bytes still to discard of a body over the limit
         self._blank_lines = 0
-        self.first_line: str | None = None  # of the message that is being parsed
+        self.first_line: str | None = None  # the first line of the message that is being parsed
         self.message: Any = None  # the message whose head has been parsed and whose body is being read
         self.fault: HttpParseError | None = None  # the error that stopped the parser
         self._step: Callable[[], Any] = self._read_head
--- a/lynxscale/relay/message.py
+++ b/lynxscale/relay/message.py
@@ -14,7 +14,7 @@
     """The admission result of a submitted message. The values appear in traces."""
 
     ACCEPTED = "taken"
-    REJECTED = "rejected"  # by the scheduler
+    REJECTED = "rejected"  # the scheduler rejected the message
     AT_CAPACITY = "no_room"  # the limit of pending messages is reached
     DISK_FULL = "disk_full"  # the journal has no space
 
@@ -41,7 +41,7 @@
     """A message that the relay has accepted or is admitting, until its final outcome has been reported."""
 
     entry: Entry
-    number: int = 0  # its key in the table of pending messages
+    number: int = 0  # the message's key in the table of pending messages
     cls: int = 0
     tenant: int = 0
     admission_callbacks: list[AdmissionCallback] | None = None  # None once the message is admitted or rejected
--- a/lynxscale/relay/net/admin_server.py
+++ b/lynxscale/relay/net/admin_server.py
@@ -137,7 +137,7 @@
         self._calls = calls
         self.deadlines, self.counters, self.lifecycle = deadlines, counters, lifecycle
         self._drain, self._resume = drain, resume
-        self._open: OrderedDict[int, AdminConnection] = OrderedDict()  # in eviction order
+        self._open: OrderedDict[int, AdminConnection] = OrderedDict()  # connections in eviction order
         self._last_number = 0
         self._port: Any = None
 
--- a/lynxscale/relay/net/calls.py
+++ b/lynxscale/relay/net/calls.py
@@ -43,7 +43,7 @@
     timeout_at: int
     slot: int = 0
     deadline: Deadline | None = None
-    recorded: bool = False  # it is in the journal, as it may have been executed
+    recorded: bool = False  # the attempt is in the journal, as it may have been executed
     done: bool = False
 
     @property
--- a/lynxscale/relay/net/clients.py
+++ b/lynxscale/relay/net/clients.py
@@ -24,7 +24,7 @@
 
 MESSAGE_PATH, READY_PATH, COUNTERS_PATH = "/api", "/_health", "/_counters"
 LISTEN_BACKLOG = 511
-NEW_CONNECTION_GRACE_MS = 200  # at a stop, a connection younger than this may still send its first request
+NEW_CONNECTION_GRACE_MS = 200  # when the relay stops, a connection younger than this may still send its first request
 
 
 class Clients(Factory):
@@ -41,7 +41,7 @@
         self._connections: SlotTable = SlotTable()
         self._budget = ConnectionBudget(max_bytes)
         self._port: Any = None
-        self._full = False  # at the limit with none to evict: new connections stay in the listen queue
+        self._full = False  # at the limit with no connection to evict: new ones stay in the listen queue
         self._shared = False  # other processes have the listening socket open, too
         self._stopping = False  # close the listener once the connections in the listen queue are accepted
 
--- a/lynxscale/relay/net/connection.py
+++ b/lynxscale/relay/net/connection.py
@@ -26,7 +26,7 @@
 
 # Maximum time from a response's first byte to its last or, with ``stall_between_reads``, between two reads.
 RESPONSE_STALL_MS = 500
-RECHECK_DELAY_MS = 20  # after a timeout with unread bytes: time for one or two turns of the loop, which read them
+RECHECK_DELAY_MS = 20  # a timeout with unread bytes is delayed by this, so that the loop can read them
 
 
 def unread_byte(transport: Any) -> bytes | None:
@@ -62,11 +62,11 @@
         self.up, self._stall_between_reads = False, stall_between_reads
         self.calls = 0
         self.idle_since = 0  # µs on the loop's clock
-        self.slot = -1  # its number in the owner's table of connections
+        self.slot = -1  # the connection's number in the owner's table
         self.remote: tuple[int, Address] = (0, ("", 0))  # the endpoint and its address
         self.written = False  # the request in progress has been sent completely
         self._data: bytes | None = None
-        self._response: Deferred | None = None  # of the call in progress
+        self._response: Deferred | None = None  # result of the call in progress
         self._parser = ResponseParser(max_body)
         self._stall: Deadline | None = None
         self._reason: str | None = None
--- a/lynxscale/relay/net/connection_pool.py
+++ b/lynxscale/relay/net/connection_pool.py
@@ -27,7 +27,7 @@
         self._deadlines, self._address_of, self._idle_timeout = deadlines, address_of, idle_timeout
         self.max_connections = max_connections
         self._connections: SlotTable = SlotTable()
-        self._idle: dict[int, list[OutboundConnection]] = {}  # by endpoint, least recently used first
+        self._idle: dict[int, list[OutboundConnection]] = {}  # idle connections by endpoint, least recently used first
         self._sweep_timer: Deadline | None = None
 
     def __len__(self) -> int:
--- a/lynxscale/relay/net/discovery.py
+++ b/lynxscale/relay/net/discovery.py
@@ -152,8 +152,8 @@
             and (first or (timed_out and self._pushed))
         ):
             # Reopen a watch that got no response: changes that it misses soon count as reported to the relay, even if
-            # the scheduler orders the next call later. After a second failure in a row the service itself is at fault,
-            # and where calls have a cost, further ones are left to the scheduler.
+            # the scheduler orders the next call later. A second failure in a row points to the service itself: then
+            # only an agent on this machine, whose calls are cheap, is polled without an order of the scheduler.
             self._counters.add("group", "silent")
             if first:
                 log.warning("watch_timed_out", version=self._version)
--- a/lynxscale/relay/net/peers.py
+++ b/lynxscale/relay/net/peers.py
@@ -73,10 +73,10 @@
         self._hedges = settings.second_copies
         self._connect_timeout = int((settings.connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS) * 1000)
         self._report_columns = settings.report_columns
-        self._joinable: dict[int, Call] = {}  # by endpoint: a call of this turn to which attempts can be added
+        self._joinable: dict[int, Call] = {}  # the call of this turn to which attempts can be added, by endpoint
         self._unsent: list[Call] = []
         self._attempts: SlotTable = SlotTable()
-        self._by_key: dict[tuple[int, int], Attempt] = {}  # by message number and attempt index
+        self._by_key: dict[tuple[int, int], Attempt] = {}  # attempts in flight by message number and attempt index
         idle_timeout = int((settings.idle_close_ms or DEFAULT_IDLE_TIMEOUT_MS) * IDLE_TIMEOUT_FRACTION * 1000)
         self._pool = ConnectionPool(deadlines, address_of, idle_timeout, max_connections)
 
@@ -162,7 +162,7 @@
 
     def _begin(self, call: Call) -> None:
         if not call.open_attempts():
-            return  # cancelled in the turn that ordered it
+            return  # every attempt was cancelled in the turn that ordered the call
         address = self._address_of(call.endpoint)
         if address is None:
             self._end_all(call, Result.CONNECT_FAILED)
@@ -185,7 +185,8 @@
         if call.open_attempts():
             self._write(call, connection)
         else:
-            self._pool.release(connection)  # its attempts have ended meanwhile; the next call can use the connection
+            # The call's attempts ended while the connection was being established; the next call can use it.
+            self._pool.release(connection)
 
     def _connect_failed(self, _failure: Failure, call: Call) -> None:
         self._end_all(call, Result.CONNECT_FAILED)
@@ -270,7 +271,7 @@
         call = attempt.call
         connection = call.connection
         if connection is None:
-            # Not sent, so not executed. The connection is still opened, for a later attempt.
+            # The attempt was not sent, so not executed. The connection is still opened, for a later attempt.
             self._end(attempt, Result.CONNECT_FAILED if result == Result.TIMEOUT else Result.MOOT)
             return
         others = [other for other in call.open_attempts() if other is not attempt]
@@ -338,7 +339,7 @@
             result, final = outcomes[id_]
             if attempt.done:
                 if result == Result.OK:
-                    # This attempt had timed out or been cancelled before.
+                    # The attempt had timed out or been cancelled, but the peer has delivered the message.
                     self._relay.delivered_late(attempt.number)
             else:
                 attempt_wait_ms = wait_ms if result == Result.FULL else 0.0
--- a/lynxscale/relay/recovery.py
+++ b/lynxscale/relay/recovery.py
@@ -75,7 +75,8 @@
         relay = self._relay
         cls, tenant = relay.class_number(entry.class_name), relay.tenant_number(entry.tenant)
         if cls is None and entry.outcome is None:
-            entry.outcome = ("undeliverable", 0)  # its class is no longer in the settings, so it cannot be scheduled
+            # The settings no longer define the class, so the message cannot be scheduled.
+            entry.outcome = ("undeliverable", 0)
         now = relay.loop.now()
         message = PendingMessage(entry, cls=cls or 0, tenant=tenant or 0, attempts=entry.attempts, accepted_at=now)
         relay.register(message)
--- a/tests/relay/cluster/test_configuration.py
+++ b/tests/relay/cluster/test_configuration.py
@@ -45,7 +45,12 @@
     "old, new, directive, expected",
     [
         ("    name norte\n", "", "member", "want name, of the cluster"),
-        ("    listen 127.0.0.1:7301\n    member", "    member", "name norte", "want listen, where this relay hears"),
+        (
+            "    listen 127.0.0.1:7301\n    member",
+            "    member",
+            "name norte",
+            "want listen, the address at which this relay listens",
+        ),
         ("r2 127.0.0.1:7402", "r2 7402", "member r2", "want NAME HOST:PORT [zone TEXT], not r2 7402"),
         ("r2 127.0.0.1:7402", "r2", "member r2", "want NAME HOST:PORT [zone TEXT], not r2"),
         ("r2 127.0.0.1:7402", "r1 127.0.0.1:7402", "member r1 127.0.0.1:7402", "want r1 once"),
--- a/tests/relay/cluster/test_core.py
+++ b/tests/relay/cluster/test_core.py
@@ -26,7 +26,8 @@
         instruction for instruction in one.receive(4, two.full_state(True), False) if isinstance(instruction, LogEvent)
     ]
     foreign_frame = frame.encode(frame.cluster_key("norte", 1_000_000), two.message(frame.Gossip()))
-    with pytest.raises(FrameError, match="foreign"):  # its leases would be longer than their grantors assume
+    # A sender with a longer probe interval would assume longer leases than their grantors do.
+    with pytest.raises(FrameError, match="foreign"):
         frame.decode(frame.cluster_key("norte", 500_000), foreign_frame)
     assert frame.describe_mismatch(frame.cluster_key("norte", 500_000), foreign_frame) == (
         "another cluster's name or probe",
--- a/tests/relay/cluster/test_durable_state.py
+++ b/tests/relay/cluster/test_durable_state.py
@@ -21,7 +21,7 @@
 
 
 def store_with(path, count: int) -> durable_state.StateStore:
-    """A store to which that number of generations was saved, each once."""
+    """A store to which the generations from 1 to ``count`` were saved."""
     store = durable_state.StateStore(path, "norte", "r1")
     assert store.load() == durable_state.LoadResult(None)
     for generation in range(1, count + 1):
@@ -94,7 +94,7 @@
 
     monkeypatch.setattr(os, "fsync", sync)
     monkeypatch.setattr(os, "fdatasync", sync)
-    store = store_with(tmp_path, 2)  # two for each new file: its data, and its name in the folder
+    store = store_with(tmp_path, 2)  # two syncs for each new file: of its data, and of its name in the folder
     assert len(syncs) == 4
     store.save(3, STATE)
     store.save(4, STATE)
@@ -102,7 +102,7 @@
     sync_fails = True
     with pytest.raises(OSError):
         store.save(5, STATE)
-    before = (tmp_path / durable_state.FOLDER / durable_state.FILES[0]).read_bytes()  # of the fourth save
+    before = (tmp_path / durable_state.FOLDER / durable_state.FILES[0]).read_bytes()  # the file of the fourth save
     sync_fails, syncs[:] = False, []
     store.save(6, STATE)
     assert len(syncs) == 2  # the file of the failed save is created anew
@@ -120,7 +120,8 @@
         callback()
     assert called == [1, 2] and queue.begin() == "c"
     assert queue.done(False) == [] and queue.begin() is None  # a failed write has no callbacks
-    assert queue.put("a", lambda: called.append(5)) == "a"  # after a failure the content on disk is unknown
+    # Written again, as the content on disk is unknown after a failure.
+    assert queue.put("a", lambda: called.append(5)) == "a"
     for callback in queue.done(True):
         callback()
     assert queue.begin() is None and queue.put("a", lambda: called.append(6)) is None
--- a/tests/relay/cluster/test_frame_sequences.py
+++ b/tests/relay/cluster/test_frame_sequences.py
@@ -18,7 +18,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.numbers = {5: 0, 6: 0}  # by boot
+        self.numbers = {5: 0, 6: 0}  # number of the last frame, by boot id
         self.frames: list[tuple[Message, bytes]] = []
         self.windows = {5: ReplayWindow(), 6: ReplayWindow()}
         self.accepted: dict[int, set[int]] = {5: set(), 6: set()}
--- a/tests/relay/cluster/test_live_cluster.py
+++ b/tests/relay/cluster/test_live_cluster.py
@@ -259,7 +259,7 @@
         gossip = Message("r9", 1, 1, 0, 1, 0, 99, 0, frame.Gossip(), [MemberUpdate("r2", 9, 9, 9, State.FAILED, "r9")])
         unknown, foreign = frame.encode(key, gossip), frame.encode(other, gossip)
         exchange = Message("r2", 9, 9, 0, 1, 0, 99, 0, frame.Exchange(True), [])
-        invalid = {  # by the reason by which it is counted
+        invalid = {  # invalid frames by the reason under which they are counted
             "garbage": b"GET / HTTP/1.1\r\n\r\n",
             "short": b"LX",
             "foreign": foreign,
@@ -301,8 +301,8 @@
             return await dropped() == expected + Counter(replayed=20)
 
         await until(counted)
-        # The same over TCP. The node waits for the rest of the one with a wrong length, and closes without an answer on
-        # timeout.
+        # The same frames over TCP. After the one with a wrong length the node waits for the missing bytes, and closes
+        # without an answer on timeout.
         streams = ("garbage", "foreign", "version", "checksum", "unasked", "message")
         for reason in (*streams, "length"):
             reader, writer = await asyncio.open_connection("127.0.0.1", node.cluster_port)
--- a/tests/relay/cluster/test_membership_sequences.py
+++ b/tests/relay/cluster/test_membership_sequences.py
@@ -21,7 +21,8 @@
     def __init__(self) -> None:
         super().__init__()
         self.tables = {name: MembershipTable(NAMES) for name in NAMES}
-        self.received = {name: {} for name in NAMES}  # by receiving node, then by the update's node
+        # Received updates, by receiving node and then by the update's node.
+        self.received = {name: {} for name in NAMES}
         self.updates: list[MemberUpdate] = []
         self.own = {name: MemberUpdate(name, 1, 7, 0, State.ALIVE) for name in NAMES}
         self.now = 0
--- a/tests/relay/journal/test_journal.py
+++ b/tests/relay/journal/test_journal.py
@@ -73,7 +73,7 @@
         assert len(found) == len(entries), "a message twice"
         for id_, (attempts, possibly_run, outcome) in self.expected.items():
             if id_ in self.uncertain and id_ not in found:
-                continue  # its completion was being written
+                continue  # the crash interrupted the write of its completion
             entry = found[id_]
             assert (entry.attempts, entry.may_have_run, entry.outcome) == (
                 attempts,
@@ -280,7 +280,8 @@
     while not journal.plan.needs_new_segment(600):
         journal.accept(number, Entry(f"m{number}", "c", "t", "", 1, 9, bytes(300)))
         number += 1
-    disk.files["manifest.0"] = disk.files.get("manifest.0", bytearray(4096))  # from here on both slots exist
+    # Both slots of the manifest exist from here on.
+    disk.files["manifest.0"] = disk.files.get("manifest.0", bytearray(4096))
     journal._manifest._slots.add("manifest.0")
     overwrite, failed_writes = disk.overwrite, []
 
@@ -348,7 +349,7 @@
     entries = journal.open()
     assert [gap.reason for gap in journal.gaps] == ["it is missing"]
     assert any(entry.accepted_at in entry.may_have_run for entry in entries)
-    # Another start keeps the marks and adds none.
+    # Another start marks no further messages as possibly executed.
     again = Journal(FakeDisk(harness.disk.image()), BUDGET, harness.now, lambda: 1).open()
     assert {entry.id: entry.may_have_run for entry in again} == {entry.id: entry.may_have_run for entry in entries}
 
@@ -472,7 +473,7 @@
         assert self.harness.disk.blocks() <= BUDGET
 
     @invariant()
-    def the_account_is_that_of_a_new_reader(self):
+    def live_bytes_match_a_rebuilt_plan(self):
         """The plan's live bytes equal those that a plan rebuilt from the files counts."""
         journal = Journal(FakeDisk(self.harness.disk.image()), BUDGET, lambda: 1, lambda: 1)
         journal.open()
--- a/tests/relay/journal/test_journal_live.py
+++ b/tests/relay/journal/test_journal_live.py
@@ -53,7 +53,7 @@
             await asyncio.gather(load, return_exceptions=True)
             number += 400
             await relay.start()
-        await asyncio.sleep(8.5)  # until every message has expired
+        await asyncio.sleep(8.5)  # by then every message has expired
         await relay.settled(0)
         end = time.monotonic() + 20
         while time.monotonic() < end:
@@ -118,7 +118,7 @@
         path = min((self.state / "segments").glob("*.seg"))
         data = bytearray(path.read_bytes())
         index = data.index(b"hello", data.index(b'"m1"')) + len(b"hello")
-        data[index + 12] ^= 1  # in the record after m1's message, which is that of its attempt
+        data[index + 12] ^= 1  # corrupts the record of m1's attempt, which follows that of its message
         path.write_bytes(data)
         self.act = lambda call: reply(200)
         calls = len(self.calls("m1"))
--- a/tests/relay/test_admin_server.py
+++ b/tests/relay/test_admin_server.py
@@ -122,9 +122,8 @@
         until(lambda: "state=stop_finishing" in self.log.read_text(), "the listener to close")
         self.assertEqual(self.admin_call("POST /admin/resume")[0], 409)
         self.assertEqual(self.admin_call("GET /admin/health")[1]["state"], "stop_finishing")
-        while (
-            self.process.poll() is None and time.monotonic() < begun + WAIT_TIMEOUT_S
-        ):  # so that one is open at the exit
+        # Incomplete calls one after another, so that one is open at the exit.
+        while self.process.poll() is None and time.monotonic() < begun + WAIT_TIMEOUT_S:
             with suppress(OSError), contextlib.closing(Client(self.admin)) as half:
                 half.socket.sendall(b"POST /admin/quiesce HT")
                 half.socket.settimeout(0.2)
--- a/tests/relay/test_bundle.py
+++ b/tests/relay/test_bundle.py
@@ -88,7 +88,7 @@
         return [[row[0] for row in self.outcome_lines(call[2])] for call in self.calls() if "/events/bundle" in call[0]]
 
     def hand_in(self, number: int, cls: str = "safe") -> None:
-        """Submit ``number`` messages almost at once, so that most of them are read in one turn."""
+        """Submit ``number`` messages at almost the same time, so that most of them are read in one turn."""
         clients = [self.client() for _ in range(number)]
         for place, client in enumerate(clients):
             client.socket.sendall(message(f"m{place}", cls))
--- a/tests/relay/test_clients.py
+++ b/tests/relay/test_clients.py
@@ -109,7 +109,7 @@
             self.assertEqual(client.hand_in(f"m{number}")[0], 202)
             self.assertLess(time.monotonic() - begun, 0.4)
             client.close()
-        for number, client in enumerate(usual):  # they are still open
+        for number, client in enumerate(usual):  # the connections are still open
             self.assertEqual(client.hand_in(f"v{number}")[0], 202)
         self.assertEqual(len(waiting), 150)
 
--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -138,7 +138,7 @@
         self.assertIn("kind=client reason=far_closed calls=1", self.log.read_text())
 
     def test_client_evicted_for_bytes_gets_its_response(self):
-        """A request is completed together with so much of the next one that the connection is evicted for its bytes."""
+        """One read completes a request and begins the next one, for whose bytes the connection is evicted."""
         self.limits["memory_mb"] = 2  # 105 kB for incomplete requests
         self.start()
         first, *others = [self.client() for _ in range(3)]
@@ -146,7 +146,7 @@
         first.socket.sendall(data[:-1])  # the oldest incomplete request, so it is evicted first
         for other in others:
             other.socket.sendall(message("m", body=bytes(30_000))[:-1])
-        self.counters()  # once this is answered, the relay has read them
+        self.counters()  # the response shows that the relay has read the incomplete requests
         with StoppedProcess(self.process):
             first.socket.sendall(data[-1:] + message("m2", body=bytes(60_000))[:-1])  # read in one turn
         answer = read_http(first.stream)
@@ -379,14 +379,14 @@
             return b"" if self.unresponsive and call[0].startswith("GET") else answer
         size = -(-len(answer) // self.chunks)
         for at in range(0, len(answer) - size, size):
-            for link in list(self.open):  # one: the relay's only connection for lists
+            for link in list(self.open):  # the relay has a single connection for lists
                 link.sendall(answer[at : at + size])
             time.sleep(0.2)
         return answer[len(answer) - len(answer) % size :] if len(answer) % size else answer[-size:]
 
 
 class Lists(NodeCase):
-    mode, grace, asks_in_1500_ms = "ask", 2000.0, 1
+    mode, grace, list_calls_in_1500_ms = "ask", 2000.0, 1
 
     def setUp(self) -> None:
         super().setUp()
@@ -451,7 +451,7 @@
         until(lambda: len(self.list_call_times()) >= 2, "the second call")
         begun = time.monotonic()
         sleep_until(begun + 1.5)
-        self.assertLessEqual(len(self.list_call_times()), 2 + self.asks_in_1500_ms)
+        self.assertLessEqual(len(self.list_call_times()), 2 + self.list_calls_in_1500_ms)
 
     def test_discovery_moves_and_is_unresponsive_at_its_new_address(self):
         """The complete list is applied once the service responds, and the watch continues from its version."""
@@ -480,7 +480,7 @@
 
 
 class PushedLists(Lists):
-    mode, asks_in_1500_ms = "push", 6
+    mode, list_calls_in_1500_ms = "push", 6
 
     def test_unanswered_watch_is_reopened_before_what_it_missed_counts(self):
         """Changes that an unresponsive agent receives count as reported as soon as it responds again.
--- a/tests/relay/test_reload.py
+++ b/tests/relay/test_reload.py
@@ -33,7 +33,7 @@
         self.delivered(1)
         self.assertEqual((len(self.calls()), len(self.second.calls)), (0, 1))
         opened = self.discovery.opened
-        self.move()  # the same file again
+        self.move()  # a reload of the unchanged file
         self.other.change(row("s-2", self.second.at, 1, "gone"), row("s-1", self.peer.at, 1))
         until(lambda: any("after=2" in call[0] for _, call in list(self.other.calls)), "the watch goes on")
         self.client().hand_in("m2")
--- a/tests/relay/test_restart_rules.py
+++ b/tests/relay/test_restart_rules.py
@@ -23,7 +23,7 @@
 from tests.relay.fakes import FakePorts, ManualLoop
 from tests.scheduling.driver import Driver, member
 
-SOAK = bool(os.environ.get("RARE_SEED"))  # with random instead of reproducible examples
+SOAK = bool(os.environ.get("RARE_SEED"))  # random instead of reproducible examples
 
 
 def property_settings(examples: int):
@@ -194,7 +194,7 @@
 @property_settings(60)
 @given(case=restarts(), seed=st.integers(0, 1000))
 def test_recovered_message_without_an_attempt_is_given_up_only_at_its_deadline(case, seed):
-    """Holds for any limits, capacity and number of new messages, as long as peers respond."""
+    """The property holds for any limits, capacity and number of new messages, as long as peers respond."""
     classes, members, messages, slots, most_held, weights, halves, senders, new_messages = case
     d = Driver(
         members=members,
--- a/tests/relay/test_standalone.py
+++ b/tests/relay/test_standalone.py
@@ -58,7 +58,7 @@
     "old, new, fault",
     [
         ("effect at_most_once", "effect twice", "class: want NAME [effect idempotent,deduplicated,at_most_once]"),
-        ("  span 7500ms", "", "class: want span for inscripcion, as its key is kept so long"),
+        ("  span 7500ms", "", "class: want span for inscripcion, the time for which its key is remembered"),
         ("aim 2s ", "", "class: want aim for pago-premio"),
         ("class pago-premio", "class inscripcion", "class: want inscripcion once"),
         ("tenant club-oviedo", "tenant club-oviedo quota", "tenant: want NAME [quota NUMBER]"),
--- a/tests/relay/test_upgrade.py
+++ b/tests/relay/test_upgrade.py
@@ -167,7 +167,7 @@
             found = {one.id: (one.attempts, one.may_have_run) for one in follower.entries.values()}
             assert found == {one.id: (one.attempts, one.may_have_run) for one in journal.entries()}
             assert all(follower.contains(name) for name in open_.values())
-    assert min(journal.plan.segments) > 5  # it was cleaned meanwhile
+    assert min(journal.plan.segments) > 5  # the first segments have been cleaned
 
 
 def learned() -> tuple[dict, Driver]:
@@ -331,7 +331,7 @@
         third = self.begin()
         self.assertEqual(self.client().hand_in("m0")[0], 202)
         self.assertNotIn("order=accept", self.log.read_text())  # only the old process accepts clients
-        old.kill()  # it dies without a SIGTERM
+        old.kill()  # killed without a SIGTERM before
         old.wait(WAIT_TIMEOUT_S)
         self.assertEqual(self.client().hand_in("m2")[0], 202)
         until(lambda: len(self.calls("m2")) == 1, "its delivery")
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -327,7 +327,7 @@
     def weight(value: float, now: int) -> float:
         return table.apply([("s-1", entry("s-1", weight=value))], now)[0][0].weight
 
-    assert weight(10.0, 0) == 10.0  # a new endpoint has its full weight at once
+    assert weight(10.0, 0) == 10.0  # a new endpoint has its full weight immediately
     assert weight(30.0, 0) == 10.0
     assert [table.advance_slow_start(now)[0].weight for now in (2_500_000, 5_000_000)] == [15.0, 20.0]
     assert weight(60.0, 5_000_000) == 20.0  # slow start begins again from the current weight
@@ -537,7 +537,8 @@
 def test_an_unchanged_file_is_not_read_and_a_recently_changed_one_is_read_again(tmp_path):
     path = tmp_path / "a.list"
     path.write_bytes(b"one")
-    assert file_scan.read_if_changed(str(path)).stamp == ()  # so recent that another change may keep its timestamps
+    # The file is so recent that another change may leave its timestamps unchanged.
+    assert file_scan.read_if_changed(str(path)).stamp == ()
     os.utime(path, ns=(1, 1))
     seen = file_scan.read_if_changed(str(path))
     while not (seen := file_scan.read_if_changed(str(path))).stamp:
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -149,7 +149,7 @@
             await scenario.verdict(first)
             generation = 1
             for _ in range(REWRITES):
-                picked = rng.sample(names, rng.randrange(1, len(names) + 1))  # reordered, too
+                picked = rng.sample(names, rng.randrange(1, len(names) + 1))  # in random order
                 step = rng.choice([-1, 0, 1, 1, 1, 2])
                 number = max(0, generation + step)
                 generation = max(generation, number)
@@ -159,7 +159,7 @@
                     data, expected_outcome = corrupt(data, rng)
                 expected[files.digest_of(data)] = expected_outcome
                 if rng.random() < 0.5:
-                    with open(path, "r+b") as out:  # in place, in two steps
+                    with open(path, "r+b") as out:  # rewritten in place, in two steps
                         out.truncate(0)
                         half = rng.randrange(len(data) + 1)
                         out.write(data[:half])
@@ -269,8 +269,8 @@
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("unseen", [False, True], ids=["watched", "lost events"])
-def test_nothing_new_goes_to_a_drained_endpoint_after_two_seconds_under_load(tmp_path, unseen):
+@pytest.mark.parametrize("events_lost", [False, True], ids=["watched", "lost events"])
+def test_nothing_new_goes_to_a_drained_endpoint_after_two_seconds_under_load(tmp_path, events_lost):
     async def run():
         async with ListScenario(tmp_path, UNGUARDED_CONF, latency=20.0) as scenario:
             relay = scenario.relay
@@ -280,7 +280,7 @@
 
             async def drain():
                 await asyncio.sleep(1.0)
-                if unseen:
+                if events_lost:
                     # The inotify queue overflows while the relay is stopped, so the next change is not reported.
                     relay.process.send_signal(signal.SIGSTOP)
                     junk = relay.lists / "junk"
@@ -379,7 +379,8 @@
             await until(lambda: not list(scenario.lists.load_good()), "the empty list to be forgotten")
             relay.put(scenario.entries("s-01"), 1, "b.list")
             assert (await scenario.verdict((relay.lists / "b.list").read_bytes()))["outcome"] == "applied"
-            relay.put(scenario.entries("s-02")[:0], 1, "a.list")  # its generations were forgotten as well
+            # Generation 1 is accepted again, as the versions of the removed file are no longer stored.
+            relay.put(scenario.entries("s-02")[:0], 1, "a.list")
             assert (await scenario.verdict((relay.lists / "a.list").read_bytes()))["outcome"] == "applied"
             assert await scenario.served_by() == {"s-01"}
 
@@ -440,12 +441,13 @@
             await relay.start()
             assert await scenario.served_by() == {"s-00"}
             assert scenario.partner.connections("s-00")
-            # The same id at another address.
+            # The id s-00 moves to another address.
             relay.put([rows[0]._replace(address=rows[1].address)], 2, "a.list")
             await scenario.verdict((relay.lists / "a.list").read_bytes())
             await until(lambda: not scenario.partner.connections("s-00"), "the old connections to be closed")
             assert await scenario.served_by() == {"s-01"}
-            # Every call to that address fails for a while, so the endpoint backs off. A new id there is tried at once.
+            # Every call to that address fails for a while, so the endpoint backs off. A new id at that address is tried
+            # immediately.
             scenario.partner.behaviours["s-01"] = EndpointBehaviour(latency_ms=1, failing=1.0)
             desk = LoadGenerator(relay.port, 99, 1, 4, 3.0)
             await desk.run(range(20), 100.0)
