--- a/tests/relay/cluster/test_live_cluster.py
+++ b/tests/relay/cluster/test_live_cluster.py
@@ -69,13 +69,13 @@
 
 
 @pytest.mark.parametrize(
-    "seed, count, at_once",
+    "seed, count, concurrent_faults",
     [(1, 3, 1), (2, 3, 2), (3, 3, 3), (4, 5, 1), (5, 5, 2), (6, 5, 3), (7, 5, 3), (8, 7, 1), (9, 7, 2), (10, 7, 3)],
 )
-def test_seeded_faults(folder, seed, count, at_once):
+def test_seeded_faults(folder, seed, count, concurrent_faults):
     names = [f"r{place + 1}" for place in range(count)]
-    print(f"seed {seed}, {count} nodes, {at_once} at once")
-    played = asyncio.run(play(folder, count, seed, draw(seed, names, 10.0, at_once), print, rate=10.0))
+    print(f"seed {seed}, {count} nodes, {concurrent_faults} faults at a time")
+    played = asyncio.run(play(folder, count, seed, draw(seed, names, 10.0, concurrent_faults), print, rate=10.0))
     assert not played.verdict.breaches
     assert played.verdict.observations > 100 and played.messages
 
--- a/tests/relay/cluster/test_model_checking.py
+++ b/tests/relay/cluster/test_model_checking.py
@@ -12,7 +12,7 @@
 
 
 # By mistake: index of the scenario whose exhaustive search finds it.
-SHOWN_BY = {
+SCENARIO_BY_MISTAKE = {
     mistakes.IgnoresAcceptedChange: 0,
     mistakes.HalfIsAQuorum: 1,
     mistakes.BreaksOlderPromise: 2,
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("mistake", mistakes.ALL)
 def test_the_model_checker_finds_injected_mistakes(mistake):
     with pytest.raises(InvariantViolation, match="view 2 is|acts in"):
-        check.Check(check.SCENARIOS[SHOWN_BY[mistake]], mistake).run()
+        check.Check(check.SCENARIOS[SCENARIO_BY_MISTAKE[mistake]], mistake).run()
 
 
 @pytest.mark.parametrize("scenario", check.QUICK, ids=lambda scenario: scenario.name)
--- a/tests/relay/journal/test_journal_live.py
+++ b/tests/relay/journal/test_journal_live.py
@@ -64,13 +64,13 @@
         assert found.breaches == []
         assert max_bytes <= BUDGET and cleaned > 5, (max_bytes, cleaned)
         assert await relay.stop() == 0
-        taken = sum(row["taken"] for row in found.table.values())
+        accepted_count = sum(row["taken"] for row in found.table.values())
         relay.close()
         partner.close_all()
-        return taken, cleaned
+        return accepted_count, cleaned
 
-    taken, cleaned = asyncio.run(scenario())
-    print(f"{KILLS} kills, {taken} messages taken, {cleaned} segments cleaned: none lost, none twice")
+    accepted_count, cleaned = asyncio.run(scenario())
+    print(f"{KILLS} kills, {accepted_count} messages accepted, {cleaned} segments cleaned: none lost, none twice")
 
 
 class Upgrade(NodeCase):
--- a/tests/relay/test_admin_server.py
+++ b/tests/relay/test_admin_server.py
@@ -61,9 +61,9 @@
                 caller.sendall(data)
                 caller.shutdown(socket.SHUT_WR)
                 with caller.makefile("rb") as stream:
-                    begun, got = time.monotonic(), stream.read()
-            self.assertEqual(got.startswith(b"HTTP/1.1 200 "), answered)
-            self.assertEqual(bool(got), answered)
+                    begun, received = time.monotonic(), stream.read()
+            self.assertEqual(received.startswith(b"HTTP/1.1 200 "), answered)
+            self.assertEqual(bool(received), answered)
             self.assertLess(time.monotonic() - begun, 0.4)  # neither waits for a timeout
 
     def test_invalid_calls_are_rejected(self):
@@ -132,11 +132,11 @@
         self.assertLess(time.monotonic() - begun, 6.0)  # 3.5 s, and a margin for a busy machine
 
     def test_invalid_address_is_named(self):
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))
-            taken.listen()
+        with socket.socket() as occupied:
+            occupied.bind(("127.0.0.1", 0))
+            occupied.listen()
             path = self.configure(listen="127.0.0.1:1", discovery="127.0.0.1:2", state=str(self.state))
-            for admin in (f"127.0.0.1:{taken.getsockname()[1]}", "nowhere", "127.0.0.1:1"):
+            for admin in (f"127.0.0.1:{occupied.getsockname()[1]}", "nowhere", "127.0.0.1:1"):
                 listen = "127.0.0.1:1" if admin == "127.0.0.1:1" else f"127.0.0.1:{self.free_port()}"
                 env = {"NODE_CONFIG": str(path), "NODE_LISTEN": listen, "NODE_ADMIN_ADDR": admin}
                 ended = subprocess.run(
--- a/tests/relay/test_bundle.py
+++ b/tests/relay/test_bundle.py
@@ -159,23 +159,25 @@
         for number in range(100, 160):
             self.assertEqual(self.client().hand_in(f"m{number}")[0], 202)
         self.delivered(60)
-        place = taken = 0
+        place = accepted_count = 0
         while not hangs and place < 400:
             with contextlib.ExitStack() as stack:
                 clients = [stack.enter_context(contextlib.closing(self.client())) for _ in range(6)]
                 for client in clients:
                     place += 1
                     client.socket.sendall(message(f"m{1000 + place}", ("once", "safe")[place % 2]))
-                taken += sum(b" 202 " in client.stream.readline() for client in clients)
+                accepted_count += sum(b" 202 " in client.stream.readline() for client in clients)
             # Otherwise a fast machine submits a hundred before the first call arrives, and the rest is deferred.
-            until(lambda so_far=taken: hangs or self.counters()["ends"]["delivered"] >= 60 + so_far, "their ends")
+            until(
+                lambda so_far=accepted_count: hangs or self.counters()["ends"]["delivered"] >= 60 + so_far, "their ends"
+            )
         until(lambda: hangs, "a call with messages of both classes")
         until(
             lambda: "not_cut" in self.counters()["tries"] or "reason=cancelled" in self.log.read_text(),
             "the attempted cancellation",
         )
         hung.set()
-        until(lambda: self.counters()["ends"].get("delivered", 0) >= 60 + taken, "all are delivered")
+        until(lambda: self.counters()["ends"].get("delivered", 0) >= 60 + accepted_count, "all are delivered")
         self.assertEqual(self.discovery.notices, {})
 
     def mixed(self, call) -> bool:
--- a/tests/relay/test_clients.py
+++ b/tests/relay/test_clients.py
@@ -116,8 +116,8 @@
     def test_long_idle_clients_are_evicted_before_the_table_is_full(self):
         self.limits["sockets"] = 192  # 96 client connections at most
         self.start()
-        stay = [self.client() for _ in range(60)]
-        for number, client in enumerate(stay):
+        idle_clients = [self.client() for _ in range(60)]
+        for number, client in enumerate(idle_clients):
             self.assertEqual(client.hand_in(f"m{number}")[0], 202)
 
         def one_more() -> bool:
@@ -127,7 +127,7 @@
             return self.log.read_text().count("kind=client reason=crowded") >= 20
 
         until(one_more, "evictions of idle connections")
-        self.assertIn(stay[-1].hand_in("last")[0], (202, 429))  # the longest idle were evicted first
+        self.assertIn(idle_clients[-1].hand_in("last")[0], (202, 429))  # the longest idle were evicted first
 
     def test_client_that_never_reads_does_not_keep_its_descriptor(self):
         self.start()
--- a/tests/relay/test_connection_budget.py
+++ b/tests/relay/test_connection_budget.py
@@ -71,10 +71,10 @@
         self.start()
         self.assertEqual(self.client().hand_in("first")[0], 202)
         before = self.resident()
-        half = message("m", body=bytes(60_000))[:-1]
+        incomplete = message("m", body=bytes(60_000))[:-1]
         clients = [Client(self.port) for _ in range(400)]
         for client in clients:
-            client.socket.sendall(half)
+            client.socket.sendall(incomplete)
         until(lambda: "kind=client reason=heavy" in self.log.read_text(), "the first eviction")
         self.assertLess(self.resident() - before, 12_000)
         self.assertEqual(self.client().hand_in("usual")[0], 202)
--- a/tests/relay/test_end_to_end.py
+++ b/tests/relay/test_end_to_end.py
@@ -328,8 +328,8 @@
 
 class Stopping(NodeCase):
     def test_sigterm_finishes_what_it_can(self):
-        go = threading.Event()
-        self.act = lambda call: reply(200) if go.wait(WAIT_TIMEOUT_S) else None
+        may_respond = threading.Event()
+        self.act = lambda call: reply(200) if may_respond.wait(WAIT_TIMEOUT_S) else None
         self.start()
         client, other = self.client(), self.client()
         client.hand_in("m1", "once")
@@ -340,7 +340,7 @@
         self.assertEqual((status, headers["connection"]), (202, "close"))
         self.assertEqual(self.client().hand_in("m3")[0], 202)  # new connections are still accepted
         self.assertEqual(other.stream.read(), b"")  # an idle one is closed
-        go.set()
+        may_respond.set()
         self.assertEqual(self.process.wait(WAIT_TIMEOUT_S), 0)
         self.assertEqual(sorted({call[1]["req-id"] for call in self.calls()}), ["m1", "m2", "m3"])
         self.assertIn("event=counters group=ends delivered=3", self.log.read_text())
--- a/tests/relay/test_race_conditions.py
+++ b/tests/relay/test_race_conditions.py
@@ -587,7 +587,7 @@
         self.assertEqual(self.discovery.notices, {})
 
 
-class PendingObligations(NodeCase):
+class PendingMessages(NodeCase):
     def test_notice_lost_on_a_dead_connection_is_resent_in_time(self):
         """The first notice is lost; the second must arrive by 0.3 s after the message's deadline."""
         notices, answer = [], self.discovery.act
--- a/tests/relay/test_standalone.py
+++ b/tests/relay/test_standalone.py
@@ -184,11 +184,11 @@
             await asyncio.gather(desk.run(range(len(desk.sent), len(desk.sent) + 20), 100.0))
             await relay.stop(signal.SIGKILL)
             await relay.start()
-        taken = {id_ for id_, one in desk.sent.items() if one.status == 202}
+        accepted_ids = {id_ for id_, one in desk.sent.items() if one.status == 202}
         end = asyncio.get_running_loop().time() + 20
-        while taken - set(relay.finals()) and asyncio.get_running_loop().time() < end:
+        while accepted_ids - set(relay.finals()) and asyncio.get_running_loop().time() < end:
             await asyncio.sleep(0.05)
-        assert taken and not taken - set(relay.finals())
+        assert accepted_ids and not accepted_ids - set(relay.finals())
         assert await relay.stop() == 0
         relay.close()
         partner.close_all()
@@ -198,8 +198,8 @@
 
 def test_demo_breaks_no_rule(tmp_path):
     output: list = []
-    judged = asyncio.run(play(tmp_path, 120, 5, output.append))
-    assert judged.breaches == [] and sum(row["handed in"] for row in judged.table.values()) == 120
+    report = asyncio.run(play(tmp_path, 120, 5, output.append))
+    assert report.breaches == [] and sum(row["handed in"] for row in report.table.values()) == 120
     assert any("rejected whole" in line for line in output)
 
 
--- a/tests/relay/test_upstream.py
+++ b/tests/relay/test_upstream.py
@@ -162,8 +162,8 @@
     reading = run_to_end(files.read(files.write(rows, generation), "u", RULES))
     assert reading.candidate is not None, reading.faults
     assert list(reading.candidate.entries.values()) == rows and reading.candidate.version == generation
-    warm = run_to_end(files.read(files.write(rows, generation + 1), "u", RULES, reading.parsed_lines))
-    assert warm.candidate.entries == reading.candidate.entries
+    reread = run_to_end(files.read(files.write(rows, generation + 1), "u", RULES, reading.parsed_lines))
+    assert reread.candidate.entries == reading.candidate.entries
 
 
 def test_lines_are_parsed_again_when_their_destination_line_changes():
@@ -238,39 +238,43 @@
     assert verdict(None, two, owners=owners).outcome == ListOutcome.APPLIED
 
 
-FOUR = [entry(f"s-{index}", 7000 + index) for index in range(4)]
+FOUR_ENTRIES = [entry(f"s-{index}", 7000 + index) for index in range(4)]
 
 
 @pytest.mark.parametrize(
     "guards, rows, expected_fault",
     [
-        (Guards(max_removed_share=0.5), FOUR[:2], ""),
-        (Guards(max_removed_share=0.5), FOUR[:1], "3 of 4 endpoints would go, most-removed is 0.5"),
+        (Guards(max_removed_share=0.5), FOUR_ENTRIES[:2], ""),
+        (Guards(max_removed_share=0.5), FOUR_ENTRIES[:1], "3 of 4 endpoints would go, most-removed is 0.5"),
         (Guards(may_remove_last_endpoint=False), [], "its last endpoint would go"),
-        (Guards(may_remove_last_endpoint=False), FOUR[:1], ""),
-        (Guards(max_moved_share=0.4), [row._replace(weight=7.5) for row in FOUR], "0.50 of its weight would move"),
-        (Guards(max_moved_share=0.4), [row._replace(weight=6.5) for row in FOUR], ""),
+        (Guards(may_remove_last_endpoint=False), FOUR_ENTRIES[:1], ""),
+        (
+            Guards(max_moved_share=0.4),
+            [row._replace(weight=7.5) for row in FOUR_ENTRIES],
+            "0.50 of its weight would move",
+        ),
+        (Guards(max_moved_share=0.4), [row._replace(weight=6.5) for row in FOUR_ENTRIES], ""),
         (
             Guards(max_removed_share=0.3),
-            [row._replace(address=("10.1.0.2", 1 + index)) for index, row in enumerate(FOUR)],
+            [row._replace(address=("10.1.0.2", 1 + index)) for index, row in enumerate(FOUR_ENTRIES)],
             "4 of 4 endpoints would go",
         ),
         (
             Guards(max_removed_share=0.0, may_remove_last_endpoint=False, max_moved_share=0.0),
-            [row._replace(lifecycle=DRAINING) for row in FOUR],
+            [row._replace(lifecycle=DRAINING) for row in FOUR_ENTRIES],
             "",
         ),
     ],
 )
 def test_guards_require_approval_or_pass(guards, rows, expected_fault):
-    found = verdict(listing(*FOUR), listing(*rows, version=2), guards)
+    found = verdict(listing(*FOUR_ENTRIES), listing(*rows, version=2), guards)
     assert (found.outcome == ListOutcome.AWAITING_APPROVAL) == bool(expected_fault), found.reasons
     assert expected_fault in " ".join(map(str, found.reasons))
 
 
 def test_a_version_awaiting_approval_drains_at_once_and_applies_once_approved():
-    old = listing(*FOUR)
-    new = listing(FOUR[0]._replace(lifecycle=DRAINING), FOUR[1]._replace(weight=9.0), version=2)
+    old = listing(*FOUR_ENTRIES)
+    new = listing(FOUR_ENTRIES[0]._replace(lifecycle=DRAINING), FOUR_ENTRIES[1]._replace(weight=9.0), version=2)
     guards = Guards(max_removed_share=0.25)
     found = verdict(old, new, guards)
     assert found.outcome == ListOutcome.AWAITING_APPROVAL
@@ -281,8 +285,8 @@
 
 
 def test_restoring_a_file_reverts_the_drains_of_a_version_awaiting_approval():
-    old = listing(*FOUR)
-    new = listing(FOUR[0]._replace(lifecycle=DRAINING), version=2)
+    old = listing(*FOUR_ENTRIES)
+    new = listing(FOUR_ENTRIES[0]._replace(lifecycle=DRAINING), version=2)
     awaiting = verdict(old, new, Guards(max_removed_share=0.25))
     back = run_to_end(evaluate(ActiveList(old.version, old.digest, awaiting.entries), old, OwnershipIndex(), Guards()))
     assert (back.outcome, back.changes.resumed, back.entries) == (ListOutcome.APPLIED, ["s-0"], old.entries)
@@ -349,7 +353,7 @@
         return self.at
 
 
-class Module:
+class FakeScheduler:
     """Stands in for the scheduler: records events and keeps the members that result from them."""
 
     def __init__(self) -> None:
@@ -375,7 +379,7 @@
         order = (FILES, DISCOVERY) if files_first else (DISCOVERY, FILES)
         self.order = order if both else (FILES,)
         clock = Clock()
-        self.module, self.gone = Module(), []
+        self.module, self.gone = FakeScheduler(), []
         self.group = Group(
             module_settings(kinds=["club"], zones=["a"]),
             Deadlines(clock, lambda *_: None),
@@ -437,7 +441,7 @@
         return found
 
     @invariant()
-    def the_module_has_what_the_lists_say(self):
+    def members_match_the_lists(self):
         if not hasattr(self, "group"):
             return
         expected, table = self.expected(), self.group.table
@@ -459,7 +463,7 @@
 
 
 def test_many_changes_reach_the_module_in_bounded_events_drains_first():
-    module = Module()
+    module = FakeScheduler()
     group = Group(module_settings(), Deadlines(Clock(), lambda *_: None), module.put, lambda _: None)
     group.add(FILES, None)
     old = {f"s-{n}": entry(f"s-{n}", n + 1) for n in range(1000)}
--- a/tests/relay/test_upstream_live.py
+++ b/tests/relay/test_upstream_live.py
@@ -81,8 +81,10 @@
         self.runs += 1
         before, desk = len(self.partner.calls), LoadGenerator(self.relay.port, SEED * 1000 + self.runs, 1, 4, 10.0)
         await desk.run(range(messages), 200.0)
-        taken = sum(one.status == 202 for one in desk.sent.values())
-        await until(lambda: sum(call.id in desk.sent for call in self.partner.calls[before:]) >= taken, "the calls")
+        accepted_count = sum(one.status == 202 for one in desk.sent.values())
+        await until(
+            lambda: sum(call.id in desk.sent for call in self.partner.calls[before:]) >= accepted_count, "the calls"
+        )
         return {call.endpoint for call in self.partner.calls[before:] if call.id in desk.sent}
 
     def entries(self, *names: str, draining=(), weight: float = 60.0) -> list[Endpoint]:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,10 +13,10 @@
 def test_an_overloaded_limit_is_used_and_not_spent_on_refusals(seed):
     fleet = Fleet(seed, [45.0, 110.0], [70.0, 90.0])
     fleet.run(30_000.0)
-    taken, refused = fleet.sums(0, 5, 30)
-    assert taken >= 0.75 * 45 * 25 and refused <= 0.15 * taken, (seed, taken, refused)
-    taken, refused = fleet.sums(1, 5, 30)
-    assert taken >= 0.9 * 90 * 25 and refused <= 0.1 * taken, (seed, taken, refused)
+    accepted, refused = fleet.sums(0, 5, 30)
+    assert accepted >= 0.75 * 45 * 25 and refused <= 0.15 * accepted, (seed, accepted, refused)
+    accepted, refused = fleet.sums(1, 5, 30)
+    assert accepted >= 0.9 * 90 * 25 and refused <= 0.1 * accepted, (seed, accepted, refused)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -53,31 +53,31 @@
     fleet.run(8000.0)
     fleet.kill(0.7, 2000.0)
     fleet.run(30_000.0)
-    asked = [at for at in fleet.asked if at >= 8000.0]
-    assert max(sum(at <= t < at + 1000 for t in asked) for at in asked) <= 26, seed
+    request_times = [at for at in fleet.asked if at >= 8000.0]
+    assert max(sum(at <= t < at + 1000 for t in request_times) for at in request_times) <= 26, seed
     without_list = [node.me for node in fleet.nodes[:28] if not any(10_000 <= t < 16_000 for t in fleet.told[node.me])]
     assert not without_list, (seed, without_list)
 
 
-SECOND = Setup(per_call=20, reports=False, spans=True, slots=7, held=100)
+BUNDLING_SETUP = Setup(per_call=20, reports=False, spans=True, slots=7, held=100)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_a_deployment_of_the_second_kind_serves_bursts_in_few_calls(seed):
     """Three senders, limits of 4 and 12 calls a second, 20 messages a call, no load reports: most messages have to go
     in bundles."""
-    fleet = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=SECOND)
+    fleet = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=BUNDLING_SETUP)
     for second in range(4, 28, 6):
         fleet.run(second * 1000.0)
         fleet.burst(0, 40)
     fleet.run(40_000.0)
     assert fleet.ends["delivered"] >= 0.9 * (fleet.offered - 60), (seed, fleet.ends, fleet.offered)
     for number in (0, 1):
-        taken, refused = fleet.sums(number, 0, 40)
-        assert refused <= 0.35 * taken, (seed, number, taken, refused)
-    alone = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=replace(SECOND, per_call=1))
-    alone.run(40_000.0)
-    assert alone.ends["delivered"] < 0.6 * alone.offered, "delivered too much with one message a call"
+        accepted, refused = fleet.sums(number, 0, 40)
+        assert refused <= 0.35 * accepted, (seed, number, accepted, refused)
+    unbundled = Fleet(seed, [4.0, 12.0], [20.0, 25.0], senders=3, setup=replace(BUNDLING_SETUP, per_call=1))
+    unbundled.run(40_000.0)
+    assert unbundled.ends["delivered"] < 0.6 * unbundled.offered, "delivered too much with one message a call"
 
 
 def test_the_same_seed_gives_the_same_run():
