--- a/lynxscale/cli/conf.py
+++ b/lynxscale/cli/conf.py
@@ -125,21 +125,25 @@
 
 INTRODUCTION = """# The configuration file
 
-The relay and the commands read one line-based file: the one given by `--conf`, else the one that `LYNXSCALE_CONF`
-names. Without either the defaults below hold and nothing is switched on. `lynxscale conf check FILE` tells every
-fault with its file, line and word, and ends with 2; `lynxscale conf show FILE` prints what is in force. The platform's
-JSON (`NODE_CONFIG`) and variables are another matter and go before it.
+The relay and the commands read one line-based file: the one given by `--conf`, otherwise the one that the environment
+variable `LYNXSCALE_CONF` names. Without either the defaults below apply and nothing is enabled.
+`lynxscale conf check FILE` reports every fault with its file, line and word, and exits with 2 if there are any;
+`lynxscale conf show FILE` prints the effective settings. The platform's JSON file (`NODE_CONFIG`) and environment
+variables are separate from this file and take precedence over it.
 
     # a comment
     begin trace
-        folder "relay a/traces"    # words with blanks stand in quotes
+        folder "relay a/traces"    # words with blanks are quoted
         level tries
         file-size 16m
     end trace
 
-A line is a directive and its words. `${NAME}` is a variable of the environment, but not in single quotes.
-`include PATH` stands for the lines of another file; the path is taken from the folder of the file that names it and
-may hold `*`. Sizes take `k`, `m`, `g`; times take `us`, `ms`, `s`, `m`, `h`, `d`. A directive stands once; what is
-unknown, doubled or out of range is an error. The file is read at the start; a change applies from the next start on.
+A line consists of a directive and its words. `${NAME}` is replaced by an environment variable, except in single quotes.
+`include PATH` is replaced by the lines of another file; the path is relative to the folder of the including file and
+may contain `*`. Sizes are in bytes, or have a unit: `k`, `m`, `g` (powers of 1024). Times need a unit: `us`, `ms`, `s`,
+`m`, `h`, `d`. A directive may appear once, unless it defines a named row (NAME below); an unknown or repeated directive
+and a value that is out of range are errors. The file is read at the start, and a change takes effect at the next start;
+on SIGHUP a relay reads it again and applies only those changes that need no restart, such as a new `member` line in the
+section `cluster`.
 
 """
